--- a/src/main/java/org/mulleinshift/coordination/BlockReporting.java
+++ b/src/main/java/org/mulleinshift/coordination/BlockReporting.java
@@ -113,7 +113,7 @@
             new MachineReport(
                 id.value(),
                 machine.toldPhase(),
-                machine.silence().name(),
+                machine.silence().wireName(),
                 machine.recalled(),
                 new ArrayList<>(machine.images())));
       }
@@ -127,7 +127,7 @@
                 id.job().value(),
                 id.index(),
                 task.attempt().value(),
-                task.phase().name(),
+                task.phase().wireName(),
                 task.machine().map(MachineId::value).orElse(""),
                 task.ranMillis(now)));
       }
--- a/src/main/java/org/mulleinshift/coordination/Controller.java
+++ b/src/main/java/org/mulleinshift/coordination/Controller.java
@@ -331,7 +331,7 @@
             session.hold().map(hold -> hold.value()).orElse(0L),
             stateLink.silence().toMillis(),
             stateLink.state() == StateLink.State.LOST,
-            heldBlocks.hearing().name(),
+            heldBlocks.hearing().wireName(),
             seen.map(record -> record.node().value()).orElse(""),
             seen.map(record -> record.term().value()).orElse(0L),
             election.leading() ? succession.choose(otherZoneFirst) : "",
--- a/src/main/java/org/mulleinshift/coordination/Fleet.java
+++ b/src/main/java/org/mulleinshift/coordination/Fleet.java
@@ -138,7 +138,7 @@
     if (record == null
         || report == null
         || record.up()
-        || !report.getPhase().equals(MachinePhase.CONFIRMED.name())) {
+        || !report.getPhase().equals(MachinePhase.CONFIRMED.wireName())) {
       return;
     }
     Machine known = track(id);
@@ -180,7 +180,7 @@
         boolean silent =
             entry.getValue().up()
                 && report.isPresent()
-                && report.get().getSilence().equals(HeldMachine.Silence.GONE.name());
+                && report.get().getSilence().equals(HeldMachine.Silence.GONE.wireName());
         if (overdue || silent || leader.blame().faulty(id)) {
           giveUp(id, overdue ? "does not come up" : silent ? "is silent" : "fails its tasks");
         }
--- a/src/main/java/org/mulleinshift/coordination/Floors.java
+++ b/src/main/java/org/mulleinshift/coordination/Floors.java
@@ -225,7 +225,7 @@
       for (Map.Entry<MachineId, MachineRecord> entry : block.machines().entrySet()) {
         MachineReport report = block.reportOf(entry.getKey()).orElse(null);
         boolean silent =
-            report != null && !report.getSilence().equals(HeldMachine.Silence.HEARD.name());
+            report != null && !report.getSilence().equals(HeldMachine.Silence.HEARD.wireName());
         MachineType type = catalog.type(entry.getValue().type()).orElse(null);
         if (type != null && !silent && !leader.closed(entry.getKey())) {
           byType.merge(type.id(), type.size(), Resources::plus);
--- a/src/main/java/org/mulleinshift/coordination/FreeRoom.java
+++ b/src/main/java/org/mulleinshift/coordination/FreeRoom.java
@@ -108,9 +108,9 @@
   }
 
   private boolean usable(MachineId machine, MachineReport report) {
-    return report.getPhase().equals(MachinePhase.CONFIRMED.name())
+    return report.getPhase().equals(MachinePhase.CONFIRMED.wireName())
         && !report.getRecalled()
-        && report.getSilence().equals(HeldMachine.Silence.HEARD.name())
+        && report.getSilence().equals(HeldMachine.Silence.HEARD.wireName())
         && !leader.closed(machine);
   }
 }
--- a/src/main/java/org/mulleinshift/coordination/HeldMachine.java
+++ b/src/main/java/org/mulleinshift/coordination/HeldMachine.java
@@ -55,11 +55,22 @@
 
   /** For how long a machine has not been heard, as far as it matters to the leader. */
   enum Silence {
-    HEARD,
+    HEARD("HEARD"),
     /** Reports are missing, or it may not hear this node: it takes nothing new. */
-    QUIET,
+    QUIET("QUIET"),
     /** For longer than its lease. */
-    GONE
+    GONE("GONE");
+
+    private final String wireName;
+
+    Silence(String wireName) {
+      this.wireName = wireName;
+    }
+
+    /** How peer frames name it. */
+    String wireName() {
+      return wireName;
+    }
   }
 
   HeldMachine(MachineId id, MachineRecord record, Revision grant, SteadyTime now) {
@@ -275,7 +286,7 @@
 
   /** What the leader hears of the machine's phase. */
   String toldPhase() {
-    return occupied ? OCCUPIED : phase().name();
+    return occupied ? OCCUPIED : phase().wireName();
   }
 
   Set<String> images() {
--- a/src/main/java/org/mulleinshift/coordination/Leader.java
+++ b/src/main/java/org/mulleinshift/coordination/Leader.java
@@ -494,7 +494,7 @@
   private void onTask(TaskReport report, Job job, Delegation delegation) {
     MachineId machine = new MachineId(report.getMachine());
     SteadyTime since = loop.now().minus(Duration.ofMillis(report.getRanMs()));
-    switch (TaskPhase.valueOf(report.getPhase())) {
+    switch (TaskPhase.fromWireName(report.getPhase())) {
       case NEW -> delegation.unplaced();
       case STARTING, FETCHING -> delegation.placed(machine);
       case RUNNING, SAVING -> {
--- a/src/main/java/org/mulleinshift/coordination/LeaderBlock.java
+++ b/src/main/java/org/mulleinshift/coordination/LeaderBlock.java
@@ -256,7 +256,7 @@
 
   private boolean heard(MachineId machine) {
     return reportOf(machine)
-        .filter(report -> report.getSilence().equals(HeldMachine.Silence.HEARD.name()))
+        .filter(report -> report.getSilence().equals(HeldMachine.Silence.HEARD.wireName()))
         .isPresent();
   }
 
--- a/src/main/java/org/mulleinshift/coordination/MachinePhase.java
+++ b/src/main/java/org/mulleinshift/coordination/MachinePhase.java
@@ -3,11 +3,22 @@
 /** How a holder stands with a machine of its block. */
 enum MachinePhase {
   /** No report under this grant yet. */
-  UNSEEN,
+  UNSEEN("UNSEEN"),
   /** It reports, but has not yet shown that it knows the token. */
-  HEARD,
+  HEARD("HEARD"),
   /** It knows the token: what it reports is all that is on it. */
-  CONFIRMED,
+  CONFIRMED("CONFIRMED"),
   /** Its worker lease is surely over: nothing runs on it. */
-  SILENT
+  SILENT("SILENT");
+
+  private final String wireName;
+
+  MachinePhase(String wireName) {
+    this.wireName = wireName;
+  }
+
+  /** How peer frames name it. */
+  String wireName() {
+    return wireName;
+  }
 }
--- a/src/main/java/org/mulleinshift/coordination/TaskPhase.java
+++ b/src/main/java/org/mulleinshift/coordination/TaskPhase.java
@@ -1,19 +1,51 @@
 package org.mulleinshift.coordination;
 
+import java.util.Arrays;
+import java.util.Map;
+import java.util.function.Function;
+import java.util.stream.Collectors;
 import org.mulleinshift.protocol.WorkerReport;
 
 /** The phases in which a holder reports a task. The last five are final for the attempt. */
 enum TaskPhase {
-  NEW,
-  STARTING,
-  FETCHING,
-  RUNNING,
-  SAVING,
-  DONE,
-  STOPPED,
-  FAILED,
-  REJECTED,
-  LOST;
+  NEW("NEW"),
+  STARTING("STARTING"),
+  FETCHING("FETCHING"),
+  RUNNING("RUNNING"),
+  SAVING("SAVING"),
+  DONE("DONE"),
+  STOPPED("STOPPED"),
+  FAILED("FAILED"),
+  REJECTED("REJECTED"),
+  LOST("LOST");
+
+  private static final Map<String, TaskPhase> BY_WIRE_NAME =
+      Arrays.stream(values())
+          .collect(Collectors.toUnmodifiableMap(TaskPhase::wireName, Function.identity()));
+
+  private final String wireName;
+
+  TaskPhase(String wireName) {
+    this.wireName = wireName;
+  }
+
+  /** How peer frames name it. */
+  String wireName() {
+    return wireName;
+  }
+
+  /**
+   * The phase that a peer frame names.
+   *
+   * @throws IllegalArgumentException if no phase has that name
+   */
+  static TaskPhase fromWireName(String wireName) {
+    TaskPhase phase = BY_WIRE_NAME.get(wireName);
+    if (phase == null) {
+      throw new IllegalArgumentException("unknown task phase " + wireName);
+    }
+    return phase;
+  }
 
   boolean isFinal() {
     return ordinal() >= DONE.ordinal();
--- a/src/main/java/org/mulleinshift/coordination/membership/Links.java
+++ b/src/main/java/org/mulleinshift/coordination/membership/Links.java
@@ -95,12 +95,7 @@
 
   /** How the sender stands to its workers, by its own word; an unknown word counts as well. */
   public static WorkerLink.State workers(Heartbeat beat) {
-    for (WorkerLink.State state : WorkerLink.State.values()) {
-      if (state.name().equals(beat.getWorkers())) {
-        return state;
-      }
-    }
-    return WorkerLink.State.WELL;
+    return WorkerLink.State.fromWireName(beat.getWorkers());
   }
 
   /** Whether the peer said lately that the state service serves it. */
--- a/src/main/java/org/mulleinshift/coordination/membership/WorkerLink.java
+++ b/src/main/java/org/mulleinshift/coordination/membership/WorkerLink.java
@@ -38,13 +38,34 @@
 
   /** States of the link. */
   public enum State {
-    WELL,
+    WELL("WELL"),
     /** A third of what proves it: nothing follows but that no block is given to this node. */
-    DOUBTED,
+    DOUBTED("DOUBTED"),
     /** Most machines have stopped reporting here. */
-    MOST_SILENT,
+    MOST_SILENT("MOST_SILENT"),
     /** None reports, of so many that this is no chance. */
-    ALL_SILENT
+    ALL_SILENT("ALL_SILENT");
+
+    private final String wireName;
+
+    State(String wireName) {
+      this.wireName = wireName;
+    }
+
+    /** How peer frames name it. */
+    public String wireName() {
+      return wireName;
+    }
+
+    /** The state that a peer frame names; an unknown name counts as well. */
+    public static State fromWireName(String wireName) {
+      for (State state : values()) {
+        if (state.wireName.equals(wireName)) {
+          return state;
+        }
+      }
+      return WELL;
+    }
   }
 
   /** What is known of the machines now. */
