--- /dev/null
+++ b/src/test/java/org/mulleinshift/bookkeeping/StoredRecordGoldenTest.java
@@ -0,0 +1,166 @@
+package org.mulleinshift.bookkeeping;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.lang.reflect.Field;
+import java.util.Optional;
+import java.util.OptionalLong;
+import java.util.Set;
+import java.util.stream.Collectors;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+import org.mulleinshift.GoldenFile;
+import org.mulleinshift.bookkeeping.ControlView.BlockRecord;
+import org.mulleinshift.protocol.BadMessage;
+import org.mulleinshift.protocol.BlockId;
+import org.mulleinshift.protocol.JobPhase;
+import org.mulleinshift.protocol.Json;
+import org.mulleinshift.protocol.NodeId;
+import org.mulleinshift.protocol.StateCodec.Item;
+import org.mulleinshift.protocol.ZoneId;
+import org.mulleinshift.transport.SteadyTime;
+
+/** Keys and values of the state service are as an earlier build wrote them. */
+class StoredRecordGoldenTest {
+  private static final String DIRECTORY = "stored";
+
+  /** Between the key and the value in a golden file. */
+  private static final String SEPARATOR = "\n";
+
+  private static String file(String name) {
+    return DIRECTORY + "/" + name + ".txt";
+  }
+
+  private static Set<String> names() {
+    return StoredRecordSamples.all().keySet();
+  }
+
+  private static Item golden(String name) throws BadMessage {
+    String[] keyAndValue = GoldenFile.text(file(name)).split(SEPARATOR, 2);
+    return StoredRecordSamples.item(keyAndValue[0], keyAndValue[1]);
+  }
+
+  @ParameterizedTest
+  @MethodSource("names")
+  void isWrittenAsBefore(String name) {
+    StoredRecordSamples.Stored stored = StoredRecordSamples.all().get(name);
+    GoldenFile.assertHolds(file(name), stored.key() + SEPARATOR + Json.write(stored.value()));
+  }
+
+  @ParameterizedTest
+  @MethodSource("names")
+  void isReadAndWrittenBackByteForByte(String name) throws BadMessage {
+    Item item = golden(name);
+    assertEquals(GoldenFile.text(file(name)), item.key() + SEPARATOR + Json.write(rewritten(item)));
+  }
+
+  /** What this build writes of a record that it has read. */
+  private static JsonNode rewritten(Item item) throws BadMessage {
+    String key = item.key();
+    if (key.startsWith(Keys.CONTROL)) {
+      return rewrittenControl(item);
+    }
+    return switch (key.substring(0, 2)) {
+      case Keys.ACTIVE -> rewrittenJob(item);
+      case Keys.ENDED -> rewrittenEnd(item);
+      case Keys.PROGRESS -> rewrittenProgress(item);
+      case Keys.LOG -> Segment.write(Segment.read(item.value()));
+      case Keys.RENTALS ->
+          Rental.read(key.substring(Keys.RENTALS.length()), item.value(), new SteadyTime(0))
+              .write();
+      case Keys.AWAITED -> Awaits.list(Awaits.readList(item.value()));
+      default -> throw new AssertionError(key);
+    };
+  }
+
+  private static JsonNode rewrittenControl(Item item) {
+    String key = item.key();
+    ControlView view = new ControlView();
+    view.apply(key, Optional.of(item));
+    if (key.equals(Keys.LEADER)) {
+      ControlView.LeaderRecord leader = view.leader().orElseThrow();
+      assertEquals(item.version(), leader.term());
+      return ControlView.leaderValue(leader.node(), leader.hold());
+    } else if (key.startsWith(Keys.NODES)) {
+      NodeId node = new NodeId(key.substring(Keys.NODES.length()));
+      return ControlView.nodeValue(view.nodes().get(node).hold());
+    } else if (key.startsWith(Keys.GRANTS)) {
+      BlockId block = new BlockId(key.substring(Keys.GRANTS.length()));
+      return ControlView.grantValue(view.grants().get(block).holder());
+    } else if (key.startsWith(Keys.BUILDS)) {
+      NodeId node = new NodeId(key.substring(Keys.BUILDS.length()));
+      return ControlView.buildValue(view.builds().get(node));
+    }
+    BlockRecord block = view.blocks().get(new BlockId(key.substring(Keys.BLOCKS.length())));
+    JsonNode node = BlockRecord.write(block.zone(), block.machines(), block.lastHolder());
+    block.beyond().ifPresent(fields -> fields.restore(node));
+    return node;
+  }
+
+  private static JsonNode rewrittenJob(Item item) {
+    JobRecord record = JobRecord.read(item).orElseThrow();
+    JsonNode node =
+        JobRecord.value(
+            record.spec(), record.awaits(), record.acceptedMillis(), record.cancelled());
+    record.beyond().ifPresent(fields -> fields.restore(node));
+    return node;
+  }
+
+  private static JsonNode rewrittenEnd(Item item) {
+    JobPhase phase = JobRecord.endedPhase(item).orElseThrow();
+    OptionalLong at = JobRecord.endedMillis(item);
+    ObjectNode node = (ObjectNode) JobRecord.endedValue(phase, at.orElse(0));
+    return at.isPresent() ? node : node.without("at");
+  }
+
+  private static JsonNode rewrittenProgress(Item item) throws BadMessage {
+    Keys.ProgressKey key = Keys.progressKey(item.key()).orElseThrow();
+    boolean awaiting = item.value().has("ready");
+    Job job = StoredRecordSamples.job(awaiting ? StoredRecordSamples.namedJobs() : Awaits.NOTHING);
+    assertEquals(job.spec().id(), key.job());
+    job.load(key.part(), item.value(), block -> new ZoneId("a"));
+    return job.progress(key.part());
+  }
+
+  @Test
+  void jobsAreReadAsTheyWereMeant() throws BadMessage {
+    JobRecord record = JobRecord.read(golden("job-awaiting-named-jobs")).orElseThrow();
+    assertEquals(StoredRecordSamples.shortSpec(), record.spec());
+    assertEquals(StoredRecordSamples.namedJobs(), record.awaits());
+    assertEquals(StoredRecordSamples.ACCEPTED_AT, record.acceptedMillis());
+  }
+
+  @Test
+  void segmentsNameTheirJobsAndParts() throws BadMessage {
+    Item item = golden("log-segment");
+    assertEquals(17, Keys.segmentNumber(item.key()).orElseThrow());
+    assertEquals(
+        "run-1 0, run-2 0/1",
+        Segment.read(item.value()).stream()
+            .map(entry -> entry.job() + " " + entry.part())
+            .collect(Collectors.joining(", ")));
+  }
+
+  @Test
+  void everyPrefixHasASample() throws IllegalAccessException {
+    Set<String> keys =
+        StoredRecordSamples.all().values().stream()
+            .map(StoredRecordSamples.Stored::key)
+            .collect(Collectors.toSet());
+    for (Field prefix : Keys.class.getFields()) {
+      String text = (String) prefix.get(null);
+      assertTrue(keys.stream().anyMatch(key -> key.startsWith(text)), text);
+    }
+  }
+
+  @Test
+  void everyGoldenFileHasASample() throws IOException {
+    Set<String> expected = names().stream().map(name -> name + ".txt").collect(Collectors.toSet());
+    assertEquals(expected, GoldenFile.names(DIRECTORY));
+  }
+}
--- /dev/null
+++ b/src/test/java/org/mulleinshift/bookkeeping/StoredRecordSamples.java
@@ -0,0 +1,221 @@
+package org.mulleinshift.bookkeeping;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+import org.mulleinshift.bookkeeping.ControlView.BlockRecord;
+import org.mulleinshift.bookkeeping.ControlView.MachineRecord;
+import org.mulleinshift.protocol.Attempt;
+import org.mulleinshift.protocol.BadMessage;
+import org.mulleinshift.protocol.BlockId;
+import org.mulleinshift.protocol.HoldId;
+import org.mulleinshift.protocol.JobId;
+import org.mulleinshift.protocol.JobKind;
+import org.mulleinshift.protocol.JobPhase;
+import org.mulleinshift.protocol.JobSpec;
+import org.mulleinshift.protocol.JobSpecSamples;
+import org.mulleinshift.protocol.Json;
+import org.mulleinshift.protocol.MachineId;
+import org.mulleinshift.protocol.MachineTypeId;
+import org.mulleinshift.protocol.NodeId;
+import org.mulleinshift.protocol.Priority;
+import org.mulleinshift.protocol.Revision;
+import org.mulleinshift.protocol.StateCodec.Item;
+import org.mulleinshift.protocol.ZoneId;
+import org.mulleinshift.transport.SteadyTime;
+
+/** Every form of a stored record that this build writes, by the name of its golden file. */
+final class StoredRecordSamples {
+  static final long ACCEPTED_AT = 1_700_000_003_002L;
+  static final int TASKS = 730;
+  private static final JobId JOB = new JobId("run-1");
+  private static final BlockId BLOCK = new BlockId("a-0");
+  private static final ZoneId ZONE = new ZoneId("a");
+  private static final String DIGEST = "0f8fad5b-d9cb-369f-a165-70867728950e";
+
+  /** A key and its value. */
+  record Stored(String key, JsonNode value) {}
+
+  private final Map<String, Stored> forms = new LinkedHashMap<>();
+
+  private StoredRecordSamples() {}
+
+  static Map<String, Stored> all() {
+    StoredRecordSamples samples = new StoredRecordSamples();
+    samples.addControl();
+    samples.addActiveJobs();
+    samples.addEnds();
+    samples.addProgress();
+    samples.addLog();
+    samples.addOthers();
+    return samples.forms;
+  }
+
+  private void add(String name, String key, JsonNode value) {
+    forms.put(name, new Stored(key, value));
+  }
+
+  private void addControl() {
+    NodeId node = new NodeId("n-1");
+    HoldId hold = new HoldId(Long.MAX_VALUE);
+    add("leader", Keys.LEADER, ControlView.leaderValue(node, hold));
+    add("node", Keys.node(node), ControlView.nodeValue(new HoldId(7)));
+    add("grant", Keys.grant(BLOCK), ControlView.grantValue(node));
+    add("build", Keys.build(node), ControlView.buildValue(2));
+    JsonNode block = BlockRecord.write(ZONE, machines(), Optional.of(node));
+    add("block", Keys.block(BLOCK), block);
+    add(
+        "block-without-last-holder",
+        Keys.block(BLOCK),
+        BlockRecord.write(ZONE, machines(), Optional.empty()));
+    add(
+        "block-without-machines",
+        Keys.block(BLOCK),
+        BlockRecord.write(ZONE, Map.of(), Optional.of(node)));
+    ObjectNode newer = block.deepCopy();
+    newer.put("tier", 2);
+    add("block-with-unknown-fields", Keys.block(BLOCK), newer);
+  }
+
+  private static Map<MachineId, MachineRecord> machines() {
+    Map<MachineId, MachineRecord> machines = new TreeMap<>();
+    machines.put(
+        new MachineId("i-000001"), new MachineRecord(new MachineTypeId("g8"), true, false));
+    machines.put(
+        new MachineId("i-000002"), new MachineRecord(new MachineTypeId("g4"), false, true));
+    return machines;
+  }
+
+  private void addActiveJobs() {
+    for (JobKind kind : JobKind.values()) {
+      addActiveJob(
+          "job-" + kind.wire(),
+          JobSpecSamples.full(JOB, kind, Priority.NORMAL),
+          Awaits.NOTHING,
+          false);
+    }
+    for (Priority priority : Priority.values()) {
+      JobSpec spec = JobSpecSamples.full(JOB, JobKind.ARRAY, priority);
+      addActiveJob("job-" + priority.wire(), spec, Awaits.NOTHING, false);
+    }
+    JobSpec spec = shortSpec();
+    addActiveJob("job-without-optional-fields", spec, Awaits.NOTHING, false);
+    addActiveJob("job-cancelled", spec, Awaits.NOTHING, true);
+    addActiveJob("job-awaiting-named-jobs", spec, namedJobs(), false);
+    addActiveJob("job-awaiting-lists", spec, new Awaits(List.of(), 2, DIGEST), false);
+    addActiveJob("job-awaiting-cancelled", spec, namedJobs(), true);
+    add("job-cancelled-with-unknown-fields", Keys.active(JOB), cancelledOfNewerBuild(spec));
+  }
+
+  private void addActiveJob(String name, JobSpec spec, Awaits awaits, boolean cancelled) {
+    add(name, Keys.active(spec.id()), JobRecord.value(spec, awaits, ACCEPTED_AT, cancelled));
+  }
+
+  private static JsonNode cancelledOfNewerBuild(JobSpec spec) {
+    ObjectNode stored = (ObjectNode) JobRecord.value(spec, Awaits.NOTHING, ACCEPTED_AT, false);
+    stored.put("format", 2);
+    ((ObjectNode) stored.get("spec")).put("colour", "red");
+    return JobRecord.read(new Item(Keys.active(JOB), stored, new Revision(3)))
+        .orElseThrow()
+        .cancelledValue();
+  }
+
+  static Awaits namedJobs() {
+    return Awaits.of(List.of(new JobId("run-7"), new JobId("run-8")));
+  }
+
+  static JobSpec shortSpec() {
+    return JobSpecSamples.withoutOptionalFields(JOB, TASKS);
+  }
+
+  private void addEnds() {
+    JsonNode done = JobRecord.endedValue(JobPhase.DONE, ACCEPTED_AT);
+    JsonNode cancelled = JobRecord.endedValue(JobPhase.CANCELLED, ACCEPTED_AT);
+    add("ended-done", Keys.ended(JOB), done);
+    add("ended-cancelled", Keys.ended(JOB), cancelled);
+    // As builds before chains stored it.
+    ObjectNode older = done.deepCopy();
+    older.remove("at");
+    add("ended-without-time", Keys.ended(JOB), older);
+  }
+
+  private void addProgress() {
+    Part first = Part.chunk(0);
+    add("progress-none", Keys.progress(JOB, first), job(Awaits.NOTHING).progress(first));
+    Job job = startedJob(Awaits.NOTHING);
+    add("progress-chunk", Keys.progress(JOB, first), job.progress(first));
+    Part second = Part.chunk(1);
+    add("progress-second-chunk", Keys.progress(JOB, second), job.progress(second));
+    Part half = first.half(0);
+    add("progress-part", Keys.progress(JOB, half), job.progress(half));
+    Part quarter = first.half(1).half(1);
+    add("progress-part-of-part", Keys.progress(JOB, quarter), job.progress(quarter));
+    Job chained = startedJob(namedJobs());
+    add("progress-awaiting", Keys.progress(JOB, first), chained.progress(first));
+    add("progress-with-unknown-fields", Keys.progress(JOB, first), progressOfNewerBuild(job));
+  }
+
+  private static JsonNode progressOfNewerBuild(Job job) {
+    ObjectNode stored = (ObjectNode) job.progress(Part.chunk(0));
+    stored.put("new", 9);
+    return stored;
+  }
+
+  static Job job(Awaits awaits) {
+    return new Job(
+        new JobRecord(shortSpec(), awaits, ACCEPTED_AT, false, new Revision(3), Optional.empty()));
+  }
+
+  /** Tasks done, at two blocks, and with a second attempt; in both chunks. */
+  private static Job startedJob(Awaits awaits) {
+    Job job = job(awaits);
+    job.release(ACCEPTED_AT + 500, ACCEPTED_AT + 900);
+    Attempt term = new Attempt(1L << 40);
+    for (int index : new int[] {0, 1, 2, 9, 260, 499, 500, 729}) {
+      job.taskDone(job.delegate(index, BLOCK, ZONE, term), 5);
+    }
+    for (int index : new int[] {3, 4, 10, 251, 498, 501}) {
+      job.delegate(index, BLOCK, ZONE, term);
+    }
+    job.delegate(11, new BlockId("b-1"), new ZoneId("b"), term);
+    job.taskReturned(job.delegate(12, BLOCK, ZONE, term), Optional.<SteadyTime>empty());
+    job.delegate(12, BLOCK, ZONE, term);
+    return job;
+  }
+
+  private void addLog() {
+    Part first = Part.chunk(0);
+    Part part = first.half(1);
+    Job job = startedJob(Awaits.NOTHING);
+    List<Segment.Entry> entries =
+        List.of(
+            Segment.Entry.of(JOB, first, job.progress(first)),
+            Segment.Entry.of(new JobId("run-2"), part, job.progress(part)));
+    add("log-segment", Keys.segment(17), Segment.write(entries));
+    add("log-segment-without-entries", Keys.segment(0), Segment.write(List.of()));
+  }
+
+  private void addOthers() {
+    Rental rental =
+        new Rental(
+            "r-417-1",
+            new MachineTypeId("g8"),
+            ZONE,
+            true,
+            12,
+            new SteadyTime(0),
+            Rental.State.PLANNED);
+    add("rental", Keys.rental(rental.name()), rental.write());
+    List<JobId> awaited = namedJobs().named();
+    add("awaited-list", Keys.awaited(JOB, DIGEST, 1), Awaits.list(awaited));
+  }
+
+  /** The records as a reader of the store gets them. */
+  static Item item(String key, String value) throws BadMessage {
+    return new Item(key, Json.parseObject(value), new Revision(9));
+  }
+}
--- /dev/null
+++ b/src/test/java/org/mulleinshift/protocol/CloudMessageGoldenTest.java
@@ -0,0 +1,130 @@
+package org.mulleinshift.protocol;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.time.Duration;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+import org.mulleinshift.GoldenFile;
+import org.mulleinshift.protocol.CloudMachine.Phase;
+
+/** What the cloud is asked is written, and what it says is understood, as by an earlier build. */
+class CloudMessageGoldenTest {
+  private static final String DIRECTORY = "cloud/";
+  private static final MachineTypeId TYPE = new MachineTypeId("g8");
+  private static final ZoneId ZONE = new ZoneId("a");
+  private static final List<MachineId> MACHINES =
+      List.of(new MachineId("i-000231"), new MachineId("i-000232"));
+
+  private static String file(String name) {
+    return DIRECTORY + name + ".json";
+  }
+
+  private static Map<String, String> messages() {
+    Map<String, String> messages = new LinkedHashMap<>();
+    messages.put("rent-spot", CloudCodec.rent("r-417-1", TYPE, ZONE, true, 12));
+    messages.put("rent-ordinary", CloudCodec.rent("r-417-2", TYPE, ZONE, false, 50));
+    messages.put("delete", CloudCodec.delete(MACHINES));
+    messages.put("catalog", catalog());
+    messages.put("rented", rented());
+    messages.put("list", list());
+    return messages;
+  }
+
+  private static String catalog() {
+    ObjectNode catalog = Json.object();
+    ObjectNode type = catalog.putArray("builds").addObject();
+    type.put("label", "g8").put("cpus", 96).put("cards", 8).put("ram_gb", 768.5);
+    type.put("local_gb", 200).put("pull_gb_per_s", 1.5);
+    type.put("rate", 12.0).put("market_price", 4.5).put("startup_s", 45.5);
+    type.putArray("yards").add("a").add("b");
+    return Json.write(catalog);
+  }
+
+  private static String rented() {
+    ObjectNode answer = Json.object();
+    ArrayNode machines = answer.putArray("hosts");
+    MACHINES.forEach(machine -> machines.add(machine.value()));
+    return Json.write(answer);
+  }
+
+  private static String list() {
+    ObjectNode page = Json.object();
+    ArrayNode machines = page.putArray("hosts");
+    for (String phase : List.of("booting", "running", "failed")) {
+      ObjectNode machine = machines.addObject();
+      machine.put("ref", "i-" + phase).put("addr", "10.1.0.232:9000").put("build", "g8");
+      machine.put("yard", "a").put("loaner", phase.equals("running")).put("phase", phase);
+      machine.put("held_s", 61.5);
+    }
+    page.put("more", true);
+    return Json.write(page);
+  }
+
+  private static Set<String> messageNames() {
+    return messages().keySet();
+  }
+
+  @ParameterizedTest
+  @MethodSource("messageNames")
+  void messagesAreWrittenAsBefore(String name) {
+    GoldenFile.assertHolds(file(name), messages().get(name));
+  }
+
+  @Test
+  void pathsAreAsBefore() {
+    GoldenFile.assertHolds(
+        DIRECTORY + "paths.txt",
+        String.join(
+            "\n",
+            CloudCodec.CATALOG,
+            CloudCodec.RENTALS,
+            CloudCodec.DELETE,
+            CloudCodec.listPath(Optional.empty()),
+            CloudCodec.listPath(Optional.of(MACHINES.get(0)))));
+  }
+
+  @Test
+  void theCatalogIsReadAsItWasMeant() throws BadMessage {
+    MachineType expected =
+        new MachineType(
+            TYPE,
+            new Resources(96, 8, 768.5),
+            200,
+            1.5,
+            12,
+            4.5,
+            Duration.ofMillis(45_500),
+            List.of(ZONE, new ZoneId("b")));
+    assertEquals(Map.of(TYPE, expected), CloudCodec.parseCatalog(GoldenFile.text(file("catalog"))));
+  }
+
+  @Test
+  void rentedMachinesAreReadAsTheyWereMeant() throws BadMessage {
+    assertEquals(MACHINES, CloudCodec.parseRented(GoldenFile.text(file("rented"))));
+  }
+
+  @Test
+  void theMachineListIsReadAsItWasMeant() throws BadMessage {
+    List<CloudMachine> expected =
+        List.of(
+            machine("i-booting", false, Phase.BOOTING),
+            machine("i-running", true, Phase.RUNNING),
+            machine("i-failed", false, Phase.FAILED));
+    assertEquals(
+        new CloudCodec.Page(expected, true), CloudCodec.parseList(GoldenFile.text(file("list"))));
+  }
+
+  private static CloudMachine machine(String id, boolean spot, Phase phase) {
+    return new CloudMachine(
+        new MachineId(id), "10.1.0.232:9000", TYPE, ZONE, spot, phase, Duration.ofMillis(61_500));
+  }
+}
--- /dev/null
+++ b/src/test/java/org/mulleinshift/protocol/JobMessageGoldenTest.java
@@ -0,0 +1,96 @@
+package org.mulleinshift.protocol;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.OptionalInt;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+import org.mulleinshift.GoldenFile;
+
+/** What users send is understood, and what they are told is written, as by an earlier build. */
+class JobMessageGoldenTest {
+  private static final String DIRECTORY = "users/";
+  private static final JobId JOB = new JobId("run-000412");
+  private static final int TASKS = 100_000;
+
+  private static String file(String name) {
+    return DIRECTORY + name + ".json";
+  }
+
+  private static Map<String, JobSpec> specs() {
+    Map<String, JobSpec> specs = new LinkedHashMap<>();
+    for (JobKind kind : JobKind.values()) {
+      specs.put("submission-" + kind.wire(), JobSpecSamples.full(JOB, kind, Priority.NORMAL));
+    }
+    for (Priority priority : Priority.values()) {
+      specs.put("submission-" + priority.wire(), JobSpecSamples.full(JOB, JobKind.ARRAY, priority));
+    }
+    specs.put(
+        "submission-without-optional-fields", JobSpecSamples.withoutOptionalFields(JOB, TASKS));
+    return specs;
+  }
+
+  private static Set<String> submissions() {
+    return specs().keySet();
+  }
+
+  @ParameterizedTest
+  @MethodSource("submissions")
+  void submissionsAreWrittenAsBefore(String name) {
+    GoldenFile.assertHolds(file(name), Json.write(JobCodec.write(specs().get(name))));
+  }
+
+  @ParameterizedTest
+  @MethodSource("submissions")
+  void submissionsAreReadAsTheyWereMeant(String name) throws BadMessage {
+    JsonNode submission = Json.parseObject(GoldenFile.text(file(name)));
+    assertEquals(specs().get(name), JobCodec.parse(submission));
+    assertEquals(List.of(), JobCodec.awaits(submission));
+  }
+
+  @Test
+  void aSubmissionThatAwaitsJobsIsWrittenAsBefore() {
+    ObjectNode submission = JobCodec.write(JobSpecSamples.withoutOptionalFields(JOB, TASKS));
+    submission.putNull("builds").putNull("yard").putNull("due_s").put("colour", "red");
+    submission.putArray("awaits").add("run-7").add("run-8").add("run-7");
+    GoldenFile.assertHolds(file("submission-awaiting"), Json.write(submission));
+  }
+
+  @Test
+  void aSubmissionThatAwaitsJobsIsReadAsItWasMeant() throws BadMessage {
+    JsonNode submission = Json.parseObject(GoldenFile.text(file("submission-awaiting")));
+    assertEquals(JobSpecSamples.withoutOptionalFields(JOB, TASKS), JobCodec.parse(submission));
+    assertEquals(List.of(new JobId("run-7"), new JobId("run-8")), JobCodec.awaits(submission));
+  }
+
+  private static Map<String, String> answers() {
+    Map<String, String> answers = new LinkedHashMap<>();
+    for (JobPhase phase : JobPhase.values()) {
+      answers.put(
+          "view-" + phase.wire(),
+          JobCodec.view(JOB, phase, OptionalInt.empty(), OptionalInt.empty()));
+    }
+    answers.put(
+        "view-with-counts",
+        JobCodec.view(JOB, JobPhase.RUNNING, OptionalInt.of(3), OptionalInt.of(13)));
+    answers.put("error", JobCodec.error("no such job"));
+    return answers;
+  }
+
+  private static Set<String> answerNames() {
+    return answers().keySet();
+  }
+
+  @ParameterizedTest
+  @MethodSource("answerNames")
+  void answersAreWrittenAsBefore(String name) {
+    GoldenFile.assertHolds(file(name), answers().get(name));
+  }
+}
--- /dev/null
+++ b/src/test/java/org/mulleinshift/protocol/PeerFrameSamples.java
@@ -0,0 +1,219 @@
+package org.mulleinshift.protocol;
+
+import java.nio.ByteBuffer;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.mulleinshift.protocol.peer.Advice;
+import org.mulleinshift.protocol.peer.AssignedJob;
+import org.mulleinshift.protocol.peer.AssignedTask;
+import org.mulleinshift.protocol.peer.Assignment;
+import org.mulleinshift.protocol.peer.BlockReport;
+import org.mulleinshift.protocol.peer.BootsSeen;
+import org.mulleinshift.protocol.peer.ClassRatio;
+import org.mulleinshift.protocol.peer.Heartbeat;
+import org.mulleinshift.protocol.peer.JobCount;
+import org.mulleinshift.protocol.peer.JobDigest;
+import org.mulleinshift.protocol.peer.KeyChange;
+import org.mulleinshift.protocol.peer.Knock;
+import org.mulleinshift.protocol.peer.MachineReport;
+import org.mulleinshift.protocol.peer.PeerHeard;
+import org.mulleinshift.protocol.peer.ProofAnswer;
+import org.mulleinshift.protocol.peer.ProofRequest;
+import org.mulleinshift.protocol.peer.Relay;
+import org.mulleinshift.protocol.peer.RemovedTask;
+import org.mulleinshift.protocol.peer.ReportsSeen;
+import org.mulleinshift.protocol.peer.Resignation;
+import org.mulleinshift.protocol.peer.StrangerReport;
+import org.mulleinshift.protocol.peer.TaskReport;
+
+/**
+ * One frame body of each kind by the name of its golden file. Fields are set by name and hold
+ * different values, so that two fields that change places change the bytes.
+ */
+final class PeerFrameSamples {
+  private PeerFrameSamples() {}
+
+  static Map<String, List<Object>> all() {
+    Map<String, List<Object>> frames = new LinkedHashMap<>();
+    frames.put("empty", List.of());
+    frames.put("heartbeat", List.of(heartbeat()));
+    frames.put("resignation", List.of(resignation()));
+    frames.put("relay", List.of(relay()));
+    frames.put("advice", List.of(advice()));
+    frames.put("proof-request", List.of(proofRequest()));
+    frames.put("proof-answer", List.of(proofAnswer()));
+    frames.put("assignment", List.of(assignment()));
+    frames.put("block-report", List.of(blockReport()));
+    frames.put("reports-seen", List.of(reportsSeen()));
+    frames.put("stranger-report", List.of(strangerReport()));
+    frames.put("knock", List.of(knock()));
+    frames.put("job-digest", List.of(jobDigest()));
+    frames.put("several-bodies", List.of(knock(), heartbeat(), reportsSeen()));
+    return frames;
+  }
+
+  private static Heartbeat heartbeat() {
+    return Heartbeat.newBuilder()
+        .setSessionHold(Long.MAX_VALUE)
+        .setStoreSilentMs(130)
+        .setStoreLost(true)
+        .setWorkers("DOUBTED")
+        .setLeader("n-2")
+        .setLeaderTerm(412)
+        .setStandby("n-3")
+        .setAnswerSoon(false)
+        .setHeard(List.of(peerHeard("n-2", 40), peerHeard("n-3", 1_900)))
+        .build();
+  }
+
+  private static PeerHeard peerHeard(String node, long silentMillis) {
+    return PeerHeard.newBuilder().setNode(node).setSilentMs(silentMillis).build();
+  }
+
+  private static Resignation resignation() {
+    return Resignation.newBuilder().setTerm(413).setHold(7).setSuccessor("n-3").build();
+  }
+
+  private static Relay relay() {
+    ByteBuffer frame = ByteBuffer.wrap(new byte[] {0, 1, -1, 127, -128});
+    return Relay.newBuilder().setReceiver("n-4").setFrame(frame).build();
+  }
+
+  private static Advice advice() {
+    ClassRatio ratio = ClassRatio.newBuilder().setName("train").setRatio(1.25).build();
+    BootsSeen boots =
+        BootsSeen.newBuilder().setMachineType("g8").setSeconds(List.of(44.5, 61.0)).build();
+    return Advice.newBuilder()
+        .setTerm(414)
+        .setClasses(List.of(ratio))
+        .setBoots(List.of(boots))
+        .build();
+  }
+
+  private static ProofRequest proofRequest() {
+    return ProofRequest.newBuilder().setId(5).setHold(8).setSince(430).build();
+  }
+
+  private static ProofAnswer proofAnswer() {
+    return ProofAnswer.newBuilder()
+        .setId(5)
+        .setHold(8)
+        .setOver(false)
+        .setComplete(true)
+        .setRevision(433)
+        .setChanges(
+            List.of(
+                keyChange("c/g/a-0", "{\"holder\":\"n-2\"}", 431), keyChange("c/n/n-9", "", 432)))
+        .build();
+  }
+
+  private static KeyChange keyChange(String key, String value, long version) {
+    return KeyChange.newBuilder().setKey(key).setValue(value).setVersion(version).build();
+  }
+
+  private static Assignment assignment() {
+    return Assignment.newBuilder()
+        .setLeaderTerm(415)
+        .setBlock("a-0")
+        .setGrant(416)
+        .setBase(3)
+        .setVersion(4)
+        .setRemoved(List.of(RemovedTask.newBuilder().setJob("run-7").setIndex(11).build()))
+        .setJobs(List.of(assignedJob()))
+        .setClosed(List.of("i-000003", "i-000004"))
+        .build();
+  }
+
+  private static AssignedJob assignedJob() {
+    return AssignedJob.newBuilder()
+        .setJob("run-8")
+        .setCpus(8.0)
+        .setGpus(1.0)
+        .setMemoryGb(64.5)
+        .setImage("img-07")
+        .setImageGb(6.2)
+        .setSaveSeconds(4.25)
+        .setMachineTypes(List.of("g8", "g4"))
+        .setSpotAllowed(true)
+        .setRank(17)
+        .setTasks(
+            List.of(assignedTask(99_999, 1L << 40, true, false), assignedTask(2, 3, false, true)))
+        .build();
+  }
+
+  private static AssignedTask assignedTask(int index, long attempt, boolean fresh, boolean stop) {
+    return AssignedTask.newBuilder()
+        .setIndex(index)
+        .setAttempt(attempt)
+        .setFresh(fresh)
+        .setStop(stop)
+        .build();
+  }
+
+  private static BlockReport blockReport() {
+    return BlockReport.newBuilder()
+        .setBlock("a-1")
+        .setGrant(417)
+        .setBase(21)
+        .setSequence(22)
+        .setSeenTerm(418)
+        .setSeenVersion(5)
+        .setMachines(List.of(machineReport()))
+        .setTasks(List.of(taskReport()))
+        .build();
+  }
+
+  private static MachineReport machineReport() {
+    return MachineReport.newBuilder()
+        .setMachine("i-000005")
+        .setPhase("CONFIRMED")
+        .setSilence("QUIET")
+        .setRecalled(true)
+        .setImages(List.of("img-07", "img-08"))
+        .build();
+  }
+
+  private static TaskReport taskReport() {
+    return TaskReport.newBuilder()
+        .setJob("run-9")
+        .setIndex(12)
+        .setAttempt(6)
+        .setPhase("RUNNING")
+        .setMachine("i-000006")
+        .setRanMs(4_321)
+        .build();
+  }
+
+  private static ReportsSeen reportsSeen() {
+    return ReportsSeen.newBuilder()
+        .setLeaderTerm(419)
+        .setBlock("a-2")
+        .setGrant(420)
+        .setSequence(23)
+        .build();
+  }
+
+  private static StrangerReport strangerReport() {
+    return StrangerReport.newBuilder()
+        .setMachine("i-000007")
+        .setAddress("10.1.0.7:9000")
+        .setMachineType("g4")
+        .setZone("b")
+        .setSpot(true)
+        .build();
+  }
+
+  private static Knock knock() {
+    return Knock.newBuilder()
+        .setBlock("a-3")
+        .setGrant(421)
+        .setMachines(List.of("i-000008", "i-000009"))
+        .build();
+  }
+
+  private static JobDigest jobDigest() {
+    JobCount count = JobCount.newBuilder().setJob("run-10").setDone(3).setRunning(13).build();
+    return JobDigest.newBuilder().setCounts(List.of(count)).build();
+  }
+}
--- /dev/null
+++ b/src/test/java/org/mulleinshift/protocol/StateMessageGoldenTest.java
@@ -0,0 +1,145 @@
+package org.mulleinshift.protocol;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.time.Duration;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+import org.mulleinshift.GoldenFile;
+import org.mulleinshift.protocol.StateCodec.Change;
+import org.mulleinshift.protocol.StateCodec.Changes;
+import org.mulleinshift.protocol.StateCodec.Guard;
+import org.mulleinshift.protocol.StateCodec.Item;
+import org.mulleinshift.protocol.StateCodec.Range;
+import org.mulleinshift.protocol.StateCodec.Write;
+
+/** What the store is asked is written, and its answers are understood, as by an earlier build. */
+class StateMessageGoldenTest {
+  private static final String DIRECTORY = "state/";
+  private static final HoldId HOLD = new HoldId(7);
+  private static final Revision REVISION = new Revision(433);
+
+  private static String file(String name) {
+    return DIRECTORY + name + ".json";
+  }
+
+  private static Map<String, String> messages() {
+    List<Guard> guards =
+        List.of(new Guard("a/b", new Revision(0)), new Guard("c/leader", new Revision(412)));
+    List<Write> writes =
+        List.of(
+            Write.put("a/b", value()), Write.put("c/n/n-1", value(), HOLD), Write.delete("c/d"));
+    Map<String, String> messages = new LinkedHashMap<>();
+    messages.put("commit", StateCodec.commit(guards, writes));
+    messages.put("commit-comparing-only", StateCodec.commit(guards, List.of()));
+    messages.put("commit-without-guards", StateCodec.commit(List.of(), writes));
+    messages.put("lease-request", StateCodec.grant(Duration.ofSeconds(5)));
+    messages.put("lease", Json.write(Json.object().put("hold", 7)));
+    messages.put("committed", Json.write(Json.object().put("epoch", 433)));
+    messages.put("key", Json.write(row("a/b", 412).put("hold", 7)));
+    messages.put("keys", keys());
+    messages.put("changes", changes());
+    return messages;
+  }
+
+  private static JsonNode value() {
+    return Json.object().put("name", "caf\u00e9 \"\\\n").put("amount", 4.0).put("count", 1L << 53);
+  }
+
+  private static ObjectNode row(String key, long stamp) {
+    ObjectNode row = Json.object().put("k", key);
+    row.set("value", value());
+    return row.put("stamp", stamp);
+  }
+
+  private static String keys() {
+    ObjectNode page = Json.object();
+    page.putArray("rows").add(row("a/b", 412)).add(row("a/c", 413));
+    return Json.write(page.put("more", true).put("epoch", 433));
+  }
+
+  private static String changes() {
+    ObjectNode answer = Json.object().put("epoch", 433);
+    ArrayNode news = answer.putArray("news");
+    ObjectNode put = news.addObject().put("set", "c/9");
+    put.set("value", value());
+    put.put("stamp", 433);
+    news.addObject().put("delete", "c/d").put("stamp", 432);
+    return Json.write(answer);
+  }
+
+  private static Set<String> messageNames() {
+    return messages().keySet();
+  }
+
+  @ParameterizedTest
+  @MethodSource("messageNames")
+  void messagesAreWrittenAsBefore(String name) {
+    GoldenFile.assertHolds(file(name), messages().get(name));
+  }
+
+  @Test
+  void pathsAreAsBefore() {
+    GoldenFile.assertHolds(
+        DIRECTORY + "paths.txt",
+        String.join(
+            "\n",
+            StateCodec.COMMIT,
+            StateCodec.HOLDS,
+            StateCodec.keyPath("c/n/n-1"),
+            StateCodec.rangePath("a/", Optional.empty()),
+            StateCodec.rangePath("a/", Optional.of("a/run-1")),
+            StateCodec.watchPath("c/", REVISION, Duration.ofSeconds(10)),
+            StateCodec.renewPath(HOLD),
+            StateCodec.holdPath(HOLD)));
+  }
+
+  @Test
+  void aLeaseIsReadAsItWasMeant() throws BadMessage {
+    assertEquals(HOLD, StateCodec.parseHold(GoldenFile.text(file("lease"))));
+  }
+
+  @Test
+  void aRevisionIsReadAsItWasMeant() throws BadMessage {
+    assertEquals(REVISION, StateCodec.parseRevision(GoldenFile.text(file("committed"))));
+  }
+
+  @Test
+  void aKeyIsReadAsItWasMeant() throws BadMessage {
+    Item expected = new Item("a/b", stored(), new Revision(412));
+    assertEquals(expected, StateCodec.parseItem(GoldenFile.text(file("key"))));
+  }
+
+  @Test
+  void aPageOfKeysIsReadAsItWasMeant() throws BadMessage {
+    List<Item> items =
+        List.of(
+            new Item("a/b", stored(), new Revision(412)),
+            new Item("a/c", stored(), new Revision(413)));
+    assertEquals(
+        new Range(items, true, REVISION), StateCodec.parseRange(GoldenFile.text(file("keys"))));
+  }
+
+  @Test
+  void changesAreReadAsTheyWereMeant() throws BadMessage {
+    List<Change> expected =
+        List.of(
+            new Change("c/9", Optional.of(stored()), REVISION),
+            new Change("c/d", Optional.empty(), new Revision(432)));
+    assertEquals(
+        new Changes(expected, REVISION), StateCodec.parseChanges(GoldenFile.text(file("changes"))));
+  }
+
+  private static JsonNode stored() throws BadMessage {
+    return Json.parseObject(Json.write(value()));
+  }
+}
