--- a/src/test/java/org/mulleinshift/sim/Scenario.java
+++ b/src/test/java/org/mulleinshift/sim/Scenario.java
@@ -62,6 +62,7 @@
   private final List<String> zones = new ArrayList<>(List.of("a", "b"));
   private final List<SimNode> nodes = new ArrayList<>();
   private final Map<String, SimUser> users = new HashMap<>();
+  private final SentMessages sent;
   private final World world;
   private final Network network;
   private final SimState state;
@@ -85,7 +86,8 @@
   private double cancelAtEndShare;
   private double cancelAtEndUntil;
 
-  private Scenario(List<String> lines, long seed) {
+  private Scenario(List<String> lines, long seed, SentMessages sent) {
+    this.sent = sent;
     for (String line : lines) {
       configure(line);
     }
@@ -119,6 +121,11 @@
 
   /** Plays the file and tells everything that went wrong. */
   public static List<String> play(Path file, long seed) throws IOException, SettingsException {
+    return play(linesOf(file), seed);
+  }
+
+  /** The lines of a file without comments. */
+  static List<String> linesOf(Path file) throws IOException {
     List<String> lines = new ArrayList<>();
     for (String line : Files.readAllLines(file)) {
       String text = line.replaceAll("#.*", "").strip();
@@ -126,12 +133,18 @@
         lines.add(text);
       }
     }
-    return play(lines, seed);
+    return lines;
   }
 
   /** Plays these lines. */
   public static List<String> play(List<String> lines, long seed) throws SettingsException {
-    Scenario scenario = new Scenario(lines, seed);
+    return play(lines, seed, SentMessages.IGNORED);
+  }
+
+  /** Plays these lines while what the controllers send is observed. */
+  static List<String> play(List<String> lines, long seed, SentMessages sent)
+      throws SettingsException {
+    Scenario scenario = new Scenario(lines, seed, sent);
     scenario.run();
     return scenario.failures;
   }
@@ -142,7 +155,7 @@
   /** Plays these lines and tells how the leader was replaced after that time. */
   public static Takeover takeover(List<String> lines, long seed, double at)
       throws SettingsException {
-    Scenario scenario = new Scenario(lines, seed);
+    Scenario scenario = new Scenario(lines, seed, SentMessages.IGNORED);
     scenario.run();
     double term = scenario.state.firstTermAfter(at);
     double task = scenario.state.firstProgressAfter(term);
@@ -232,7 +245,7 @@
   private void run() throws SettingsException {
     Tunables own = Tunables.of("scenario", tunables);
     for (int i = 0; i < nodeCount; i++) {
-      nodes.add(new SimNode(world, settings(i), own, new Wires(), (i - 1) * 0.0004));
+      nodes.add(new SimNode(world, settings(i), own, new Wires(), (i - 1) * 0.0004, sent));
     }
     nodes.forEach(SimNode::start);
     for (String[] words : actions) {
--- a/src/test/java/org/mulleinshift/sim/SimNode.java
+++ b/src/test/java/org/mulleinshift/sim/SimNode.java
@@ -32,6 +32,7 @@
   private Tunables tunables;
   private final Outside outside;
   private final double drift;
+  private final SentMessages sent;
   private Controller controller;
   private int life;
   private double stalledUntil;
@@ -42,12 +43,18 @@
   private Consumer<Duration> onStandstill = gap -> {};
 
   SimNode(
-      World world, PlatformSettings settings, Tunables tunables, Outside outside, double drift) {
+      World world,
+      PlatformSettings settings,
+      Tunables tunables,
+      Outside outside,
+      double drift,
+      SentMessages sent) {
     this.world = world;
     this.settings = settings;
     this.tunables = tunables;
     this.outside = outside;
     this.drift = drift;
+    this.sent = sent;
   }
 
   String label() {
@@ -63,6 +70,7 @@
     Loop loop = new Loop(life);
     HttpCaller caller =
         (target, request, reply) -> {
+          observeCall(target, request);
           int mine = life;
           boolean[] answered = new boolean[1];
           Consumer<HttpReply> once =
@@ -91,11 +99,25 @@
                 caller,
                 caller,
                 caller,
-                (label, frame) -> outside.peer(this, label, frame),
+                (label, frame) -> {
+                  sent.frame(world.nanos(), label(), label, frame);
+                  outside.peer(this, label, frame);
+                },
                 new HeapMargin(loop, new SimHeap(), HEAP_BYTES)));
     loop.post(controller::start);
   }
 
+  private void observeCall(InetSocketAddress target, HttpRequest request) {
+    sent.call(
+        world.nanos(),
+        label(),
+        target,
+        request.method(),
+        request.path(),
+        request.body().orElse("-"),
+        request.deadline());
+  }
+
   /** The operators' settings, read by the next process. */
   void tunables(Tunables next) {
     tunables = next;
@@ -152,13 +174,19 @@
                 new Responder() {
                   @Override
                   public void respond(int status, String text) {
-                    waiting -= mine == life ? 1 : 0;
-                    reply.accept(new HttpReply(status, text));
+                    answer(status, text, 0);
                   }
 
                   @Override
                   public void respondLater(int status, String text, int seconds) {
-                    respond(status, text);
+                    answer(status, text, seconds);
+                  }
+
+                  private void answer(int status, String text, int retryAfter) {
+                    String asked = method + " " + path;
+                    sent.answer(world.nanos(), label(), asked, status, text, retryAfter);
+                    waiting -= mine == life ? 1 : 0;
+                    reply.accept(new HttpReply(status, text));
                   }
                 }));
   }
