--- /dev/null
+++ b/src/test/java/org/mulleinshift/sim/BehaviourDigest.java
@@ -0,0 +1,152 @@
+package org.mulleinshift.sim;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.io.Writer;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.ArrayList;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.concurrent.Callable;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import java.util.concurrent.Future;
+import java.util.function.LongFunction;
+import java.util.stream.Stream;
+import org.mulleinshift.settings.SettingsException;
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+
+/**
+ * Writes a digest of everything that the controllers send in each scenario, so that two builds can
+ * be compared: a change that keeps the behaviour keeps every line {@code name seed hash}.
+ */
+@Command(name = "behaviour-digest", mixinStandardHelpOptions = true, sortOptions = false)
+public final class BehaviourDigest implements Callable<Integer> {
+  private static final Path FOLDER = Path.of("src/test/resources/scenarios");
+  private static final int FILE_SEEDS = 3;
+  private static final int DRAWN_SEEDS = 24;
+  private static final int CUTS = 40;
+  private static final int CUT_STRIDE = 1009;
+
+  /** One run of a scenario. */
+  record Play(String name, long seed, List<String> lines) {}
+
+  @Option(names = "--out", description = "File of the digest, or of the messages with --dump.")
+  private Path out = Path.of("target/digest.txt");
+
+  @Option(names = "--only", description = "Only scenarios whose names start so.")
+  private String only = "";
+
+  @Option(names = "--threads", description = "Scenarios played at a time.")
+  private int threads = 4;
+
+  @Option(names = "--dump", description = "Name of the one scenario whose messages to write.")
+  private String dumped = "";
+
+  @Option(names = "--seed", description = "Seed of the scenario that is dumped.")
+  private long seed = 1;
+
+  /** Writes the digest; see {@code --help}. */
+  public static void main(String[] args) {
+    System.exit(new CommandLine(new BehaviourDigest()).execute(args));
+  }
+
+  @Override
+  public Integer call() throws Exception {
+    if (dumped.isEmpty()) {
+      writeDigest();
+    } else {
+      writeMessages();
+    }
+    return 0;
+  }
+
+  private void writeDigest() throws IOException, InterruptedException, ExecutionException {
+    ExecutorService pool = Executors.newFixedThreadPool(threads);
+    try {
+      List<Future<String>> lines = new ArrayList<>();
+      for (Play play : plays()) {
+        if (play.name().startsWith(only)) {
+          lines.add(pool.submit(() -> play.name() + " " + play.seed() + " " + hash(play)));
+        }
+      }
+      try (Writer writer = Files.newBufferedWriter(out)) {
+        for (Future<String> line : lines) {
+          writer.write(line.get() + "\n");
+        }
+      }
+    } finally {
+      pool.shutdownNow();
+    }
+  }
+
+  private void writeMessages() throws IOException, SettingsException {
+    Play play =
+        plays().stream()
+            .filter(any -> any.name().equals(dumped) && any.seed() == seed)
+            .findFirst()
+            .orElseThrow(() -> new IllegalArgumentException("no scenario " + dumped + " " + seed));
+    try (Writer writer = Files.newBufferedWriter(out)) {
+      Scenario.play(play.lines(), play.seed(), new MessageLines(line -> write(writer, line)));
+    }
+  }
+
+  private static void write(Writer writer, String line) {
+    try {
+      writer.write(line);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+  }
+
+  /** The SHA-256 of all messages of a play, in the order in which they were sent. */
+  static String hash(Play play) throws SettingsException, NoSuchAlgorithmException {
+    MessageDigest digest = MessageDigest.getInstance("SHA-256");
+    Scenario.play(
+        play.lines(),
+        play.seed(),
+        new MessageLines(line -> digest.update(line.getBytes(StandardCharsets.UTF_8))));
+    return HexFormat.of().formatHex(digest.digest());
+  }
+
+  /** The plays of the scenario tests: all files, the drawn scenarios and the sample of cuts. */
+  static List<Play> plays() throws IOException {
+    List<Play> plays = new ArrayList<>();
+    for (Path file : scenarioFiles()) {
+      String name = file.getFileName().toString().replaceAll("\\.scenario$", "");
+      List<String> lines = Scenario.linesOf(file);
+      for (long each = 1; each <= FILE_SEEDS; each++) {
+        plays.add(new Play(name, each, lines));
+      }
+    }
+    addDrawn(plays, "drawn", RandomScenario::lines);
+    addDrawn(plays, "drawn-chains", RandomScenario::chainedLines);
+    addDrawn(plays, "drawn-meetings", RandomScenario::pairedLines);
+    addDrawn(plays, "drawn-further-meetings", RandomScenario::furtherLines);
+    addDrawn(plays, "drawn-progress-log", RandomScenario::loggedLines);
+    for (long i = 0; i < CUTS; i++) {
+      int number = (int) (i * CUT_STRIDE % CutScenario.COUNT);
+      plays.add(new Play("cut-" + number, number + 1, CutScenario.lines(number)));
+    }
+    return plays;
+  }
+
+  private static List<Path> scenarioFiles() throws IOException {
+    try (Stream<Path> files = Files.list(FOLDER)) {
+      return files.sorted().toList();
+    }
+  }
+
+  private static void addDrawn(List<Play> plays, String name, LongFunction<List<String>> lines) {
+    for (long each = 1; each <= DRAWN_SEEDS; each++) {
+      plays.add(new Play(name, each, lines.apply(each)));
+    }
+  }
+}
