--- /dev/null
+++ b/src/test/java/org/mulleinshift/sim/BehaviourDigestTest.java
@@ -0,0 +1,20 @@
+package org.mulleinshift.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** What the digest of behaviour rests on: one play sends the same each time, another differs. */
+final class BehaviourDigestTest {
+  private static final List<String> LINES =
+      List.of("type small cpus=8 a=2", "team t", "at 3 job run-1 tasks=4 cpus=2 run=5", "run 40");
+
+  @Test
+  void repeatsItselfForOneSeedOnly() throws Exception {
+    String first = BehaviourDigest.hash(new BehaviourDigest.Play("small", 1, LINES));
+    assertEquals(first, BehaviourDigest.hash(new BehaviourDigest.Play("small", 1, LINES)));
+    assertNotEquals(first, BehaviourDigest.hash(new BehaviourDigest.Play("small", 2, LINES)));
+  }
+}
