--- a/src/main/java/org/mulleinshift/RehearsalWorld.java
+++ b/src/main/java/org/mulleinshift/RehearsalWorld.java
@@ -108,7 +108,7 @@
   }
 
   private static String value(String query, String name) {
-    for (String part : query.split("&")) {
+    for (String part : query.split("&", 0)) {
       if (part.startsWith(name + "=")) {
         return part.substring(name.length() + 1);
       }
--- a/src/main/java/org/mulleinshift/bookkeeping/TaskRanges.java
+++ b/src/main/java/org/mulleinshift/bookkeeping/TaskRanges.java
@@ -42,7 +42,7 @@
     if (text.isEmpty()) {
       return set;
     }
-    for (String part : text.split(",")) {
+    for (String part : text.split(",", 0)) {
       int dash = part.indexOf('-');
       int from = Integer.parseInt(dash < 0 ? part : part.substring(0, dash));
       int last = dash < 0 ? from : Integer.parseInt(part.substring(dash + 1));
--- a/src/test/java/org/mulleinshift/CutScenarioTest.java
+++ b/src/test/java/org/mulleinshift/CutScenarioTest.java
@@ -23,7 +23,7 @@
       // A stride that shares no factor with the table goes through all its columns.
       return IntStream.range(0, SAMPLE).map(i -> (int) (i * 1009L % CutScenario.COUNT));
     }
-    String[] ends = asked.split("-");
+    String[] ends = asked.split("-", 0);
     return IntStream.rangeClosed(
         Integer.parseInt(ends[0]), Integer.parseInt(ends[ends.length - 1]));
   }
--- a/src/test/java/org/mulleinshift/MarginTest.java
+++ b/src/test/java/org/mulleinshift/MarginTest.java
@@ -194,6 +194,6 @@
     BufferedReader in =
         new BufferedReader(
             new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-    return Integer.parseInt(in.readLine().split(" ")[1]);
+    return Integer.parseInt(in.readLine().split(" ", 0)[1]);
   }
 }
--- a/src/test/java/org/mulleinshift/sim/ControllerProcess.java
+++ b/src/test/java/org/mulleinshift/sim/ControllerProcess.java
@@ -37,7 +37,7 @@
 
   private static List<String> command(ScaleOptions options, Path settings) {
     List<String> command = new ArrayList<>();
-    for (String word : deployedCommand().split(" ")) {
+    for (String word : deployedCommand().split(" ", 0)) {
       if (word.equals("-jar")) {
         command.addAll(options.jvm);
       }
--- a/src/test/java/org/mulleinshift/sim/ProcessFigures.java
+++ b/src/test/java/org/mulleinshift/sim/ProcessFigures.java
@@ -71,7 +71,7 @@
   }
 
   private static double seconds(String fields) {
-    String[] words = fields.split(" ");
+    String[] words = fields.split(" ", 0);
     return (Long.parseLong(words[USER]) + Long.parseLong(words[SYSTEM])) / TICKS;
   }
 
@@ -84,9 +84,9 @@
   }
 
   private static double field(String text, String name) {
-    for (String line : text.split("\n")) {
+    for (String line : text.split("\n", 0)) {
       if (line.startsWith(name)) {
-        return Double.parseDouble(line.substring(name.length()).strip().split("\\s+")[0]);
+        return Double.parseDouble(line.substring(name.length()).strip().split("\\s+", 0)[0]);
       }
     }
     return 0;
--- a/src/test/java/org/mulleinshift/sim/Query.java
+++ b/src/test/java/org/mulleinshift/sim/Query.java
@@ -14,7 +14,7 @@
     if (question < 0) {
       return values;
     }
-    for (String part : path.substring(question + 1).split("&")) {
+    for (String part : path.substring(question + 1).split("&", 0)) {
       int equals = part.indexOf('=');
       values.put(part.substring(0, equals), part.substring(equals + 1));
     }
--- a/src/test/java/org/mulleinshift/sim/ScaleTroubles.java
+++ b/src/test/java/org/mulleinshift/sim/ScaleTroubles.java
@@ -7,7 +7,7 @@
 final class ScaleTroubles {
   private record Trouble(double at, String kind, double amount) {
     static Trouble read(String text) {
-      String[] words = text.split(":");
+      String[] words = text.split(":", 0);
       if (words.length < 2) {
         throw new IllegalArgumentException("not a trouble: " + text);
       }
--- a/src/test/java/org/mulleinshift/sim/Scenario.java
+++ b/src/test/java/org/mulleinshift/sim/Scenario.java
@@ -220,7 +220,7 @@
             Double.parseDouble(fields.getOrDefault("boot", "10"))));
     for (String zone : zones) {
       if (fields.containsKey(zone)) {
-        String[] counts = fields.get(zone).split("/");
+        String[] counts = fields.get(zone).split("/", 0);
         cloud.capacity(words[1], zone, false, Integer.parseInt(counts[0]));
         if (counts.length > 1) {
           cloud.capacity(words[1], zone, true, Integer.parseInt(counts[1]));
--- a/src/test/java/org/mulleinshift/sim/SimCloud.java
+++ b/src/test/java/org/mulleinshift/sim/SimCloud.java
@@ -171,7 +171,7 @@
       var zones = item.putArray("yards");
       capacity.keySet().stream()
           .filter(key -> key.startsWith(type.name() + " "))
-          .map(key -> key.split(" ")[1])
+          .map(key -> key.split(" ", 0)[1])
           .distinct()
           .sorted()
           .forEach(zones::add);
--- a/src/test/java/org/mulleinshift/sim/SimState.java
+++ b/src/test/java/org/mulleinshift/sim/SimState.java
@@ -497,7 +497,7 @@
   }
 
   private HttpReply hold(String method, String rest) {
-    long id = Long.parseLong(rest.split("/")[0]);
+    long id = Long.parseLong(rest.split("/", 0)[0]);
     Hold hold = holds.get(id);
     if (hold == null) {
       return new HttpReply(404, "{}");
