--- a/src/main/java/org/mulleinshift/bookkeeping/Job.java
+++ b/src/main/java/org/mulleinshift/bookkeeping/Job.java
@@ -101,7 +101,7 @@
 
   /** The only place where a job's state changes. */
   private void moveTo(State next) {
-    if (next.ordinal() < state.ordinal()) {
+    if (next.compareTo(state) < 0) {
       throw new IllegalStateException(spec.id() + ": " + state + " to " + next);
     }
     state = next;
--- a/src/main/java/org/mulleinshift/bookkeeping/Rental.java
+++ b/src/main/java/org/mulleinshift/bookkeeping/Rental.java
@@ -47,7 +47,7 @@
 
   /** The only place where a rental's state changes. */
   public void moveTo(State next) {
-    if (next.ordinal() < state.ordinal()) {
+    if (next.compareTo(state) < 0) {
       throw new IllegalStateException(name + ": " + state + " to " + next);
     }
     state = next;
--- a/src/main/java/org/mulleinshift/coordination/Floors.java
+++ b/src/main/java/org/mulleinshift/coordination/Floors.java
@@ -197,7 +197,7 @@
 
   /** Twice the part for each step of priority. */
   private static double weight(Priority priority) {
-    return 1 << (Priority.values().length - 1 - priority.ordinal());
+    return 1 << (Priority.LOW.rank() - priority.rank());
   }
 
   /** Alike, and more by its part of all guarantees. */
--- a/src/main/java/org/mulleinshift/coordination/Lateness.java
+++ b/src/main/java/org/mulleinshift/coordination/Lateness.java
@@ -13,10 +13,21 @@
 final class Lateness {
   /** As far as can be told; the earlier grade is served first. */
   enum Grade {
-    IN_TIME,
+    IN_TIME(0),
     /** By the most times its deadline that the class has an aim for. */
-    IN_LAST_TIME,
-    LATE
+    IN_LAST_TIME(1),
+    LATE(2);
+
+    private final int rank;
+
+    Grade(int rank) {
+      this.rank = rank;
+    }
+
+    /** Its place in the order of grades; 0 is served first. */
+    int rank() {
+      return rank;
+    }
   }
 
   /**
--- a/src/main/java/org/mulleinshift/coordination/Ranking.java
+++ b/src/main/java/org/mulleinshift/coordination/Ranking.java
@@ -94,7 +94,7 @@
       this.job = job;
       this.blamed = blamed;
       this.grade = place.grade();
-      this.priority = job.priority().ordinal();
+      this.priority = job.priority().rank();
       this.turn = place.turn();
       this.accepted = job.readyMillis();
     }
@@ -106,7 +106,7 @@
     private int urgency() {
       boolean late = grade == Lateness.Grade.LATE;
       int level = 2 * priority + (late ? 3 : 0);
-      return (blamed ? 256 : 0) + level * 8 + (guaranteed ? 0 : 4) + grade.ordinal();
+      return (blamed ? 256 : 0) + level * 8 + (guaranteed ? 0 : 4) + grade.rank();
     }
   }
 
--- a/src/main/java/org/mulleinshift/coordination/TaskPhase.java
+++ b/src/main/java/org/mulleinshift/coordination/TaskPhase.java
@@ -16,7 +16,7 @@
   LOST;
 
   boolean isFinal() {
-    return ordinal() >= DONE.ordinal();
+    return compareTo(DONE) >= 0;
   }
 
   /** What a worker reports of a task. */
--- a/src/main/java/org/mulleinshift/coordination/membership/WorkerLink.java
+++ b/src/main/java/org/mulleinshift/coordination/membership/WorkerLink.java
@@ -140,7 +140,8 @@
 
   /** The only place where the state changes. */
   private void moveTo(State next) {
-    if (next != State.DOUBTED && state != State.DOUBTED || next.ordinal() > 1) {
+    boolean sure = next != State.DOUBTED && state != State.DOUBTED;
+    if (sure || next.compareTo(State.DOUBTED) > 0) {
       LOG.info("workers {} -> {}: no report for {} ms", state, next, noReport.toMillis());
     }
     if (state == State.WELL || state == State.DOUBTED) {
