--- a/src/main/java/org/mulleinshift/Main.java
+++ b/src/main/java/org/mulleinshift/Main.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.net.BindException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -42,7 +43,8 @@
   private static final int BAD_SETTINGS = 2;
   private static final int CANNOT_LISTEN = 1;
   private static final Duration PEER_ACK = Duration.ofMillis(2500);
-  private static final InetSocketAddress ANY_PORT = new InetSocketAddress("127.0.0.1", 0);
+  private static final InetSocketAddress ANY_PORT =
+      new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
   @Option(
       names = CONFIG,
--- a/src/main/java/org/mulleinshift/RehearsalWorld.java
+++ b/src/main/java/org/mulleinshift/RehearsalWorld.java
@@ -8,6 +8,7 @@
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
 import java.io.OutputStream;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -51,7 +52,8 @@
   }
 
   private static InetSocketAddress start(Answerer answerer) throws IOException {
-    HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 8);
+    HttpServer server =
+        HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 8);
     server.createContext(
         "/",
         exchange -> {
--- a/src/test/java/org/mulleinshift/MarginTest.java
+++ b/src/test/java/org/mulleinshift/MarginTest.java
@@ -95,7 +95,8 @@
   @Timeout(30)
   void aPeerThatDoesNotReadCostsNoMoreThanItsQueue() throws IOException {
     try (ServerSocket server = new ServerSocket(0, 4, InetAddress.getLoopbackAddress())) {
-      InetSocketAddress address = new InetSocketAddress("127.0.0.1", server.getLocalPort());
+      InetSocketAddress address =
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
       int most = 256 * 1024;
       TcpPeerLink link =
           new TcpPeerLink(
@@ -133,7 +134,7 @@
         new HttpFrontend(
             loop,
             handler,
-            new InetSocketAddress("127.0.0.1", 0),
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             new HttpFrontend.Bounds(4, 4 * BODY, 1 << 20, WorkerCodec.CHECKIN::equals));
     frontend.start();
     Socket[] users = new Socket[4];
@@ -182,7 +183,7 @@
 
   private static Socket request(HttpFrontend frontend, String path, String body)
       throws IOException {
-    Socket socket = new Socket("127.0.0.1", frontend.address().getPort());
+    Socket socket = new Socket(InetAddress.getLoopbackAddress(), frontend.address().getPort());
     socket.setSoTimeout(20_000);
     String head =
         "POST " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n";
--- a/src/test/java/org/mulleinshift/PeerLinkTest.java
+++ b/src/test/java/org/mulleinshift/PeerLinkTest.java
@@ -30,7 +30,8 @@
   @Timeout(30)
   void connectsAnewWhenFramesAreNotAnswered() throws IOException {
     try (ServerSocket server = new ServerSocket(0, 4, InetAddress.getLoopbackAddress())) {
-      InetSocketAddress address = new InetSocketAddress("127.0.0.1", server.getLocalPort());
+      InetSocketAddress address =
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
       TcpPeerLink link =
           new TcpPeerLink(
               new ThreadEventLoop(),
@@ -39,7 +40,7 @@
               Duration.ofMillis(50),
               1 << 20,
               1 << 20);
-      link.start(new InetSocketAddress("127.0.0.1", 0));
+      link.start(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       try (Socket mute = server.accept()) {
         byte[] first = sendUntilRead(link, mute);
         assertArrayEquals(new byte[] {1, 2}, first);
