--- a/src/main/java/org/mulleinshift/coordination/StandbyAdvice.java
+++ b/src/main/java/org/mulleinshift/coordination/StandbyAdvice.java
@@ -23,7 +23,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(StandbyAdvice.class);
   private static final int MOST_CLASSES = 256;
   private static final int MOST_TYPES = 64;
-  private static final Duration USELESS = Duration.ofSeconds(120);
+  private static final Duration USELESS = Duration.ofMinutes(2);
   private static final Duration AGAIN = Duration.ofSeconds(10);
 
   private final EventLoop loop;
--- a/src/main/java/org/mulleinshift/coordination/membership/HolderFitness.java
+++ b/src/main/java/org/mulleinshift/coordination/membership/HolderFitness.java
@@ -22,7 +22,7 @@
 public final class HolderFitness {
   private static final Logger LOG = LoggerFactory.getLogger(HolderFitness.class);
   private static final Duration FIRST = Duration.ofSeconds(5);
-  private static final Duration FORGIVEN = Duration.ofSeconds(180);
+  private static final Duration FORGIVEN = Duration.ofMinutes(3);
   private static final int MOST_DOUBLINGS = 4;
 
   private static final class Strikes {
--- a/src/main/java/org/mulleinshift/coordination/membership/StateLink.java
+++ b/src/main/java/org/mulleinshift/coordination/membership/StateLink.java
@@ -25,7 +25,7 @@
 
   private static final Duration ALONE = Duration.ofSeconds(3);
   private static final Duration FIRST_TRIAL = Duration.ofMillis(500);
-  private static final Duration FORGIVEN = Duration.ofSeconds(180);
+  private static final Duration FORGIVEN = Duration.ofMinutes(3);
   private static final int MOST_DOUBLINGS = 5;
 
   /** States of the link. */
--- a/src/main/java/org/mulleinshift/coordination/membership/Succession.java
+++ b/src/main/java/org/mulleinshift/coordination/membership/Succession.java
@@ -27,7 +27,7 @@
   /** Of a controller that is not the standby. */
   private static final Duration IDLE_TICK = Duration.ofMillis(500);
 
-  private static final Duration FORGIVEN = Duration.ofSeconds(180);
+  private static final Duration FORGIVEN = Duration.ofMinutes(3);
 
   /** The others leave the leader's key to a standby that is well for so long. */
   private static final Duration YIELD = Duration.ofMillis(600);
