--- a/src/main/java/org/mulleinshift/bookkeeping/StateStore.java
+++ b/src/main/java/org/mulleinshift/bookkeeping/StateStore.java
@@ -239,29 +239,31 @@
   }
 
   private static Outcome outcome(HttpReply reply) {
-    switch (reply.status()) {
-      case 200:
-        try {
-          return new Outcome.Committed(StateCodec.parseRevision(reply.body()));
-        } catch (BadMessage e) {
-          return new Outcome.Unknown();
-        }
-      case 409:
-        return new Outcome.Conflict();
-      case 400:
-        LOG.info("transaction refused: {}", reply.body());
-        return reply.body().contains("no such lease")
-            ? new Outcome.LeaseGone()
-            : new Outcome.Unfit(reply.body());
-      case 429:
-        return new Outcome.Busy();
-      case 503:
-        return new Outcome.Refused();
-      default:
-        return new Outcome.Unknown();
+    return switch (reply.status()) {
+      case 200 -> committed(reply);
+      case 409 -> new Outcome.Conflict();
+      case 400 -> refused(reply);
+      case 429 -> new Outcome.Busy();
+      case 503 -> new Outcome.Refused();
+      default -> new Outcome.Unknown();
+    };
+  }
+
+  private static Outcome committed(HttpReply reply) {
+    try {
+      return new Outcome.Committed(StateCodec.parseRevision(reply.body()));
+    } catch (BadMessage e) {
+      return new Outcome.Unknown();
     }
   }
 
+  private static Outcome refused(HttpReply reply) {
+    LOG.info("transaction refused: {}", reply.body());
+    return reply.body().contains("no such lease")
+        ? new Outcome.LeaseGone()
+        : new Outcome.Unfit(reply.body());
+  }
+
   public void grantHold(Duration ttl, Consumer<Answer<HoldId>> then) {
     call(
         HttpRequest.post(StateCodec.HOLDS, StateCodec.grant(ttl), DEADLINE),
@@ -316,21 +318,21 @@
   }
 
   private static <T> Answer<T> answer(HttpReply reply, Parser<T> parser) {
-    switch (reply.status()) {
-      case 200:
-        try {
-          return new Answer.Found<>(parser.parse(reply.body()));
-        } catch (BadMessage e) {
-          LOG.warn("answer of the state service: {}", e.getMessage());
-          return new Answer.Unknown<>();
-        }
-      case 404, 410, HttpReply.TOO_LONG:
-        // More changes than this node takes in one answer: as if they were no longer kept.
-        return new Answer.Absent<>();
-      case 429, 503:
-        return new Answer.Refused<>();
-      default:
-        return new Answer.Unknown<>();
+    return switch (reply.status()) {
+      case 200 -> found(reply, parser);
+      // Too long: more changes than this node takes in one answer, as if they were no longer kept.
+      case 404, 410, HttpReply.TOO_LONG -> new Answer.Absent<>();
+      case 429, 503 -> new Answer.Refused<>();
+      default -> new Answer.Unknown<>();
+    };
+  }
+
+  private static <T> Answer<T> found(HttpReply reply, Parser<T> parser) {
+    try {
+      return new Answer.Found<>(parser.parse(reply.body()));
+    } catch (BadMessage e) {
+      LOG.warn("answer of the state service: {}", e.getMessage());
+      return new Answer.Unknown<>();
     }
   }
 }
