--- a/src/main/java/org/mulleinshift/coordination/chains/Orphans.java
+++ b/src/main/java/org/mulleinshift/coordination/chains/Orphans.java
@@ -37,8 +37,10 @@
   }
 
   public void onNoLongerActive(JobId job) {
-    boolean fallen = contains(job) | cancelled.remove(job);
-    changed |= needs.remove(job) != null | fallen;
+    boolean orphaned = contains(job);
+    boolean fallen = cancelled.remove(job) || orphaned;
+    boolean needing = needs.remove(job) != null;
+    changed |= needing || fallen;
     if (needs.isEmpty()) {
       over.clear();
     } else if (fallen) {
--- a/src/main/java/org/mulleinshift/coordination/floor/Claims.java
+++ b/src/main/java/org/mulleinshift/coordination/floor/Claims.java
@@ -20,6 +20,8 @@
   private Claims() {}
 
   /**
+   * Claims of parties that share one fleet.
+   *
    * @param floorShare how much of its fair part is a party's floor; 0: there are no floors
    */
   public static Claims of(Collection<Party> parties, double floorShare) {
