--- a/src/test/java/org/mulleinshift/sim/ByteCounter.java
+++ b/src/test/java/org/mulleinshift/sim/ByteCounter.java
@@ -41,9 +41,10 @@
   }
 
   @Override
-  public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
+  public void write(ChannelHandlerContext context, Object message, ChannelPromise promise)
+      throws Exception {
     count(message);
-    context.write(message, promise);
+    super.write(context, message, promise);
   }
 
   private void count(Object message) {
--- a/src/test/java/org/mulleinshift/sim/HttpConnection.java
+++ b/src/test/java/org/mulleinshift/sim/HttpConnection.java
@@ -58,7 +58,7 @@
     waiting = reply;
     FullHttpRequest request = request(method, path, body);
     if (usable) {
-      channel.writeAndFlush(request);
+      ChannelFuture unused = channel.writeAndFlush(request);
     } else {
       open(address, request);
     }
@@ -87,7 +87,7 @@
     opening.addListener(
         done -> {
           if (done.isSuccess()) {
-            opened.writeAndFlush(request);
+            ChannelFuture unused = opened.writeAndFlush(request);
           } else {
             request.release();
             answer(opened, HttpReply.NONE);
@@ -116,7 +116,7 @@
   private void closeChannel() {
     waiting = null;
     if (channel != null) {
-      channel.close();
+      ChannelFuture unused = channel.close();
       channel = null;
     }
   }
@@ -142,7 +142,7 @@
       boolean stays = HttpUtil.isKeepAlive(response);
       answer(context.channel(), new HttpReply(response.status().code(), body));
       if (!stays) {
-        context.close();
+        ChannelFuture unused = context.close();
       }
     }
 
@@ -153,7 +153,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      context.close();
+      ChannelFuture unused = context.close();
     }
   }
 }
--- a/src/test/java/org/mulleinshift/sim/HttpListener.java
+++ b/src/test/java/org/mulleinshift/sim/HttpListener.java
@@ -3,6 +3,7 @@
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
@@ -82,7 +83,11 @@
       HttpRequest request =
           new HttpRequest(message.method().name(), message.uri(), Optional.of(body), NO_DEADLINE);
       InetSocketAddress local = (InetSocketAddress) context.channel().localAddress();
-      handler.handle(local, request, reply -> context.writeAndFlush(response(reply)));
+      handler.handle(local, request, reply -> respond(context, reply));
+    }
+
+    private static void respond(ChannelHandlerContext context, HttpReply reply) {
+      ChannelFuture unused = context.writeAndFlush(response(reply));
     }
 
     private static FullHttpResponse response(HttpReply reply) {
@@ -98,7 +103,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      context.close();
+      ChannelFuture unused = context.close();
     }
   }
 }
--- a/src/test/java/org/mulleinshift/sim/ScaleCell.java
+++ b/src/test/java/org/mulleinshift/sim/ScaleCell.java
@@ -286,15 +286,16 @@
             .timeout(ANSWER)
             .method(method, java.net.http.HttpRequest.BodyPublishers.ofString(body))
             .build();
-    shared
-        .users()
-        .sendAsync(request, BodyHandlers.ofString())
-        .whenComplete(
-            (answer, failure) ->
-                reply.accept(
-                    failure != null
-                        ? HttpReply.NONE
-                        : new HttpReply(answer.statusCode(), answer.body())));
+    CompletableFuture<?> unused =
+        shared
+            .users()
+            .sendAsync(request, BodyHandlers.ofString())
+            .whenComplete(
+                (answer, failure) ->
+                    reply.accept(
+                        failure != null
+                            ? HttpReply.NONE
+                            : new HttpReply(answer.statusCode(), answer.body())));
   }
 
   /** What a load balancer does: asks each controller every second whether it is ready. */
--- a/src/test/java/org/mulleinshift/sim/ScaleRun.java
+++ b/src/test/java/org/mulleinshift/sim/ScaleRun.java
@@ -15,6 +15,7 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
+import java.util.concurrent.Future;
 import java.util.stream.Stream;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -121,7 +122,7 @@
     } finally {
       cells.forEach(ScaleCell::stop);
       Runtime.getRuntime().removeShutdownHook(ender);
-      threads.shutdownGracefully();
+      Future<?> unused = threads.shutdownGracefully();
       answers.shutdownNow();
     }
   }
