--- a/src/test/java/org/mulleinshift/sim/CloseLooks.java
+++ b/src/test/java/org/mulleinshift/sim/CloseLooks.java
@@ -13,21 +13,14 @@
   private static final int CANCELS_AGAIN = 5;
 
   private final World world;
-  private final RuleBook rules;
   private final Map<String, SimUser> users;
   private final List<SimNode> nodes;
   private final SimUser.Way way;
   private double until;
   private double cancelShare;
 
-  CloseLooks(
-      World world,
-      RuleBook rules,
-      Map<String, SimUser> users,
-      List<SimNode> nodes,
-      SimUser.Way way) {
+  CloseLooks(World world, Map<String, SimUser> users, List<SimNode> nodes, SimUser.Way way) {
     this.world = world;
-    this.rules = rules;
     this.users = users;
     this.nodes = nodes;
     this.way = way;
--- a/src/test/java/org/mulleinshift/sim/ScaleRun.java
+++ b/src/test/java/org/mulleinshift/sim/ScaleRun.java
@@ -211,7 +211,7 @@
         probe.bind(address);
         return network;
       } catch (BindException e) {
-        continue;
+        // Another run has it: the next one is tried.
       }
     }
     throw new IOException("no part of the loopback range is free");
--- a/src/test/java/org/mulleinshift/sim/Scenario.java
+++ b/src/test/java/org/mulleinshift/sim/Scenario.java
@@ -10,6 +10,7 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
@@ -104,7 +105,7 @@
     cloud = new SimCloud(world, 4, this::startWorker);
     keptCopies = new KeptCopies(world, nodes);
     state.onTerm(keptCopies::release);
-    looks = new CloseLooks(world, rules, users, nodes, this::sendTo);
+    looks = new CloseLooks(world, users, nodes, this::sendTo);
     rules.onNews(looks::news);
     rules.storedAsOver(state::isOver);
     odd = new OddRequests(world, rules, users, this::send);
@@ -348,7 +349,7 @@
               hostOf(words[1]),
               hostOf(words[2]),
               words[0].equals("cut"),
-              Network.Mode.valueOf(words[4].toUpperCase()),
+              Network.Mode.valueOf(words[4].toUpperCase(Locale.ROOT)),
               Double.parseDouble(words[3]));
       case "slow-link" ->
           network.slow(
--- a/src/test/java/org/mulleinshift/sim/ScenarioExpectations.java
+++ b/src/test/java/org/mulleinshift/sim/ScenarioExpectations.java
@@ -133,7 +133,7 @@
       }
       case "writes" -> atMost(line, state.writes(), Double.parseDouble(words[2]));
       case "keys" -> {
-        long count = state.dump().keySet().stream().filter(k -> k.startsWith(words[2])).count();
+        double count = state.dump().keySet().stream().filter(k -> k.startsWith(words[2])).count();
         if (words[3].equals("min")) {
           atLeast(line, count, limit);
         } else {
