--- a/src/main/java/org/mulleinshift/bookkeeping/ControlView.java
+++ b/src/main/java/org/mulleinshift/bookkeeping/ControlView.java
@@ -4,7 +4,6 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
@@ -74,9 +73,7 @@
         throw new BadMessage("no machines");
       }
       Map<MachineId, MachineRecord> machines = new TreeMap<>();
-      Iterator<Map.Entry<String, JsonNode>> fields = list.fields();
-      while (fields.hasNext()) {
-        Map.Entry<String, JsonNode> field = fields.next();
+      for (Map.Entry<String, JsonNode> field : list.properties()) {
         machines.put(
             new MachineId(field.getKey()),
             new MachineRecord(
--- a/src/main/java/org/mulleinshift/bookkeeping/UnknownFields.java
+++ b/src/main/java/org/mulleinshift/bookkeeping/UnknownFields.java
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.Iterator;
 import java.util.Map;
 import java.util.Optional;
 import org.mulleinshift.protocol.Json;
@@ -29,9 +28,7 @@
 
   private static ObjectNode rest(JsonNode known, JsonNode stored) {
     ObjectNode rest = Json.object();
-    Iterator<Map.Entry<String, JsonNode>> fields = stored.fields();
-    while (fields.hasNext()) {
-      Map.Entry<String, JsonNode> field = fields.next();
+    for (Map.Entry<String, JsonNode> field : stored.properties()) {
       JsonNode own = known.path(field.getKey());
       if (own.isMissingNode() && !field.getValue().isNull()) {
         rest.set(field.getKey(), field.getValue());
@@ -51,8 +48,8 @@
   }
 
   private static void restore(ObjectNode target, ObjectNode from) {
-    from.fields()
-        .forEachRemaining(
+    from.properties()
+        .forEach(
             field -> {
               JsonNode own = target.get(field.getKey());
               if (own instanceof ObjectNode inner && field.getValue() instanceof ObjectNode more) {
--- a/src/test/java/org/mulleinshift/bookkeeping/StoredByEarlierBuildTest.java
+++ b/src/test/java/org/mulleinshift/bookkeeping/StoredByEarlierBuildTest.java
@@ -8,7 +8,6 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.HashMap;
-import java.util.Iterator;
 import java.util.Map;
 import java.util.Optional;
 import java.util.OptionalLong;
@@ -33,8 +32,7 @@
     JsonNode sample = Json.parseObject(Files.readString(SAMPLE));
     Map<JobId, Job> jobs = new HashMap<>();
     ControlView view = new ControlView();
-    for (Iterator<Map.Entry<String, JsonNode>> it = sample.fields(); it.hasNext(); ) {
-      Map.Entry<String, JsonNode> entry = it.next();
+    for (Map.Entry<String, JsonNode> entry : sample.properties()) {
       Item item = new Item(entry.getKey(), entry.getValue(), new Revision(9));
       String kind = entry.getKey().substring(0, 2);
       switch (kind) {
--- a/src/test/java/org/mulleinshift/sim/ScaleReport.java
+++ b/src/test/java/org/mulleinshift/sim/ScaleReport.java
@@ -249,8 +249,8 @@
   String text() {
     StringBuilder text = new StringBuilder();
     figures
-        .fields()
-        .forEachRemaining(
+        .properties()
+        .forEach(
             field ->
                 text.append(field.getKey()).append(": ").append(field.getValue()).append('\n'));
     return text.toString();
