--- a/src/main/java/org/mulleinshift/coordination/TaskPhase.java
+++ b/src/main/java/org/mulleinshift/coordination/TaskPhase.java
@@ -48,7 +48,7 @@
   }
 
   boolean isFinal() {
-    return ordinal() >= DONE.ordinal();
+    return compareTo(DONE) >= 0;
   }
 
   /** What a worker reports of a task. */
--- a/src/test/java/org/mulleinshift/sim/Scenario.java
+++ b/src/test/java/org/mulleinshift/sim/Scenario.java
@@ -10,6 +10,7 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
@@ -106,7 +107,7 @@
     cloud = new SimCloud(world, 4, this::startWorker);
     keptCopies = new KeptCopies(world, nodes);
     state.onTerm(keptCopies::release);
-    looks = new CloseLooks(world, rules, users, nodes, this::sendTo);
+    looks = new CloseLooks(world, users, nodes, this::sendTo);
     rules.onNews(looks::news);
     rules.storedAsOver(state::isOver);
     odd = new OddRequests(world, rules, users, this::send);
@@ -233,7 +234,7 @@
             Double.parseDouble(fields.getOrDefault("boot", "10"))));
     for (String zone : zones) {
       if (fields.containsKey(zone)) {
-        String[] counts = fields.get(zone).split("/");
+        String[] counts = fields.get(zone).split("/", 0);
         cloud.capacity(words[1], zone, false, Integer.parseInt(counts[0]));
         if (counts.length > 1) {
           cloud.capacity(words[1], zone, true, Integer.parseInt(counts[1]));
@@ -361,7 +362,7 @@
               hostOf(words[1]),
               hostOf(words[2]),
               words[0].equals("cut"),
-              Network.Mode.valueOf(words[4].toUpperCase()),
+              Network.Mode.valueOf(words[4].toUpperCase(Locale.ROOT)),
               Double.parseDouble(words[3]));
       case "slow-link" ->
           network.slow(
