--- a/src/main/java/org/mulleinshift/Main.java
+++ b/src/main/java/org/mulleinshift/Main.java
@@ -10,10 +10,10 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.atomic.AtomicReference;
-import org.mulleinshift.coordination.Controller;
-import org.mulleinshift.margin.Heap;
-import org.mulleinshift.margin.HeapMargin;
-import org.mulleinshift.margin.MemoryPlan;
+import org.mulleinshift.controller.Controller;
+import org.mulleinshift.memory.Heap;
+import org.mulleinshift.memory.HeapMonitor;
+import org.mulleinshift.memory.MemoryPlan;
 import org.mulleinshift.protocol.WorkerCodec;
 import org.mulleinshift.settings.Leases;
 import org.mulleinshift.settings.PlatformSettings;
@@ -21,9 +21,9 @@
 import org.mulleinshift.settings.SettingsException;
 import org.mulleinshift.settings.Tunables;
 import org.mulleinshift.settings.TunablesReader;
-import org.mulleinshift.transport.HttpFrontend;
-import org.mulleinshift.transport.JdkHttpCaller;
-import org.mulleinshift.transport.TcpPeerLink;
+import org.mulleinshift.transport.JdkAsyncHttpClient;
+import org.mulleinshift.transport.JdkHttpServer;
+import org.mulleinshift.transport.TcpPeerTransport;
 import org.mulleinshift.transport.ThreadEventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -110,7 +110,7 @@
             settings.limits().memoryMb(),
             settings.limits().sockets(),
             Runtime.getRuntime().maxMemory());
-    HttpFrontend.configure(memory.idleConnections());
+    JdkHttpServer.configure(memory.idleConnections());
     settings = rehearse ? new RehearsalWorld().serve(settings) : settings;
     try {
       run(settings, tunables, memory);
@@ -134,8 +134,8 @@
     Map<String, InetSocketAddress> peers = new HashMap<>();
     settings.members().forEach(member -> peers.put(member.label(), member.address()));
     AtomicReference<Controller> target = new AtomicReference<>();
-    TcpPeerLink link =
-        new TcpPeerLink(
+    TcpPeerTransport link =
+        new TcpPeerTransport(
             loop,
             peers,
             frame -> target.get().onFrame(frame),
@@ -148,19 +148,19 @@
             tunables,
             new Controller.Outside(
                 loop,
-                new JdkHttpCaller("state", loop, 6, 512),
-                new JdkHttpCaller("watch", loop, 2, 8),
-                new JdkHttpCaller("cloud", loop, 2, 32),
-                new JdkHttpCaller("worker", loop, 8, 256),
+                new JdkAsyncHttpClient("state", loop, 6, 512),
+                new JdkAsyncHttpClient("watch", loop, 2, 8),
+                new JdkAsyncHttpClient("cloud", loop, 2, 32),
+                new JdkAsyncHttpClient("worker", loop, 8, 256),
                 link,
-                new HeapMargin(loop, Heap.ofProcess(), memory.heapBytes())));
+                new HeapMonitor(loop, Heap.ofProcess(), memory.heapBytes())));
     target.set(controller);
-    HttpFrontend frontend =
-        new HttpFrontend(
+    JdkHttpServer frontend =
+        new JdkHttpServer(
             loop,
             controller,
             rehearse ? ANY_PORT : settings.publicAddress(),
-            new HttpFrontend.Bounds(
+            new JdkHttpServer.Bounds(
                 tunables.count(Tunables.Key.HTTP_THREADS),
                 memory.userBodyBytes(),
                 memory.reportBodyBytes(),
--- a/src/main/java/org/mulleinshift/Rehearsal.java
+++ b/src/main/java/org/mulleinshift/Rehearsal.java
@@ -3,27 +3,27 @@
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.List;
-import org.mulleinshift.protocol.BadMessage;
 import org.mulleinshift.protocol.JobCodec;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.PeerCodec;
-import org.mulleinshift.protocol.StateCodec;
+import org.mulleinshift.protocol.StoreCodec;
 import org.mulleinshift.protocol.WorkerCodec;
 import org.mulleinshift.protocol.peer.AssignedJob;
 import org.mulleinshift.protocol.peer.AssignedTask;
-import org.mulleinshift.protocol.peer.Assignment;
-import org.mulleinshift.protocol.peer.BlockReport;
 import org.mulleinshift.protocol.peer.Heartbeat;
-import org.mulleinshift.protocol.peer.JobCount;
-import org.mulleinshift.protocol.peer.JobDigest;
-import org.mulleinshift.protocol.peer.Knock;
-import org.mulleinshift.protocol.peer.MachineReport;
+import org.mulleinshift.protocol.peer.JobSummary;
+import org.mulleinshift.protocol.peer.JobTaskCounts;
+import org.mulleinshift.protocol.peer.MachineStatus;
+import org.mulleinshift.protocol.peer.OwnerSuspicion;
 import org.mulleinshift.protocol.peer.RemovedTask;
-import org.mulleinshift.protocol.peer.ReportsSeen;
-import org.mulleinshift.protocol.peer.StrangerReport;
-import org.mulleinshift.protocol.peer.TaskReport;
+import org.mulleinshift.protocol.peer.ShardAssignment;
+import org.mulleinshift.protocol.peer.ShardStatus;
+import org.mulleinshift.protocol.peer.ShardStatusAck;
+import org.mulleinshift.protocol.peer.TaskStatus;
+import org.mulleinshift.protocol.peer.UnknownWorkerReport;
 import org.mulleinshift.transport.HttpRequest;
-import org.mulleinshift.transport.JdkHttpCaller;
+import org.mulleinshift.transport.JdkAsyncHttpClient;
 import org.mulleinshift.transport.ThreadEventLoop;
 import org.slf4j.Logger;
 
@@ -39,21 +39,21 @@
         new AssignedJob("j", 1.0, 0.0, 1.0, "b", 1.0, 0.0, List.of("r"), true, 1, List.of(task));
     return List.of(
         new Heartbeat(1L, 1L, false, "WELL", "", 0L, "", false, List.of()),
-        new Assignment(
+        new ShardAssignment(
             1L, "b", 1L, 0L, 1L, List.of(new RemovedTask("j", 2)), List.of(job), List.of("i-2")),
-        new BlockReport(
+        new ShardStatus(
             "b",
             1L,
             0L,
             1L,
             1L,
             1L,
-            List.of(new MachineReport("i-1", "CONFIRMED", "HEARD", false, List.of("b"))),
-            List.of(new TaskReport("j", 1, 1L, "RUNNING", "i-1", 5L))),
-        new ReportsSeen(1L, "b", 1L, 1L),
-        new Knock("b", 1L, List.of("i-1")),
-        new StrangerReport("i-3", "127.0.0.1:1", "r", "here", true),
-        new JobDigest(List.of(new JobCount("j", 1, 1))));
+            List.of(new MachineStatus("i-1", "CONFIRMED", "HEARD", false, List.of("b"))),
+            List.of(new TaskStatus("j", 1, 1L, "RUNNING", "i-1", 5L))),
+        new ShardStatusAck(1L, "b", 1L, 1L),
+        new OwnerSuspicion("b", 1L, List.of("i-1")),
+        new UnknownWorkerReport("i-3", "127.0.0.1:1", "r", "here", true),
+        new JobSummary(List.of(new JobTaskCounts("j", 1, 1))));
   }
 
   /** Beside the controller, in the same process: all that it meets in its first seconds. */
@@ -64,12 +64,12 @@
     try {
       PeerCodec codec = new PeerCodec();
       codec.read(codec.write(new NodeId("rehearsal"), frames()));
-      StateCodec.parseRange("{\"rows\":[{\"k\":\"a\",\"value\":{},\"stamp\":1}],\"epoch\":1}");
+      StoreCodec.parseRange("{\"rows\":[{\"k\":\"a\",\"value\":{},\"stamp\":1}],\"epoch\":1}");
       WorkerCodec.parseReport("{\"host\":\"a\",\"pieces\":[]}");
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       log.debug("rehearsed: {}", e.getMessage());
     }
-    JdkHttpCaller caller = new JdkHttpCaller("rehearsal", loop, 1, 8);
+    JdkAsyncHttpClient caller = new JdkAsyncHttpClient("rehearsal", loop, 1, 8);
     loop.post(new RehearsalWorker(loop, caller, address)::start);
     loop.post(
         () ->
--- a/src/main/java/org/mulleinshift/RehearsalWorker.java
+++ b/src/main/java/org/mulleinshift/RehearsalWorker.java
@@ -11,10 +11,10 @@
 import java.util.Map;
 import org.mulleinshift.protocol.JobCodec;
 import org.mulleinshift.protocol.WorkerCodec;
+import org.mulleinshift.transport.AsyncHttpClient;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.HttpCaller;
-import org.mulleinshift.transport.HttpReply;
 import org.mulleinshift.transport.HttpRequest;
+import org.mulleinshift.transport.HttpResponse;
 
 /** The one machine of a rehearsal, and its one user. */
 final class RehearsalWorker {
@@ -24,13 +24,13 @@
 
   private final ObjectMapper json = new ObjectMapper();
   private final EventLoop loop;
-  private final HttpCaller caller;
+  private final AsyncHttpClient caller;
   private final InetSocketAddress node;
   private final Map<String, ObjectNode> pieces = new LinkedHashMap<>();
   private long tick;
   private long baton;
 
-  RehearsalWorker(EventLoop loop, HttpCaller caller, InetSocketAddress node) {
+  RehearsalWorker(EventLoop loop, AsyncHttpClient caller, InetSocketAddress node) {
     this.loop = loop;
     this.caller = caller;
     this.node = node;
@@ -54,7 +54,7 @@
   }
 
   private void call(HttpRequest request) {
-    caller.call(node, request, HttpReply::answered);
+    caller.call(node, request, HttpResponse::answered);
   }
 
   private void report() {
@@ -67,7 +67,7 @@
         node, HttpRequest.post(WorkerCodec.CHECKIN, body.toString(), DEADLINE), this::answered);
   }
 
-  private void answered(HttpReply reply) {
+  private void answered(HttpResponse reply) {
     for (ObjectNode piece : pieces.values()) {
       boolean over = piece.path("phase").asText().equals("running");
       piece.put("phase", over ? "exited" : piece.path("phase").asText());
--- a/src/main/java/org/mulleinshift/coordination/Frontend.java
+++ b/src/main/java/org/mulleinshift/api/JobApi.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.time.Duration;
@@ -10,18 +10,14 @@
 import java.util.OptionalInt;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.mulleinshift.bookkeeping.Awaits;
-import org.mulleinshift.bookkeeping.JobRecord;
-import org.mulleinshift.bookkeeping.Keys;
-import org.mulleinshift.bookkeeping.StateStore;
-import org.mulleinshift.bookkeeping.StateStore.Answer;
-import org.mulleinshift.bookkeeping.StateStore.Outcome;
-import org.mulleinshift.coordination.chains.AcceptedCheck;
-import org.mulleinshift.coordination.chains.ListWriter;
-import org.mulleinshift.coordination.chains.Orphans;
-import org.mulleinshift.margin.Pressure;
-import org.mulleinshift.margin.Recent;
-import org.mulleinshift.protocol.BadMessage;
+import org.mulleinshift.dependencies.CascadingCancellations;
+import org.mulleinshift.dependencies.DependencyListWriter;
+import org.mulleinshift.dependencies.DependencyValidator;
+import org.mulleinshift.memory.BoundedMap;
+import org.mulleinshift.memory.MemoryPressure;
+import org.mulleinshift.model.JobDependencies;
+import org.mulleinshift.model.JobRecord;
+import org.mulleinshift.placement.MachineTypeCatalog;
 import org.mulleinshift.protocol.JobCodec;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.JobKind;
@@ -29,14 +25,19 @@
 import org.mulleinshift.protocol.JobSpec;
 import org.mulleinshift.protocol.Json;
 import org.mulleinshift.protocol.MachineType;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec;
-import org.mulleinshift.protocol.StateCodec.Guard;
-import org.mulleinshift.protocol.StateCodec.Item;
-import org.mulleinshift.protocol.StateCodec.Write;
-import org.mulleinshift.protocol.peer.JobCount;
-import org.mulleinshift.protocol.peer.JobDigest;
+import org.mulleinshift.protocol.StoreCodec;
+import org.mulleinshift.protocol.StoreCodec.Guard;
+import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.Write;
+import org.mulleinshift.protocol.peer.JobSummary;
+import org.mulleinshift.protocol.peer.JobTaskCounts;
 import org.mulleinshift.settings.PlatformSettings;
+import org.mulleinshift.store.KeyValueStore;
+import org.mulleinshift.store.KeyValueStore.Answer;
+import org.mulleinshift.store.KeyValueStore.Outcome;
+import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.Responder;
 
@@ -45,8 +46,8 @@
  * answer that can still change is read from the store at the time of the question; in doubt the
  * answer is 503.
  */
-final class Frontend {
-  private static final JobCount NOTHING_YET = new JobCount("", 0, 0);
+public final class JobApi {
+  private static final JobTaskCounts NOTHING_YET = new JobTaskCounts("", 0, 0);
   private static final int REMEMBERED_ENDS = 20_000;
   private static final int POLLS_AT_EASE = 2000;
   private static final int POLLS_WHEN_TIGHT = 64;
@@ -67,41 +68,41 @@
   }
 
   private final EventLoop loop;
-  private final StateStore store;
-  private final Catalog catalog;
+  private final KeyValueStore store;
+  private final MachineTypeCatalog catalog;
   private final Map<String, PlatformSettings.Team> teams = new LinkedHashMap<>();
   private final int valueBytes;
-  private final AcceptedCheck accepted;
-  private final ListWriter lists;
+  private final DependencyValidator accepted;
+  private final DependencyListWriter lists;
   private final int retryAfter;
   private final Consumer<JobId> onCancelled;
-  private final Map<JobId, JobPhase> ended = new Recent<>(REMEMBERED_ENDS);
+  private final Map<JobId, JobPhase> ended = new BoundedMap<>(REMEMBERED_ENDS);
   private final Map<JobId, Standing> active = new HashMap<>();
-  private final Orphans orphans = new Orphans();
+  private final CascadingCancellations orphans = new CascadingCancellations();
   private final Consumer<Consumer<Boolean>> prover;
-  private final Supplier<Pressure> pressure;
+  private final Supplier<MemoryPressure> pressure;
   private int pollsWaiting;
-  private Map<String, JobCount> counts = Map.of();
+  private Map<String, JobTaskCounts> counts = Map.of();
 
   /** What is told of a job that no digest names; nothing before the first. */
-  private JobCount waiting;
+  private JobTaskCounts waiting;
 
-  Frontend(
+  public JobApi(
       EventLoop loop,
-      StateStore store,
-      Catalog catalog,
+      KeyValueStore store,
+      MachineTypeCatalog catalog,
       PlatformSettings.Cluster cluster,
       int retryAfter,
       Consumer<Consumer<Boolean>> prover,
-      Supplier<Pressure> pressure,
+      Supplier<MemoryPressure> pressure,
       Consumer<JobId> onCancelled) {
     this.loop = loop;
     this.store = store;
     this.catalog = catalog;
     this.valueBytes = cluster.state().leastValueBytes();
     this.accepted =
-        new AcceptedCheck(store, job -> active.containsKey(job) || ended.containsKey(job));
-    this.lists = new ListWriter(loop, store, valueBytes, cluster.state().leastTxnOps());
+        new DependencyValidator(store, job -> active.containsKey(job) || ended.containsKey(job));
+    this.lists = new DependencyListWriter(loop, store, valueBytes, cluster.state().leastTxnOps());
     this.retryAfter = retryAfter;
     this.prover = prover;
     this.pressure = pressure;
@@ -110,27 +111,27 @@
   }
 
   /** A digest names the jobs of which anything runs or is done; of all others nothing does. */
-  void onDigest(JobDigest digest) {
-    Map<String, JobCount> next = new LinkedHashMap<>();
+  public void onDigest(JobSummary digest) {
+    Map<String, JobTaskCounts> next = new LinkedHashMap<>();
     digest.getCounts().forEach(count -> next.put(count.getJob(), count));
     counts = next;
     waiting = NOTHING_YET;
   }
 
   /** An active job as the view of them shows it; without a record it cannot be read. */
-  void onActive(JobId id, Optional<JobRecord> record) {
+  public void onActive(JobId id, Optional<JobRecord> record) {
     active.put(id, record.<Standing>map(Standing.Active::new).orElse(new Standing.Unknown()));
     record.ifPresent(orphans::onActive);
   }
 
-  void onNoLongerActive(JobId id) {
+  public void onNoLongerActive(JobId id) {
     active.remove(id);
     accepted.accepted(id);
     orphans.onNoLongerActive(id);
   }
 
-  void submit(String body, Responder responder) {
-    if (pressure.get() == Pressure.SCARCE) {
+  public void submit(String body, Responder responder) {
+    if (pressure.get() == MemoryPressure.SCARCE) {
       unavailable(responder);
       return;
     }
@@ -140,7 +141,7 @@
       JsonNode submission = Json.parseObject(body);
       spec = JobCodec.parse(submission);
       awaited = JobCodec.awaits(submission);
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       refuseUnlessKnown(body, 400, e.getMessage(), responder);
       return;
     }
@@ -214,7 +215,7 @@
     try {
       String id = Json.parseObject(body).path("ref").asText("");
       return JobCodec.isJobId(id) ? Optional.of(new JobId(id)) : Optional.empty();
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       return Optional.empty();
     }
   }
@@ -230,8 +231,8 @@
       ask(spec.id(), standing -> answer(spec.id(), standing, responder), responder);
       return;
     }
-    JsonNode value = JobRecord.value(spec, Awaits.of(awaited), loop.wallMillis(), false);
-    if (StateCodec.bytes(value) <= valueBytes) {
+    JsonNode value = JobRecord.value(spec, JobDependencies.of(awaited), loop.wallMillis(), false);
+    if (StoreCodec.bytes(value) <= valueBytes) {
       accept(spec, value, ACCEPT_TRIES, responder);
     } else if (awaited.isEmpty()) {
       responder.respond(400, JobCodec.error("job too long"));
@@ -256,10 +257,10 @@
   private void accept(JobSpec spec, JsonNode value, int tries, Responder responder) {
     store.commit(
         List.of(
-            new Guard(Keys.active(spec.id()), new Revision(0)),
-            new Guard(Keys.ended(spec.id()), new Revision(0))),
-        List.of(Write.put(Keys.active(spec.id()), value)),
-        StateStore.Urgency.PROMPT,
+            new Guard(StoreKeys.active(spec.id()), new Revision(0)),
+            new Guard(StoreKeys.ended(spec.id()), new Revision(0))),
+        List.of(Write.put(StoreKeys.active(spec.id()), value)),
+        KeyValueStore.Urgency.PROMPT,
         outcome -> {
           if (outcome instanceof Outcome.Committed) {
             accepted(spec.id(), responder);
@@ -285,7 +286,7 @@
     }
   }
 
-  void poll(JobId id, Responder responder) {
+  public void poll(JobId id, Responder responder) {
     if (!JobCodec.isJobId(id.value())) {
       responder.respond(404, JobCodec.error("no such job"));
       return;
@@ -344,7 +345,7 @@
     }
   }
 
-  void withdraw(JobId id, Responder responder) {
+  public void withdraw(JobId id, Responder responder) {
     if (!JobCodec.isJobId(id.value())) {
       responder.respond(404, JobCodec.error("no such job"));
       return;
@@ -370,9 +371,9 @@
 
   private void cancel(JobRecord job, int tries, Responder responder) {
     store.commit(
-        List.of(new Guard(Keys.active(job.id()), job.version())),
-        List.of(Write.put(Keys.active(job.id()), job.cancelledValue())),
-        StateStore.Urgency.PROMPT,
+        List.of(new Guard(StoreKeys.active(job.id()), job.version())),
+        List.of(Write.put(StoreKeys.active(job.id()), job.cancelledValue())),
+        KeyValueStore.Urgency.PROMPT,
         outcome -> {
           if (outcome instanceof Outcome.Committed) {
             ended.put(job.id(), JobPhase.CANCELLED);
@@ -394,8 +395,8 @@
       return;
     }
     store.get(
-        Keys.active(id),
-        StateStore.Urgency.NORMAL,
+        StoreKeys.active(id),
+        KeyValueStore.Urgency.NORMAL,
         active -> {
           if (active instanceof Answer.Found<Item> found) {
             then.accept(
@@ -411,7 +412,10 @@
   }
 
   private void lookUpEnded(JobId id, Consumer<Standing> then) {
-    store.get(Keys.ended(id), StateStore.Urgency.NORMAL, answer -> then.accept(endOf(id, answer)));
+    store.get(
+        StoreKeys.ended(id),
+        KeyValueStore.Urgency.NORMAL,
+        answer -> then.accept(endOf(id, answer)));
   }
 
   private Standing endOf(JobId id, Answer<Item> answer) {
@@ -448,7 +452,7 @@
           unavailable(responder);
           return;
         }
-        JobCount count = counts.get(id.value());
+        JobTaskCounts count = counts.get(id.value());
         boolean running = count != null && count.getRunning() > 0;
         respond(id, 200, running ? JobPhase.RUNNING : JobPhase.PENDING, responder);
       }
@@ -460,7 +464,7 @@
   }
 
   private void respond(JobId id, int status, JobPhase phase, Responder responder) {
-    JobCount count = phase.terminal() ? null : counts.getOrDefault(id.value(), waiting);
+    JobTaskCounts count = phase.terminal() ? null : counts.getOrDefault(id.value(), waiting);
     responder.respond(
         status,
         JobCodec.view(
--- a/src/main/java/org/mulleinshift/coordination/Readiness.java
+++ b/src/main/java/org/mulleinshift/api/ReadinessProbe.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.api;
 
 import java.time.Duration;
 import java.util.function.BooleanSupplier;
@@ -10,7 +10,7 @@
  * that: two that fail keep the node out of use for seconds, though it serves again a moment later.
  * What it hears is true.
  */
-final class Readiness {
+public final class ReadinessProbe {
   /** How long a probe waits for a process that starts: well below the prober's second. */
   private static final Duration STEP = Duration.ofMillis(50);
 
@@ -29,12 +29,12 @@
    *
    * @param ready whether the node can take requests now
    */
-  Readiness(EventLoop loop, BooleanSupplier ready) {
+  public ReadinessProbe(EventLoop loop, BooleanSupplier ready) {
     this.loop = loop;
     this.ready = ready;
   }
 
-  void answer(Responder responder) {
+  public void answer(Responder responder) {
     if (!ready.getAsBoolean() && !hasBeenReady && waiting < MOST_WAITING) {
       waiting++;
       loop.after(STEP, () -> await(responder, STEPS - 1));
--- a/src/main/java/org/mulleinshift/coordination/Fleet.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Autoscaler.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.autoscaling;
 
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -11,13 +11,15 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.mulleinshift.bookkeeping.ControlView.MachineRecord;
-import org.mulleinshift.bookkeeping.Keys;
-import org.mulleinshift.bookkeeping.LeaderJournal;
-import org.mulleinshift.bookkeeping.Machine;
-import org.mulleinshift.bookkeeping.Rental;
-import org.mulleinshift.margin.Recent;
-import org.mulleinshift.protocol.BlockId;
+import org.mulleinshift.leader.Leader;
+import org.mulleinshift.memory.BoundedMap;
+import org.mulleinshift.model.ClusterView.MachineRecord;
+import org.mulleinshift.model.Machine;
+import org.mulleinshift.model.ProvisioningRequest;
+import org.mulleinshift.placement.BinPacker;
+import org.mulleinshift.placement.MachineCapacity;
+import org.mulleinshift.placement.ResourceRequest;
+import org.mulleinshift.placement.UnschedulableRequests;
 import org.mulleinshift.protocol.CloudCodec;
 import org.mulleinshift.protocol.CloudMachine;
 import org.mulleinshift.protocol.MachineId;
@@ -25,22 +27,28 @@
 import org.mulleinshift.protocol.MachineTypeId;
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec.Write;
+import org.mulleinshift.protocol.ShardId;
+import org.mulleinshift.protocol.StoreCodec.Write;
 import org.mulleinshift.protocol.ZoneId;
-import org.mulleinshift.protocol.peer.MachineReport;
-import org.mulleinshift.protocol.peer.StrangerReport;
+import org.mulleinshift.protocol.peer.MachineStatus;
+import org.mulleinshift.protocol.peer.UnknownWorkerReport;
 import org.mulleinshift.settings.Tunables;
+import org.mulleinshift.sharding.MachinePhase;
+import org.mulleinshift.sharding.OwnedMachine;
+import org.mulleinshift.sharding.ShardView;
+import org.mulleinshift.store.StoreKeys;
+import org.mulleinshift.store.TransactionBatcher;
+import org.mulleinshift.transport.AsyncHttpClient;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.HttpCaller;
 import org.mulleinshift.transport.HttpRequest;
-import org.mulleinshift.transport.RateBudget;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
+import org.mulleinshift.transport.RateLimiter;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Sizes the fleet from the queue by the forward walk; rents, adopts and returns machines. */
-final class Fleet implements Rentals.Listener {
-  private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
+public final class Autoscaler implements Provisioner.Listener {
+  private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
   private static final Duration DEADLINE = Duration.ofSeconds(5);
   private static final int REMEMBERED_DELETED = 5000;
   private static final int MACHINE_BYTES = 128;
@@ -48,57 +56,57 @@
   private static final int PROBE_OF = 10;
 
   /** The way to the cloud. */
-  record Cloud(HttpCaller calls, InetSocketAddress address, RateBudget budget) {}
+  public record Cloud(AsyncHttpClient calls, InetSocketAddress address, RateLimiter budget) {}
 
   private final Leader leader;
   private final Leader.Surroundings around;
   private final EventLoop loop;
   private final Cloud cloud;
   private final Map<MachineId, Machine> tracked = new HashMap<>();
-  private final Market market;
-  private final Rentals rentals;
-  private final FleetPlan plan;
-  private final Draining draining;
-  private final CloudList list;
-  private final BootTimes boots;
+  private final OfferSelector market;
+  private final Provisioner rentals;
+  private final CapacityPlanner plan;
+  private final ScaleIn draining;
+  private final CloudInventory list;
+  private final BootTimeEstimator boots;
   private final Map<MachineTypeId, Integer> doubtful = new HashMap<>();
-  private final Map<MachineTypeId, SteadyTime> probedAt = new HashMap<>();
+  private final Map<MachineTypeId, MonotonicTime> probedAt = new HashMap<>();
   private final Set<MachineId> deleting = new LinkedHashSet<>();
-  private final Set<MachineId> deleted = Recent.set(REMEMBERED_DELETED);
-  private Optional<SteadyTime> lastResize = Optional.empty();
+  private final Set<MachineId> deleted = BoundedMap.set(REMEMBERED_DELETED);
+  private Optional<MonotonicTime> lastResize = Optional.empty();
   private boolean deleteInFlight;
 
-  Fleet(Leader leader, Leader.Surroundings around, Cloud cloud, Revision term) {
+  public Autoscaler(Leader leader, Leader.Surroundings around, Cloud cloud, Revision term) {
     this.leader = leader;
     this.around = around;
     this.loop = around.loop();
     this.cloud = cloud;
     this.market =
-        new Market(
+        new OfferSelector(
             loop,
             around.catalog(),
             leader.blocks(),
             around.tunables().seconds(Tunables.Key.REFUSED_PAUSE_S),
             offer -> rentals().unanswered(offer));
-    this.rentals = new Rentals(leader, around, cloud, term, this);
-    this.plan = new FleetPlan(this, leader, around);
-    this.draining = new Draining(this, plan, leader, around);
-    this.list = new CloudList(leader, around, cloud, this::listed);
+    this.rentals = new Provisioner(leader, around, cloud, term, this);
+    this.plan = new CapacityPlanner(this, leader, around);
+    this.draining = new ScaleIn(this, plan, leader, around);
+    this.list = new CloudInventory(leader, around, cloud, this::listed);
     this.boots =
-        new BootTimes(
+        new BootTimeEstimator(
             around.tunables().number(Tunables.Key.BOOT_DEFAULT_S),
             around.tunables().number(Tunables.Key.BOOT_OVERDUE_FACTOR));
   }
 
-  Rentals rentals() {
+  public Provisioner rentals() {
     return rentals;
   }
 
-  BootTimes boots() {
+  public BootTimeEstimator boots() {
     return boots;
   }
 
-  void start() {
+  public void start() {
     rentals.start();
     loop.after(Duration.ofMillis(500), this::walkRegularly);
     loop.after(Duration.ofSeconds(2), list::listRegularly);
@@ -116,7 +124,7 @@
   }
 
   /** Must take no new task. */
-  boolean closed(MachineId machine) {
+  public boolean closed(MachineId machine) {
     Machine known = tracked.get(machine);
     return known != null && known.closed();
   }
@@ -132,9 +140,9 @@
   }
 
   /** A holder told something new of a machine. */
-  void onReport(LeaderBlock block, MachineId id) {
+  public void onReport(ShardView block, MachineId id) {
     MachineRecord record = block.machines().get(id);
-    MachineReport report = block.reportOf(id).orElse(null);
+    MachineStatus report = block.reportOf(id).orElse(null);
     if (record == null
         || report == null
         || record.up()
@@ -151,27 +159,27 @@
     store(block);
   }
 
-  private void store(LeaderBlock block) {
-    leader.journal().submit(Keys.block(block.id()), new BlockUnit(block));
+  private void store(ShardView block) {
+    leader.journal().submit(StoreKeys.block(block.id()), new BlockUnit(block));
   }
 
-  void storeWhenIdle(LeaderBlock block) {
-    leader.journal().submitIdle(Keys.block(block.id()), new BlockUnit(block));
+  public void storeWhenIdle(ShardView block) {
+    leader.journal().submitIdle(StoreKeys.block(block.id()), new BlockUnit(block));
   }
 
   /** Gives up machines that do not come up, are silent beyond their lease, or fail everything. */
   private void inspectMachines() {
     doubtful.clear();
-    for (LeaderBlock block : leader.blocks().values()) {
+    for (ShardView block : leader.blocks().values()) {
       for (Map.Entry<MachineId, MachineRecord> entry : block.machines().entrySet()) {
         MachineId id = entry.getKey();
         Machine known = track(id);
         Optional<MachineType> type = around.catalog().type(entry.getValue().type());
-        Optional<MachineReport> report = block.reportOf(id);
-        Optional<BootTimes.Outlook> outlook =
+        Optional<MachineStatus> report = block.reportOf(id);
+        Optional<BootTimeEstimator.Outlook> outlook =
             type.filter(t -> !entry.getValue().up()).map(t -> outlook(t, known));
-        boolean overdue = outlook.equals(Optional.of(BootTimes.Outlook.HOPELESS));
-        if (outlook.equals(Optional.of(BootTimes.Outlook.DOUBTFUL))) {
+        boolean overdue = outlook.equals(Optional.of(BootTimeEstimator.Outlook.HOPELESS));
+        if (outlook.equals(Optional.of(BootTimeEstimator.Outlook.DOUBTFUL))) {
           doubtful.merge(entry.getValue().type(), 1, Integer::sum);
         }
         if (leader.busy(id, block.id())) {
@@ -180,7 +188,7 @@
         boolean silent =
             entry.getValue().up()
                 && report.isPresent()
-                && report.get().getSilence().equals(HeldMachine.Silence.GONE.wireName());
+                && report.get().getSilence().equals(OwnedMachine.Silence.GONE.wireName());
         if (overdue || silent || leader.blame().faulty(id)) {
           giveUp(id, overdue ? "does not come up" : silent ? "is silent" : "fails its tasks");
         }
@@ -188,7 +196,7 @@
     }
   }
 
-  BootTimes.Outlook outlook(MachineType type, Machine machine) {
+  BootTimeEstimator.Outlook outlook(MachineType type, Machine machine) {
     return boots.outlook(type, machine.rentedAt(), loop.now());
   }
 
@@ -237,7 +245,7 @@
     deleted.addAll(machines);
     machines.forEach(tracked::remove);
     leader.blame().gone(machines);
-    for (LeaderBlock block : leader.blocks().values()) {
+    for (ShardView block : leader.blocks().values()) {
       if (block.machines().keySet().removeAll(machines)) {
         store(block);
       }
@@ -246,22 +254,22 @@
 
   private void walk() {
     double horizon = horizon();
-    List<Walk.Waiting> waiting = plan.waiting(horizon);
-    int demand = waiting.stream().mapToInt(Walk.Waiting::count).sum();
-    FleetPlan.Plan found = plan.plan(waiting, horizon);
+    List<QueueSimulation.Waiting> waiting = plan.waiting(horizon);
+    int demand = waiting.stream().mapToInt(QueueSimulation.Waiting::count).sum();
+    CapacityPlanner.Plan found = plan.plan(waiting, horizon);
     Set<MachineTypeId> scarce = scarceTypes(found.result().shortage());
     if (!scarce.isEmpty()) {
       // Exception to the paper: what only fits a type that is not to be had gets that type's room,
       // and other tasks are rented for elsewhere.
-      List<Walk.Waiting> moved = awayFrom(scarce, waiting);
+      List<QueueSimulation.Waiting> moved = awayFrom(scarce, waiting);
       found = moved.equals(waiting) ? found : plan.plan(moved, horizon);
     }
-    List<Walk.Waiting> shortage = found.result().shortage();
+    List<QueueSimulation.Waiting> shortage = found.result().shortage();
     LOG.debug(
         "walk: {} processors, {} waiting, {} short, scarce {}",
         found.fleetCpus(),
         demand,
-        shortage.stream().mapToInt(Walk.Waiting::count).sum(),
+        shortage.stream().mapToInt(QueueSimulation.Waiting::count).sum(),
         scarce);
     if (!shortage.isEmpty() && resizeAllowed(found, horizon)) {
       rentFor(shortage);
@@ -277,7 +285,7 @@
    * Resizes are a boot time apart. Exception to the paper: a shortage that is large beside the
    * fleet cannot be an error of the walk, and at a start or in a burst each boot time counts.
    */
-  private boolean resizeAllowed(FleetPlan.Plan plan, double horizon) {
+  private boolean resizeAllowed(CapacityPlanner.Plan plan, double horizon) {
     double missing =
         plan.result().shortage().stream()
             .mapToDouble(group -> group.count() * group.need().perTask().cpus())
@@ -288,9 +296,9 @@
   }
 
   /** The types that tasks wait for although the cloud has no more of them. */
-  private Set<MachineTypeId> scarceTypes(List<Walk.Waiting> shortage) {
+  private Set<MachineTypeId> scarceTypes(List<QueueSimulation.Waiting> shortage) {
     Set<MachineTypeId> scarce = new HashSet<>();
-    for (Walk.Waiting group : shortage) {
+    for (QueueSimulation.Waiting group : shortage) {
       if (!market.offers(group.need())) {
         for (MachineType type : around.catalog().types().values()) {
           if (group.need().mayUse(type)) {
@@ -302,12 +310,13 @@
     return scarce;
   }
 
-  private List<Walk.Waiting> awayFrom(Set<MachineTypeId> scarce, List<Walk.Waiting> waiting) {
+  private List<QueueSimulation.Waiting> awayFrom(
+      Set<MachineTypeId> scarce, List<QueueSimulation.Waiting> waiting) {
     List<MachineTypeId> others =
         around.catalog().types().keySet().stream().filter(id -> !scarce.contains(id)).toList();
-    List<Walk.Waiting> groups = new ArrayList<>();
-    for (Walk.Waiting group : waiting) {
-      PlacementNeed elsewhere = group.need().onlyOn(others);
+    List<QueueSimulation.Waiting> groups = new ArrayList<>();
+    for (QueueSimulation.Waiting group : waiting) {
+      ResourceRequest elsewhere = group.need().onlyOn(others);
       boolean canMove = !elsewhere.types().isEmpty() && market.offers(elsewhere);
       groups.add(canMove ? group.with(elsewhere) : group);
     }
@@ -322,23 +331,23 @@
     return least;
   }
 
-  private void rentFor(List<Walk.Waiting> shortage) {
-    Map<Market.Offer, Integer> wanted = new LinkedHashMap<>();
+  private void rentFor(List<QueueSimulation.Waiting> shortage) {
+    Map<OfferSelector.Offer, Integer> wanted = new LinkedHashMap<>();
     // Only machines that have room left for some group: a long queue rents for many.
-    List<Room> open = new ArrayList<>();
-    Resources least = UnplaceableNeeds.leastOf(shortage, Walk.Waiting::need);
-    for (Walk.Waiting group : shortage) {
-      int left = group.count() - Placer.fill(group.need(), group.count(), open);
+    List<MachineCapacity> open = new ArrayList<>();
+    Resources least = UnschedulableRequests.leastOf(shortage, QueueSimulation.Waiting::need);
+    for (QueueSimulation.Waiting group : shortage) {
+      int left = group.count() - BinPacker.fill(group.need(), group.count(), open);
       while (left > 0) {
-        Optional<Market.Offer> offer =
+        Optional<OfferSelector.Offer> offer =
             market.bestOffer(group.need(), left, group.patient(), wanted);
         if (offer.isEmpty() || market.enough(offer.get(), wanted)) {
           // The next walk goes on from what the cloud answers.
           break;
         }
         int number = wanted.merge(offer.get(), 1, Integer::sum);
-        Room room = freshRoom(offer.get(), number);
-        left -= Placer.fill(group.need(), left, List.of(room));
+        MachineCapacity room = freshRoom(offer.get(), number);
+        left -= BinPacker.fill(group.need(), left, List.of(room));
         open.add(room);
       }
       open.removeIf(room -> !least.fitsInto(room.free()));
@@ -358,14 +367,14 @@
    * While no machine of a type comes up any more, those on their way count as room, and only a few
    * are rented, a boot time apart, to see whether that is over: more would be paid for in vain.
    */
-  private void probe(MachineTypeId type, List<Walk.Waiting> waiting) {
-    SteadyTime last = probedAt.get(type);
+  private void probe(MachineTypeId type, List<QueueSimulation.Waiting> waiting) {
+    MonotonicTime last = probedAt.get(type);
     if (!doubted(type) || (last != null && loop.now().secondsSince(last) < horizon())) {
       return;
     }
-    for (Walk.Waiting group : waiting) {
-      PlacementNeed need = group.need().onlyOn(List.of(type));
-      Optional<Market.Offer> offer =
+    for (QueueSimulation.Waiting group : waiting) {
+      ResourceRequest need = group.need().onlyOn(List.of(type));
+      Optional<OfferSelector.Offer> offer =
           need.types().isEmpty()
               ? Optional.empty()
               : market.bestOffer(need, 1, group.patient(), Map.of());
@@ -377,11 +386,11 @@
     }
   }
 
-  private Room freshRoom(Market.Offer offer, int number) {
+  private MachineCapacity freshRoom(OfferSelector.Offer offer, int number) {
     MachineType type = around.catalog().type(offer.type()).get();
-    return new Room(
+    return new MachineCapacity(
         new MachineId("new-" + number),
-        Room.NO_BLOCK,
+        MachineCapacity.NO_BLOCK,
         offer.zone(),
         type,
         offer.spot(),
@@ -390,21 +399,21 @@
   }
 
   @Override
-  public void refused(Rental rental, boolean some) {
-    market.refused(Market.Offer.of(rental), some);
+  public void refused(ProvisioningRequest rental, boolean some) {
+    market.refused(OfferSelector.Offer.of(rental), some);
     // What was not given is no room: the next walk may look elsewhere at once.
     lastResize = Optional.empty();
   }
 
   @Override
-  public void rented(Rental rental, List<MachineId> machines) {
+  public void rented(ProvisioningRequest rental, List<MachineId> machines) {
     if (machines.size() >= rental.count()) {
-      market.given(Market.Offer.of(rental));
+      market.given(OfferSelector.Offer.of(rental));
     }
-    Set<LeaderBlock> touched = new LinkedHashSet<>();
+    Set<ShardView> touched = new LinkedHashSet<>();
     for (MachineId machine : machines) {
       if (!deleted.contains(machine) && !known(machine)) {
-        LeaderBlock block = blockWithRoom(rental.zone());
+        ShardView block = blockWithRoom(rental.zone());
         block.machines().put(machine, new MachineRecord(rental.type(), rental.spot(), false));
         tracked.put(machine, Machine.rented(rental.plannedAt()));
         touched.add(block);
@@ -418,14 +427,14 @@
         .anyMatch(block -> block.machines().containsKey(machine));
   }
 
-  private LeaderBlock blockWithRoom(ZoneId zone) {
+  private ShardView blockWithRoom(ZoneId zone) {
     // A block's record must stay below the store's limit for a value.
     int most =
         Math.min(
             around.tunables().count(Tunables.Key.BLOCK_MACHINES),
             around.settings().cluster().state().leastValueBytes() / MACHINE_BYTES);
     int number = 0;
-    for (LeaderBlock block : leader.blocks().values()) {
+    for (ShardView block : leader.blocks().values()) {
       if (block.zone().equals(zone)) {
         if (block.machines().size() < most) {
           return block;
@@ -433,12 +442,12 @@
         number++;
       }
     }
-    BlockId id = new BlockId(zone + "-" + number);
+    ShardId id = new ShardId(zone + "-" + number);
     while (around.view().unreadableBlocks().contains(id)) {
       number++;
-      id = new BlockId(zone + "-" + number);
+      id = new ShardId(zone + "-" + number);
     }
-    LeaderBlock block = new LeaderBlock(id, zone, loop.now());
+    ShardView block = new ShardView(id, zone, loop.now());
     leader.blocks().put(id, block);
     return block;
   }
@@ -458,7 +467,7 @@
     }
   }
 
-  void onStranger(StrangerReport report) {
+  public void onStranger(UnknownWorkerReport report) {
     MachineId id = new MachineId(report.getMachine());
     if (!known(id) && !deleted.contains(id) && !deleting.contains(id)) {
       adopt(
@@ -476,23 +485,23 @@
       return;
     }
     LOG.info("adopting {}", id);
-    LeaderBlock block = blockWithRoom(zone);
+    ShardView block = blockWithRoom(zone);
     block.machines().put(id, new MachineRecord(type, spot, false));
     track(id);
     store(block);
   }
 
   /** A block's machines. */
-  private final class BlockUnit implements LeaderJournal.Unit {
-    private final LeaderBlock block;
+  private final class BlockUnit implements TransactionBatcher.Unit {
+    private final ShardView block;
 
-    BlockUnit(LeaderBlock block) {
+    BlockUnit(ShardView block) {
       this.block = block;
     }
 
     @Override
     public List<Write> writes() {
-      return List.of(Write.put(Keys.block(block.id()), block.stored()));
+      return List.of(Write.put(StoreKeys.block(block.id()), block.stored()));
     }
 
     @Override
--- a/src/main/java/org/mulleinshift/coordination/BootTimes.java
+++ b/src/main/java/org/mulleinshift/autoscaling/BootTimeEstimator.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.autoscaling;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -9,14 +9,14 @@
 import java.util.Optional;
 import org.mulleinshift.protocol.MachineType;
 import org.mulleinshift.protocol.MachineTypeId;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 
 /**
  * The measured boot times, and what can be expected of a machine on its way. At times machines come
  * up at once, late, or not at all: neither a lucky run nor a bad one decides for the rest of the
  * day.
  */
-final class BootTimes {
+public final class BootTimeEstimator {
   private static final int REMEMBERED = 12;
 
   /** Boots are usually between this share of the listed time and the next one. */
@@ -39,20 +39,20 @@
 
   private static final class Seen {
     private final Deque<Double> seconds = new ArrayDeque<>();
-    private SteadyTime youngestUp;
+    private MonotonicTime youngestUp;
   }
 
   private final double defaultSeconds;
   private final double overdueFactor;
   private final Map<MachineTypeId, Seen> types = new HashMap<>();
 
-  BootTimes(double defaultSeconds, double overdueFactor) {
+  BootTimeEstimator(double defaultSeconds, double overdueFactor) {
     this.defaultSeconds = defaultSeconds;
     this.overdueFactor = overdueFactor;
   }
 
   /** A machine came up; how long that took is known only if its rental was seen. */
-  void cameUp(MachineTypeId type, SteadyTime rentedAt, Optional<Double> took) {
+  void cameUp(MachineTypeId type, MonotonicTime rentedAt, Optional<Double> took) {
     Seen seen = types.computeIfAbsent(type, key -> new Seen());
     if (seen.youngestUp == null || rentedAt.isAfter(seen.youngestUp)) {
       seen.youngestUp = rentedAt;
@@ -67,14 +67,14 @@
   }
 
   /** The latest boots of each type, oldest first. */
-  Map<MachineTypeId, List<Double>> latest() {
+  public Map<MachineTypeId, List<Double>> latest() {
     Map<MachineTypeId, List<Double>> latest = new LinkedHashMap<>();
     types.forEach((type, seen) -> latest.put(type, List.copyOf(seen.seconds)));
     return latest;
   }
 
   /** Boots that another leader saw; this one's own come after them. */
-  void advise(MachineTypeId type, List<Double> seconds) {
+  public void advise(MachineTypeId type, List<Double> seconds) {
     Seen seen = types.computeIfAbsent(type, key -> new Seen());
     if (seen.seconds.isEmpty()) {
       seconds.stream().filter(s -> s >= 0).limit(REMEMBERED).forEach(seen.seconds::addLast);
@@ -96,7 +96,7 @@
     return Math.max(LEAST_SHARE * listed(type), sorted[sorted.length / 2]);
   }
 
-  Outlook outlook(MachineType type, SteadyTime rentedAt, SteadyTime now) {
+  Outlook outlook(MachineType type, MonotonicTime rentedAt, MonotonicTime now) {
     double age = now.secondsSince(rentedAt);
     double ordinary = Math.max(expected(type), listed(type));
     if (age <= ORDINARY_SHARE * ordinary) {
--- a/src/main/java/org/mulleinshift/coordination/FleetPlan.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CapacityPlanner.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.autoscaling;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,29 +7,37 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.mulleinshift.bookkeeping.Delegation;
-import org.mulleinshift.bookkeeping.Job;
-import org.mulleinshift.bookkeeping.Machine;
-import org.mulleinshift.bookkeeping.Rental;
-import org.mulleinshift.coordination.chains.Chains;
+import org.mulleinshift.dependencies.DependencyResolver;
+import org.mulleinshift.leader.Leader;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.model.Machine;
+import org.mulleinshift.model.ProvisioningRequest;
+import org.mulleinshift.model.TaskAssignment;
+import org.mulleinshift.placement.BinPacker;
+import org.mulleinshift.placement.MachineCapacity;
+import org.mulleinshift.placement.ResourceRequest;
+import org.mulleinshift.placement.UnschedulableRequests;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.MachineType;
 import org.mulleinshift.protocol.MachineTypeId;
 import org.mulleinshift.protocol.Priority;
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.TeamId;
-import org.mulleinshift.protocol.peer.MachineReport;
+import org.mulleinshift.protocol.peer.MachineStatus;
+import org.mulleinshift.scheduling.RunTimeEstimator;
 import org.mulleinshift.settings.Tunables;
+import org.mulleinshift.sharding.OwnedMachine;
+import org.mulleinshift.sharding.ShardView;
 import org.mulleinshift.transport.EventLoop;
 
 /** What a walk starts from: the rooms of machines, booting ones and rentals, and who waits. */
-final class FleetPlan {
-  private final Fleet fleet;
+final class CapacityPlanner {
+  private final Autoscaler fleet;
   private final Leader leader;
   private final Leader.Surroundings around;
   private final EventLoop loop;
 
-  FleetPlan(Fleet fleet, Leader leader, Leader.Surroundings around) {
+  CapacityPlanner(Autoscaler fleet, Leader leader, Leader.Surroundings around) {
     this.fleet = fleet;
     this.leader = leader;
     this.around = around;
@@ -37,26 +45,26 @@
   }
 
   /** What a walk found: the shortage, the machines that it used, and the fleet's processors. */
-  record Plan(Walk.Result result, double fleetCpus) {}
+  record Plan(QueueSimulation.Result result, double fleetCpus) {}
 
-  Plan plan(List<Walk.Waiting> waiting, double horizon) {
-    List<Room> rooms = new ArrayList<>();
-    List<Walk.Release> releases = new ArrayList<>();
-    Map<MachineId, Room> byMachine = new HashMap<>();
+  Plan plan(List<QueueSimulation.Waiting> waiting, double horizon) {
+    List<MachineCapacity> rooms = new ArrayList<>();
+    List<QueueSimulation.Release> releases = new ArrayList<>();
+    Map<MachineId, MachineCapacity> byMachine = new HashMap<>();
     collectMachines(rooms, releases, byMachine, horizon);
     collectRentals(rooms, releases, horizon);
     double cpus = rooms.stream().mapToDouble(room -> room.size().cpus()).sum();
     collectRunning(byMachine, releases, horizon);
     int steps = around.tunables().count(Tunables.Key.WALK_STEPS);
-    return new Plan(Walk.run(rooms, releases, waiting, horizon, steps), cpus);
+    return new Plan(QueueSimulation.run(rooms, releases, waiting, horizon, steps), cpus);
   }
 
   void collectMachines(
-      List<Room> rooms,
-      List<Walk.Release> releases,
-      Map<MachineId, Room> byMachine,
+      List<MachineCapacity> rooms,
+      List<QueueSimulation.Release> releases,
+      Map<MachineId, MachineCapacity> byMachine,
       double horizon) {
-    for (LeaderBlock block : leader.blocks().values()) {
+    for (ShardView block : leader.blocks().values()) {
       block
           .machines()
           .forEach(
@@ -64,10 +72,10 @@
                 Optional<MachineType> type = around.catalog().type(record.type());
                 if (type.isEmpty()
                     || fleet.closed(id)
-                    || block.reportOf(id).filter(HeldMachine::occupied).isPresent()) {
+                    || block.reportOf(id).filter(OwnedMachine::occupied).isPresent()) {
                   return;
                 }
-                boolean leaving = block.reportOf(id).filter(MachineReport::getRecalled).isPresent();
+                boolean leaving = block.reportOf(id).filter(MachineStatus::getRecalled).isPresent();
                 if (leaving) {
                   return;
                 }
@@ -77,8 +85,8 @@
                   // It may never come, so it is no room.
                   return;
                 }
-                Room room =
-                    Room.on(
+                MachineCapacity room =
+                    MachineCapacity.on(
                         block,
                         id,
                         record,
@@ -93,43 +101,48 @@
                   double bootLeft =
                       fleet.boots().expected(type.get()) - known.heldSeconds(loop.now());
                   double at = Math.min(horizon, Math.max(0, bootLeft));
-                  releases.add(new Walk.Release(at, room, size));
+                  releases.add(new QueueSimulation.Release(at, room, size));
                 }
               });
     }
   }
 
   private boolean overdue(MachineType type, Machine machine) {
-    BootTimes.Outlook outlook = fleet.outlook(type, machine);
-    return outlook == BootTimes.Outlook.LATE || outlook == BootTimes.Outlook.HOPELESS;
+    BootTimeEstimator.Outlook outlook = fleet.outlook(type, machine);
+    return outlook == BootTimeEstimator.Outlook.LATE
+        || outlook == BootTimeEstimator.Outlook.HOPELESS;
   }
 
-  private void collectRentals(List<Room> rooms, List<Walk.Release> releases, double horizon) {
-    for (Rental rental : fleet.rentals().expected()) {
+  private void collectRentals(
+      List<MachineCapacity> rooms, List<QueueSimulation.Release> releases, double horizon) {
+    for (ProvisioningRequest rental : fleet.rentals().expected()) {
       MachineType type = around.catalog().type(rental.type()).orElse(null);
       if (type == null) {
         continue;
       }
       for (int i = 0; i < rental.count(); i++) {
-        Room room =
-            new Room(
+        MachineCapacity room =
+            new MachineCapacity(
                 new MachineId(rental.name() + "#" + i),
-                Room.NO_BLOCK,
+                MachineCapacity.NO_BLOCK,
                 rental.zone(),
                 type,
                 rental.spot(),
                 Resources.ZERO,
                 Set.of());
         rooms.add(room);
-        releases.add(new Walk.Release(horizon, room, type.size()));
+        releases.add(new QueueSimulation.Release(horizon, room, type.size()));
       }
     }
   }
 
   /** Tasks that are told to a block and on no machine yet. */
-  private record Unplaced(PlacementNeed need, double expected, int count) {}
+  private record Unplaced(ResourceRequest need, double expected, int count) {}
 
-  void collectRunning(Map<MachineId, Room> byMachine, List<Walk.Release> releases, double horizon) {
+  void collectRunning(
+      Map<MachineId, MachineCapacity> byMachine,
+      List<QueueSimulation.Release> releases,
+      double horizon) {
     List<Unplaced> unplaced = new ArrayList<>();
     for (Job job : leader.jobs().values()) {
       if (!job.delegations().isEmpty()) {
@@ -138,27 +151,27 @@
     }
     // All that is placed takes its room first: then most machines of a busy fleet are full, and
     // need not be looked at again for each job.
-    Resources least = UnplaceableNeeds.leastOf(unplaced, Unplaced::need);
-    List<Room> open = new ArrayList<>();
-    for (Room room : byMachine.values()) {
+    Resources least = UnschedulableRequests.leastOf(unplaced, Unplaced::need);
+    List<MachineCapacity> open = new ArrayList<>();
+    for (MachineCapacity room : byMachine.values()) {
       if (least.fitsInto(room.free())) {
         open.add(room);
       }
     }
-    UnplaceableNeeds unplaceable = new UnplaceableNeeds();
+    UnschedulableRequests unplaceable = new UnschedulableRequests();
     for (Unplaced group : unplaced) {
       if (unplaceable.covers(group.need)) {
         continue;
       }
       int placed =
-          Placer.fill(
+          BinPacker.fill(
               group.need,
               group.count,
               open,
               (room, count) -> {
                 if (group.expected <= horizon) {
                   Resources freed = group.need.perTask().times(count);
-                  releases.add(new Walk.Release(group.expected, room, freed));
+                  releases.add(new QueueSimulation.Release(group.expected, room, freed));
                 }
               });
       if (placed < group.count) {
@@ -169,29 +182,29 @@
 
   private void collectRunning(
       Job job,
-      Map<MachineId, Room> byMachine,
-      List<Walk.Release> releases,
+      Map<MachineId, MachineCapacity> byMachine,
+      List<QueueSimulation.Release> releases,
       double horizon,
       List<Unplaced> unplaced) {
     double expected = around.runTimes().expectedSeconds(job);
-    PlacementNeed need = PlacementNeed.of(job.spec());
+    ResourceRequest need = ResourceRequest.of(job.spec());
     int waiting = 0;
-    for (Delegation delegation : job.delegations()) {
-      if (delegation.state() == Delegation.State.ENDED) {
+    for (TaskAssignment delegation : job.delegations()) {
+      if (delegation.state() == TaskAssignment.State.ENDED) {
         continue;
       }
       if (delegation.machine().isEmpty()) {
         waiting++;
         continue;
       }
-      Room room = byMachine.get(delegation.machine().get());
+      MachineCapacity room = byMachine.get(delegation.machine().get());
       if (room != null) {
         room.take(need);
         double ran =
             delegation.runningSince().map(since -> loop.now().secondsSince(since)).orElse(0.0);
-        double left = RunTimes.left(expected, ran);
+        double left = RunTimeEstimator.left(expected, ran);
         if (left <= horizon) {
-          releases.add(new Walk.Release(left, room, need.perTask()));
+          releases.add(new QueueSimulation.Release(left, room, need.perTask()));
         }
       }
     }
@@ -211,7 +224,7 @@
         queue.add(new Queued(job, 0));
       }
     }
-    for (Chains.Soon soon : leader.chains().soon(horizon)) {
+    for (DependencyResolver.Soon soon : leader.chains().soon(horizon)) {
       int place = 0;
       while (place < queue.size()
           && !soon.job().priority().above(queue.get(place).job().priority())) {
@@ -223,9 +236,9 @@
   }
 
   /** Waiting tasks in order, without those that their team's limit holds back. */
-  List<Walk.Waiting> waiting(double horizon) {
+  List<QueueSimulation.Waiting> waiting(double horizon) {
     Map<TeamId, Resources> use = leader.use();
-    List<Walk.Waiting> groups = new ArrayList<>();
+    List<QueueSimulation.Waiting> groups = new ArrayList<>();
     for (Queued queued : queue(horizon)) {
       Job job = queued.job();
       Resources used = use.getOrDefault(job.spec().team(), Resources.ZERO);
@@ -235,8 +248,8 @@
       if (count > 0) {
         use.put(job.spec().team(), used.plus(job.spec().perTask().times(count)));
         groups.add(
-            new Walk.Waiting(
-                PlacementNeed.of(job.spec()),
+            new QueueSimulation.Waiting(
+                ResourceRequest.of(job.spec()),
                 around.runTimes().expectedSeconds(job),
                 patient(job),
                 count,
@@ -258,9 +271,9 @@
   }
 
   /** The types that waiting tasks could use. */
-  Set<MachineTypeId> typesFor(List<Walk.Waiting> waiting) {
+  Set<MachineTypeId> typesFor(List<QueueSimulation.Waiting> waiting) {
     Set<MachineTypeId> types = new HashSet<>();
-    for (Walk.Waiting group : waiting) {
+    for (QueueSimulation.Waiting group : waiting) {
       around.catalog().types().values().stream()
           .filter(type -> group.need().mayUse(type))
           .forEach(type -> types.add(type.id()));
--- a/src/main/java/org/mulleinshift/coordination/CloudList.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CloudInventory.java
@@ -1,31 +1,35 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.autoscaling;
 
 import java.time.Duration;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.mulleinshift.protocol.BadMessage;
+import org.mulleinshift.leader.Leader;
 import org.mulleinshift.protocol.CloudCodec;
 import org.mulleinshift.protocol.CloudMachine;
 import org.mulleinshift.protocol.MachineId;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.HttpRequest;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Reads the cloud's list of machines now and then; it lags, and proves nothing alone. */
-final class CloudList {
-  private static final Logger LOG = LoggerFactory.getLogger(CloudList.class);
+final class CloudInventory {
+  private static final Logger LOG = LoggerFactory.getLogger(CloudInventory.class);
   private static final Duration DEADLINE = Duration.ofSeconds(5);
   private static final Duration LIST_EVERY = Duration.ofSeconds(10);
 
   private final Leader leader;
   private final Leader.Surroundings around;
   private final EventLoop loop;
-  private final Fleet.Cloud cloud;
+  private final Autoscaler.Cloud cloud;
   private final Consumer<CloudMachine> listed;
 
-  CloudList(
-      Leader leader, Leader.Surroundings around, Fleet.Cloud cloud, Consumer<CloudMachine> listed) {
+  CloudInventory(
+      Leader leader,
+      Leader.Surroundings around,
+      Autoscaler.Cloud cloud,
+      Consumer<CloudMachine> listed) {
     this.leader = leader;
     this.around = around;
     this.loop = around.loop();
@@ -62,7 +66,7 @@
                 if (page.more() && !page.machines().isEmpty()) {
                   list(Optional.of(page.machines().get(page.machines().size() - 1).id()));
                 }
-              } catch (BadMessage e) {
+              } catch (MalformedMessageException e) {
                 LOG.warn("machine list: {}", e.getMessage());
               }
             });
--- a/src/main/java/org/mulleinshift/coordination/Market.java
+++ b/src/main/java/org/mulleinshift/autoscaling/OfferSelector.java
@@ -1,21 +1,24 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.autoscaling;
 
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.ToIntFunction;
-import org.mulleinshift.bookkeeping.Rental;
-import org.mulleinshift.protocol.BlockId;
+import org.mulleinshift.model.ProvisioningRequest;
+import org.mulleinshift.placement.MachineTypeCatalog;
+import org.mulleinshift.placement.ResourceRequest;
 import org.mulleinshift.protocol.CloudCodec;
 import org.mulleinshift.protocol.MachineType;
 import org.mulleinshift.protocol.MachineTypeId;
+import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.ZoneId;
+import org.mulleinshift.sharding.ShardView;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 
 /** What the cloud offers, as far as it was not refused lately, and which offer is the cheapest. */
-final class Market {
+final class OfferSelector {
   /** So many requests for an offer wait for their answers at a time. */
   private static final int MOST_REQUESTS = 8;
 
@@ -24,29 +27,29 @@
 
   /** A kind of machine in a zone, which the cloud may run out of. */
   record Offer(MachineTypeId type, ZoneId zone, boolean spot) {
-    static Offer of(Rental rental) {
+    static Offer of(ProvisioningRequest rental) {
       return new Offer(rental.type(), rental.zone(), rental.spot());
     }
   }
 
   private final EventLoop loop;
-  private final Catalog catalog;
-  private final Map<BlockId, LeaderBlock> blocks;
+  private final MachineTypeCatalog catalog;
+  private final Map<ShardId, ShardView> blocks;
   private final Duration pause;
   private final ToIntFunction<Offer> asked;
   private final Map<Offer, Refusals> refusals = new HashMap<>();
 
   /** How often in a row the cloud had none of an offer, and until when it is not asked again. */
-  private record Refusals(int count, SteadyTime until) {}
+  private record Refusals(int count, MonotonicTime until) {}
 
   /**
    * @param pause after a first refusal; later ones wait longer
    * @param asked machines of an offer that are asked for and not answered
    */
-  Market(
+  OfferSelector(
       EventLoop loop,
-      Catalog catalog,
-      Map<BlockId, LeaderBlock> blocks,
+      MachineTypeCatalog catalog,
+      Map<ShardId, ShardView> blocks,
       Duration pause,
       ToIntFunction<Offer> asked) {
     this.loop = loop;
@@ -87,7 +90,7 @@
 
   /** The cheapest way to run the tasks that would use a new machine, among what is to be had. */
   Optional<Offer> bestOffer(
-      PlacementNeed need, int count, boolean spotOnly, Map<Offer, Integer> wanted) {
+      ResourceRequest need, int count, boolean spotOnly, Map<Offer, Integer> wanted) {
     Map<ZoneId, Integer> inZone = machinesByZone(wanted);
     Offer best = null;
     double bestCost = Double.MAX_VALUE;
@@ -121,7 +124,7 @@
   }
 
   /** Whether any machine that such a task fits and may be on is to be had. */
-  boolean offers(PlacementNeed need) {
+  boolean offers(ResourceRequest need) {
     return catalog.types().values().stream()
         .filter(need::mayUse)
         .anyMatch(
--- a/src/main/java/org/mulleinshift/coordination/Rentals.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Provisioner.java
@@ -1,21 +1,22 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.autoscaling;
 
 import java.time.Duration;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.mulleinshift.bookkeeping.Keys;
-import org.mulleinshift.bookkeeping.LeaderJournal;
-import org.mulleinshift.bookkeeping.Rental;
-import org.mulleinshift.protocol.BadMessage;
+import org.mulleinshift.leader.Leader;
+import org.mulleinshift.model.ProvisioningRequest;
 import org.mulleinshift.protocol.CloudCodec;
 import org.mulleinshift.protocol.MachineId;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec.Item;
-import org.mulleinshift.protocol.StateCodec.Write;
+import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.Write;
+import org.mulleinshift.store.StoreKeys;
+import org.mulleinshift.store.TransactionBatcher;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.HttpReply;
 import org.mulleinshift.transport.HttpRequest;
+import org.mulleinshift.transport.HttpResponse;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -23,32 +24,32 @@
  * Asks the cloud for machines. A rental's name is stored before it is used and never used again;
  * the key goes only after the machines are stored.
  */
-final class Rentals {
-  private static final Logger LOG = LoggerFactory.getLogger(Rentals.class);
+public final class Provisioner {
+  private static final Logger LOG = LoggerFactory.getLogger(Provisioner.class);
   private static final Duration DEADLINE = Duration.ofSeconds(5);
   private static final Duration RETRY = Duration.ofSeconds(1);
 
   /** Hears what came of rentals. */
   interface Listener {
-    void rented(Rental rental, List<MachineId> machines);
+    void rented(ProvisioningRequest rental, List<MachineId> machines);
 
     /** Some, but not all, or none of the machines are to be had. */
-    void refused(Rental rental, boolean some);
+    void refused(ProvisioningRequest rental, boolean some);
   }
 
   private final Leader leader;
   private final Leader.Surroundings around;
   private final EventLoop loop;
-  private final Fleet.Cloud cloud;
+  private final Autoscaler.Cloud cloud;
   private final Revision term;
   private final Listener listener;
-  private final Map<String, Rental> rentals = new LinkedHashMap<>();
+  private final Map<String, ProvisioningRequest> rentals = new LinkedHashMap<>();
   private long names;
 
-  Rentals(
+  Provisioner(
       Leader leader,
       Leader.Surroundings around,
-      Fleet.Cloud cloud,
+      Autoscaler.Cloud cloud,
       Revision term,
       Listener listener) {
     this.leader = leader;
@@ -64,60 +65,60 @@
   }
 
   /** Rentals whose machines may still be counted on. */
-  List<Rental> expected() {
+  List<ProvisioningRequest> expected() {
     return rentals.values().stream()
-        .filter(rental -> rental.state() != Rental.State.ANSWERED)
+        .filter(rental -> rental.state() != ProvisioningRequest.State.ANSWERED)
         .filter(rental -> loop.now().secondsSince(rental.plannedAt()) <= DEADLINE.toSeconds() * 2)
         .toList();
   }
 
   /** Machines of an offer that were planned or asked for and not answered. */
-  int unanswered(Market.Offer offer) {
+  int unanswered(OfferSelector.Offer offer) {
     int count = 0;
-    for (Rental rental : rentals.values()) {
-      boolean open = rental.state() != Rental.State.ANSWERED;
-      count += open && Market.Offer.of(rental).equals(offer) ? rental.count() : 0;
+    for (ProvisioningRequest rental : rentals.values()) {
+      boolean open = rental.state() != ProvisioningRequest.State.ANSWERED;
+      count += open && OfferSelector.Offer.of(rental).equals(offer) ? rental.count() : 0;
     }
     return count;
   }
 
   /** A new leader asks again under the stored names: the same name never rents twice. */
-  void load(List<Item> items, LeaderJournal journal) {
+  public void load(List<Item> items, TransactionBatcher journal) {
     for (Item item : items) {
-      String name = item.key().substring(Keys.RENTALS.length());
+      String name = item.key().substring(StoreKeys.RENTALS.length());
       try {
-        rentals.put(name, Rental.read(name, item.value(), loop.now()));
+        rentals.put(name, ProvisioningRequest.read(name, item.value(), loop.now()));
         journal.known(item.key(), item.version());
-      } catch (BadMessage e) {
+      } catch (MalformedMessageException e) {
         // Not ours to ask again or to end. Its machines, if any come, are adopted as unexpected.
         LOG.warn("{}: this build can't read it: {}", item.key(), e.getMessage());
       }
     }
   }
 
-  void rent(Market.Offer offer, int count) {
+  void rent(OfferSelector.Offer offer, int count) {
     for (int left = count; left > 0; left -= CloudCodec.MOST_RENTED) {
       rentAtOnce(offer, Math.min(left, CloudCodec.MOST_RENTED));
     }
   }
 
-  private void rentAtOnce(Market.Offer offer, int count) {
+  private void rentAtOnce(OfferSelector.Offer offer, int count) {
     String name = "r-" + term + "-" + ++names;
-    Rental rental =
-        new Rental(
+    ProvisioningRequest rental =
+        new ProvisioningRequest(
             name,
             offer.type(),
             offer.zone(),
             offer.spot(),
             count,
             loop.now(),
-            Rental.State.PLANNED);
+            ProvisioningRequest.State.PLANNED);
     rentals.put(name, rental);
-    leader.journal().submit(Keys.rental(name), new RentalUnit(rental));
+    leader.journal().submit(StoreKeys.rental(name), new RentalUnit(rental));
   }
 
-  private void ask(Rental rental) {
-    if (!leader.leading() || rental.state() != Rental.State.ASKED) {
+  private void ask(ProvisioningRequest rental) {
+    if (!leader.leading() || rental.state() != ProvisioningRequest.State.ASKED) {
       return;
     }
     if (!around.certain().getAsBoolean() || !cloud.budget().take(1, 0)) {
@@ -136,7 +137,7 @@
             reply -> answered(rental, reply));
   }
 
-  private void answered(Rental rental, HttpReply reply) {
+  private void answered(ProvisioningRequest rental, HttpResponse reply) {
     if (!leader.leading()) {
       return;
     }
@@ -144,7 +145,7 @@
       try {
         rented(rental, CloudCodec.parseRented(reply.body()));
         return;
-      } catch (BadMessage e) {
+      } catch (MalformedMessageException e) {
         LOG.warn("answer to rental {}: {}", rental.name(), e.getMessage());
       }
     }
@@ -158,7 +159,7 @@
     loop.after(RETRY, () -> ask(rental));
   }
 
-  private void rented(Rental rental, List<MachineId> machines) {
+  private void rented(ProvisioningRequest rental, List<MachineId> machines) {
     LOG.info(
         "rental {}: {} of {} {} in {}",
         rental.name(),
@@ -174,16 +175,16 @@
   }
 
   /** The rental's key goes only after its machines are stored. */
-  private void end(Rental rental) {
-    rental.moveTo(Rental.State.ANSWERED);
+  private void end(ProvisioningRequest rental) {
+    rental.moveTo(ProvisioningRequest.State.ANSWERED);
     leader
         .journal()
         .submit(
-            Keys.rental(rental.name()),
-            new LeaderJournal.Unit() {
+            StoreKeys.rental(rental.name()),
+            new TransactionBatcher.Unit() {
               @Override
               public List<Write> writes() {
-                return List.of(Write.delete(Keys.rental(rental.name())));
+                return List.of(Write.delete(StoreKeys.rental(rental.name())));
               }
 
               @Override
@@ -194,23 +195,23 @@
   }
 
   /** A rental's name, stored before the cloud hears it. */
-  private final class RentalUnit implements LeaderJournal.Unit {
-    private final Rental rental;
+  private final class RentalUnit implements TransactionBatcher.Unit {
+    private final ProvisioningRequest rental;
 
-    RentalUnit(Rental rental) {
+    RentalUnit(ProvisioningRequest rental) {
       this.rental = rental;
     }
 
     @Override
     public List<Write> writes() {
-      return rental.state() == Rental.State.PLANNED
-          ? List.of(Write.put(Keys.rental(rental.name()), rental.write()))
+      return rental.state() == ProvisioningRequest.State.PLANNED
+          ? List.of(Write.put(StoreKeys.rental(rental.name()), rental.write()))
           : List.of();
     }
 
     @Override
     public void committed(Revision revision) {
-      rental.moveTo(Rental.State.ASKED);
+      rental.moveTo(ProvisioningRequest.State.ASKED);
       ask(rental);
     }
   }
--- a/src/main/java/org/mulleinshift/coordination/Walk.java
+++ b/src/main/java/org/mulleinshift/autoscaling/QueueSimulation.java
@@ -1,10 +1,14 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.autoscaling;
 
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
+import org.mulleinshift.placement.BinPacker;
+import org.mulleinshift.placement.MachineCapacity;
+import org.mulleinshift.placement.ResourceRequest;
+import org.mulleinshift.placement.UnschedulableRequests;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.Resources;
 
@@ -12,9 +16,9 @@
  * The forward walk over one boot time: tasks due to end free their room, machines that boot bring
  * theirs, and waiting tasks take it. What still waits at the end is the shortage.
  */
-final class Walk {
+final class QueueSimulation {
   /** Room that becomes free later. */
-  record Release(double atSeconds, Room room, Resources amount) {}
+  record Release(double atSeconds, MachineCapacity room, Resources amount) {}
 
   /**
    * Waiting tasks of one job that may start.
@@ -23,12 +27,12 @@
    * @param fromSeconds before that they may not start, since what they await is not over
    */
   record Waiting(
-      PlacementNeed need, double runSeconds, boolean patient, int count, double fromSeconds) {
-    Waiting(PlacementNeed need, double runSeconds, boolean patient, int count) {
+      ResourceRequest need, double runSeconds, boolean patient, int count, double fromSeconds) {
+    Waiting(ResourceRequest need, double runSeconds, boolean patient, int count) {
       this(need, runSeconds, patient, count, 0);
     }
 
-    Waiting with(PlacementNeed other) {
+    Waiting with(ResourceRequest other) {
       return new Waiting(other, runSeconds, patient, count, fromSeconds);
     }
 
@@ -45,10 +49,14 @@
   /** What is left waiting, and which machines the walk made use of. */
   record Result(List<Waiting> shortage, Set<MachineId> used) {}
 
-  private Walk() {}
+  private QueueSimulation() {}
 
   static Result run(
-      List<Room> rooms, List<Release> releases, List<Waiting> waiting, double horizon, int steps) {
+      List<MachineCapacity> rooms,
+      List<Release> releases,
+      List<Waiting> waiting,
+      double horizon,
+      int steps) {
     List<List<Release>> due = new ArrayList<>();
     for (int step = 0; step <= steps; step++) {
       due.add(new ArrayList<>());
@@ -56,13 +64,13 @@
     for (Release release : releases) {
       put(release, due, horizon, 0);
     }
-    Resources least = UnplaceableNeeds.leastOf(waiting, Waiting::need);
+    Resources least = UnschedulableRequests.leastOf(waiting, Waiting::need);
     int[] left = waiting.stream().mapToInt(Waiting::count).toArray();
     Set<MachineId> used = new HashSet<>();
     for (int step = 0; step <= steps; step++) {
       double time = horizon * step / steps;
       // What found no room before can only find it where some became free since.
-      Set<Room> grown = new LinkedHashSet<>();
+      Set<MachineCapacity> grown = new LinkedHashSet<>();
       for (Release release : due.get(step)) {
         release.room().give(release.amount());
         grown.add(release.room());
@@ -70,19 +78,19 @@
       double before = horizon * (step - 1) / steps;
       // Who joins the queue only now has looked at no room yet.
       boolean joined = waiting.stream().anyMatch(group -> group.joins(before, time));
-      List<Room> open = new ArrayList<>();
-      for (Room room : step == 0 || joined ? rooms : grown) {
+      List<MachineCapacity> open = new ArrayList<>();
+      for (MachineCapacity room : step == 0 || joined ? rooms : grown) {
         if (least.fitsInto(room.free())) {
           open.add(room);
         }
       }
-      UnplaceableNeeds unplaceable = new UnplaceableNeeds();
+      UnschedulableRequests unplaceable = new UnschedulableRequests();
       int next = step + 1;
       for (int i = 0; i < left.length && !open.isEmpty(); i++) {
         Waiting group = waiting.get(i);
         if (left[i] > 0 && group.fromSeconds <= time && !unplaceable.covers(group.need)) {
           left[i] -=
-              Placer.fill(
+              BinPacker.fill(
                   group.need,
                   left[i],
                   open,
--- a/src/main/java/org/mulleinshift/coordination/Draining.java
+++ b/src/main/java/org/mulleinshift/autoscaling/ScaleIn.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.autoscaling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -7,31 +7,38 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.mulleinshift.bookkeeping.ControlView.MachineRecord;
-import org.mulleinshift.bookkeeping.Delegation;
-import org.mulleinshift.bookkeeping.Job;
-import org.mulleinshift.bookkeeping.Machine;
+import org.mulleinshift.leader.Leader;
+import org.mulleinshift.model.ClusterView.MachineRecord;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.model.Machine;
+import org.mulleinshift.model.TaskAssignment;
+import org.mulleinshift.placement.BinPacker;
+import org.mulleinshift.placement.MachineCapacity;
+import org.mulleinshift.placement.ResourceRequest;
+import org.mulleinshift.placement.UnschedulableRequests;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.MachineTypeId;
 import org.mulleinshift.protocol.Resources;
+import org.mulleinshift.scheduling.CapacityReservation;
 import org.mulleinshift.settings.Tunables;
+import org.mulleinshift.sharding.ShardView;
 import org.mulleinshift.transport.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Which machines are returned: only such as are wholly idle, and such as the others can do for. */
-final class Draining {
-  private static final Logger LOG = LoggerFactory.getLogger(Draining.class);
+final class ScaleIn {
+  private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
   private static final int DRAINED_OF = 24;
   private static final int MOST_TRIALS = 16;
 
-  private final Fleet fleet;
-  private final FleetPlan plan;
+  private final Autoscaler fleet;
+  private final CapacityPlanner plan;
   private final Leader leader;
   private final Leader.Surroundings around;
   private final EventLoop loop;
 
-  Draining(Fleet fleet, FleetPlan plan, Leader leader, Leader.Surroundings around) {
+  ScaleIn(Autoscaler fleet, CapacityPlanner plan, Leader leader, Leader.Surroundings around) {
     this.fleet = fleet;
     this.plan = plan;
     this.leader = leader;
@@ -43,7 +50,7 @@
   void drain(Set<MachineId> used) {
     double idle = around.tunables().number(Tunables.Key.IDLE_RETURN_S);
     double held = around.tunables().number(Tunables.Key.MINIMUM_HELD_S);
-    for (LeaderBlock block : leader.blocks().values()) {
+    for (ShardView block : leader.blocks().values()) {
       for (Map.Entry<MachineId, MachineRecord> entry : block.machines().entrySet()) {
         MachineId id = entry.getKey();
         Machine known = fleet.track(id);
@@ -64,7 +71,7 @@
 
   /** Room ran short: machines that were to go stay. */
   void reopen(Set<MachineTypeId> wanted) {
-    for (LeaderBlock block : leader.blocks().values()) {
+    for (ShardView block : leader.blocks().values()) {
       for (Map.Entry<MachineId, MachineRecord> entry : block.machines().entrySet()) {
         if (!wanted.contains(entry.getValue().type())) {
           continue;
@@ -92,25 +99,25 @@
     }
     double held = around.tunables().number(Tunables.Key.MINIMUM_HELD_S);
     double patience = around.tunables().number(Tunables.Key.SPARE_S);
-    Map<MachineId, Room> rooms = new HashMap<>();
+    Map<MachineId, MachineCapacity> rooms = new HashMap<>();
     plan.collectMachines(new ArrayList<>(), new ArrayList<>(), rooms, 0);
     plan.collectRunning(rooms, new ArrayList<>(), 0);
-    for (Headroom.Kept kept : leader.headroom().kept(loop.now())) {
-      if (Placer.fill(kept.need(), 2 * kept.count(), rooms.values()) < 2 * kept.count()) {
+    for (CapacityReservation.Kept kept : leader.headroom().kept(loop.now())) {
+      if (BinPacker.fill(kept.need(), 2 * kept.count(), rooms.values()) < 2 * kept.count()) {
         return;
       }
     }
-    List<Room> candidates = new ArrayList<>(rooms.values());
+    List<MachineCapacity> candidates = new ArrayList<>(rooms.values());
     candidates.removeIf(room -> wanted.contains(room.type()));
     candidates.sort(
-        Comparator.comparingDouble(Room::drainWeight)
+        Comparator.comparingDouble(MachineCapacity::drainWeight)
             .reversed()
             .thenComparingDouble(room -> -room.free().cpus())
-            .thenComparing(Room::machine));
+            .thenComparing(MachineCapacity::machine));
     // A few at a time: each trial costs as much as the fleet is large.
     int trials = MOST_TRIALS;
     int most = 1 + candidates.size() / DRAINED_OF;
-    for (Room candidate : candidates) {
+    for (MachineCapacity candidate : candidates) {
       Machine known = fleet.track(candidate.machine());
       boolean old = known.state() == Machine.State.UP && known.heldSeconds(loop.now()) >= held;
       boolean spare = old && most > 0 && trials-- > 0 && movesElsewhere(candidate, rooms);
@@ -124,21 +131,21 @@
   }
 
   /** Whether the others have room for its tasks; if so, that room is taken and it is left out. */
-  private boolean movesElsewhere(Room candidate, Map<MachineId, Room> rooms) {
-    Map<MachineId, Room> trial = new HashMap<>();
-    Map<PlacementNeed, Integer> needs = new LinkedHashMap<>();
-    for (Delegation delegation : leader.occupancy().on(candidate.machine())) {
+  private boolean movesElsewhere(MachineCapacity candidate, Map<MachineId, MachineCapacity> rooms) {
+    Map<MachineId, MachineCapacity> trial = new HashMap<>();
+    Map<ResourceRequest, Integer> needs = new LinkedHashMap<>();
+    for (TaskAssignment delegation : leader.occupancy().on(candidate.machine())) {
       Job job = leader.jobs().get(delegation.task().job());
-      needs.merge(PlacementNeed.of(job.spec()), 1, Integer::sum);
+      needs.merge(ResourceRequest.of(job.spec()), 1, Integer::sum);
     }
-    Resources least = UnplaceableNeeds.leastOf(needs.keySet(), need -> need);
-    for (Room room : rooms.values()) {
+    Resources least = UnschedulableRequests.leastOf(needs.keySet(), need -> need);
+    for (MachineCapacity room : rooms.values()) {
       if (room != candidate && least.fitsInto(room.free())) {
         trial.put(room.machine(), room.copy());
       }
     }
-    for (Map.Entry<PlacementNeed, Integer> need : needs.entrySet()) {
-      if (Placer.fill(need.getKey(), need.getValue(), trial.values()) < need.getValue()) {
+    for (Map.Entry<ResourceRequest, Integer> need : needs.entrySet()) {
+      if (BinPacker.fill(need.getKey(), need.getValue(), trial.values()) < need.getValue()) {
         return false;
       }
     }
--- a/src/main/java/org/mulleinshift/coordination/rollout/Builds.java
+++ b/src/main/java/org/mulleinshift/compatibility/FeatureGates.java
@@ -1,16 +1,16 @@
-package org.mulleinshift.coordination.rollout;
+package org.mulleinshift.compatibility;
 
 import java.time.Duration;
 import java.util.List;
-import org.mulleinshift.bookkeeping.ControlView;
-import org.mulleinshift.bookkeeping.Keys;
-import org.mulleinshift.bookkeeping.StateStore;
-import org.mulleinshift.bookkeeping.StateStore.Answer;
+import org.mulleinshift.model.ClusterView;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec.Guard;
-import org.mulleinshift.protocol.StateCodec.Item;
-import org.mulleinshift.protocol.StateCodec.Write;
+import org.mulleinshift.protocol.StoreCodec.Guard;
+import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.Write;
+import org.mulleinshift.store.KeyValueStore;
+import org.mulleinshift.store.KeyValueStore.Answer;
+import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.transport.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -21,8 +21,8 @@
  * written only after all members have shown one that reads it; since no key of these is ever taken
  * back, every later leader finds the same.
  */
-public final class Builds {
-  private static final Logger LOG = LoggerFactory.getLogger(Builds.class);
+public final class FeatureGates {
+  private static final Logger LOG = LoggerFactory.getLogger(FeatureGates.class);
   private static final Duration RETRY = Duration.ofSeconds(1);
 
   /** Since this build a chunk of progress may be cut into parts. */
@@ -34,15 +34,15 @@
   private static final int OWN = PROGRESS_LOG;
 
   private final EventLoop loop;
-  private final StateStore store;
+  private final KeyValueStore store;
   private final NodeId self;
   private final List<NodeId> members;
-  private final ControlView view;
+  private final ClusterView view;
   private int told;
 
   /** Of all configured members, this one included. */
-  public Builds(
-      EventLoop loop, StateStore store, NodeId self, List<NodeId> members, ControlView view) {
+  public FeatureGates(
+      EventLoop loop, KeyValueStore store, NodeId self, List<NodeId> members, ClusterView view) {
     this.loop = loop;
     this.store = store;
     this.self = self;
@@ -53,8 +53,8 @@
   /** Shows the build of this process. */
   public void start() {
     store.get(
-        Keys.build(self),
-        StateStore.Urgency.URGENT,
+        StoreKeys.build(self),
+        KeyValueStore.Urgency.URGENT,
         answer -> {
           if (answer instanceof Answer.Absent<Item>) {
             show(new Revision(0));
@@ -69,13 +69,13 @@
   }
 
   private void show(Revision version) {
-    String key = Keys.build(self);
+    String key = StoreKeys.build(self);
     store.commit(
         List.of(new Guard(key, version)),
-        List.of(Write.put(key, ControlView.buildValue(OWN))),
-        StateStore.Urgency.URGENT,
+        List.of(Write.put(key, ClusterView.buildValue(OWN))),
+        KeyValueStore.Urgency.URGENT,
         outcome -> {
-          if (!(outcome instanceof StateStore.Outcome.Committed)) {
+          if (!(outcome instanceof KeyValueStore.Outcome.Committed)) {
             loop.after(RETRY, this::start);
           }
         });
--- a/src/main/java/org/mulleinshift/coordination/rollout/UnreadableJobs.java
+++ b/src/main/java/org/mulleinshift/compatibility/UnreadableJobs.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination.rollout;
+package org.mulleinshift.compatibility;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Collections;
@@ -6,11 +6,11 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
-import org.mulleinshift.bookkeeping.JobRecord;
-import org.mulleinshift.bookkeeping.JobRecord.Footprint;
-import org.mulleinshift.protocol.BlockId;
+import org.mulleinshift.model.JobRecord;
+import org.mulleinshift.model.JobRecord.Footprint;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.Resources;
+import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.TeamId;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -25,7 +25,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(UnreadableJobs.class);
 
   private final Map<JobId, Footprint> jobs = new LinkedHashMap<>();
-  private final Set<BlockId> blocks = new HashSet<>();
+  private final Set<ShardId> blocks = new HashSet<>();
   private boolean anywhere;
 
   /** Sets a job aside; one log line for each. */
@@ -44,14 +44,14 @@
     }
     for (JsonNode item : at) {
       if (item.path("b").isTextual()) {
-        mayBeAt(new BlockId(item.path("b").asText()));
+        mayBeAt(new ShardId(item.path("b").asText()));
       } else {
         anywhere = true;
       }
     }
   }
 
-  public void mayBeAt(BlockId block) {
+  public void mayBeAt(ShardId block) {
     blocks.add(block);
   }
 
@@ -64,7 +64,7 @@
   }
 
   /** Whether tasks that nobody may stop may be on the block's machines. */
-  public boolean mayBeIn(BlockId block) {
+  public boolean mayBeIn(ShardId block) {
     return !jobs.isEmpty() && (anywhere || blocks.contains(block));
   }
 
--- a/src/main/java/org/mulleinshift/coordination/rollout/package-info.java
+++ b/src/main/java/org/mulleinshift/compatibility/package-info.java
@@ -2,4 +2,4 @@
  * Builds of different age side by side: what of the stored state this build can't read, and what is
  * then left alone. Knows jobs and blocks by their ids only.
  */
-package org.mulleinshift.coordination.rollout;
+package org.mulleinshift.compatibility;
--- a/src/main/java/org/mulleinshift/coordination/Controller.java
+++ b/src/main/java/org/mulleinshift/controller/Controller.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.controller;
 
 import java.nio.ByteBuffer;
 import java.time.Duration;
@@ -10,52 +10,61 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.mulleinshift.bookkeeping.ControlView;
-import org.mulleinshift.bookkeeping.JobRecord;
-import org.mulleinshift.bookkeeping.Keys;
-import org.mulleinshift.bookkeeping.PrefixView;
-import org.mulleinshift.bookkeeping.StateStore;
-import org.mulleinshift.coordination.membership.Election;
-import org.mulleinshift.coordination.membership.Links;
-import org.mulleinshift.coordination.membership.PeerProofs;
-import org.mulleinshift.coordination.membership.Session;
-import org.mulleinshift.coordination.membership.StateLink;
-import org.mulleinshift.coordination.membership.Succession;
-import org.mulleinshift.coordination.membership.WorkerLink;
-import org.mulleinshift.coordination.rollout.Builds;
-import org.mulleinshift.margin.HeapMargin;
-import org.mulleinshift.protocol.BadMessage;
-import org.mulleinshift.protocol.HoldId;
+import org.mulleinshift.api.JobApi;
+import org.mulleinshift.api.ReadinessProbe;
+import org.mulleinshift.autoscaling.Autoscaler;
+import org.mulleinshift.compatibility.FeatureGates;
+import org.mulleinshift.leader.EstimateReplicator;
+import org.mulleinshift.leader.Leader;
+import org.mulleinshift.membership.ControllerSession;
+import org.mulleinshift.membership.IndirectLeaseRenewal;
+import org.mulleinshift.membership.LeaderElection;
+import org.mulleinshift.membership.PeerFailureDetector;
+import org.mulleinshift.membership.StandbyFailover;
+import org.mulleinshift.membership.StoreHealth;
+import org.mulleinshift.membership.WorkerReachability;
+import org.mulleinshift.memory.HeapMonitor;
+import org.mulleinshift.model.ClusterView;
+import org.mulleinshift.model.JobRecord;
+import org.mulleinshift.placement.MachineTypeCatalog;
 import org.mulleinshift.protocol.JobCodec;
 import org.mulleinshift.protocol.JobId;
+import org.mulleinshift.protocol.LeaseId;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.PeerCodec;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.Item;
 import org.mulleinshift.protocol.WorkerCodec;
-import org.mulleinshift.protocol.peer.Advice;
-import org.mulleinshift.protocol.peer.Assignment;
-import org.mulleinshift.protocol.peer.BlockReport;
 import org.mulleinshift.protocol.peer.Heartbeat;
-import org.mulleinshift.protocol.peer.JobDigest;
-import org.mulleinshift.protocol.peer.Knock;
+import org.mulleinshift.protocol.peer.JobSummary;
+import org.mulleinshift.protocol.peer.LeadershipTransfer;
+import org.mulleinshift.protocol.peer.LearnedEstimates;
+import org.mulleinshift.protocol.peer.LeaseRenewalRequest;
+import org.mulleinshift.protocol.peer.LeaseRenewalResponse;
+import org.mulleinshift.protocol.peer.OwnerSuspicion;
 import org.mulleinshift.protocol.peer.PeerFrame;
-import org.mulleinshift.protocol.peer.ProofAnswer;
-import org.mulleinshift.protocol.peer.ProofRequest;
-import org.mulleinshift.protocol.peer.Relay;
-import org.mulleinshift.protocol.peer.ReportsSeen;
-import org.mulleinshift.protocol.peer.Resignation;
-import org.mulleinshift.protocol.peer.StrangerReport;
+import org.mulleinshift.protocol.peer.RelayedFrame;
+import org.mulleinshift.protocol.peer.ShardAssignment;
+import org.mulleinshift.protocol.peer.ShardStatus;
+import org.mulleinshift.protocol.peer.ShardStatusAck;
+import org.mulleinshift.protocol.peer.UnknownWorkerReport;
+import org.mulleinshift.scheduling.RunTimeEstimator;
 import org.mulleinshift.settings.Leases;
 import org.mulleinshift.settings.PlatformSettings;
 import org.mulleinshift.settings.Tunables;
+import org.mulleinshift.sharding.OwnedShards;
+import org.mulleinshift.sharding.ShardOwner;
+import org.mulleinshift.store.KeyValueStore;
+import org.mulleinshift.store.StoreKeys;
+import org.mulleinshift.store.WatchCache;
+import org.mulleinshift.transport.AsyncHttpClient;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.HttpCaller;
-import org.mulleinshift.transport.PeerLink;
-import org.mulleinshift.transport.RateBudget;
+import org.mulleinshift.transport.MonotonicTime;
+import org.mulleinshift.transport.PeerTransport;
+import org.mulleinshift.transport.RateLimiter;
 import org.mulleinshift.transport.RequestHandler;
 import org.mulleinshift.transport.Responder;
-import org.mulleinshift.transport.SteadyTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -73,42 +82,42 @@
   /** The ways out of the process. */
   public record Outside(
       EventLoop loop,
-      HttpCaller state,
-      HttpCaller watches,
-      HttpCaller cloud,
-      HttpCaller workers,
-      PeerLink peers,
-      HeapMargin margin) {}
+      AsyncHttpClient state,
+      AsyncHttpClient watches,
+      AsyncHttpClient cloud,
+      AsyncHttpClient workers,
+      PeerTransport peers,
+      HeapMonitor margin) {}
 
   private final EventLoop loop;
   private final PlatformSettings settings;
   private final Tunables tunables;
   private final NodeId self;
-  private final PeerLink peers;
-  private final HeapMargin margin;
+  private final PeerTransport peers;
+  private final HeapMonitor margin;
   private final PeerCodec codec = new PeerCodec();
-  private final StateRates rates;
-  private final StateStore store;
-  private final ControlView view = new ControlView();
-  private final PrefixView control;
-  private final PrefixView jobs;
+  private final StoreRateLimits rates;
+  private final KeyValueStore store;
+  private final ClusterView view = new ClusterView();
+  private final WatchCache control;
+  private final WatchCache jobs;
   private final Set<JobId> cancelled = new HashSet<>();
-  private final Links links;
-  private final StateLink stateLink;
-  private final PeerProofs proofs;
-  private final Succession succession;
+  private final PeerFailureDetector links;
+  private final StoreHealth stateLink;
+  private final IndirectLeaseRenewal proofs;
+  private final StandbyFailover succession;
   private final Map<NodeId, List<Object>> outbox = new HashMap<>();
-  private final Session session;
-  private final Election election;
-  private final Builds builds;
-  private final Catalog catalog;
-  private final HeldBlocks heldBlocks;
-  private final Frontend frontend;
-  private final RunTimes runTimes = new RunTimes();
-  private final StandbyAdvice advice;
-  private final Fleet.Cloud cloud;
+  private final ControllerSession session;
+  private final LeaderElection election;
+  private final FeatureGates builds;
+  private final MachineTypeCatalog catalog;
+  private final OwnedShards heldBlocks;
+  private final JobApi frontend;
+  private final RunTimeEstimator runTimes = new RunTimeEstimator();
+  private final EstimateReplicator advice;
+  private final Autoscaler.Cloud cloud;
   private final List<NodeId> otherZoneFirst = new ArrayList<>();
-  private final Readiness readiness;
+  private final ReadinessProbe readiness;
   private Optional<Leader> leader = Optional.empty();
   private boolean jobsKnown;
   private long badFrames;
@@ -118,32 +127,32 @@
     this.settings = settings;
     this.tunables = tunables;
     this.self = new NodeId(settings.label());
-    this.advice = new StandbyAdvice(loop, runTimes);
+    this.advice = new EstimateReplicator(loop, runTimes);
     this.peers = outside.peers();
     settings.members().stream()
         .sorted(Comparator.comparing(member -> member.zone().equals(settings.zone())))
         .forEach(member -> otherZoneFirst.add(new NodeId(member.label())));
     this.margin = outside.margin();
     PlatformSettings.Cluster cluster = settings.cluster();
-    this.rates = new StateRates(cluster);
+    this.rates = new StoreRateLimits(cluster);
     this.store =
-        new StateStore(
+        new KeyValueStore(
             loop,
             outside.state(),
             outside.watches(),
             settings.state(),
-            new StateStore.Rates(
+            new KeyValueStore.Rates(
                 rates.requests(),
                 rates.writes(false),
                 cluster.state().requestsLeft(),
                 cluster.state().writesLeft()));
     Duration spacing = rates.watchSpacing();
-    this.control = new PrefixView(loop, store, Keys.CONTROL, spacing, new ControlListener());
-    this.jobs = new PrefixView(loop, store, Keys.ACTIVE, spacing, new JobListener());
-    this.readiness = new Readiness(loop, this::ready);
-    this.links = new Links(loop, self);
+    this.control = new WatchCache(loop, store, StoreKeys.CONTROL, spacing, new ControlListener());
+    this.jobs = new WatchCache(loop, store, StoreKeys.ACTIVE, spacing, new JobListener());
+    this.readiness = new ReadinessProbe(loop, this::ready);
+    this.links = new PeerFailureDetector(loop, self);
     this.stateLink =
-        new StateLink(
+        new StoreHealth(
             loop,
             tunables.seconds(Tunables.Key.STATE_LOST_S),
             rates.probeSpacing(),
@@ -152,7 +161,7 @@
     store.tell(stateLink);
     Duration blockLease = Leases.block(cluster.workers(), tunables);
     this.session =
-        new Session(
+        new ControllerSession(
             loop,
             store,
             self,
@@ -161,7 +170,7 @@
             jobs::provePromptly,
             this::onSessionChange);
     this.election =
-        new Election(
+        new LeaderElection(
             loop,
             store,
             self,
@@ -169,25 +178,27 @@
             new ElectionListener(),
             this::yields);
     this.succession =
-        new Succession(
+        new StandbyFailover(
             loop,
             self,
             tunables.seconds(Tunables.Key.LEADER_SILENT_S),
             tunables.seconds(Tunables.Key.LEADER_LEASE_S),
-            new Succession.Parts(links, view, this::linksWell, () -> beat(true), this::depose));
+            new StandbyFailover.Parts(
+                links, view, this::linksWell, () -> beat(true), this::depose));
     this.proofs =
-        new PeerProofs(
+        new IndirectLeaseRenewal(
             loop,
             self,
-            new PeerProofs.Parts(store, stateLink, links, session, view, control, jobs),
+            new IndirectLeaseRenewal.Parts(store, stateLink, links, session, view, control, jobs),
             this::send);
-    this.catalog = new Catalog(loop, outside.cloud(), settings.cloud(), this::onSessionChange);
+    this.catalog =
+        new MachineTypeCatalog(loop, outside.cloud(), settings.cloud(), this::onSessionChange);
     this.heldBlocks =
-        new HeldBlocks(
+        new OwnedShards(
             self,
             view,
             session,
-            new BlockHolder.Surroundings(
+            new ShardOwner.Surroundings(
                 loop,
                 outside.workers(),
                 catalog,
@@ -195,16 +206,16 @@
                 blockLease,
                 cancelled::contains,
                 this::onBlockNews),
-            new HeldBlocks.Peers(
+            new OwnedShards.Peers(
                 settings.members().stream().map(m -> new NodeId(m.label())).toList(),
                 this::answersWorkers,
                 this::onWorkerLink),
             this::toLeader);
     List<NodeId> all = new ArrayList<>(List.of(self));
     settings.members().forEach(member -> all.add(new NodeId(member.label())));
-    this.builds = new Builds(loop, store, self, all, view);
+    this.builds = new FeatureGates(loop, store, self, all, view);
     this.frontend =
-        new Frontend(
+        new JobApi(
             loop,
             store,
             catalog,
@@ -214,10 +225,10 @@
             outside.margin()::pressure,
             this::onCancelled);
     this.cloud =
-        new Fleet.Cloud(
+        new Autoscaler.Cloud(
             outside.cloud(),
             settings.cloud(),
-            new RateBudget(loop, cluster.cloudLimits().requestsPerSecond() * 0.6));
+            new RateLimiter(loop, cluster.cloudLimits().requestsPerSecond() * 0.6));
   }
 
   private static Duration shorter(Duration one, Duration other) {
@@ -285,28 +296,29 @@
 
   /** Not ready while only this node is without the state service: others can do better. */
   private boolean ready() {
-    boolean started = session.state() == Session.State.HELD && jobsKnown && catalog.known();
-    return started && stateLink.state() != StateLink.State.LOST;
+    boolean started =
+        session.state() == ControllerSession.State.HELD && jobsKnown && catalog.known();
+    return started && stateLink.state() != StoreHealth.State.LOST;
   }
 
   /** How a controller stands to its workers, by its own word. */
-  private WorkerLink.State hearing(NodeId node) {
+  private WorkerReachability.State hearing(NodeId node) {
     if (node.equals(self)) {
       return heldBlocks.hearing();
     }
-    return links.word(node).map(Links::workers).orElse(WorkerLink.State.WELL);
+    return links.word(node).map(PeerFailureDetector::workers).orElse(WorkerReachability.State.WELL);
   }
 
   private boolean storeLost(NodeId node) {
     return node.equals(self)
-        ? stateLink.state() == StateLink.State.LOST
+        ? stateLink.state() == StoreHealth.State.LOST
         : links.word(node).filter(Heartbeat::getStoreLost).isPresent();
   }
 
   /** Whether workers should be sent there: not to one that is silent, or cannot hear them. */
   private boolean answersWorkers(NodeId node) {
-    return links.silence(node).compareTo(Links.FRESH) < 0
-        && hearing(node).compareTo(WorkerLink.State.DOUBTED) <= 0;
+    return links.silence(node).compareTo(PeerFailureDetector.FRESH) < 0
+        && hearing(node).compareTo(WorkerReachability.State.DOUBTED) <= 0;
   }
 
   private void beatRegularly() {
@@ -324,13 +336,13 @@
   }
 
   private void beat(boolean answerSoon) {
-    boolean served = stateLink.state() == StateLink.State.SERVED;
-    Optional<ControlView.LeaderRecord> seen = served ? view.leader() : Optional.empty();
+    boolean served = stateLink.state() == StoreHealth.State.SERVED;
+    Optional<ClusterView.LeaderRecord> seen = served ? view.leader() : Optional.empty();
     Heartbeat beat =
         new Heartbeat(
             session.hold().map(hold -> hold.value()).orElse(0L),
             stateLink.silence().toMillis(),
-            stateLink.state() == StateLink.State.LOST,
+            stateLink.state() == StoreHealth.State.LOST,
             heldBlocks.hearing().wireName(),
             seen.map(record -> record.node().value()).orElse(""),
             seen.map(record -> record.term().value()).orElse(0L),
@@ -341,13 +353,13 @@
   }
 
   private boolean linksWell() {
-    return stateLink.state() == StateLink.State.SERVED
-        && heldBlocks.hearing() == WorkerLink.State.WELL
-        && control.state() == PrefixView.State.WATCHING;
+    return stateLink.state() == StoreHealth.State.SERVED
+        && heldBlocks.hearing() == WorkerReachability.State.WELL
+        && control.state() == WatchCache.State.WATCHING;
   }
 
   /** The leader is gone: its lease need not end by itself, every write of its term demands it. */
-  private void depose(Election.Standing gone) {
+  private void depose(LeaderElection.Standing gone) {
     election.onResignation(gone, true, view);
   }
 
@@ -357,14 +369,14 @@
 
   /** A call whose answer tells how the link to the state service is. */
   private void probe() {
-    store.get(Keys.LEADER, StateStore.Urgency.URGENT, answer -> {});
+    store.get(StoreKeys.LEADER, KeyValueStore.Urgency.URGENT, answer -> {});
   }
 
   private void onBeat(NodeId sender, Heartbeat beat) {
     links.beat(sender, beat);
     if (beat.getAnswerSoon()) {
       // What the sender asks is whether the service answers anybody just now.
-      store.get(Keys.LEADER, StateStore.Urgency.URGENT, answer -> beat());
+      store.get(StoreKeys.LEADER, KeyValueStore.Urgency.URGENT, answer -> beat());
     }
     leaderByPeers()
         .filter(record -> !record.node().equals(self))
@@ -372,19 +384,19 @@
         .ifPresent(record -> election.resign("a peer sees another leader"));
   }
 
-  private static boolean later(ControlView.LeaderRecord record, Election.Standing own) {
+  private static boolean later(ClusterView.LeaderRecord record, LeaderElection.Standing own) {
     return record.term().compareTo(own.term()) > 0;
   }
 
   /** Of a controller that cannot see for itself who leads, its served peers' word counts. */
-  private Optional<ControlView.LeaderRecord> leaderByPeers() {
-    return stateLink.state() == StateLink.State.SERVED ? Optional.empty() : links.leaderByPeers();
+  private Optional<ClusterView.LeaderRecord> leaderByPeers() {
+    return stateLink.state() == StoreHealth.State.SERVED ? Optional.empty() : links.leaderByPeers();
   }
 
   /** The newest leader by the own view or by peers. */
-  private Optional<ControlView.LeaderRecord> knownLeader() {
-    Optional<ControlView.LeaderRecord> seen = view.leader();
-    Optional<ControlView.LeaderRecord> told = leaderByPeers();
+  private Optional<ClusterView.LeaderRecord> knownLeader() {
+    Optional<ClusterView.LeaderRecord> seen = view.leader();
+    Optional<ClusterView.LeaderRecord> told = leaderByPeers();
     boolean newer =
         told.isPresent() && (seen.isEmpty() || told.get().term().compareTo(seen.get().term()) > 0);
     return newer ? told : seen;
@@ -425,7 +437,8 @@
               third ->
                   peers.send(
                       third.value(),
-                      codec.write(self, List.of(new Relay(node.value(), ByteBuffer.wrap(frame))))));
+                      codec.write(
+                          self, List.of(new RelayedFrame(node.value(), ByteBuffer.wrap(frame))))));
     }
   }
 
@@ -451,11 +464,11 @@
       NodeId sender = new NodeId(message.getSender());
       boolean known = settings.members().stream().anyMatch(m -> m.label().equals(sender.value()));
       if (!known) {
-        throw new BadMessage("unknown sender");
+        throw new MalformedMessageException("unknown sender");
       }
       links.heard(sender, direct);
       message.getBodies().forEach(body -> deliver(sender, body));
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       if (badFrames++ % 100 == 0) {
         LOG.warn("peer frame: {}", e.getMessage());
       }
@@ -463,7 +476,7 @@
   }
 
   /** Brought to us, or to be brought on; never further than one step. */
-  private void onRelay(Relay relay) {
+  private void onRelay(RelayedFrame relay) {
     byte[] frame = new byte[relay.getFrame().remaining()];
     relay.getFrame().duplicate().get(frame);
     if (relay.getReceiver().equals(self.value())) {
@@ -471,58 +484,58 @@
     } else if (settings.members().stream().anyMatch(m -> m.label().equals(relay.getReceiver()))) {
       peers.send(
           relay.getReceiver(),
-          codec.write(self, List.of(new Relay(relay.getReceiver(), relay.getFrame()))));
+          codec.write(self, List.of(new RelayedFrame(relay.getReceiver(), relay.getFrame()))));
     }
   }
 
   private void deliver(NodeId sender, Object body) {
     if (body instanceof Heartbeat beat) {
       onBeat(sender, beat);
-    } else if (body instanceof Assignment assignment) {
+    } else if (body instanceof ShardAssignment assignment) {
       heldBlocks.onAssignment(assignment);
-    } else if (body instanceof BlockReport report) {
+    } else if (body instanceof ShardStatus report) {
       leader.ifPresent(term -> term.onBlockReport(report));
-    } else if (body instanceof ReportsSeen seen) {
+    } else if (body instanceof ShardStatusAck seen) {
       heldBlocks.onReportsSeen(seen);
-    } else if (body instanceof StrangerReport report) {
+    } else if (body instanceof UnknownWorkerReport report) {
       leader.ifPresent(term -> term.onStranger(report));
-    } else if (body instanceof Knock knock) {
+    } else if (body instanceof OwnerSuspicion knock) {
       leader.ifPresent(term -> term.onKnock(knock));
-    } else if (body instanceof JobDigest digest) {
+    } else if (body instanceof JobSummary digest) {
       frontend.onDigest(digest);
-    } else if (body instanceof Relay relay) {
+    } else if (body instanceof RelayedFrame relay) {
       onRelay(relay);
-    } else if (body instanceof Advice told) {
+    } else if (body instanceof LearnedEstimates told) {
       advice.onAdvice(told);
-    } else if (body instanceof ProofRequest request) {
+    } else if (body instanceof LeaseRenewalRequest request) {
       proofs.onRequest(sender, request);
-    } else if (body instanceof ProofAnswer answer) {
+    } else if (body instanceof LeaseRenewalResponse answer) {
       proofs.onAnswer(sender, answer);
-    } else if (body instanceof Resignation resignation) {
+    } else if (body instanceof LeadershipTransfer resignation) {
       onResignation(resignation);
     }
   }
 
   /** A leader that lost the state service asks the best placed peer to lead. */
   private void resign() {
-    Optional<Election.Standing> standing = election.standing();
+    Optional<LeaderElection.Standing> standing = election.standing();
     List<NodeId> served = links.servedPeers();
     if (standing.isEmpty() || served.isEmpty()) {
       return;
     }
-    Resignation resignation =
-        new Resignation(
+    LeadershipTransfer resignation =
+        new LeadershipTransfer(
             standing.get().term().value(), standing.get().hold().value(), served.get(0).value());
     LOG.warn("term {} given up, {} is to lead", standing.get().term(), served.get(0));
     election.resign("the state service is lost");
     settings.members().forEach(member -> send(new NodeId(member.label()), resignation));
   }
 
-  private void onResignation(Resignation resignation) {
-    if (stateLink.state() == StateLink.State.SERVED) {
+  private void onResignation(LeadershipTransfer resignation) {
+    if (stateLink.state() == StoreHealth.State.SERVED) {
       election.onResignation(
-          new Election.Standing(
-              new Revision(resignation.getTerm()), new HoldId(resignation.getHold())),
+          new LeaderElection.Standing(
+              new Revision(resignation.getTerm()), new LeaseId(resignation.getHold())),
           resignation.getSuccessor().equals(self.value()),
           view);
     }
@@ -537,9 +550,9 @@
 
   private void observeElection() {
     boolean ready =
-        session.state() == Session.State.HELD
-            && stateLink.state() == StateLink.State.SERVED
-            && control.state() == PrefixView.State.WATCHING
+        session.state() == ControllerSession.State.HELD
+            && stateLink.state() == StoreHealth.State.SERVED
+            && control.state() == WatchCache.State.WATCHING
             && jobsKnown
             && catalog.known();
     election.observe(view, ready);
@@ -555,22 +568,22 @@
     }
   }
 
-  private final class StateLinkListener implements StateLink.Listener {
+  private final class StateLinkListener implements StoreHealth.Listener {
     @Override
     public void doubted() {
       beat(true);
     }
 
     @Override
-    public boolean peerServedSince(SteadyTime moment) {
+    public boolean peerServedSince(MonotonicTime moment) {
       return links.anyServedSince(moment);
     }
 
     @Override
-    public void changed(StateLink.State next) {
+    public void changed(StoreHealth.State next) {
       LOG.info("links: {}", links.describe());
       beat();
-      if (next == StateLink.State.LOST) {
+      if (next == StoreHealth.State.LOST) {
         resign();
         proofs.start();
       }
@@ -578,13 +591,13 @@
     }
   }
 
-  private final class ControlListener implements PrefixView.Listener {
+  private final class ControlListener implements WatchCache.Listener {
     private boolean grantsChanged;
 
     @Override
     public void changed(String key, Optional<Item> item) {
       view.apply(key, item);
-      grantsChanged |= key.startsWith(Keys.GRANTS);
+      grantsChanged |= key.startsWith(StoreKeys.GRANTS);
     }
 
     @Override
@@ -599,10 +612,10 @@
     }
   }
 
-  private final class JobListener implements PrefixView.Listener {
+  private final class JobListener implements WatchCache.Listener {
     @Override
     public void changed(String key, Optional<Item> item) {
-      JobId id = new JobId(key.substring(Keys.ACTIVE.length()));
+      JobId id = new JobId(key.substring(StoreKeys.ACTIVE.length()));
       if (item.isEmpty()) {
         cancelled.remove(id);
         frontend.onNoLongerActive(id);
@@ -632,7 +645,7 @@
     }
   }
 
-  private final class ElectionListener implements Election.Listener {
+  private final class ElectionListener implements LeaderElection.Listener {
     @Override
     public void won(Revision term) {
       Leader next =
--- a/src/main/java/org/mulleinshift/coordination/StateRates.java
+++ b/src/main/java/org/mulleinshift/controller/StoreRateLimits.java
@@ -1,10 +1,10 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.controller;
 
 import java.time.Duration;
 import org.mulleinshift.settings.PlatformSettings;
 
 /** How the controllers of a cluster share the rates of the state service. */
-final class StateRates {
+final class StoreRateLimits {
   private static final double LEADER_WRITES = 0.75;
   private static final double OTHER_WRITES = 0.4;
 
@@ -26,7 +26,7 @@
 
   private final PlatformSettings.Cluster cluster;
 
-  StateRates(PlatformSettings.Cluster cluster) {
+  StoreRateLimits(PlatformSettings.Cluster cluster) {
     this.cluster = cluster;
   }
 
--- a/src/main/java/org/mulleinshift/coordination/chains/Orphans.java
+++ b/src/main/java/org/mulleinshift/dependencies/CascadingCancellations.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination.chains;
+package org.mulleinshift.dependencies;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.mulleinshift.bookkeeping.JobRecord;
+import org.mulleinshift.model.JobRecord;
 import org.mulleinshift.protocol.JobId;
 
 /**
@@ -15,7 +15,7 @@
  * cancelled with it, though no leader may have stored that yet. Nobody may be told that they wait.
  * A job whose needs stand in lists of their own is not looked through.
  */
-public final class Orphans {
+public final class CascadingCancellations {
   private final Map<JobId, List<JobId>> needs = new HashMap<>();
   private final Set<JobId> cancelled = new HashSet<>();
 
--- a/src/main/java/org/mulleinshift/coordination/chains/ChainGraph.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyGraph.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination.chains;
+package org.mulleinshift.dependencies;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -17,7 +17,7 @@
  * Who awaits whom, of jobs that still wait. An end costs those that awaited it; nothing here walks
  * a chain by recursion, however long it is.
  */
-final class ChainGraph {
+final class DependencyGraph {
   private final Map<JobId, Set<JobId>> needs = new HashMap<>();
   private final Map<JobId, Set<JobId>> neededBy = new HashMap<>();
 
--- a/src/main/java/org/mulleinshift/coordination/chains/ListWriter.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyListWriter.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination.chains;
+package org.mulleinshift.dependencies;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -7,15 +7,15 @@
 import java.util.Map;
 import java.util.UUID;
 import java.util.function.Consumer;
-import org.mulleinshift.bookkeeping.Awaits;
-import org.mulleinshift.bookkeeping.Keys;
-import org.mulleinshift.bookkeeping.StateStore;
-import org.mulleinshift.bookkeeping.StateStore.Outcome;
-import org.mulleinshift.margin.Recent;
+import org.mulleinshift.memory.BoundedMap;
+import org.mulleinshift.model.JobDependencies;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec.Guard;
-import org.mulleinshift.protocol.StateCodec.Write;
+import org.mulleinshift.protocol.StoreCodec.Guard;
+import org.mulleinshift.protocol.StoreCodec.Write;
+import org.mulleinshift.store.KeyValueStore;
+import org.mulleinshift.store.KeyValueStore.Outcome;
+import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.transport.EventLoop;
 
 /**
@@ -24,7 +24,7 @@
  * write demands that the job is not accepted yet: one that is applied late changes nothing of an
  * accepted job.
  */
-public final class ListWriter {
+public final class DependencyListWriter {
   private static final Duration BUSY_PAUSE = Duration.ofMillis(250);
 
   /** Within the time that a user waits for an answer. */
@@ -34,12 +34,12 @@
   private static final int REMEMBERED = 64;
 
   private final EventLoop loop;
-  private final StateStore store;
-  private final Map<String, Integer> begun = new Recent<>(REMEMBERED);
+  private final KeyValueStore store;
+  private final Map<String, Integer> begun = new BoundedMap<>(REMEMBERED);
   private final int valueBytes;
   private final int mostOps;
 
-  public ListWriter(EventLoop loop, StateStore store, int valueBytes, int mostOps) {
+  public DependencyListWriter(EventLoop loop, KeyValueStore store, int valueBytes, int mostOps) {
     this.loop = loop;
     this.store = store;
     this.valueBytes = valueBytes;
@@ -48,15 +48,15 @@
 
   /** Tells what the record is to hold, or a failure: then nothing was accepted. */
   public void write(
-      JobId job, List<JobId> awaited, Consumer<Awaits> written, Consumer<Outcome> failed) {
+      JobId job, List<JobId> awaited, Consumer<JobDependencies> written, Consumer<Outcome> failed) {
     String names = job + " " + awaited;
     String digest = UUID.nameUUIDFromBytes(names.getBytes(StandardCharsets.UTF_8)).toString();
-    List<List<JobId>> lists = Awaits.cut(awaited, valueBytes);
+    List<List<JobId>> lists = JobDependencies.cut(awaited, valueBytes);
     List<Write> writes = new ArrayList<>();
     for (int i = 0; i < lists.size(); i++) {
-      writes.add(Write.put(Keys.awaited(job, digest, i), Awaits.list(lists.get(i))));
+      writes.add(Write.put(StoreKeys.awaited(job, digest, i), JobDependencies.list(lists.get(i))));
     }
-    Awaits record = new Awaits(List.of(), lists.size(), digest);
+    JobDependencies record = new JobDependencies(List.of(), lists.size(), digest);
     Attempt attempt = new Attempt(job, digest, writes, () -> written.accept(record), failed);
     next(attempt, BUSY_TRIES);
   }
@@ -75,10 +75,10 @@
     List<Write> batch = left.subList(0, Math.min(mostOps, left.size()));
     store.commit(
         List.of(
-            new Guard(Keys.active(job), new Revision(0)),
-            new Guard(Keys.ended(job), new Revision(0))),
+            new Guard(StoreKeys.active(job), new Revision(0)),
+            new Guard(StoreKeys.ended(job), new Revision(0))),
         batch,
-        StateStore.Urgency.PROMPT,
+        KeyValueStore.Urgency.PROMPT,
         outcome -> {
           if (outcome instanceof Outcome.Committed) {
             begun.put(attempt.digest(), from + batch.size());
--- a/src/main/java/org/mulleinshift/coordination/chains/NeedReader.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyLoader.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination.chains;
+package org.mulleinshift.dependencies;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -11,14 +11,14 @@
 import java.util.function.BiConsumer;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.mulleinshift.bookkeeping.Awaits;
-import org.mulleinshift.bookkeeping.JobRecord;
-import org.mulleinshift.bookkeeping.Keys;
-import org.mulleinshift.bookkeeping.StateStore;
-import org.mulleinshift.bookkeeping.StateStore.Answer;
-import org.mulleinshift.protocol.BadMessage;
+import org.mulleinshift.model.JobDependencies;
+import org.mulleinshift.model.JobRecord;
 import org.mulleinshift.protocol.JobId;
-import org.mulleinshift.protocol.StateCodec.Item;
+import org.mulleinshift.protocol.MalformedMessageException;
+import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.store.KeyValueStore;
+import org.mulleinshift.store.KeyValueStore.Answer;
+import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.transport.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -28,15 +28,15 @@
  * jobs that others await: how they ended, and lists that did not fit into a record. A few at a
  * time, behind all that somebody waits for.
  */
-public final class NeedReader {
-  private static final Logger LOG = LoggerFactory.getLogger(NeedReader.class);
+public final class DependencyLoader {
+  private static final Logger LOG = LoggerFactory.getLogger(DependencyLoader.class);
   private static final int AT_ONCE = 8;
   private static final Duration RETRY = Duration.ofMillis(300);
 
   private final EventLoop loop;
-  private final StateStore store;
+  private final KeyValueStore store;
   private final BooleanSupplier wanted;
-  private final BiConsumer<JobId, Chains.End> ended;
+  private final BiConsumer<JobId, DependencyResolver.End> ended;
   private final Deque<Runnable> queue = new ArrayDeque<>();
   private final Set<JobId> asked = new HashSet<>();
   private int open;
@@ -46,11 +46,11 @@
    *
    * @param wanted whether the term goes on
    */
-  public NeedReader(
+  public DependencyLoader(
       EventLoop loop,
-      StateStore store,
+      KeyValueStore store,
       BooleanSupplier wanted,
-      BiConsumer<JobId, Chains.End> ended) {
+      BiConsumer<JobId, DependencyResolver.End> ended) {
     this.loop = loop;
     this.store = store;
     this.wanted = wanted;
@@ -66,42 +66,43 @@
 
   private void readEnd(JobId job) {
     get(
-        Keys.ended(job),
+        StoreKeys.ended(job),
         item -> {
           asked.remove(job);
-          item.flatMap(NeedReader::end).ifPresent(end -> ended.accept(job, end));
+          item.flatMap(DependencyLoader::end).ifPresent(end -> ended.accept(job, end));
         });
   }
 
   /** None if this build can't read it: what awaits the job waits on. */
-  private static Optional<Chains.End> end(Item item) {
+  private static Optional<DependencyResolver.End> end(Item item) {
     return JobRecord.endedPhase(item)
-        .map(phase -> new Chains.End(phase, JobRecord.endedMillis(item).orElse(0)));
+        .map(phase -> new DependencyResolver.End(phase, JobRecord.endedMillis(item).orElse(0)));
   }
 
   /** All that a job awaits; never called back if that can't be read, and the job waits on. */
-  public void lists(JobId job, Awaits awaits, Consumer<List<JobId>> then, Consumer<Item> read) {
+  public void lists(
+      JobId job, JobDependencies awaits, Consumer<List<JobId>> then, Consumer<Item> read) {
     enqueue(() -> readList(job, awaits, 0, new ArrayList<>(), then, read));
   }
 
   private void readList(
       JobId job,
-      Awaits awaits,
+      JobDependencies awaits,
       int list,
       List<JobId> found,
       Consumer<List<JobId>> then,
       Consumer<Item> read) {
-    String key = Keys.awaited(job, awaits.digest(), list);
+    String key = StoreKeys.awaited(job, awaits.digest(), list);
     get(
         key,
         item -> {
           try {
             if (item.isEmpty()) {
-              throw new BadMessage("is not there");
+              throw new MalformedMessageException("is not there");
             }
             read.accept(item.get());
-            found.addAll(Awaits.readList(item.get().value()));
-          } catch (BadMessage e) {
+            found.addAll(JobDependencies.readList(item.get().value()));
+          } catch (MalformedMessageException e) {
             LOG.error("{}: {}; {} is held", key, e.getMessage(), job);
             return;
           }
@@ -129,7 +130,7 @@
   private void get(String key, Consumer<Optional<Item>> then) {
     store.get(
         key,
-        StateStore.Urgency.NORMAL,
+        KeyValueStore.Urgency.NORMAL,
         answer -> {
           if (!wanted.getAsBoolean()) {
             queue.clear();
--- a/src/main/java/org/mulleinshift/coordination/chains/Chains.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyResolver.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination.chains;
+package org.mulleinshift.dependencies;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -11,7 +11,7 @@
 import java.util.function.Function;
 import java.util.function.LongSupplier;
 import java.util.function.ToDoubleFunction;
-import org.mulleinshift.bookkeeping.Job;
+import org.mulleinshift.model.Job;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.JobPhase;
 import org.mulleinshift.protocol.Priority;
@@ -23,8 +23,8 @@
  * that it awaits is stored as done, and cancelled once one of them is stored as cancelled. What is
  * not known is not done.
  */
-public final class Chains {
-  private static final Logger LOG = LoggerFactory.getLogger(Chains.class);
+public final class DependencyResolver {
+  private static final Logger LOG = LoggerFactory.getLogger(DependencyResolver.class);
 
   /** The last of a job's tasks takes longer than the mean. */
   private static final double SPREAD = 1.3;
@@ -47,7 +47,7 @@
   /** A job that should be released within some time. */
   public record Soon(Job job, double inSeconds) {}
 
-  private final ChainGraph graph = new ChainGraph();
+  private final DependencyGraph graph = new DependencyGraph();
   private final Map<JobId, Job> held = new LinkedHashMap<>();
   private final Map<JobId, Long> lastEnds = new HashMap<>();
   private final Map<JobId, Job> heirs = new HashMap<>();
@@ -55,7 +55,7 @@
   private final LongSupplier wallMillis;
   private boolean changed;
 
-  public Chains(Listener listener, LongSupplier wallMillis) {
+  public DependencyResolver(Listener listener, LongSupplier wallMillis) {
     this.listener = listener;
     this.wallMillis = wallMillis;
   }
@@ -159,7 +159,9 @@
                   job.hasDeadline()
                       ? job.dueMillis() - (long) (1000 * path)
                       : Job.Inherited.NOTHING.endMillis());
-          graph.needs(id).forEach(need -> inherited.merge(need, given, Chains::stricter));
+          graph
+              .needs(id)
+              .forEach(need -> inherited.merge(need, given, DependencyResolver::stricter));
         });
     // What nothing needs any more is as its user submitted it; what was let go keeps its place.
     heirs.forEach(
--- a/src/main/java/org/mulleinshift/coordination/ChainKeeper.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyTracker.java
@@ -1,22 +1,22 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.dependencies;
 
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.mulleinshift.bookkeeping.Delegation;
-import org.mulleinshift.bookkeeping.Job;
-import org.mulleinshift.bookkeeping.JobRecord;
-import org.mulleinshift.coordination.chains.Chains;
-import org.mulleinshift.coordination.chains.NeedReader;
-import org.mulleinshift.margin.Recent;
+import org.mulleinshift.leader.Leader;
+import org.mulleinshift.memory.BoundedMap;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.model.JobRecord;
+import org.mulleinshift.model.TaskAssignment;
 import org.mulleinshift.protocol.JobId;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.scheduling.RunTimeEstimator;
+import org.mulleinshift.transport.MonotonicTime;
 
 /**
  * Joins the chains to a leader's term: takes jobs that await others out of its sight until they may
  * run, and tells the chains how the others stand.
  */
-final class ChainKeeper implements Chains.Listener {
+public final class DependencyTracker implements DependencyResolver.Listener {
   private static final int REMEMBERED_ENDS = 20_000;
 
   /** Run times change; what jobs inherit follows them now and then. */
@@ -24,25 +24,26 @@
 
   private final Leader leader;
   private final Leader.Surroundings around;
-  private final Chains chains;
-  private final NeedReader reader;
-  private final Map<JobId, Chains.End> ends = new Recent<>(REMEMBERED_ENDS);
-  private SteadyTime inheritedAt;
+  private final DependencyResolver chains;
+  private final DependencyLoader reader;
+  private final Map<JobId, DependencyResolver.End> ends = new BoundedMap<>(REMEMBERED_ENDS);
+  private MonotonicTime inheritedAt;
 
-  ChainKeeper(Leader leader, Leader.Surroundings around) {
+  public DependencyTracker(Leader leader, Leader.Surroundings around) {
     this.leader = leader;
     this.around = around;
-    this.chains = new Chains(this, around.loop()::wallMillis);
+    this.chains = new DependencyResolver(this, around.loop()::wallMillis);
     this.inheritedAt = around.loop().now();
-    this.reader = new NeedReader(around.loop(), around.store(), leader::serving, chains::ended);
+    this.reader =
+        new DependencyLoader(around.loop(), around.store(), leader::serving, chains::ended);
   }
 
-  Optional<Job> held(JobId job) {
+  public Optional<Job> held(JobId job) {
     return chains.held(job);
   }
 
   /** A job from the store: it runs as any other, or is held until what it awaits is over. */
-  void admit(JobRecord record) {
+  public void admit(JobRecord record) {
     Job job = new Job(record);
     if (job.state() != Job.State.HELD) {
       leader.take(job);
@@ -55,7 +56,7 @@
   }
 
   /** All that is stored was read, progress too: what has some was let go before. */
-  void begin() {
+  public void begin() {
     for (Job job : List.copyOf(chains.held())) {
       if (job.state() == Job.State.HELD) {
         await(job);
@@ -88,7 +89,7 @@
 
   /** What is active is known to this leader, all else is over or will be shown by the watch. */
   private void look(JobId need) {
-    Chains.End end = ends.get(need);
+    DependencyResolver.End end = ends.get(need);
     Optional<Job> open = leader.known(need);
     if (end != null) {
       chains.ended(need, end);
@@ -100,7 +101,7 @@
   }
 
   /** The stored record of a held job changed. */
-  void update(Job job, JobRecord record) {
+  public void update(Job job, JobRecord record) {
     job.update(record);
     if (job.state() == Job.State.CANCELLING) {
       chains.leave(job.spec().id());
@@ -109,17 +110,17 @@
   }
 
   /** A cancellation is stored. */
-  void cancelledWith(JobId job) {
+  public void cancelledWith(JobId job) {
     chains.cancelled(job);
   }
 
-  void ended(Job job, long atMillis) {
-    Chains.End end = new Chains.End(job.endPhase(), atMillis);
+  public void ended(Job job, long atMillis) {
+    DependencyResolver.End end = new DependencyResolver.End(job.endPhase(), atMillis);
     ends.put(job.spec().id(), end);
     chains.ended(job.spec().id(), end);
   }
 
-  void drop(JobId job) {
+  public void drop(JobId job) {
     chains.leave(job);
   }
 
@@ -135,8 +136,8 @@
   }
 
   /** Before jobs are ranked. */
-  void inherit() {
-    SteadyTime now = around.loop().now();
+  public void inherit() {
+    MonotonicTime now = around.loop().now();
     if (chains.changed() || now.secondsSince(inheritedAt) >= INHERIT_SECONDS) {
       inheritedAt = now;
       chains.inherit(this::open, around.runTimes()::expectedSeconds);
@@ -148,7 +149,7 @@
   }
 
   /** Held jobs that should be let go within the horizon. */
-  List<Chains.Soon> soon(double horizon) {
+  public List<DependencyResolver.Soon> soon(double horizon) {
     return chains.soon(horizon, this::open, this::endsIn, around.runTimes()::expectedSeconds);
   }
 
@@ -159,10 +160,10 @@
     }
     double expected = around.runTimes().expectedSeconds(job);
     double left = job.waitingCount() > 0 ? expected : 0;
-    SteadyTime now = around.loop().now();
-    for (Delegation delegation : job.delegations()) {
+    MonotonicTime now = around.loop().now();
+    for (TaskAssignment delegation : job.delegations()) {
       double ran = delegation.runningSince().map(now::secondsSince).orElse(0.0);
-      left = Math.max(left, RunTimes.left(expected, ran));
+      left = Math.max(left, RunTimeEstimator.left(expected, ran));
     }
     return left;
   }
--- a/src/main/java/org/mulleinshift/coordination/chains/AcceptedCheck.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyValidator.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination.chains;
+package org.mulleinshift.dependencies;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -6,19 +6,19 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import org.mulleinshift.bookkeeping.Keys;
-import org.mulleinshift.bookkeeping.StateStore;
-import org.mulleinshift.bookkeeping.StateStore.Answer;
-import org.mulleinshift.margin.Recent;
+import org.mulleinshift.memory.BoundedMap;
 import org.mulleinshift.protocol.JobId;
-import org.mulleinshift.protocol.StateCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.store.KeyValueStore;
+import org.mulleinshift.store.KeyValueStore.Answer;
+import org.mulleinshift.store.StoreKeys;
 
 /**
  * Whether jobs that a submission awaits were ever accepted. That one was accepted stays true, so
  * whoever has seen it need not ask; that one was not is certain only by reading its keys now, first
  * the active one, since a job moves only from there to the ended one.
  */
-public final class AcceptedCheck {
+public final class DependencyValidator {
   private static final int AT_ONCE = 8;
   private static final int REMEMBERED = 10_000;
 
@@ -30,18 +30,18 @@
     DOUBT
   }
 
-  private final StateStore store;
+  private final KeyValueStore store;
   private final Predicate<JobId> seen;
 
   /** A long list is looked up at the rate that there is: a retry goes on where the last one was. */
-  private final Set<JobId> found = Recent.set(REMEMBERED);
+  private final Set<JobId> found = BoundedMap.set(REMEMBERED);
 
   /**
    * A check.
    *
    * @param seen whether a job is known to have been accepted
    */
-  public AcceptedCheck(StateStore store, Predicate<JobId> seen) {
+  public DependencyValidator(KeyValueStore store, Predicate<JobId> seen) {
     this.store = store;
     this.seen = seen;
   }
@@ -77,14 +77,17 @@
     private void ask() {
       asked++;
       JobId job = open.poll();
-      read(job, Keys.active(job), () -> read(job, Keys.ended(job), () -> end(Verdict.NEVER)));
+      read(
+          job,
+          StoreKeys.active(job),
+          () -> read(job, StoreKeys.ended(job), () -> end(Verdict.NEVER)));
     }
 
     /** Whatever stands there: it was accepted. */
     private void read(JobId job, String key, Runnable absent) {
       store.get(
           key,
-          StateStore.Urgency.PROMPT,
+          KeyValueStore.Urgency.PROMPT,
           answer -> {
             if (answer instanceof Answer.Found<Item>) {
               found.add(job);
--- a/src/main/java/org/mulleinshift/coordination/chains/package-info.java
+++ b/src/main/java/org/mulleinshift/dependencies/package-info.java
@@ -3,4 +3,4 @@
  * a job inherits from those that need it. All of it follows from what is stored, so that every
  * leader concludes the same.
  */
-package org.mulleinshift.coordination.chains;
+package org.mulleinshift.dependencies;
--- a/src/main/java/org/mulleinshift/coordination/floor/FairParts.java
+++ b/src/main/java/org/mulleinshift/fairness/MaxMinFairShare.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination.floor;
+package org.mulleinshift.fairness;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -10,23 +10,23 @@
  * Weighted max-min shares (water filling): whoever wants less than its part gets all it wants, and
  * the rest is shared again among the others by weight.
  */
-public final class FairParts {
+public final class MaxMinFairShare {
   private final Map<String, Double> parts = new HashMap<>();
 
-  private FairParts() {}
+  private MaxMinFairShare() {}
 
-  public static FairParts of(Collection<Party> parties) {
-    FairParts fair = new FairParts();
-    List<Party> open = new ArrayList<>(parties);
+  public static MaxMinFairShare of(Collection<ShareEntity> parties) {
+    MaxMinFairShare fair = new MaxMinFairShare();
+    List<ShareEntity> open = new ArrayList<>(parties);
     double left = 1;
     boolean settled = true;
     while (settled && !open.isEmpty()) {
-      double weights = open.stream().mapToDouble(Party::weight).sum();
+      double weights = open.stream().mapToDouble(ShareEntity::weight).sum();
       double level = Math.max(0, left) / weights;
-      List<Party> content =
+      List<ShareEntity> content =
           open.stream().filter(party -> party.wanted() <= level * party.weight()).toList();
       settled = !content.isEmpty();
-      for (Party party : settled ? content : open) {
+      for (ShareEntity party : settled ? content : open) {
         double part = settled ? party.wanted() : level * party.weight();
         fair.parts.put(party.name(), part);
         left -= part;
--- a/src/main/java/org/mulleinshift/coordination/floor/Claims.java
+++ b/src/main/java/org/mulleinshift/fairness/ShareClaims.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination.floor;
+package org.mulleinshift.fairness;
 
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -11,29 +11,29 @@
  * shows in what is in use now, so nothing is remembered, and a new leader claims the same as the
  * old one.
  */
-public final class Claims {
+public final class ShareClaims {
   private static final double SLACK = 1e-9;
 
   private final Map<String, Double> floors = new LinkedHashMap<>();
   private final Map<String, Double> claims = new LinkedHashMap<>();
 
-  private Claims() {}
+  private ShareClaims() {}
 
   /**
    * Claims of parties that share one fleet.
    *
    * @param floorShare how much of its fair part is a party's floor; 0: there are no floors
    */
-  public static Claims of(Collection<Party> parties, double floorShare) {
-    Claims result = new Claims();
+  public static ShareClaims of(Collection<ShareEntity> parties, double floorShare) {
+    ShareClaims result = new ShareClaims();
     if (parties.size() < 2 || floorShare <= 0) {
       return result;
     }
-    FairParts fair = FairParts.of(parties);
+    MaxMinFairShare fair = MaxMinFairShare.of(parties);
     boolean excess =
         parties.stream().anyMatch(party -> party.inUse() > fair.of(party.name()) + SLACK);
-    double weights = parties.stream().mapToDouble(Party::weight).sum();
-    for (Party party : parties) {
+    double weights = parties.stream().mapToDouble(ShareEntity::weight).sum();
+    for (ShareEntity party : parties) {
       double own = Math.max(fair.of(party.name()), party.weight() / weights);
       double floor = Math.min(party.wanted(), floorShare * own);
       result.floors.put(party.name(), floor);
--- a/src/main/java/org/mulleinshift/coordination/floor/Party.java
+++ b/src/main/java/org/mulleinshift/fairness/ShareEntity.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination.floor;
+package org.mulleinshift.fairness;
 
 /**
  * Whoever has a fair part: a class of jobs or a team. Amounts are shares of the whole fleet, by the
@@ -9,7 +9,7 @@
  * @param demand that, and what its waiting tasks ask for
  * @param reach how much of the fleet its tasks may be on
  */
-public record Party(String name, double weight, double inUse, double demand, double reach) {
+public record ShareEntity(String name, double weight, double inUse, double demand, double reach) {
   /** What it could use. */
   double wanted() {
     return Math.min(demand, reach);
--- a/src/main/java/org/mulleinshift/coordination/floor/package-info.java
+++ b/src/main/java/org/mulleinshift/fairness/package-info.java
@@ -3,4 +3,4 @@
  * the choice of jobs that can still be in time. Knows shares and times only, nothing of leaders,
  * machines or blocks.
  */
-package org.mulleinshift.coordination.floor;
+package org.mulleinshift.fairness;
--- a/src/main/java/org/mulleinshift/coordination/StandbyAdvice.java
+++ b/src/main/java/org/mulleinshift/leader/EstimateReplicator.java
@@ -1,16 +1,18 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.leader;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
+import org.mulleinshift.autoscaling.BootTimeEstimator;
 import org.mulleinshift.protocol.MachineTypeId;
 import org.mulleinshift.protocol.NodeId;
-import org.mulleinshift.protocol.peer.Advice;
-import org.mulleinshift.protocol.peer.BootsSeen;
-import org.mulleinshift.protocol.peer.ClassRatio;
+import org.mulleinshift.protocol.peer.BootTimeSamples;
+import org.mulleinshift.protocol.peer.LearnedEstimates;
+import org.mulleinshift.protocol.peer.RunTimeRatio;
+import org.mulleinshift.scheduling.RunTimeEstimator;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -19,22 +21,22 @@
  * standby, so that a new leader's first walks need not guess. Advice only: whatever a rule hangs on
  * is read from the store.
  */
-final class StandbyAdvice {
-  private static final Logger LOG = LoggerFactory.getLogger(StandbyAdvice.class);
+public final class EstimateReplicator {
+  private static final Logger LOG = LoggerFactory.getLogger(EstimateReplicator.class);
   private static final int MOST_CLASSES = 256;
   private static final int MOST_TYPES = 64;
   private static final Duration USELESS = Duration.ofMinutes(2);
   private static final Duration AGAIN = Duration.ofSeconds(10);
 
   private final EventLoop loop;
-  private final RunTimes runTimes;
-  private Optional<Advice> heard = Optional.empty();
-  private SteadyTime heardAt;
-  private Optional<Advice> sent = Optional.empty();
+  private final RunTimeEstimator runTimes;
+  private Optional<LearnedEstimates> heard = Optional.empty();
+  private MonotonicTime heardAt;
+  private Optional<LearnedEstimates> sent = Optional.empty();
   private Optional<NodeId> sentTo = Optional.empty();
-  private SteadyTime sentAt;
+  private MonotonicTime sentAt;
 
-  StandbyAdvice(EventLoop loop, RunTimes runTimes) {
+  public EstimateReplicator(EventLoop loop, RunTimeEstimator runTimes) {
     this.loop = loop;
     this.runTimes = runTimes;
     this.heardAt = loop.now();
@@ -42,7 +44,7 @@
   }
 
   /** A leader's message; one of an earlier term than the last is out of date. */
-  void onAdvice(Advice advice) {
+  public void onAdvice(LearnedEstimates advice) {
     if (heard.filter(known -> known.getTerm() > advice.getTerm()).isEmpty()) {
       heard = Optional.of(advice);
       heardAt = loop.now();
@@ -50,13 +52,13 @@
   }
 
   /** A new leader starts from what the last one learned, if that is not too old. */
-  void apply(BootTimes boots) {
+  void apply(BootTimeEstimator boots) {
     Duration age = loop.now().since(heardAt);
     if (heard.isEmpty() || age.compareTo(USELESS) > 0) {
       LOG.info("no advice of an earlier leader");
       return;
     }
-    Advice advice = heard.get();
+    LearnedEstimates advice = heard.get();
     advice.getClasses().forEach(item -> runTimes.advise(item.getName(), item.getRatio()));
     advice
         .getBoots()
@@ -70,14 +72,14 @@
   }
 
   /** What the standby should hear now; none if it knows. */
-  Optional<Advice> next(long term, BootTimes boots, NodeId standby) {
-    List<ClassRatio> classes = new ArrayList<>();
-    runTimes.ratios(MOST_CLASSES).forEach((name, r) -> classes.add(new ClassRatio(name, r)));
-    List<BootsSeen> seen = new ArrayList<>();
+  Optional<LearnedEstimates> next(long term, BootTimeEstimator boots, NodeId standby) {
+    List<RunTimeRatio> classes = new ArrayList<>();
+    runTimes.ratios(MOST_CLASSES).forEach((name, r) -> classes.add(new RunTimeRatio(name, r)));
+    List<BootTimeSamples> seen = new ArrayList<>();
     boots.latest().entrySet().stream()
         .limit(MOST_TYPES)
-        .forEach(e -> seen.add(new BootsSeen(e.getKey().value(), e.getValue())));
-    Optional<Advice> advice = Optional.of(new Advice(term, classes, seen));
+        .forEach(e -> seen.add(new BootTimeSamples(e.getKey().value(), e.getValue())));
+    Optional<LearnedEstimates> advice = Optional.of(new LearnedEstimates(term, classes, seen));
     boolean known =
         advice.equals(sent)
             && sentTo.equals(Optional.of(standby))
--- a/src/main/java/org/mulleinshift/coordination/Leader.java
+++ b/src/main/java/org/mulleinshift/leader/Leader.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.leader;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.time.Duration;
@@ -13,38 +13,54 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
-import org.mulleinshift.bookkeeping.ControlView;
-import org.mulleinshift.bookkeeping.Delegation;
-import org.mulleinshift.bookkeeping.Job;
-import org.mulleinshift.bookkeeping.JobRecord;
-import org.mulleinshift.bookkeeping.Keys;
-import org.mulleinshift.bookkeeping.LeaderJournal;
-import org.mulleinshift.bookkeeping.StateStore;
-import org.mulleinshift.bookkeeping.StateStore.Answer;
-import org.mulleinshift.coordination.membership.WorkerLink;
-import org.mulleinshift.coordination.rollout.Builds;
-import org.mulleinshift.coordination.rollout.UnreadableJobs;
-import org.mulleinshift.protocol.BlockId;
+import org.mulleinshift.autoscaling.Autoscaler;
+import org.mulleinshift.compatibility.FeatureGates;
+import org.mulleinshift.compatibility.UnreadableJobs;
+import org.mulleinshift.dependencies.DependencyTracker;
+import org.mulleinshift.membership.WorkerReachability;
+import org.mulleinshift.model.ClusterView;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.model.JobRecord;
+import org.mulleinshift.model.TaskAssignment;
+import org.mulleinshift.placement.MachineTypeCatalog;
+import org.mulleinshift.progress.ProgressPersister;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec;
-import org.mulleinshift.protocol.StateCodec.Item;
+import org.mulleinshift.protocol.ShardId;
+import org.mulleinshift.protocol.StoreCodec;
+import org.mulleinshift.protocol.StoreCodec.Item;
 import org.mulleinshift.protocol.TeamId;
 import org.mulleinshift.protocol.ZoneId;
-import org.mulleinshift.protocol.peer.BlockReport;
-import org.mulleinshift.protocol.peer.JobCount;
-import org.mulleinshift.protocol.peer.JobDigest;
-import org.mulleinshift.protocol.peer.Knock;
-import org.mulleinshift.protocol.peer.ReportsSeen;
-import org.mulleinshift.protocol.peer.StrangerReport;
-import org.mulleinshift.protocol.peer.TaskReport;
+import org.mulleinshift.protocol.peer.JobSummary;
+import org.mulleinshift.protocol.peer.JobTaskCounts;
+import org.mulleinshift.protocol.peer.OwnerSuspicion;
+import org.mulleinshift.protocol.peer.ShardStatus;
+import org.mulleinshift.protocol.peer.ShardStatusAck;
+import org.mulleinshift.protocol.peer.TaskStatus;
+import org.mulleinshift.protocol.peer.UnknownWorkerReport;
+import org.mulleinshift.scheduling.AllocationIndex;
+import org.mulleinshift.scheduling.AvailableCapacity;
+import org.mulleinshift.scheduling.CapacityReservation;
+import org.mulleinshift.scheduling.FailureAttribution;
+import org.mulleinshift.scheduling.JobRanking;
+import org.mulleinshift.scheduling.RunTimeEstimator;
+import org.mulleinshift.scheduling.SchedulingCycle;
+import org.mulleinshift.scheduling.TeamQuotas;
 import org.mulleinshift.settings.PlatformSettings;
 import org.mulleinshift.settings.Tunables;
+import org.mulleinshift.sharding.AssignmentWriter;
+import org.mulleinshift.sharding.ShardGrants;
+import org.mulleinshift.sharding.ShardView;
+import org.mulleinshift.sharding.TaskPhase;
+import org.mulleinshift.store.KeyValueStore;
+import org.mulleinshift.store.KeyValueStore.Answer;
+import org.mulleinshift.store.StoreKeys;
+import org.mulleinshift.store.TransactionBatcher;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -52,7 +68,7 @@
  * One term of leadership: decides which tasks go to which block, within quotas, zones and spread,
  * and stores that before anybody acts on it. A new leader starts from what is stored.
  */
-final class Leader {
+public final class Leader {
   private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
   private static final Duration RETRY = Duration.ofMillis(400);
   private static final Duration UPKEEP = Duration.ofMillis(500);
@@ -74,20 +90,20 @@
   }
 
   /** What the leader needs of its node. */
-  record Surroundings(
+  public record Surroundings(
       EventLoop loop,
-      StateStore store,
+      KeyValueStore store,
       PlatformSettings settings,
       Tunables tunables,
       NodeId self,
-      ControlView view,
-      Catalog catalog,
-      RunTimes runTimes,
-      StandbyAdvice advice,
-      Builds builds,
+      ClusterView view,
+      MachineTypeCatalog catalog,
+      RunTimeEstimator runTimes,
+      EstimateReplicator advice,
+      FeatureGates builds,
       Supplier<Optional<NodeId>> standby,
       Function<NodeId, Duration> peerSilence,
-      Function<NodeId, WorkerLink.State> hearing,
+      Function<NodeId, WorkerReachability.State> hearing,
       Predicate<NodeId> storeLost,
       BiConsumer<NodeId, Object> send,
       BooleanSupplier certain,
@@ -96,36 +112,36 @@
   private final Surroundings around;
   private final EventLoop loop;
   private final Revision term;
-  private final LeaderJournal journal;
-  private final ProgressKeeper progress;
-  private final ChainKeeper chains;
+  private final TransactionBatcher journal;
+  private final ProgressPersister progress;
+  private final DependencyTracker chains;
   private final Map<JobId, Job> jobs = new TreeMap<>();
-  private final Map<BlockId, LeaderBlock> blocks = new TreeMap<>();
-  private final Quota quota;
-  private final FreeRoom freeRoom;
+  private final Map<ShardId, ShardView> blocks = new TreeMap<>();
+  private final TeamQuotas quota;
+  private final AvailableCapacity freeRoom;
   private final AssignmentWriter assignments;
-  private final Blame blame;
-  private final Occupancy occupancy = new Occupancy();
-  private final Fleet fleet;
-  private final Headroom headroom;
+  private final FailureAttribution blame;
+  private final AllocationIndex occupancy = new AllocationIndex();
+  private final Autoscaler fleet;
+  private final CapacityReservation headroom;
   private final SchedulingCycle scheduling;
-  private final BlockGrants grants;
+  private final ShardGrants grants;
   private final List<JobRecord> early = new ArrayList<>();
   private final UnreadableJobs unreadable = new UnreadableJobs();
   private State state = State.LOADING;
   private Revision loadedAt = new Revision(0);
-  private SteadyTime lastCycle;
+  private MonotonicTime lastCycle;
   private Duration cycleTook = Duration.ZERO;
   private boolean cyclePlanned;
   private boolean sendPlanned;
 
-  Leader(Surroundings around, Fleet.Cloud cloud, Revision term) {
+  public Leader(Surroundings around, Autoscaler.Cloud cloud, Revision term) {
     this.around = around;
     this.loop = around.loop();
     this.term = term;
     this.lastCycle = loop.now();
     this.journal =
-        new LeaderJournal(
+        new TransactionBatcher(
             loop,
             around.store(),
             term,
@@ -133,23 +149,23 @@
             spacing(around.settings().cluster().state()),
             around.resign());
     this.progress =
-        new ProgressKeeper(this, around, journal, batch(around.settings().cluster().state()));
-    this.chains = new ChainKeeper(this, around);
-    this.quota = new Quota(around.settings().cluster().teams());
-    this.freeRoom = new FreeRoom(this, around.catalog());
+        new ProgressPersister(this, around, journal, batch(around.settings().cluster().state()));
+    this.chains = new DependencyTracker(this, around);
+    this.quota = new TeamQuotas(around.settings().cluster().teams());
+    this.freeRoom = new AvailableCapacity(this, around.catalog());
     this.assignments = new AssignmentWriter(this, loop, term);
     this.blame =
-        new Blame(
+        new FailureAttribution(
             around.tunables().count(Tunables.Key.FAULTY_AFTER),
             around.tunables().seconds(Tunables.Key.ERROR_PAUSE_S));
     this.headroom =
-        new Headroom(
+        new CapacityReservation(
             around.settings().cluster().objectives(),
             around.tunables().number(Tunables.Key.HEADROOM_JOBS),
             around.tunables().seconds(Tunables.Key.HEADROOM_LASTS_S));
     this.scheduling = new SchedulingCycle(this, around, term, freeRoom);
-    this.fleet = new Fleet(this, around, cloud, term);
-    this.grants = new BlockGrants(this, around, journal);
+    this.fleet = new Autoscaler(this, around, cloud, term);
+    this.grants = new ShardGrants(this, around, journal);
   }
 
   /** A batch above what the service lets through at once would be refused for ever. */
@@ -170,22 +186,22 @@
     state = next;
   }
 
-  void start() {
-    load(Keys.ACTIVE, this::loadJobs, this::awaitControlView);
+  public void start() {
+    load(StoreKeys.ACTIVE, this::loadJobs, this::awaitControlView);
   }
 
-  void retire() {
+  public void retire() {
     moveTo(State.RETIRED);
     journal.close();
   }
 
   /** Page by page, and no page is kept: after a fall of all controllers there are many. */
-  private void load(String prefix, Consumer<StateCodec.Range> taker, Runnable then) {
+  private void load(String prefix, Consumer<StoreCodec.Range> taker, Runnable then) {
     load(prefix, Optional.empty(), taker, then);
   }
 
   private void load(
-      String prefix, Optional<String> after, Consumer<StateCodec.Range> taker, Runnable then) {
+      String prefix, Optional<String> after, Consumer<StoreCodec.Range> taker, Runnable then) {
     around
         .store()
         .page(
@@ -195,11 +211,11 @@
               if (state != State.LOADING) {
                 return;
               }
-              if (!(answer instanceof Answer.Found<StateCodec.Range> found)) {
+              if (!(answer instanceof Answer.Found<StoreCodec.Range> found)) {
                 loop.after(RETRY, () -> load(prefix, after, taker, then));
                 return;
               }
-              StateCodec.Range page = found.value();
+              StoreCodec.Range page = found.value();
               taker.accept(page);
               if (page.next().isPresent()) {
                 load(prefix, page.next(), taker, then);
@@ -209,14 +225,14 @@
             });
   }
 
-  private void loadJobs(StateCodec.Range page) {
+  private void loadJobs(StoreCodec.Range page) {
     // The first page's: what changed since then comes by the watch.
     loadedAt = loadedAt.value() == 0 ? page.revision() : loadedAt;
     for (Item item : page.items()) {
       Optional<JobRecord> record = JobRecord.read(item);
       record.ifPresent(chains::admit);
       if (record.isEmpty()) {
-        onUnreadable(new JobId(item.key().substring(Keys.ACTIVE.length())), item.value());
+        onUnreadable(new JobId(item.key().substring(StoreKeys.ACTIVE.length())), item.value());
       }
     }
   }
@@ -225,22 +241,22 @@
    * A job's record that this build can't read. A newer build's rewriting of a job that this leader
    * has already taken up ends its part in the job at once.
    */
-  void onUnreadable(JobId id, JsonNode record) {
+  public void onUnreadable(JobId id, JsonNode record) {
     if (state == State.RETIRED) {
       return;
     }
     putAside(id, record, "its record");
-    blocks.values().forEach(LeaderBlock::changed);
+    blocks.values().forEach(ShardView::changed);
     sendSoon();
   }
 
   /** Holders hear no more of the job's tasks, and leave alone what runs of them. */
-  void putAside(JobId id, JsonNode record, String why) {
+  public void putAside(JobId id, JsonNode record, String why) {
     unreadable.add(id, record, why);
     Job job = jobs.remove(id);
     chains.drop(id);
     if (job != null) {
-      for (Delegation delegation : job.delegations()) {
+      for (TaskAssignment delegation : job.delegations()) {
         unreadable.mayBeAt(delegation.block());
         if (state == State.LEADING) {
           occupancy.leave(delegation);
@@ -262,47 +278,47 @@
       return;
     }
     around.view().blocks().forEach(this::adoptBlock);
-    load(Keys.LOG, progress.loader()::loadSegments, this::loadParts);
+    load(StoreKeys.LOG, progress.loader()::loadSegments, this::loadParts);
   }
 
   private void loadParts() {
     load(
-        Keys.PROGRESS,
+        StoreKeys.PROGRESS,
         progress.loader()::loadParts,
-        () -> load(Keys.RENTALS, this::loadRentals, this::begin));
+        () -> load(StoreKeys.RENTALS, this::loadRentals, this::begin));
   }
 
-  private void adoptBlock(BlockId id, ControlView.BlockRecord record) {
-    LeaderBlock block = new LeaderBlock(id, record.zone(), loop.now());
+  private void adoptBlock(ShardId id, ClusterView.BlockRecord record) {
+    ShardView block = new ShardView(id, record.zone(), loop.now());
     block.machines().putAll(record.machines());
     block.beyond(record.beyond());
     block.lastHolder(record.lastHolder());
     blocks.put(id, block);
-    journal.known(Keys.block(id), record.version());
+    journal.known(StoreKeys.block(id), record.version());
   }
 
-  private void loadRentals(StateCodec.Range page) {
+  private void loadRentals(StoreCodec.Range page) {
     fleet.rentals().load(page.items(), journal);
   }
 
-  void tell(Delegation delegation) {
-    LeaderBlock block = blocks.get(delegation.block());
+  public void tell(TaskAssignment delegation) {
+    ShardView block = blocks.get(delegation.block());
     if (block != null) {
       block.tell(delegation);
       sendSoon();
     }
   }
 
-  void untell(Delegation delegation) {
-    LeaderBlock block = blocks.get(delegation.block());
+  public void untell(TaskAssignment delegation) {
+    ShardView block = blocks.get(delegation.block());
     if (block != null) {
       block.untell(delegation);
       sendSoon();
     }
   }
 
-  ZoneId zoneOf(BlockId block) {
-    LeaderBlock found = blocks.get(block);
+  public ZoneId zoneOf(ShardId block) {
+    ShardView found = blocks.get(block);
     return found != null ? found.zone() : new ZoneId(block.value());
   }
 
@@ -329,7 +345,7 @@
   }
 
   /** A job that may run, or is to end; one that was held comes here once it is not any more. */
-  void take(Job job) {
+  public void take(Job job) {
     jobs.put(job.spec().id(), job);
     if (state == State.LEADING) {
       enter(job);
@@ -339,49 +355,49 @@
   }
 
   /** A job that is not over, held or not. */
-  Optional<Job> known(JobId id) {
+  public Optional<Job> known(JobId id) {
     return Optional.ofNullable(jobs.get(id)).or(() -> chains.held(id));
   }
 
-  boolean leading() {
+  public boolean leading() {
     return state == State.LEADING;
   }
 
   /** The term goes on, or will. */
-  boolean serving() {
+  public boolean serving() {
     return state != State.RETIRED;
   }
 
-  ChainKeeper chains() {
+  public DependencyTracker chains() {
     return chains;
   }
 
-  LeaderJournal journal() {
+  public TransactionBatcher journal() {
     return journal;
   }
 
-  Headroom headroom() {
+  public CapacityReservation headroom() {
     return headroom;
   }
 
-  Map<BlockId, LeaderBlock> blocks() {
+  public Map<ShardId, ShardView> blocks() {
     return blocks;
   }
 
-  Map<JobId, Job> jobs() {
+  public Map<JobId, Job> jobs() {
     return jobs;
   }
 
-  Fleet fleet() {
+  public Autoscaler fleet() {
     return fleet;
   }
 
-  Occupancy occupancy() {
+  public AllocationIndex occupancy() {
     return occupancy;
   }
 
   /** A change of an active job in the store, as the watch brings it. */
-  void onJob(JobRecord record) {
+  public void onJob(JobRecord record) {
     if (state == State.LOADING) {
       // What is accepted while a new leader loads may be in no page that it read: it waits.
       early.add(record);
@@ -406,31 +422,31 @@
     cycleSoon();
   }
 
-  void onControlChange() {
+  public void onControlChange() {
     if (state != State.LEADING) {
       return;
     }
-    for (LeaderBlock block : blocks.values()) {
-      ControlView.GrantRecord seen = around.view().grants().get(block.id());
+    for (ShardView block : blocks.values()) {
+      ClusterView.GrantRecord seen = around.view().grants().get(block.id());
       block.grant(
           Optional.ofNullable(seen)
-              .map(grant -> new LeaderBlock.Grant(grant.holder(), grant.revision())),
+              .map(grant -> new ShardView.Grant(grant.holder(), grant.revision())),
           loop.now());
       if (seen == null) {
-        journal.forgotten(Keys.grant(block.id()));
+        journal.forgotten(StoreKeys.grant(block.id()));
       } else {
-        journal.known(Keys.grant(block.id()), seen.revision());
+        journal.known(StoreKeys.grant(block.id()), seen.revision());
       }
     }
     grants.assign();
     sendSoon();
   }
 
-  void onBlockReport(BlockReport report) {
+  public void onBlockReport(ShardStatus report) {
     if (state != State.LEADING) {
       return;
     }
-    LeaderBlock block = blocks.get(new BlockId(report.getBlock()));
+    ShardView block = blocks.get(new ShardId(report.getBlock()));
     if (block == null
         || block.grant().filter(g -> g.revision().value() == report.getGrant()).isEmpty()) {
       return;
@@ -447,7 +463,7 @@
       return;
     }
     List<MachineId> named = block.reported(report, loop.now());
-    for (TaskReport task : report.getTasks()) {
+    for (TaskStatus task : report.getTasks()) {
       onTask(task);
     }
     named.forEach(machine -> fleet.onReport(block, machine));
@@ -456,7 +472,7 @@
     }
   }
 
-  private void confirmReports(LeaderBlock block) {
+  private void confirmReports(ShardView block) {
     block
         .grant()
         .ifPresent(
@@ -465,25 +481,25 @@
                     .send()
                     .accept(
                         grant.holder(),
-                        new ReportsSeen(
+                        new ShardStatusAck(
                             term.value(),
                             block.id().value(),
                             grant.revision().value(),
                             block.lastSequence())));
   }
 
-  void onStranger(StrangerReport report) {
+  public void onStranger(UnknownWorkerReport report) {
     if (state == State.LEADING) {
       fleet.onStranger(report);
     }
   }
 
-  private void onTask(TaskReport report) {
+  private void onTask(TaskStatus report) {
     Job job = jobs.get(new JobId(report.getJob()));
-    Delegation delegation = job == null ? null : job.delegation(report.getIndex()).orElse(null);
+    TaskAssignment delegation = job == null ? null : job.delegation(report.getIndex()).orElse(null);
     if (delegation == null
         || delegation.attempt().value() != report.getAttempt()
-        || delegation.state() == Delegation.State.ENDED) {
+        || delegation.state() == TaskAssignment.State.ENDED) {
       return;
     }
     occupancy.leave(delegation);
@@ -491,9 +507,9 @@
     occupancy.enter(delegation);
   }
 
-  private void onTask(TaskReport report, Job job, Delegation delegation) {
+  private void onTask(TaskStatus report, Job job, TaskAssignment delegation) {
     MachineId machine = new MachineId(report.getMachine());
-    SteadyTime since = loop.now().minus(Duration.ofMillis(report.getRanMs()));
+    MonotonicTime since = loop.now().minus(Duration.ofMillis(report.getRanMs()));
     switch (TaskPhase.fromWireName(report.getPhase())) {
       case NEW -> delegation.unplaced();
       case STARTING, FETCHING -> delegation.placed(machine);
@@ -523,38 +539,38 @@
     }
   }
 
-  private void returned(Job job, Delegation delegation, Optional<SteadyTime> notBefore) {
+  private void returned(Job job, TaskAssignment delegation, Optional<MonotonicTime> notBefore) {
     job.taskReturned(delegation, notBefore);
     changed(job, delegation.task().index());
   }
 
-  Quota quota() {
+  public TeamQuotas quota() {
     return quota;
   }
 
   /** Takes no new task. */
-  boolean closed(MachineId machine) {
+  public boolean closed(MachineId machine) {
     return fleet.closed(machine) || blame.faulty(machine) || blame.suspect(machine, loop.now());
   }
 
   /** Jobs that this build can't read. */
-  UnreadableJobs unreadable() {
+  public UnreadableJobs unreadable() {
     return unreadable;
   }
 
   /** What each team has out, or may have. */
-  Map<TeamId, Resources> use() {
-    Map<TeamId, Resources> use = Quota.use(jobs.values());
+  public Map<TeamId, Resources> use() {
+    Map<TeamId, Resources> use = TeamQuotas.use(jobs.values());
     unreadable.addUse(use);
     return use;
   }
 
   /** Whether a task is, may be about to be, or may unknown to this build be on the machine. */
-  boolean busy(MachineId machine, BlockId block) {
+  public boolean busy(MachineId machine, ShardId block) {
     return occupancy.busy(machine, block) || unreadable.mayBeIn(block);
   }
 
-  Blame blame() {
+  public FailureAttribution blame() {
     return blame;
   }
 
@@ -564,10 +580,10 @@
   }
 
   /** Ends the job if nothing is left of it; stops its tasks if it was cancelled. */
-  void settle(Job job) {
+  public void settle(Job job) {
     if (job.state() == Job.State.CANCELLING) {
       chains.cancelledWith(job.spec().id());
-      for (Delegation delegation : job.delegations()) {
+      for (TaskAssignment delegation : job.delegations()) {
         if (!delegation.stopRequested()) {
           requestStop(delegation);
         }
@@ -580,7 +596,7 @@
   }
 
   /** The job's end is stored; these were the tasks that the store still knew of. */
-  void ended(Job job, List<Delegation> left, long atMillis) {
+  public void ended(Job job, List<TaskAssignment> left, long atMillis) {
     JobId id = job.spec().id();
     jobs.remove(id);
     blame.over(id);
@@ -590,15 +606,15 @@
     cycleSoon();
   }
 
-  void requestStop(Delegation delegation) {
+  public void requestStop(TaskAssignment delegation) {
     delegation.requestStop();
     if (delegation.told()) {
       tell(delegation);
     }
   }
 
-  void touch(BlockId block) {
-    LeaderBlock found = blocks.get(block);
+  public void touch(ShardId block) {
+    ShardView found = blocks.get(block);
     if (found != null) {
       found.changed();
       sendSoon();
@@ -613,7 +629,7 @@
     describeBlocks();
     progress.upkeep();
     grants.assign();
-    for (LeaderBlock block : blocks.values()) {
+    for (ShardView block : blocks.values()) {
       if (block.sequenceToConfirm()) {
         confirmReports(block);
       }
@@ -626,7 +642,7 @@
     if (!LOG.isDebugEnabled()) {
       return;
     }
-    for (LeaderBlock block : blocks.values()) {
+    for (ShardView block : blocks.values()) {
       LOG.debug(
           "{}: {}, reported {} ms ago, {} of {} machines usable, {}",
           block.id(),
@@ -638,8 +654,8 @@
     }
   }
 
-  void onKnock(Knock knock) {
-    LeaderBlock block = blocks.get(new BlockId(knock.getBlock()));
+  public void onKnock(OwnerSuspicion knock) {
+    ShardView block = blocks.get(new ShardId(knock.getBlock()));
     boolean current =
         block != null
             && block.grant().filter(g -> g.revision().value() == knock.getGrant()).isPresent();
@@ -648,7 +664,7 @@
     }
   }
 
-  void sendSoon() {
+  public void sendSoon() {
     if (!sendPlanned) {
       sendPlanned = true;
       loop.post(
@@ -663,14 +679,14 @@
     if (state != State.LEADING || !around.certain().getAsBoolean()) {
       return;
     }
-    for (LeaderBlock block : blocks.values()) {
+    for (ShardView block : blocks.values()) {
       if (block.grant().isPresent() && (block.lost(loop.now(), RESEND) || block.dirty())) {
         around.send().accept(block.grant().get().holder(), assignments.of(block));
       }
     }
   }
 
-  void cycleSoon() {
+  public void cycleSoon() {
     if (cyclePlanned || state != State.LEADING) {
       return;
     }
@@ -700,11 +716,11 @@
     cycleTook = loop.now().since(lastCycle);
   }
 
-  Ranking ranking() {
+  public JobRanking ranking() {
     return scheduling.ranking();
   }
 
-  ProgressKeeper progress() {
+  public ProgressPersister progress() {
     return progress;
   }
 
@@ -722,16 +738,16 @@
                     .advice()
                     .next(term.value(), fleet.boots(), node)
                     .ifPresent(advice -> around.send().accept(node, advice)));
-    List<JobCount> counts = new ArrayList<>();
+    List<JobTaskCounts> counts = new ArrayList<>();
     for (Job job : jobs.values()) {
       // A job that waits is known to have none done and none running without being named.
       int done = job.doneCount();
       int running = job.runningCount();
       if (done + running > 0) {
-        counts.add(new JobCount(job.spec().id().value(), done, running));
+        counts.add(new JobTaskCounts(job.spec().id().value(), done, running));
       }
     }
-    JobDigest digest = new JobDigest(counts);
+    JobSummary digest = new JobSummary(counts);
     around.send().accept(around.self(), digest);
     around
         .settings()
--- a/src/main/java/org/mulleinshift/coordination/membership/SharedBlock.java
+++ b/src/main/java/org/mulleinshift/membership/AssignableShard.java
@@ -1,15 +1,15 @@
-package org.mulleinshift.coordination.membership;
+package org.mulleinshift.membership;
 
 import java.time.Duration;
 import java.util.Optional;
-import org.mulleinshift.protocol.BlockId;
 import org.mulleinshift.protocol.NodeId;
+import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.ZoneId;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 
 /** A block as far as it matters for who holds it. */
-public interface SharedBlock {
-  BlockId id();
+public interface AssignableShard {
+  ShardId id();
 
   ZoneId zone();
 
@@ -22,11 +22,11 @@
   Optional<NodeId> lastHolder();
 
   /** For how long it has had no grant at all. */
-  Duration without(SteadyTime now);
+  Duration without(MonotonicTime now);
 
   /** The next holder, while the grant is being stored. */
   Optional<NodeId> granting();
 
   /** For how long the holder has shown no sign of anything new that was sent to it. */
-  Duration unheard(SteadyTime now);
+  Duration unheard(MonotonicTime now);
 }
--- a/src/main/java/org/mulleinshift/coordination/membership/Session.java
+++ b/src/main/java/org/mulleinshift/membership/ControllerSession.java
@@ -1,34 +1,34 @@
-package org.mulleinshift.coordination.membership;
+package org.mulleinshift.membership;
 
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.mulleinshift.bookkeeping.ControlView;
-import org.mulleinshift.bookkeeping.Keys;
-import org.mulleinshift.bookkeeping.StateStore;
-import org.mulleinshift.bookkeeping.StateStore.Answer;
-import org.mulleinshift.coordination.membership.RightToAct.Ground;
-import org.mulleinshift.protocol.BlockId;
-import org.mulleinshift.protocol.HoldId;
+import org.mulleinshift.membership.OwnershipLease.Ground;
+import org.mulleinshift.model.ClusterView;
+import org.mulleinshift.protocol.LeaseId;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec;
-import org.mulleinshift.protocol.StateCodec.Guard;
-import org.mulleinshift.protocol.StateCodec.Item;
-import org.mulleinshift.protocol.StateCodec.Write;
+import org.mulleinshift.protocol.ShardId;
+import org.mulleinshift.protocol.StoreCodec;
+import org.mulleinshift.protocol.StoreCodec.Guard;
+import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.Write;
+import org.mulleinshift.store.KeyValueStore;
+import org.mulleinshift.store.KeyValueStore.Answer;
+import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
  * This process's lease at the state service, to which its block grants are bound, and the proof
- * that the grants still stand. How long this node may act by them is its {@link RightToAct}.
+ * that the grants still stand. How long this node may act by them is its {@link OwnershipLease}.
  */
-public final class Session {
-  private static final Logger LOG = LoggerFactory.getLogger(Session.class);
+public final class ControllerSession {
+  private static final Logger LOG = LoggerFactory.getLogger(ControllerSession.class);
   private static final Duration RETRY = Duration.ofMillis(500);
 
   /** States of the session. */
@@ -41,27 +41,27 @@
   }
 
   private final EventLoop loop;
-  private final StateStore store;
+  private final KeyValueStore store;
   private final NodeId self;
   private final Duration ttl;
   private final Duration renewEvery;
   private final Runnable proveCancellations;
   private final Runnable onChange;
-  private final RightToAct right;
+  private final OwnershipLease right;
   private State state = State.CLEARING;
-  private Optional<HoldId> hold = Optional.empty();
-  private SteadyTime verifiedAt;
+  private Optional<LeaseId> hold = Optional.empty();
+  private MonotonicTime verifiedAt;
   private boolean stood;
-  private Map<BlockId, Revision> verified = Map.of();
+  private Map<ShardId, Revision> verified = Map.of();
   private boolean verifyPlanned;
 
   /**
    * @param proveCancellations asks the store whether all cancellations are known; {@link
    *     #cancellationsKnown} tells what came of it
    */
-  public Session(
+  public ControllerSession(
       EventLoop loop,
-      StateStore store,
+      KeyValueStore store,
       NodeId self,
       Duration ttl,
       Duration renewEvery,
@@ -74,7 +74,7 @@
     this.renewEvery = renewEvery;
     this.proveCancellations = proveCancellations;
     this.onChange = onChange;
-    this.right = new RightToAct(ttl);
+    this.right = new OwnershipLease(ttl);
     this.verifiedAt = loop.now().minus(ttl);
   }
 
@@ -91,12 +91,12 @@
   /** A restarted leader frees the leader's key at once instead of waiting for its lease. */
   private void clearLeaderKey() {
     store.get(
-        Keys.LEADER,
-        StateStore.Urgency.URGENT,
+        StoreKeys.LEADER,
+        KeyValueStore.Urgency.URGENT,
         answer -> {
           if (answer instanceof Answer.Found<Item> found
               && found.value().value().path("node").asText().equals(self.value())) {
-            endOld(new HoldId(found.value().value().path("hold").asLong()), this::clearNodeKey);
+            endOld(new LeaseId(found.value().value().path("hold").asLong()), this::clearNodeKey);
           } else if (answer instanceof Answer.Found<Item>
               || answer instanceof Answer.Absent<Item>) {
             clearNodeKey();
@@ -108,11 +108,11 @@
 
   private void clearNodeKey() {
     store.get(
-        Keys.node(self),
-        StateStore.Urgency.URGENT,
+        StoreKeys.node(self),
+        KeyValueStore.Urgency.URGENT,
         answer -> {
           if (answer instanceof Answer.Found<Item> found) {
-            endOld(ControlView.nodeRecord(found.value()).hold(), this::acquire);
+            endOld(ClusterView.nodeRecord(found.value()).hold(), this::acquire);
           } else if (answer instanceof Answer.Absent<Item>) {
             acquire();
           } else {
@@ -121,7 +121,7 @@
         });
   }
 
-  private void endOld(HoldId old, Runnable next) {
+  private void endOld(LeaseId old, Runnable next) {
     store.endHold(
         old,
         answer -> {
@@ -135,11 +135,11 @@
 
   private void acquire() {
     moveTo(State.ACQUIRING);
-    SteadyTime sent = loop.now();
+    MonotonicTime sent = loop.now();
     store.grantHold(
         ttl,
         answer -> {
-          if (answer instanceof Answer.Found<HoldId> found) {
+          if (answer instanceof Answer.Found<LeaseId> found) {
             hold = Optional.of(found.value());
             renewed(sent);
             register(found.value());
@@ -149,14 +149,14 @@
         });
   }
 
-  private void register(HoldId mine) {
+  private void register(LeaseId mine) {
     moveTo(State.REGISTERING);
     store.commit(
-        List.of(new Guard(Keys.node(self), new Revision(0))),
-        List.of(Write.put(Keys.node(self), ControlView.nodeValue(mine), mine)),
-        StateStore.Urgency.URGENT,
+        List.of(new Guard(StoreKeys.node(self), new Revision(0))),
+        List.of(Write.put(StoreKeys.node(self), ClusterView.nodeValue(mine), mine)),
+        KeyValueStore.Urgency.URGENT,
         outcome -> {
-          if (outcome instanceof StateStore.Outcome.Committed) {
+          if (outcome instanceof KeyValueStore.Outcome.Committed) {
             moveTo(State.HELD);
             renew(mine);
           } else {
@@ -166,11 +166,11 @@
         });
   }
 
-  private void renew(HoldId mine) {
+  private void renew(LeaseId mine) {
     if (!hold.equals(Optional.of(mine))) {
       return;
     }
-    SteadyTime sent = loop.now();
+    MonotonicTime sent = loop.now();
     verify();
     if (!right.fresh(Ground.CANCELLATIONS_KNOWN, sent, renewEvery.dividedBy(2))) {
       proveCancellations.run();
@@ -193,11 +193,11 @@
         });
   }
 
-  private void renewed(SteadyTime sent) {
+  private void renewed(MonotonicTime sent) {
     right.shown(Ground.SESSION_RENEWED, sent);
   }
 
-  private void over(HoldId mine) {
+  private void over(LeaseId mine) {
     LOG.warn("session lease {} is over", mine);
     hold = Optional.empty();
     right.gone(Ground.SESSION_RENEWED);
@@ -205,7 +205,7 @@
     acquire();
   }
 
-  private void verified(SteadyTime sent, Map<BlockId, Revision> mine) {
+  private void verified(MonotonicTime sent, Map<ShardId, Revision> mine) {
     if (sent.isAfter(verifiedAt)) {
       verifiedAt = sent;
       right.shown(Ground.GRANTS_READ, sent);
@@ -222,7 +222,7 @@
    *
    * @param sent when this node asked
    */
-  public void proven(HoldId renewed, SteadyTime sent, Map<BlockId, Revision> mine) {
+  public void proven(LeaseId renewed, MonotonicTime sent, Map<ShardId, Revision> mine) {
     if (state == State.HELD && hold.equals(Optional.of(renewed))) {
       renewed(sent);
       verified(sent, mine);
@@ -230,7 +230,7 @@
   }
 
   /** A peer found that the lease is over. */
-  public void provenOver(HoldId ended) {
+  public void provenOver(LeaseId ended) {
     if (state == State.HELD && hold.equals(Optional.of(ended))) {
       over(ended);
     }
@@ -238,15 +238,16 @@
 
   /** Reads which grants stand. A watch does not prove that: its news may be held back. */
   private void verify() {
-    SteadyTime sent = loop.now();
+    MonotonicTime sent = loop.now();
     store.range(
-        Keys.GRANTS,
+        StoreKeys.GRANTS,
         answer -> {
-          if (answer instanceof Answer.Found<StateCodec.Range> found) {
-            Map<BlockId, Revision> mine = new HashMap<>();
+          if (answer instanceof Answer.Found<StoreCodec.Range> found) {
+            Map<ShardId, Revision> mine = new HashMap<>();
             for (Item item : found.value().items()) {
               if (item.value().path("holder").asText().equals(self.value())) {
-                mine.put(new BlockId(item.key().substring(Keys.GRANTS.length())), item.version());
+                mine.put(
+                    new ShardId(item.key().substring(StoreKeys.GRANTS.length())), item.version());
               }
             }
             verified(sent, mine);
@@ -273,12 +274,12 @@
    *
    * @param asked when the question was sent whose answer showed it
    */
-  public void cancellationsKnown(SteadyTime asked) {
+  public void cancellationsKnown(MonotonicTime asked) {
     right.shown(Ground.CANCELLATIONS_KNOWN, asked);
   }
 
   /** Checked whenever this node acts, not only by a timer: timers may go off late. */
-  public boolean entitled(BlockId block, Revision grant) {
+  public boolean entitled(ShardId block, Revision grant) {
     return mayAct() && grant.equals(verified.get(block));
   }
 
@@ -298,11 +299,11 @@
     stood = stands;
   }
 
-  public Map<BlockId, Revision> grants() {
+  public Map<ShardId, Revision> grants() {
     return verified;
   }
 
-  public Optional<HoldId> hold() {
+  public Optional<LeaseId> hold() {
     return state == State.HELD ? hold : Optional.empty();
   }
 
--- a/src/main/java/org/mulleinshift/coordination/membership/PeerProofs.java
+++ b/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination.membership;
+package org.mulleinshift.membership;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.time.Duration;
@@ -8,24 +8,24 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.BiConsumer;
-import org.mulleinshift.bookkeeping.ControlView;
-import org.mulleinshift.bookkeeping.Keys;
-import org.mulleinshift.bookkeeping.PrefixView;
-import org.mulleinshift.bookkeeping.StateStore;
-import org.mulleinshift.bookkeeping.StateStore.Answer;
-import org.mulleinshift.protocol.BadMessage;
-import org.mulleinshift.protocol.BlockId;
-import org.mulleinshift.protocol.HoldId;
+import org.mulleinshift.model.ClusterView;
 import org.mulleinshift.protocol.Json;
+import org.mulleinshift.protocol.LeaseId;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec.Change;
-import org.mulleinshift.protocol.StateCodec.Changes;
+import org.mulleinshift.protocol.ShardId;
+import org.mulleinshift.protocol.StoreCodec.Change;
+import org.mulleinshift.protocol.StoreCodec.Changes;
 import org.mulleinshift.protocol.peer.KeyChange;
-import org.mulleinshift.protocol.peer.ProofAnswer;
-import org.mulleinshift.protocol.peer.ProofRequest;
+import org.mulleinshift.protocol.peer.LeaseRenewalRequest;
+import org.mulleinshift.protocol.peer.LeaseRenewalResponse;
+import org.mulleinshift.store.KeyValueStore;
+import org.mulleinshift.store.KeyValueStore.Answer;
+import org.mulleinshift.store.StoreKeys;
+import org.mulleinshift.store.WatchCache;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -33,55 +33,56 @@
  * A controller that lost the state service asks a served peer to renew its session lease, to tell
  * what has changed among the control keys, and what among the active jobs, where cancellations are;
  * so it goes on holding its blocks. What the peer does comes after the question: each ground of the
- * {@link RightToAct} counts from when it was asked for.
+ * {@link OwnershipLease} counts from when it was asked for.
  *
  * <p>The question for the active jobs names no lease. A peer of an earlier build finds that lease
  * over, says so, and proves nothing by it.
  */
-public final class PeerProofs {
-  private static final Logger LOG = LoggerFactory.getLogger(PeerProofs.class);
+public final class IndirectLeaseRenewal {
+  private static final Logger LOG = LoggerFactory.getLogger(IndirectLeaseRenewal.class);
   private static final Duration EVERY = Duration.ofSeconds(1);
 
   /** Longer answers are left out; the asker then runs to the end of its lease. */
   private static final int MOST_CHARACTERS = 1 << 19;
 
-  private static final HoldId NO_LEASE = new HoldId(0);
+  private static final LeaseId NO_LEASE = new LeaseId(0);
   private static final Duration BAD_LOGGED = Duration.ofMinutes(1);
 
-  private record Question(HoldId hold, Revision since, SteadyTime askedAt) {
+  private record Question(LeaseId hold, Revision since, MonotonicTime askedAt) {
     String prefix() {
-      return hold.equals(NO_LEASE) ? Keys.ACTIVE : Keys.CONTROL;
+      return hold.equals(NO_LEASE) ? StoreKeys.ACTIVE : StoreKeys.CONTROL;
     }
   }
 
   private final EventLoop loop;
   private final NodeId self;
-  private final StateStore store;
-  private final StateLink link;
-  private final Links links;
-  private final Session session;
-  private final ControlView view;
-  private final PrefixView control;
-  private final PrefixView jobs;
+  private final KeyValueStore store;
+  private final StoreHealth link;
+  private final PeerFailureDetector links;
+  private final ControllerSession session;
+  private final ClusterView view;
+  private final WatchCache control;
+  private final WatchCache jobs;
   private final BiConsumer<NodeId, Object> send;
   private final Map<Long, Question> asked = new HashMap<>();
   private long questions;
   private long turns;
   private boolean running;
   private long bad;
-  private Optional<SteadyTime> badLoggedAt = Optional.empty();
+  private Optional<MonotonicTime> badLoggedAt = Optional.empty();
 
   /** What proofs are made of. */
   public record Parts(
-      StateStore store,
-      StateLink link,
-      Links links,
-      Session session,
-      ControlView view,
-      PrefixView control,
-      PrefixView jobs) {}
-
-  public PeerProofs(EventLoop loop, NodeId self, Parts parts, BiConsumer<NodeId, Object> send) {
+      KeyValueStore store,
+      StoreHealth link,
+      PeerFailureDetector links,
+      ControllerSession session,
+      ClusterView view,
+      WatchCache control,
+      WatchCache jobs) {}
+
+  public IndirectLeaseRenewal(
+      EventLoop loop, NodeId self, Parts parts, BiConsumer<NodeId, Object> send) {
     this.loop = loop;
     this.self = self;
     this.store = parts.store();
@@ -103,14 +104,14 @@
   }
 
   private void ask() {
-    if (link.state() != StateLink.State.LOST) {
+    if (link.state() != StoreHealth.State.LOST) {
       running = false;
       asked.clear();
       return;
     }
     loop.after(EVERY, this::ask);
     List<NodeId> served = links.servedPeers();
-    Optional<HoldId> hold = session.hold();
+    Optional<LeaseId> hold = session.hold();
     if (hold.isEmpty() || served.isEmpty()) {
       return;
     }
@@ -122,20 +123,20 @@
     ask(peer, NO_LEASE, jobs.revision());
   }
 
-  private void ask(NodeId peer, HoldId hold, Revision since) {
+  private void ask(NodeId peer, LeaseId hold, Revision since) {
     long id = ++questions;
     asked.put(id, new Question(hold, since, loop.now()));
-    send.accept(peer, new ProofRequest(id, hold.value(), since.value()));
+    send.accept(peer, new LeaseRenewalRequest(id, hold.value(), since.value()));
   }
 
   /** A peer without the state service asks. Three requests at the service, with no write. */
-  public void onRequest(NodeId sender, ProofRequest request) {
-    if (link.state() != StateLink.State.SERVED) {
+  public void onRequest(NodeId sender, LeaseRenewalRequest request) {
+    if (link.state() != StoreHealth.State.SERVED) {
       return;
     }
-    HoldId hold = new HoldId(request.getHold());
+    LeaseId hold = new LeaseId(request.getHold());
     if (hold.equals(NO_LEASE)) {
-      readChanges(sender, request, Keys.ACTIVE);
+      readChanges(sender, request, StoreKeys.ACTIVE);
       return;
     }
     store.renew(
@@ -144,16 +145,16 @@
           if (renewed instanceof Answer.Absent<Boolean>) {
             send.accept(sender, answer(request, true, new Changes(List.of(), new Revision(0))));
           } else if (renewed instanceof Answer.Found<Boolean>) {
-            readChanges(sender, request, Keys.CONTROL);
+            readChanges(sender, request, StoreKeys.CONTROL);
           }
         });
   }
 
-  private void readChanges(NodeId sender, ProofRequest request, String prefix) {
+  private void readChanges(NodeId sender, LeaseRenewalRequest request, String prefix) {
     store.changes(
         prefix,
         new Revision(request.getSince()),
-        StateStore.Urgency.URGENT,
+        KeyValueStore.Urgency.URGENT,
         answer -> {
           if (answer instanceof Answer.Found<Changes> found) {
             send.accept(sender, answer(request, false, found.value()));
@@ -161,7 +162,8 @@
         });
   }
 
-  private static ProofAnswer answer(ProofRequest request, boolean over, Changes changes) {
+  private static LeaseRenewalResponse answer(
+      LeaseRenewalRequest request, boolean over, Changes changes) {
     List<KeyChange> list = new ArrayList<>();
     int characters = 0;
     for (Change change : changes.changes()) {
@@ -170,7 +172,7 @@
       list.add(new KeyChange(change.key(), value, change.version().value()));
     }
     boolean fits = characters <= MOST_CHARACTERS;
-    return new ProofAnswer(
+    return new LeaseRenewalResponse(
         request.getId(),
         request.getHold(),
         over,
@@ -180,7 +182,7 @@
   }
 
   /** Counted from when this node asked; an answer to no open question is out of date. */
-  public void onAnswer(NodeId sender, ProofAnswer answer) {
+  public void onAnswer(NodeId sender, LeaseRenewalResponse answer) {
     Question question = asked.remove(answer.getId());
     if (question == null) {
       return;
@@ -198,11 +200,11 @@
     }
   }
 
-  private void take(NodeId sender, Question question, ProofAnswer answer) {
+  private void take(NodeId sender, Question question, LeaseRenewalResponse answer) {
     Changes changes;
     try {
       changes = parse(question, answer);
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       provesNothing(sender, e.getMessage());
       return;
     }
@@ -210,7 +212,7 @@
       // What is taken tells the session by itself.
       jobs.take(changes, question.askedAt);
     } else if (control.take(changes, question.askedAt)) {
-      Map<BlockId, Revision> mine = new HashMap<>();
+      Map<ShardId, Revision> mine = new HashMap<>();
       view.grants()
           .forEach(
               (block, grant) -> {
@@ -222,15 +224,16 @@
     }
   }
 
-  private static Changes parse(Question question, ProofAnswer answer) throws BadMessage {
+  private static Changes parse(Question question, LeaseRenewalResponse answer)
+      throws MalformedMessageException {
     if (answer.getRevision() < question.since.value()) {
-      throw new BadMessage("of an earlier revision than asked for");
+      throw new MalformedMessageException("of an earlier revision than asked for");
     }
     List<Change> changes = new ArrayList<>();
     for (KeyChange change : answer.getChanges()) {
       if (!change.getKey().startsWith(question.prefix())
           || change.getVersion() > answer.getRevision()) {
-        throw new BadMessage(change.getKey() + " does not belong there");
+        throw new MalformedMessageException(change.getKey() + " does not belong there");
       }
       Optional<JsonNode> value =
           change.getValue().isEmpty()
@@ -243,7 +246,7 @@
 
   private void provesNothing(NodeId sender, String why) {
     bad++;
-    SteadyTime now = loop.now();
+    MonotonicTime now = loop.now();
     if (badLoggedAt.filter(at -> now.since(at).compareTo(BAD_LOGGED) < 0).isEmpty()) {
       badLoggedAt = Optional.of(now);
       LOG.warn("answer of {} proves nothing, {} so far: {}", sender, bad, why);
--- a/src/main/java/org/mulleinshift/coordination/membership/Election.java
+++ b/src/main/java/org/mulleinshift/membership/LeaderElection.java
@@ -1,26 +1,26 @@
-package org.mulleinshift.coordination.membership;
+package org.mulleinshift.membership;
 
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Supplier;
-import org.mulleinshift.bookkeeping.ControlView;
-import org.mulleinshift.bookkeeping.Keys;
-import org.mulleinshift.bookkeeping.StateStore;
-import org.mulleinshift.bookkeeping.StateStore.Answer;
-import org.mulleinshift.protocol.HoldId;
+import org.mulleinshift.model.ClusterView;
+import org.mulleinshift.protocol.LeaseId;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec.Guard;
-import org.mulleinshift.protocol.StateCodec.Write;
+import org.mulleinshift.protocol.StoreCodec.Guard;
+import org.mulleinshift.protocol.StoreCodec.Write;
+import org.mulleinshift.store.KeyValueStore;
+import org.mulleinshift.store.KeyValueStore.Answer;
+import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Who takes the leader's key leads; each of the leader's writes demands that it still has it. */
-public final class Election {
-  private static final Logger LOG = LoggerFactory.getLogger(Election.class);
+public final class LeaderElection {
+  private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
 
   /** So long the others leave it to the one that was asked to lead. */
   private static final Duration GIVEN_TO_CHOSEN = Duration.ofMillis(600);
@@ -40,24 +40,24 @@
   }
 
   private final EventLoop loop;
-  private final StateStore store;
+  private final KeyValueStore store;
   private final NodeId self;
   private final Duration ttl;
   private final Listener listener;
   private final Supplier<Duration> yields;
   private State state = State.FOLLOWING;
-  private Optional<HoldId> hold = Optional.empty();
+  private Optional<LeaseId> hold = Optional.empty();
   private Revision term = new Revision(0);
-  private SteadyTime renewedAt;
-  private SteadyTime notBefore;
+  private MonotonicTime renewedAt;
+  private MonotonicTime notBefore;
   private boolean chosen;
 
   /**
    * @param yields how long a free key is left to another controller
    */
-  public Election(
+  public LeaderElection(
       EventLoop loop,
-      StateStore store,
+      KeyValueStore store,
       NodeId self,
       Duration ttl,
       Listener listener,
@@ -89,9 +89,9 @@
   }
 
   /** Called whenever the view of the control keys changes. */
-  public void observe(ControlView view, boolean ready) {
+  public void observe(ClusterView view, boolean ready) {
     if (state == State.LEADING) {
-      Optional<ControlView.LeaderRecord> seen = view.leader();
+      Optional<ClusterView.LeaderRecord> seen = view.leader();
       if (seen.isPresent() && seen.get().term().compareTo(term) > 0) {
         resign("another leader");
       }
@@ -106,16 +106,16 @@
     }
   }
 
-  private void stand(ControlView view) {
+  private void stand(ClusterView view) {
     if (view.leader().isPresent()) {
       moveTo(State.FOLLOWING);
       return;
     }
-    SteadyTime sent = loop.now();
+    MonotonicTime sent = loop.now();
     store.grantHold(
         ttl,
         answer -> {
-          if (answer instanceof Answer.Found<HoldId> found) {
+          if (answer instanceof Answer.Found<LeaseId> found) {
             hold = Optional.of(found.value());
             renewedAt = sent;
             take(found.value(), view);
@@ -125,13 +125,13 @@
         });
   }
 
-  private void take(HoldId held, ControlView view) {
+  private void take(LeaseId held, ClusterView view) {
     store.commit(
-        List.of(new Guard(Keys.LEADER, new Revision(0))),
-        List.of(Write.put(Keys.LEADER, ControlView.leaderValue(self, held), held)),
-        StateStore.Urgency.URGENT,
+        List.of(new Guard(StoreKeys.LEADER, new Revision(0))),
+        List.of(Write.put(StoreKeys.LEADER, ClusterView.leaderValue(self, held), held)),
+        KeyValueStore.Urgency.URGENT,
         outcome -> {
-          if (outcome instanceof StateStore.Outcome.Committed committed) {
+          if (outcome instanceof KeyValueStore.Outcome.Committed committed) {
             term = committed.revision();
             moveTo(State.LEADING);
             renew(held);
@@ -144,16 +144,16 @@
         });
   }
 
-  private void giveUp(ControlView view) {
+  private void giveUp(ClusterView view) {
     moveTo(State.FOLLOWING);
     loop.after(Duration.ofMillis((long) (300 + 400 * loop.random())), () -> observe(view, true));
   }
 
-  private void renew(HoldId held) {
+  private void renew(LeaseId held) {
     if (state != State.LEADING || !hold.equals(Optional.of(held))) {
       return;
     }
-    SteadyTime sent = loop.now();
+    MonotonicTime sent = loop.now();
     store.renew(
         held,
         answer -> {
@@ -180,7 +180,7 @@
   }
 
   /** The standing term, and the lease that it hangs on. */
-  public record Standing(Revision term, HoldId hold) {}
+  public record Standing(Revision term, LeaseId hold) {}
 
   /** What a peer needs to end this term's lease; none if this node does not lead. */
   public Optional<Standing> standing() {
@@ -193,7 +193,7 @@
    * do so and to lead; the others do if that does not come about. A late message ends nothing: the
    * lease is long over.
    */
-  public void onResignation(Standing ended, boolean asked, ControlView view) {
+  public void onResignation(Standing ended, boolean asked, ClusterView view) {
     if (state != State.FOLLOWING) {
       return;
     }
@@ -212,7 +212,7 @@
     }
   }
 
-  private static boolean stands(Standing known, ControlView view) {
+  private static boolean stands(Standing known, ClusterView view) {
     return view.leader().filter(leader -> leader.term().equals(known.term())).isPresent();
   }
 
