--- a/src/main/java/org/mulleinshift/coordination/membership/HolderFitness.java
+++ b/src/main/java/org/mulleinshift/membership/OwnerEligibility.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination.membership;
+package org.mulleinshift.membership;
 
 import java.time.Duration;
 import java.util.Collection;
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.function.Function;
 import org.mulleinshift.protocol.NodeId;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -19,8 +19,8 @@
  * both together show that it is the controller, not a zone or the machines. It gets no blocks until
  * it hears its workers again and for a while after, each time for longer.
  */
-public final class HolderFitness {
-  private static final Logger LOG = LoggerFactory.getLogger(HolderFitness.class);
+public final class OwnerEligibility {
+  private static final Logger LOG = LoggerFactory.getLogger(OwnerEligibility.class);
   private static final Duration FIRST = Duration.ofSeconds(5);
   private static final Duration FORGIVEN = Duration.ofMinutes(3);
   private static final int MOST_DOUBLINGS = 4;
@@ -28,14 +28,14 @@
   private static final class Strikes {
     private int count;
     private boolean deaf;
-    private SteadyTime lastAt;
-    private SteadyTime until;
+    private MonotonicTime lastAt;
+    private MonotonicTime until;
   }
 
-  private final Function<NodeId, WorkerLink.State> hearing;
+  private final Function<NodeId, WorkerReachability.State> hearing;
   private final Map<NodeId, Strikes> strikes = new HashMap<>();
 
-  public HolderFitness(Function<NodeId, WorkerLink.State> hearing) {
+  public OwnerEligibility(Function<NodeId, WorkerReachability.State> hearing) {
     this.hearing = hearing;
   }
 
@@ -45,14 +45,16 @@
    * @param knocks how many machines of each holder reported elsewhere lately
    * @param live the controllers that could hold blocks
    */
-  public Set<NodeId> unfit(Map<NodeId, Integer> knocks, Collection<NodeId> live, SteadyTime now) {
+  public Set<NodeId> unfit(
+      Map<NodeId, Integer> knocks, Collection<NodeId> live, MonotonicTime now) {
     boolean othersHear =
-        live.stream().anyMatch(node -> hearing.apply(node) == WorkerLink.State.WELL);
+        live.stream().anyMatch(node -> hearing.apply(node) == WorkerReachability.State.WELL);
     for (NodeId node : live) {
-      WorkerLink.State own = hearing.apply(node);
+      WorkerReachability.State own = hearing.apply(node);
       // Where no controller hears its workers it is not the controller.
-      boolean proven = own == WorkerLink.State.ALL_SILENT && othersHear;
-      boolean most = own == WorkerLink.State.MOST_SILENT || own == WorkerLink.State.ALL_SILENT;
+      boolean proven = own == WorkerReachability.State.ALL_SILENT && othersHear;
+      boolean most =
+          own == WorkerReachability.State.MOST_SILENT || own == WorkerReachability.State.ALL_SILENT;
       Strikes known = strikes.get(node);
       if (known != null && known.deaf) {
         if (!most) {
@@ -72,7 +74,7 @@
     return unfit;
   }
 
-  private void strike(NodeId node, SteadyTime now) {
+  private void strike(NodeId node, MonotonicTime now) {
     Strikes known = strikes.computeIfAbsent(node, key -> new Strikes());
     boolean forgiven = known.count > 0 && now.since(known.lastAt).compareTo(FORGIVEN) > 0;
     known.count = forgiven ? 1 : known.count + 1;
@@ -83,7 +85,7 @@
   }
 
   /** Its word is a sign of its workers; what comes and goes is trusted later each time. */
-  private static void hearsAgain(NodeId node, Strikes known, SteadyTime now) {
+  private static void hearsAgain(NodeId node, Strikes known, MonotonicTime now) {
     Duration trial = FIRST.multipliedBy(1L << Math.min(known.count - 1, MOST_DOUBLINGS));
     known.deaf = false;
     known.until = now.plus(trial);
--- a/src/main/java/org/mulleinshift/coordination/membership/RightToAct.java
+++ b/src/main/java/org/mulleinshift/membership/OwnershipLease.java
@@ -1,10 +1,10 @@
-package org.mulleinshift.coordination.membership;
+package org.mulleinshift.membership;
 
 import java.time.Duration;
 import java.util.Comparator;
 import java.util.EnumMap;
 import java.util.Map;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 
 /**
  * Until when a holder may answer workers, start tasks and let them run, by its own steady clock: a
@@ -15,7 +15,7 @@
  * of this right and then of the workers' leases within the time that a cancellation has (see {@code
  * docs/cancellation.md}).
  */
-public final class RightToAct {
+public final class OwnershipLease {
   private static final Duration SAFETY = Duration.ofMillis(200);
   private static final double DRIFT = 0.001;
 
@@ -27,14 +27,14 @@
   }
 
   private final Duration usable;
-  private final Map<Ground, SteadyTime> asOf = new EnumMap<>(Ground.class);
+  private final Map<Ground, MonotonicTime> asOf = new EnumMap<>(Ground.class);
 
-  RightToAct(Duration lease) {
+  OwnershipLease(Duration lease) {
     this.usable = Duration.ofNanos((long) (lease.toNanos() * (1 - DRIFT))).minus(SAFETY);
   }
 
   /** The only place where the right grows. */
-  void shown(Ground ground, SteadyTime asked) {
+  void shown(Ground ground, MonotonicTime asked) {
     asOf.merge(ground, asked, (known, next) -> next.isAfter(known) ? next : known);
   }
 
@@ -43,19 +43,19 @@
     asOf.remove(ground);
   }
 
-  boolean stands(SteadyTime now) {
+  boolean stands(MonotonicTime now) {
     return asOf.size() == Ground.values().length
         && asOf.values().stream().allMatch(asked -> asked.plus(usable).isAfter(now));
   }
 
   /** Whether the ground was shown as of so short a time ago. */
-  boolean fresh(Ground ground, SteadyTime now, Duration within) {
-    SteadyTime asked = asOf.get(ground);
+  boolean fresh(Ground ground, MonotonicTime now, Duration within) {
+    MonotonicTime asked = asOf.get(ground);
     return asked != null && now.since(asked).compareTo(within) < 0;
   }
 
   /** Which ground the right hangs on, for the log. */
-  String weakest(SteadyTime now) {
+  String weakest(MonotonicTime now) {
     for (Ground ground : Ground.values()) {
       if (!asOf.containsKey(ground)) {
         return ground + " not shown";
--- a/src/main/java/org/mulleinshift/coordination/membership/Links.java
+++ b/src/main/java/org/mulleinshift/membership/PeerFailureDetector.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination.membership;
+package org.mulleinshift.membership;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -8,33 +8,33 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import org.mulleinshift.bookkeeping.ControlView.LeaderRecord;
-import org.mulleinshift.protocol.HoldId;
+import org.mulleinshift.model.ClusterView.LeaderRecord;
+import org.mulleinshift.protocol.LeaseId;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.peer.Heartbeat;
-import org.mulleinshift.protocol.peer.PeerHeard;
+import org.mulleinshift.protocol.peer.PeerLastHeard;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 
 /**
  * The links of all controllers as this one knows them: when each peer was last heard, and what each
  * says of its own links in its heartbeats.
  */
-public final class Links {
+public final class PeerFailureDetector {
   /** A heartbeat older than this says nothing of now. */
   public static final Duration FRESH = Duration.ofMillis(2500);
 
-  private record Said(Heartbeat beat, SteadyTime at) {}
+  private record Said(Heartbeat beat, MonotonicTime at) {}
 
   private final EventLoop loop;
   private final NodeId self;
-  private final SteadyTime startedAt;
-  private final Map<NodeId, SteadyTime> heardAt = new HashMap<>();
-  private final Map<NodeId, SteadyTime> directAt = new HashMap<>();
+  private final MonotonicTime startedAt;
+  private final Map<NodeId, MonotonicTime> heardAt = new HashMap<>();
+  private final Map<NodeId, MonotonicTime> directAt = new HashMap<>();
   private final Map<NodeId, Said> said = new TreeMap<>(Comparator.comparing(NodeId::value));
 
-  public Links(EventLoop loop, NodeId self) {
+  public PeerFailureDetector(EventLoop loop, NodeId self) {
     this.loop = loop;
     this.self = self;
     this.startedAt = loop.now();
@@ -94,8 +94,8 @@
   }
 
   /** How the sender stands to its workers, by its own word; an unknown word counts as well. */
-  public static WorkerLink.State workers(Heartbeat beat) {
-    return WorkerLink.State.fromWireName(beat.getWorkers());
+  public static WorkerReachability.State workers(Heartbeat beat) {
+    return WorkerReachability.State.fromWireName(beat.getWorkers());
   }
 
   /** Whether the peer said lately that the state service serves it. */
@@ -104,10 +104,10 @@
   }
 
   /** Whether some peer, by its fresh word, had an answer of the state service after the moment. */
-  public boolean anyServedSince(SteadyTime moment) {
+  public boolean anyServedSince(MonotonicTime moment) {
     for (Map.Entry<NodeId, Said> known : said.entrySet()) {
       Said last = known.getValue();
-      SteadyTime answered = last.at.minus(Duration.ofMillis(last.beat.getStoreSilentMs()));
+      MonotonicTime answered = last.at.minus(Duration.ofMillis(last.beat.getStoreSilentMs()));
       if (served(known.getKey()) && answered.isAfter(moment)) {
         return true;
       }
@@ -120,7 +120,7 @@
     List<NodeId> peers = new ArrayList<>();
     said.keySet().stream().filter(this::served).forEach(peers::add);
     peers.sort(
-        Comparator.<NodeId, WorkerLink.State>comparing(peer -> workers(said.get(peer).beat))
+        Comparator.<NodeId, WorkerReachability.State>comparing(peer -> workers(said.get(peer).beat))
             .thenComparing(this::silence));
     return peers;
   }
@@ -137,15 +137,17 @@
                 new LeaderRecord(
                     new NodeId(beat.getLeader()),
                     new Revision(beat.getLeaderTerm()),
-                    new HoldId(0)));
+                    new LeaseId(0)));
   }
 
   /**
    * Whom this controller heard itself, for its own heartbeat: so each learns who does not hear it.
    */
-  public List<PeerHeard> heardList() {
-    List<PeerHeard> list = new ArrayList<>();
-    directAt.keySet().forEach(p -> list.add(new PeerHeard(p.value(), directSilence(p).toMillis())));
+  public List<PeerLastHeard> heardList() {
+    List<PeerLastHeard> list = new ArrayList<>();
+    directAt
+        .keySet()
+        .forEach(p -> list.add(new PeerLastHeard(p.value(), directSilence(p).toMillis())));
     return list;
   }
 
--- a/src/main/java/org/mulleinshift/coordination/membership/BlockSharing.java
+++ b/src/main/java/org/mulleinshift/membership/ShardAssigner.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination.membership;
+package org.mulleinshift.membership;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -10,14 +10,14 @@
 import java.util.Optional;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.ZoneId;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 
 /**
  * Which controller is to hold which block: blocks without a grant go back to their last holder if
  * it is there again; those without a live holder go to the controller with the least to do, near
  * ones first; when loads have come apart, one block at a time moves.
  */
-public final class BlockSharing {
+public final class ShardAssigner {
   private static final double OTHER_ZONE = 8;
   private static final double PER_BLOCK = 2;
 
@@ -33,14 +33,14 @@
   private static final Duration RETURNS = Duration.ofMillis(1500);
 
   /** A block and its next holder. */
-  public record Move(SharedBlock block, NodeId holder) {}
+  public record Move(AssignableShard block, NodeId holder) {}
 
   private final NodeId self;
   private final Map<NodeId, ZoneId> zones;
-  private final Map<NodeId, SteadyTime> liveSince = new HashMap<>();
-  private SteadyTime movedAt;
+  private final Map<NodeId, MonotonicTime> liveSince = new HashMap<>();
+  private MonotonicTime movedAt;
 
-  public BlockSharing(NodeId self, Map<NodeId, ZoneId> zones, SteadyTime now) {
+  public ShardAssigner(NodeId self, Map<NodeId, ZoneId> zones, MonotonicTime now) {
     this.self = self;
     this.zones = zones;
     this.movedAt = now;
@@ -53,11 +53,11 @@
    * @param takers those of them whose links can serve a block that is new to them
    */
   public List<Move> moves(
-      Collection<? extends SharedBlock> blocks,
+      Collection<? extends AssignableShard> blocks,
       List<NodeId> live,
       List<NodeId> takers,
       Duration deafAfter,
-      SteadyTime now) {
+      MonotonicTime now) {
     liveSince.keySet().retainAll(takers);
     takers.forEach(node -> liveSince.putIfAbsent(node, now));
     Map<NodeId, Double> loads = loads(blocks, takers);
@@ -65,7 +65,7 @@
     if (takers.isEmpty()) {
       return moves;
     }
-    for (SharedBlock block : blocks) {
+    for (AssignableShard block : blocks) {
       Optional<NodeId> holder = block.holder();
       boolean held = holder.filter(live::contains).isPresent();
       boolean deaf = held && block.unheard(now).compareTo(deafAfter) > 0;
@@ -103,14 +103,14 @@
    * A process that ended may be back in a moment, and its machines report to its address: as long
    * as that may be, its blocks wait for it.
    */
-  private static boolean mayReturn(SharedBlock block, List<NodeId> takers, SteadyTime now) {
+  private static boolean mayReturn(AssignableShard block, List<NodeId> takers, MonotonicTime now) {
     return block.lastHolder().filter(node -> !takers.contains(node)).isPresent()
         && block.without(now).compareTo(RETURNS) < 0;
   }
 
   /** The move that brings the most and the least loaded controllers closest to each other. */
   private Optional<Move> evenOut(
-      Collection<? extends SharedBlock> blocks, Map<NodeId, Double> loads, SteadyTime now) {
+      Collection<? extends AssignableShard> blocks, Map<NodeId, Double> loads, MonotonicTime now) {
     loads.keySet().removeIf(node -> now.since(liveSince.get(node)).compareTo(SETTLED) < 0);
     if (loads.size() < 2) {
       return Optional.empty();
@@ -127,11 +127,12 @@
         .map(block -> new Move(block, least));
   }
 
-  private Map<NodeId, Double> loads(Collection<? extends SharedBlock> blocks, List<NodeId> takers) {
+  private Map<NodeId, Double> loads(
+      Collection<? extends AssignableShard> blocks, List<NodeId> takers) {
     Map<NodeId, Double> loads = new HashMap<>();
     takers.forEach(node -> loads.put(node, 0.0));
     double total = 0;
-    for (SharedBlock block : blocks) {
+    for (AssignableShard block : blocks) {
       total += weight(block);
       Optional<NodeId> holder = block.granting().or(block::holder);
       holder.ifPresent(node -> loads.computeIfPresent(node, (n, load) -> load + weight(block)));
@@ -141,11 +142,11 @@
     return loads;
   }
 
-  private static double weight(SharedBlock block) {
+  private static double weight(AssignableShard block) {
     return PER_BLOCK + block.size();
   }
 
-  private double distance(NodeId node, SharedBlock block) {
+  private double distance(NodeId node, AssignableShard block) {
     return block.zone().equals(zones.get(node)) ? 0 : OTHER_ZONE;
   }
 }
--- a/src/main/java/org/mulleinshift/coordination/membership/Succession.java
+++ b/src/main/java/org/mulleinshift/membership/StandbyFailover.java
@@ -1,16 +1,16 @@
-package org.mulleinshift.coordination.membership;
+package org.mulleinshift.membership;
 
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.mulleinshift.bookkeeping.ControlView;
-import org.mulleinshift.bookkeeping.ControlView.LeaderRecord;
+import org.mulleinshift.model.ClusterView;
+import org.mulleinshift.model.ClusterView.LeaderRecord;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.peer.Heartbeat;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -19,8 +19,8 @@
  * to it and to another. Without one, or where nobody agrees, the leader's lease ends by itself as
  * before.
  */
-public final class Succession {
-  private static final Logger LOG = LoggerFactory.getLogger(Succession.class);
+public final class StandbyFailover {
+  private static final Logger LOG = LoggerFactory.getLogger(StandbyFailover.class);
   private static final Duration TICK = Duration.ofMillis(100);
   private static final Duration CALM_TICK = Duration.ofMillis(200);
 
@@ -45,11 +45,11 @@
 
   /** What it needs of its node. */
   public record Parts(
-      Links links,
-      ControlView view,
+      PeerFailureDetector links,
+      ClusterView view,
       BooleanSupplier ownLinksWell,
       Runnable askPeers,
-      Consumer<Election.Standing> depose) {}
+      Consumer<LeaderElection.Standing> depose) {}
 
   private final EventLoop loop;
   private final NodeId self;
@@ -58,9 +58,9 @@
   private final Parts parts;
   private State state = State.NONE;
   private Duration silent = Duration.ZERO;
-  private SteadyTime tickedAt;
+  private MonotonicTime tickedAt;
   private Duration planned = TICK;
-  private SteadyTime deposedAt;
+  private MonotonicTime deposedAt;
   private Optional<NodeId> deposed = Optional.empty();
   private long deposedSession;
   private int falseAlarms;
@@ -71,7 +71,7 @@
    * @param patience silence of the leader after which it may be deposed
    * @param mostPatience the leader's lease, beyond which nothing is gained
    */
-  public Succession(
+  public StandbyFailover(
       EventLoop loop, NodeId self, Duration patience, Duration mostPatience, Parts parts) {
     this.loop = loop;
     this.self = self;
@@ -105,7 +105,9 @@
                     parts
                         .links
                         .word(node)
-                        .filter(beat -> Links.workers(beat) == WorkerLink.State.WELL)
+                        .filter(
+                            beat ->
+                                PeerFailureDetector.workers(beat) == WorkerReachability.State.WELL)
                         .isPresent())
             .toList();
     if (named.filter(well::contains).isEmpty()) {
@@ -222,7 +224,7 @@
     deposedSession = parts.links.lastWord(leader.node()).map(Heartbeat::getSessionHold).orElse(0L);
     falseAlarms = loop.now().since(deposedAt).compareTo(FORGIVEN) > 0 ? 0 : falseAlarms;
     deposedAt = loop.now();
-    parts.depose.accept(new Election.Standing(leader.term(), leader.hold()));
+    parts.depose.accept(new LeaderElection.Standing(leader.term(), leader.hold()));
   }
 
   /** The same process speaks again: it was alive, and the next alarm takes longer. */
--- a/src/main/java/org/mulleinshift/coordination/membership/StateLink.java
+++ b/src/main/java/org/mulleinshift/membership/StoreHealth.java
@@ -1,10 +1,10 @@
-package org.mulleinshift.coordination.membership;
+package org.mulleinshift.membership;
 
 import java.time.Duration;
 import java.util.Optional;
-import org.mulleinshift.bookkeeping.StateStore;
+import org.mulleinshift.store.KeyValueStore;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -13,8 +13,8 @@
  * peers say of theirs. A service that answers nobody is an outage, in which nothing is given up;
  * only a link that is bad while a peer's is good is lost.
  */
-public final class StateLink implements StateStore.Fates {
-  private static final Logger LOG = LoggerFactory.getLogger(StateLink.class);
+public final class StoreHealth implements KeyValueStore.Fates {
+  private static final Logger LOG = LoggerFactory.getLogger(StoreHealth.class);
   private static final Duration TICK = Duration.ofMillis(100);
 
   /** While all is well: half as many turns of the loop. */
@@ -43,7 +43,7 @@
     void doubted();
 
     /** Whether some peer was served after that moment. */
-    boolean peerServedSince(SteadyTime moment);
+    boolean peerServedSince(MonotonicTime moment);
 
     void changed(State next);
   }
@@ -57,22 +57,22 @@
   private int outstanding;
   private boolean failing;
   private Duration silent = Duration.ZERO;
-  private SteadyTime lastTick;
+  private MonotonicTime lastTick;
   private Duration planned = TICK;
-  private SteadyTime sentAt;
-  private SteadyTime servedAt;
-  private SteadyTime lostAt;
-  private SteadyTime wellSince;
-  private SteadyTime peerServedAt;
+  private MonotonicTime sentAt;
+  private MonotonicTime servedAt;
+  private MonotonicTime lostAt;
+  private MonotonicTime wellSince;
+  private MonotonicTime peerServedAt;
   private int losses;
-  private Optional<SteadyTime> aheadSince = Optional.empty();
+  private Optional<MonotonicTime> aheadSince = Optional.empty();
 
   /**
    * @param lostAfter silence after which the link is lost if a peer is served
    * @param probeEvery a call is made at least so often
    * @param probe makes one
    */
-  public StateLink(
+  public StoreHealth(
       EventLoop loop, Duration lostAfter, Duration probeEvery, Runnable probe, Listener listener) {
     this.loop = loop;
     this.lostAfter = lostAfter;
@@ -114,14 +114,14 @@
   }
 
   @Override
-  public void failed(SteadyTime calledAt) {
+  public void failed(MonotonicTime calledAt) {
     outstanding--;
     // A call from before the last answer says nothing new.
     failing |= !servedAt.isAfter(calledAt);
   }
 
   private void tick() {
-    SteadyTime now = loop.now();
+    MonotonicTime now = loop.now();
     // A turn that comes late says nothing of the link: answers may wait behind it in the queue.
     Duration gap = now.since(lastTick);
     lastTick = now;
@@ -138,7 +138,7 @@
     loop.after(planned, this::tick);
   }
 
-  private void judge(SteadyTime now) {
+  private void judge(MonotonicTime now) {
     switch (state) {
       case SERVED -> {
         if (silent.compareTo(lostAfter.dividedBy(2)) >= 0) {
@@ -179,8 +179,8 @@
    * Since when peers are served and we are not. At the end of an outage the service answers some a
    * moment before others: that moment is no loss, and calls made meanwhile will tell.
    */
-  private void watchPeers(SteadyTime now) {
-    SteadyTime lossBegan = now.minus(silent);
+  private void watchPeers(MonotonicTime now) {
+    MonotonicTime lossBegan = now.minus(silent);
     if (!listener.peerServedSince(lossBegan.plus(MARGIN))) {
       aheadSince = Optional.empty();
     } else {
@@ -193,7 +193,7 @@
     return lostAfter.dividedBy(2).minus(TICK.multipliedBy(2));
   }
 
-  private void lose(SteadyTime now) {
+  private void lose(MonotonicTime now) {
     losses = now.since(lostAt).compareTo(FORGIVEN) > 0 ? 0 : Math.min(MOST_DOUBLINGS, losses + 1);
     lostAt = now;
     peerServedAt = now;
--- a/src/main/java/org/mulleinshift/coordination/membership/WorkerLink.java
+++ b/src/main/java/org/mulleinshift/membership/WorkerReachability.java
@@ -1,14 +1,14 @@
-package org.mulleinshift.coordination.membership;
+package org.mulleinshift.membership;
 
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.List;
 import java.util.function.Supplier;
 import org.mulleinshift.protocol.WorkerCodec;
+import org.mulleinshift.transport.AsyncHttpClient;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.HttpCaller;
 import org.mulleinshift.transport.HttpRequest;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -18,8 +18,8 @@
  * doubt it is trusted again on a sign only, a report or a worker that answers; that its blocks went
  * to others, and nobody is expected any more, is none.
  */
-public final class WorkerLink {
-  private static final Logger LOG = LoggerFactory.getLogger(WorkerLink.class);
+public final class WorkerReachability {
+  private static final Logger LOG = LoggerFactory.getLogger(WorkerReachability.class);
   private static final Duration TICK = Duration.ofMillis(250);
   private static final Duration PING_EVERY = Duration.ofSeconds(2);
   private static final Duration PING_DEADLINE = Duration.ofMillis(1500);
@@ -73,7 +73,7 @@
 
   /** The ways of the link: its workers, by what it counts them, and who hears of changes. */
   public record Parts(
-      HttpCaller workers,
+      AsyncHttpClient workers,
       Supplier<Count> count,
       Supplier<List<InetSocketAddress>> addresses,
       Runnable onChange) {}
@@ -83,15 +83,15 @@
   private final Parts parts;
   private State state = State.WELL;
   private Duration noReport = Duration.ZERO;
-  private SteadyTime tickedAt;
-  private SteadyTime changedAt;
-  private SteadyTime pingedAt;
+  private MonotonicTime tickedAt;
+  private MonotonicTime changedAt;
+  private MonotonicTime pingedAt;
   private boolean reported;
   private boolean sign;
   private int pings;
   private List<InetSocketAddress> known = List.of();
 
-  public WorkerLink(EventLoop loop, Duration reportEvery, Parts parts) {
+  public WorkerReachability(EventLoop loop, Duration reportEvery, Parts parts) {
     this.loop = loop;
     this.reportEvery = reportEvery;
     this.parts = parts;
--- a/src/main/java/org/mulleinshift/coordination/membership/package-info.java
+++ b/src/main/java/org/mulleinshift/membership/package-info.java
@@ -2,4 +2,4 @@
  * Who takes part and how well: links, sessions, election, which controllers can hold blocks. Knows
  * nothing of jobs, placement or the fleet.
  */
-package org.mulleinshift.coordination.membership;
+package org.mulleinshift.membership;
--- a/src/main/java/org/mulleinshift/margin/Heap.java
+++ b/src/main/java/org/mulleinshift/memory/Heap.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.margin;
+package org.mulleinshift.memory;
 
 /** The memory that objects take. */
 public interface Heap {
--- a/src/main/java/org/mulleinshift/margin/HeapMargin.java
+++ b/src/main/java/org/mulleinshift/memory/HeapMonitor.java
@@ -1,8 +1,8 @@
-package org.mulleinshift.margin;
+package org.mulleinshift.memory;
 
 import java.time.Duration;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -11,8 +11,8 @@
  * tells how short of memory the node is once that no longer helps. Only what is left after a
  * collection counts as pressure; before one, nobody knows how much of it is needed.
  */
-public final class HeapMargin {
-  private static final Logger LOG = LoggerFactory.getLogger(HeapMargin.class);
+public final class HeapMonitor {
+  private static final Logger LOG = LoggerFactory.getLogger(HeapMonitor.class);
   private static final Duration EVERY = Duration.ofMillis(250);
   private static final Duration LEAST_PAUSE = Duration.ofSeconds(2);
   private static final Duration PRESSING_PAUSE = Duration.ofMillis(500);
@@ -28,11 +28,11 @@
   private final EventLoop loop;
   private final Heap heap;
   private final long limit;
-  private Pressure pressure = Pressure.EASE;
-  private SteadyTime mayCollectAt;
-  private SteadyTime collectedAt;
+  private MemoryPressure pressure = MemoryPressure.EASE;
+  private MonotonicTime mayCollectAt;
+  private MonotonicTime collectedAt;
 
-  public HeapMargin(EventLoop loop, Heap heap, long limitBytes) {
+  public HeapMonitor(EventLoop loop, Heap heap, long limitBytes) {
     this.loop = loop;
     this.heap = heap;
     this.limit = limitBytes;
@@ -46,17 +46,17 @@
     check();
   }
 
-  public Pressure pressure() {
+  public MemoryPressure pressure() {
     return pressure;
   }
 
   private void check() {
     long used = heap.used();
     if (used < TIGHT * limit) {
-      moveTo(Pressure.EASE, used);
+      moveTo(MemoryPressure.EASE, used);
       return;
     }
-    SteadyTime now = loop.now();
+    MonotonicTime now = loop.now();
     boolean due = used >= COLLECT * limit && !mayCollectAt.isAfter(now);
     boolean pressing =
         used >= PRESSING * limit && now.since(collectedAt).compareTo(PRESSING_PAUSE) >= 0;
@@ -70,13 +70,13 @@
     long left = heap.used();
     moveTo(
         left >= SCARCE * limit
-            ? Pressure.SCARCE
-            : left >= TIGHT * limit ? Pressure.TIGHT : Pressure.EASE,
+            ? MemoryPressure.SCARCE
+            : left >= TIGHT * limit ? MemoryPressure.TIGHT : MemoryPressure.EASE,
         left);
   }
 
   /** The only place where the pressure changes. */
-  private void moveTo(Pressure next, long used) {
+  private void moveTo(MemoryPressure next, long used) {
     if (next != pressure) {
       LOG.warn("memory {} -> {}: {} of {} MiB in use", pressure, next, used >> 20, limit >> 20);
       pressure = next;
--- a/src/main/java/org/mulleinshift/margin/MemoryPlan.java
+++ b/src/main/java/org/mulleinshift/memory/MemoryPlan.java
@@ -1,9 +1,9 @@
-package org.mulleinshift.margin;
+package org.mulleinshift.memory;
 
 /**
  * How the memory of a node is shared out. The platform gives a node its amount in the settings file
  * only, which the virtual machine does not read: the heap's limit on the command line serves the
- * largest nodes, and what a smaller one may use of it is kept by {@link HeapMargin}.
+ * largest nodes, and what a smaller one may use of it is kept by {@link HeapMonitor}.
  *
  * @param heapBytes what objects may take
  * @param idleConnections connections kept open between two requests
--- a/src/main/java/org/mulleinshift/margin/Pressure.java
+++ b/src/main/java/org/mulleinshift/memory/MemoryPressure.java
@@ -1,7 +1,7 @@
-package org.mulleinshift.margin;
+package org.mulleinshift.memory;
 
 /** How short of memory this controller is. Leases, reports and orders are served at each level. */
-public enum Pressure {
+public enum MemoryPressure {
   /** Enough for everybody. */
   EASE,
   /** Few polls may wait at a time; the others are refused. */
--- a/src/main/java/org/mulleinshift/margin/package-info.java
+++ b/src/main/java/org/mulleinshift/memory/package-info.java
@@ -2,4 +2,4 @@
  * How much a controller may hold at once, and what it gives up first when that runs short. See
  * {@code docs/margin.md}.
  */
-package org.mulleinshift.margin;
+package org.mulleinshift.memory;
--- a/src/main/java/org/mulleinshift/bookkeeping/Part.java
+++ b/src/main/java/org/mulleinshift/model/Chunk.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.model;
 
 import java.util.Optional;
 import java.util.regex.Matcher;
@@ -11,21 +11,21 @@
  *
  * @param path which half at each step, from the chunk on; empty for the chunk itself
  */
-public record Part(int chunk, String path) {
+public record Chunk(int chunk, String path) {
   private static final Pattern KEY = Pattern.compile("([0-9]{1,6})(?:/([01]{1,9}))?");
 
-  public static Part chunk(int number) {
-    return new Part(number, "");
+  public static Chunk chunk(int number) {
+    return new Chunk(number, "");
   }
 
   /** By the rest of its key; none if that is not a key of this build. */
-  static Optional<Part> read(String text) {
+  public static Optional<Chunk> read(String text) {
     Matcher key = KEY.matcher(text);
     if (!key.matches()) {
       return Optional.empty();
     }
-    Part part =
-        new Part(Integer.parseInt(key.group(1)), Optional.ofNullable(key.group(2)).orElse(""));
+    Chunk part =
+        new Chunk(Integer.parseInt(key.group(1)), Optional.ofNullable(key.group(2)).orElse(""));
     return part.size() > 0 ? Optional.of(part) : Optional.empty();
   }
 
@@ -50,8 +50,8 @@
     return new int[] {from, size};
   }
 
-  Part half(int which) {
-    return new Part(chunk, path + which);
+  Chunk half(int which) {
+    return new Chunk(chunk, path + which);
   }
 
   /** A part of one task is short enough for every value. */
@@ -60,7 +60,7 @@
   }
 
   /** Whether the other was cut from this one, or is this one. */
-  boolean holds(Part other) {
+  boolean holds(Chunk other) {
     return chunk == other.chunk && other.path.startsWith(path);
   }
 
--- a/src/main/java/org/mulleinshift/bookkeeping/ProgressParts.java
+++ b/src/main/java/org/mulleinshift/model/ChunkLayout.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.model;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -14,35 +14,35 @@
  * in the store, and which wait to be written. A part that was cut stays in the store until all that
  * it was cut into is there; until then it is read for what is not.
  */
-public final class ProgressParts {
+public final class ChunkLayout {
   private final int tasks;
-  private final NavigableMap<Integer, Part> live = new TreeMap<>();
-  private final Set<Part> stored = new LinkedHashSet<>();
-  private final Set<Part> dirty = new LinkedHashSet<>();
-  private final Set<Part> sent = new LinkedHashSet<>();
+  private final NavigableMap<Integer, Chunk> live = new TreeMap<>();
+  private final Set<Chunk> stored = new LinkedHashSet<>();
+  private final Set<Chunk> dirty = new LinkedHashSet<>();
+  private final Set<Chunk> sent = new LinkedHashSet<>();
   private final Set<Integer> awaited = new HashSet<>();
 
-  ProgressParts(int tasks) {
+  ChunkLayout(int tasks) {
     this.tasks = tasks;
     for (int chunk = 0; chunk * Job.CHUNK < tasks; chunk++) {
-      live.put(chunk * Job.CHUNK, Part.chunk(chunk));
+      live.put(chunk * Job.CHUNK, Chunk.chunk(chunk));
     }
   }
 
   /** The part that a task's progress is written to. */
-  Part of(int index) {
+  Chunk of(int index) {
     return live.floorEntry(index).getValue();
   }
 
-  boolean exists(Part part) {
+  boolean exists(Chunk part) {
     return part.from() < tasks;
   }
 
   /** Cuts a part in two. */
-  void split(Part part) {
+  void split(Chunk part) {
     live.remove(part.from());
     for (int which = 0; which < 2; which++) {
-      Part half = part.half(which);
+      Chunk half = part.half(which);
       if (half.size() > 0 && exists(half)) {
         live.put(half.from(), half);
         dirty.add(half);
@@ -52,9 +52,9 @@
   }
 
   /** A part found in the store; the ones it was cut from, if they are there, were found before. */
-  void found(Part part) {
+  void found(Chunk part) {
     stored.add(part);
-    for (Part whole = of(part.from());
+    for (Chunk whole = of(part.from());
         !whole.equals(part) && whole.holds(part);
         whole = of(part.from())) {
       split(whole);
@@ -63,7 +63,7 @@
   }
 
   /** A part's progress has changed; pressing if a task waits for it to be stored. */
-  public void changed(Part part, boolean pressing) {
+  public void changed(Chunk part, boolean pressing) {
     dirty.add(part);
     if (pressing) {
       awaited.add(part.chunk());
@@ -76,9 +76,9 @@
   }
 
   /** What was cut from a part that is still in the store, and is not there itself. */
-  public List<Part> uncovered() {
-    List<Part> found = new ArrayList<>();
-    for (Part part : live.values()) {
+  public List<Chunk> uncovered() {
+    List<Chunk> found = new ArrayList<>();
+    for (Chunk part : live.values()) {
       if (!stored.contains(part) && stored.stream().anyMatch(whole -> whole.holds(part))) {
         found.add(part);
       }
@@ -87,12 +87,12 @@
   }
 
   /** Parts of the chunk that are in the store and no longer read for anything. */
-  public List<Part> outgrown(int chunk) {
+  public List<Chunk> outgrown(int chunk) {
     int from = chunk * Job.CHUNK;
-    Collection<Part> parts = live.subMap(from, from + Job.CHUNK).values();
-    List<Part> found = new ArrayList<>();
+    Collection<Chunk> parts = live.subMap(from, from + Job.CHUNK).values();
+    List<Chunk> found = new ArrayList<>();
     if (parts.size() > 1) {
-      for (Part whole : stored) {
+      for (Chunk whole : stored) {
         boolean cut = whole.chunk() == chunk && !parts.contains(whole);
         if (cut && parts.stream().filter(whole::holds).allMatch(stored::contains)) {
           found.add(whole);
@@ -103,44 +103,44 @@
   }
 
   /** What of the chunk waits to be written; what was sent before and not confirmed does again. */
-  public List<Part> waiting(int chunk) {
+  public List<Chunk> waiting(int chunk) {
     dirty.addAll(take(sent, chunk));
     dirty.removeIf(part -> !part.equals(live.get(part.from())));
     return dirty.stream().filter(part -> part.chunk() == chunk).toList();
   }
 
-  private static List<Part> take(Set<Part> from, int chunk) {
-    List<Part> taken = from.stream().filter(part -> part.chunk() == chunk).toList();
+  private static List<Chunk> take(Set<Chunk> from, int chunk) {
+    List<Chunk> taken = from.stream().filter(part -> part.chunk() == chunk).toList();
     from.removeAll(taken);
     return taken;
   }
 
   /** The part is on its way to the store. */
-  public void sent(Part part) {
+  public void sent(Chunk part) {
     dirty.remove(part);
     sent.add(part);
   }
 
-  public void stored(Collection<Part> parts) {
+  public void stored(Collection<Chunk> parts) {
     sent.removeAll(parts);
     stored.addAll(parts);
-    for (Part part : parts) {
+    for (Chunk part : parts) {
       if (waiting(part.chunk()).isEmpty()) {
         awaited.remove(part.chunk());
       }
     }
   }
 
-  public void gone(Part part) {
+  public void gone(Chunk part) {
     stored.remove(part);
   }
 
   /** All that is in the store. */
-  public Collection<Part> inStore() {
+  public Collection<Chunk> inStore() {
     return stored;
   }
 
-  public Collection<Part> live() {
+  public Collection<Chunk> live() {
     return live.values();
   }
 }
--- a/src/main/java/org/mulleinshift/bookkeeping/ControlView.java
+++ b/src/main/java/org/mulleinshift/model/ClusterView.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.model;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -9,27 +9,28 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import org.mulleinshift.protocol.BadMessage;
-import org.mulleinshift.protocol.BlockId;
-import org.mulleinshift.protocol.HoldId;
 import org.mulleinshift.protocol.Json;
+import org.mulleinshift.protocol.LeaseId;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.MachineTypeId;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec.Item;
+import org.mulleinshift.protocol.ShardId;
+import org.mulleinshift.protocol.StoreCodec.Item;
 import org.mulleinshift.protocol.ZoneId;
+import org.mulleinshift.store.StoreKeys;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Who leads, who holds which block, and which machines belong to it, as last seen. */
-public final class ControlView {
-  private static final Logger LOG = LoggerFactory.getLogger(ControlView.class);
+public final class ClusterView {
+  private static final Logger LOG = LoggerFactory.getLogger(ClusterView.class);
 
   /** The leader; its term is the revision at which it took the key, which hangs on the lease. */
-  public record LeaderRecord(NodeId node, Revision term, HoldId hold) {}
+  public record LeaderRecord(NodeId node, Revision term, LeaseId hold) {}
 
-  public record NodeRecord(HoldId hold, Revision version) {}
+  public record NodeRecord(LeaseId hold, Revision version) {}
 
   /** A block's holder; the revision of the grant is what its fencing tokens start from. */
   public record GrantRecord(NodeId holder, Revision revision) {}
@@ -67,10 +68,10 @@
       return node;
     }
 
-    static BlockRecord read(Item item) throws BadMessage {
+    static BlockRecord read(Item item) throws MalformedMessageException {
       JsonNode list = item.value().path("machines");
       if (!list.isObject()) {
-        throw new BadMessage("no machines");
+        throw new MalformedMessageException("no machines");
       }
       Map<MachineId, MachineRecord> machines = new TreeMap<>();
       for (Map.Entry<String, JsonNode> field : list.properties()) {
@@ -99,14 +100,14 @@
 
   private Optional<LeaderRecord> leader = Optional.empty();
   private final Map<NodeId, NodeRecord> nodes = new HashMap<>();
-  private final Map<BlockId, GrantRecord> grants = new HashMap<>();
-  private final Map<BlockId, BlockRecord> blocks = new LinkedHashMap<>();
-  private final Map<MachineId, BlockId> blockOf = new HashMap<>();
+  private final Map<ShardId, GrantRecord> grants = new HashMap<>();
+  private final Map<ShardId, BlockRecord> blocks = new LinkedHashMap<>();
+  private final Map<MachineId, ShardId> blockOf = new HashMap<>();
   private final Map<NodeId, Integer> builds = new HashMap<>();
-  private final Set<BlockId> unreadableBlocks = new HashSet<>();
-  private final Set<BlockId> unreadableGrants = new HashSet<>();
+  private final Set<ShardId> unreadableBlocks = new HashSet<>();
+  private final Set<ShardId> unreadableGrants = new HashSet<>();
 
-  public static JsonNode leaderValue(NodeId node, HoldId hold) {
+  public static JsonNode leaderValue(NodeId node, LeaseId hold) {
     return Json.object().put("node", node.value()).put("hold", hold.value());
   }
 
@@ -114,7 +115,7 @@
     return Json.object().put(BUILD, build);
   }
 
-  public static JsonNode nodeValue(HoldId hold) {
+  public static JsonNode nodeValue(LeaseId hold) {
     return Json.object().put("hold", hold.value());
   }
 
@@ -123,39 +124,39 @@
   }
 
   public void apply(String key, Optional<Item> item) {
-    if (key.equals(Keys.LEADER)) {
+    if (key.equals(StoreKeys.LEADER)) {
       leader =
           item.map(
               found ->
                   new LeaderRecord(
                       new NodeId(found.value().path("node").asText()),
                       found.version(),
-                      new HoldId(found.value().path("hold").asLong())));
-    } else if (key.startsWith(Keys.NODES)) {
-      NodeId node = new NodeId(key.substring(Keys.NODES.length()));
+                      new LeaseId(found.value().path("hold").asLong())));
+    } else if (key.startsWith(StoreKeys.NODES)) {
+      NodeId node = new NodeId(key.substring(StoreKeys.NODES.length()));
       // One without a hold that can be read gets no block: it would hang on nothing.
-      set(nodes, node, item.filter(ControlView::hasHold).map(ControlView::nodeRecord));
-    } else if (key.startsWith(Keys.BUILDS)) {
+      set(nodes, node, item.filter(ClusterView::hasHold).map(ClusterView::nodeRecord));
+    } else if (key.startsWith(StoreKeys.BUILDS)) {
       set(
           builds,
-          new NodeId(key.substring(Keys.BUILDS.length())),
+          new NodeId(key.substring(StoreKeys.BUILDS.length())),
           item.map(found -> found.value().path(BUILD).asInt()));
-    } else if (key.startsWith(Keys.GRANTS)) {
-      applyGrant(new BlockId(key.substring(Keys.GRANTS.length())), item);
-    } else if (key.startsWith(Keys.BLOCKS)) {
-      applyBlock(new BlockId(key.substring(Keys.BLOCKS.length())), item);
+    } else if (key.startsWith(StoreKeys.GRANTS)) {
+      applyGrant(new ShardId(key.substring(StoreKeys.GRANTS.length())), item);
+    } else if (key.startsWith(StoreKeys.BLOCKS)) {
+      applyBlock(new ShardId(key.substring(StoreKeys.BLOCKS.length())), item);
     }
   }
 
   public static NodeRecord nodeRecord(Item item) {
-    return new NodeRecord(new HoldId(item.value().path("hold").asLong()), item.version());
+    return new NodeRecord(new LeaseId(item.value().path("hold").asLong()), item.version());
   }
 
   private static boolean hasHold(Item item) {
     return item.value().path("hold").canConvertToLong();
   }
 
-  private void applyGrant(BlockId block, Optional<Item> item) {
+  private void applyGrant(ShardId block, Optional<Item> item) {
     unreadableGrants.remove(block);
     Optional<Item> readable = item.filter(found -> found.value().path("holder").isTextual());
     if (item.isPresent() && readable.isEmpty()) {
@@ -171,14 +172,14 @@
                     new NodeId(found.value().path("holder").asText()), found.version())));
   }
 
-  private void applyBlock(BlockId block, Optional<Item> item) {
+  private void applyBlock(ShardId block, Optional<Item> item) {
     BlockRecord old = blocks.get(block);
     Optional<BlockRecord> record = Optional.empty();
     unreadableBlocks.remove(block);
     if (item.isPresent()) {
       try {
         record = Optional.of(BlockRecord.read(item.get()));
-      } catch (BadMessage e) {
+      } catch (MalformedMessageException e) {
         LOG.warn("{}: this build can't read it: {}", item.get().key(), e.getMessage());
         unreadableBlocks.add(block);
         // Whose machines they were is better than nothing for a worker that asks where to go.
@@ -210,11 +211,11 @@
     return nodes;
   }
 
-  public Map<BlockId, GrantRecord> grants() {
+  public Map<ShardId, GrantRecord> grants() {
     return grants;
   }
 
-  public Map<BlockId, BlockRecord> blocks() {
+  public Map<ShardId, BlockRecord> blocks() {
     return blocks;
   }
 
@@ -224,16 +225,16 @@
   }
 
   /** Blocks that stand in the store in a form that this build can't read; not its to judge. */
-  public Set<BlockId> unreadableBlocks() {
+  public Set<ShardId> unreadableBlocks() {
     return unreadableBlocks;
   }
 
   /** Blocks that somebody holds, but this build can't read who. */
-  public Set<BlockId> unreadableGrants() {
+  public Set<ShardId> unreadableGrants() {
     return unreadableGrants;
   }
 
-  public Optional<BlockId> blockOf(MachineId machine) {
+  public Optional<ShardId> blockOf(MachineId machine) {
     return Optional.ofNullable(blockOf.get(machine));
   }
 }
--- a/src/main/java/org/mulleinshift/bookkeeping/Job.java
+++ b/src/main/java/org/mulleinshift/model/Job.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.model;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -16,18 +16,18 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 import org.mulleinshift.protocol.Attempt;
-import org.mulleinshift.protocol.BadMessage;
-import org.mulleinshift.protocol.BlockId;
 import org.mulleinshift.protocol.JobKind;
 import org.mulleinshift.protocol.JobPhase;
 import org.mulleinshift.protocol.JobSpec;
 import org.mulleinshift.protocol.Json;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.Priority;
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.Revision;
+import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.TaskId;
 import org.mulleinshift.protocol.ZoneId;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 
 /** An accepted job in the leader's memory: which tasks are done, delegated, waiting. */
 public final class Job {
@@ -56,20 +56,20 @@
   private static final String READY = "ready";
 
   private final JobSpec spec;
-  private final Awaits awaits;
+  private final JobDependencies awaits;
   private final long acceptedMillis;
-  private final ProgressParts parts;
+  private final ChunkLayout parts;
   private OptionalLong readyMillis = OptionalLong.empty();
   private Inherited inherited = Inherited.NOTHING;
   private Revision version;
   private State state;
-  private final Map<Part, UnknownFields> beyond = new HashMap<>();
+  private final Map<Chunk, UnknownFields> beyond = new HashMap<>();
   private final BitSet done = new BitSet();
   private final BitSet delegated = new BitSet();
   private final BitSet unavailable = new BitSet();
-  private final NavigableMap<Integer, Delegation> delegations = new TreeMap<>();
+  private final NavigableMap<Integer, TaskAssignment> delegations = new TreeMap<>();
   private final Map<Integer, Integer> tries = new HashMap<>();
-  private final Map<Integer, SteadyTime> pausedUntil = new HashMap<>();
+  private final Map<Integer, MonotonicTime> pausedUntil = new HashMap<>();
   private final Map<ZoneId, Integer> perZone = new HashMap<>();
   private OptionalLong begunMillis = OptionalLong.empty();
   private boolean takenOver;
@@ -92,7 +92,7 @@
   public Job(JobRecord record) {
     this.spec = record.spec();
     this.awaits = record.awaits();
-    this.parts = new ProgressParts(spec.tasks());
+    this.parts = new ChunkLayout(spec.tasks());
     this.acceptedMillis = record.acceptedMillis();
     this.version = record.version();
     this.cancelled = record.cancelled();
@@ -147,35 +147,36 @@
    * takes the place of what was read of the part that it was cut from. Of a job that awaits others
    * it proves that they are over: no task is delegated before.
    */
-  public void load(Part part, JsonNode value, Function<BlockId, ZoneId> zones) throws BadMessage {
+  public void load(Chunk part, JsonNode value, Function<ShardId, ZoneId> zones)
+      throws MalformedMessageException {
     int base = part.from();
     int most = Math.min(part.size(), spec.tasks() - base);
     if (most <= 0) {
-      throw new BadMessage("progress of a part that the job does not have");
+      throw new MalformedMessageException("progress of a part that the job does not have");
     }
-    BitSet ended = TaskRanges.read(value.path("done"), most);
-    List<Delegation> found = new ArrayList<>();
+    BitSet ended = TaskIndexRanges.read(value.path("done"), most);
+    List<TaskAssignment> found = new ArrayList<>();
     if (!value.path("at").isArray()) {
-      throw new BadMessage("progress without its tasks at blocks");
+      throw new MalformedMessageException("progress without its tasks at blocks");
     }
     for (JsonNode item : value.path("at")) {
       if (item.size() != AT_FIELDS) {
         // What else it says would be lost when the list is written again.
-        throw new BadMessage("progress with unknown fields of tasks at a block");
+        throw new MalformedMessageException("progress with unknown fields of tasks at a block");
       }
-      BlockId block = new BlockId(Json.text(item, "b"));
+      ShardId block = new ShardId(Json.text(item, "b"));
       Attempt attempt = new Attempt(Json.count(item, "n", 0, Long.MAX_VALUE));
-      TaskRanges.read(item.path("r"), most).stream()
+      TaskIndexRanges.read(item.path("r"), most).stream()
           .forEach(
               index ->
                   found.add(
-                      new Delegation(
+                      new TaskAssignment(
                           new TaskId(spec.id(), base + index),
                           spec.perTask(),
                           block,
                           zones.apply(block),
                           attempt,
-                          Delegation.State.LIVE)));
+                          TaskAssignment.State.LIVE)));
     }
     if (!awaits.none()) {
       release(value.path(READY).asLong(acceptedMillis));
@@ -190,7 +191,7 @@
   }
 
   private void clear(int from, int to) {
-    for (Delegation old : List.copyOf(delegations.subMap(from, to).values())) {
+    for (TaskAssignment old : List.copyOf(delegations.subMap(from, to).values())) {
       delegations.remove(old.task().index());
       perZone.merge(old.zone(), -1, (a, b) -> a + b == 0 ? null : a + b);
     }
@@ -200,17 +201,17 @@
   }
 
   /** The stored form of a part. */
-  public JsonNode progress(Part part) {
+  public JsonNode progress(Chunk part) {
     int base = part.from();
     ObjectNode node = Json.object();
-    node.put("done", TaskRanges.write(done.get(base, base + part.size())));
+    node.put("done", TaskIndexRanges.write(done.get(base, base + part.size())));
     if (!awaits.none()) {
       node.put(READY, readyMillis());
     }
     Map<String, BitSet> groups = new LinkedHashMap<>();
-    for (Delegation delegation : delegations(part)) {
+    for (TaskAssignment delegation : delegations(part)) {
       int index = delegation.task().index() - base;
-      if (delegation.state() != Delegation.State.ENDED) {
+      if (delegation.state() != TaskAssignment.State.ENDED) {
         groups
             .computeIfAbsent(delegation.attempt() + " " + delegation.block(), key -> new BitSet())
             .set(index);
@@ -223,24 +224,24 @@
           ObjectNode item = at.addObject();
           item.put("b", key.substring(space + 1));
           item.put("n", Long.parseLong(key.substring(0, space)));
-          item.put("r", TaskRanges.write(set));
+          item.put("r", TaskIndexRanges.write(set));
         });
     Optional.ofNullable(beyond.get(part)).ifPresent(more -> more.restore(node));
     return node;
   }
 
   /** How its progress is cut into keys. */
-  public ProgressParts parts() {
+  public ChunkLayout parts() {
     return parts;
   }
 
   /** What a task's progress is written to from now on. */
-  public Part partOf(int index) {
+  public Chunk partOf(int index) {
     return parts.of(index);
   }
 
   /** Its progress no longer fits into a value. */
-  public void split(Part part) {
+  public void split(Chunk part) {
     parts.split(part);
     Optional.ofNullable(beyond.remove(part)).ifPresent(more -> beyond.put(part.half(0), more));
   }
@@ -249,23 +250,23 @@
    * Entrusts a task to a block. The attempt counts the task's own tries within the term, so that
    * tasks of a block share it and the stored form stays short however slowly a job gets its room.
    */
-  public Delegation delegate(int index, BlockId block, ZoneId zone, Attempt firstOfTerm) {
+  public TaskAssignment delegate(int index, ShardId block, ZoneId zone, Attempt firstOfTerm) {
     int earlier = tries.merge(index, 1, Integer::sum) - 1;
     Attempt attempt = new Attempt(firstOfTerm.value() + earlier);
-    Delegation delegation =
-        new Delegation(
+    TaskAssignment delegation =
+        new TaskAssignment(
             new TaskId(spec.id(), index),
             spec.perTask(),
             block,
             zone,
             attempt,
-            Delegation.State.WRITING);
+            TaskAssignment.State.WRITING);
     add(delegation);
     pausedUntil.remove(index);
     return delegation;
   }
 
-  private void add(Delegation delegation) {
+  private void add(TaskAssignment delegation) {
     if (delegations.put(delegation.task().index(), delegation) == null) {
       delegated.set(delegation.task().index());
       unavailable.set(delegation.task().index());
@@ -273,7 +274,7 @@
     }
   }
 
-  public void taskDone(Delegation delegation, double runSeconds) {
+  public void taskDone(TaskAssignment delegation, double runSeconds) {
     delegation.ended();
     markDone(delegation.task().index());
     tries.remove(delegation.task().index());
@@ -289,7 +290,7 @@
   }
 
   /** The task is provably nowhere; it may be tried again after the pause. */
-  public void taskReturned(Delegation delegation, Optional<SteadyTime> notBefore) {
+  public void taskReturned(TaskAssignment delegation, Optional<MonotonicTime> notBefore) {
     delegation.ended();
     notBefore.ifPresent(time -> pausedUntil.put(delegation.task().index(), time));
   }
@@ -349,9 +350,9 @@
 
   /** What was decided for the chunk is stored: the new may be told, the ended forgotten. */
   public void stored(
-      Collection<Delegation> written, Collection<Delegation> ended, Revision revision) {
+      Collection<TaskAssignment> written, Collection<TaskAssignment> ended, Revision revision) {
     written.forEach(delegation -> delegation.stored(revision));
-    for (Delegation delegation : ended) {
+    for (TaskAssignment delegation : ended) {
       int index = delegation.task().index();
       if (delegations.remove(index, delegation)) {
         delegated.clear(index);
@@ -379,7 +380,7 @@
   /** Cancelled, and provably no task of it is anywhere. */
   public boolean gone() {
     return state == State.CANCELLING
-        && delegations.values().stream().allMatch(d -> d.state() == Delegation.State.ENDED);
+        && delegations.values().stream().allMatch(d -> d.state() == TaskAssignment.State.ENDED);
   }
 
   public boolean cancelled() {
@@ -412,7 +413,7 @@
     return spec.deadlineSeconds().isPresent() || inherited.endMillis() < Long.MAX_VALUE;
   }
 
-  public Awaits awaits() {
+  public JobDependencies awaits() {
     return awaits;
   }
 
@@ -437,16 +438,16 @@
     return failures;
   }
 
-  public Collection<Delegation> delegations() {
+  public Collection<TaskAssignment> delegations() {
     return delegations.values();
   }
 
   /** The delegations of a part of the job. */
-  public Collection<Delegation> delegations(Part part) {
+  public Collection<TaskAssignment> delegations(Chunk part) {
     return delegations.subMap(part.from(), part.from() + part.size()).values();
   }
 
-  public Optional<Delegation> delegation(int index) {
+  public Optional<TaskAssignment> delegation(int index) {
     return Optional.ofNullable(delegations.get(index));
   }
 
@@ -464,8 +465,8 @@
 
   public int runningCount() {
     int count = 0;
-    for (Delegation delegation : delegations.values()) {
-      count += delegation.state() == Delegation.State.RUNNING ? 1 : 0;
+    for (TaskAssignment delegation : delegations.values()) {
+      count += delegation.state() == TaskAssignment.State.RUNNING ? 1 : 0;
     }
     return count;
   }
@@ -479,13 +480,13 @@
   }
 
   /** Up to {@code most} tasks that may be tried now. */
-  public int[] waiting(int most, SteadyTime now) {
+  public int[] waiting(int most, MonotonicTime now) {
     int[] found = new int[Math.min(most, spec.tasks())];
     int count = 0;
     for (int index = unavailable.nextClearBit(0);
         index < spec.tasks() && count < found.length;
         index = unavailable.nextClearBit(index + 1)) {
-      SteadyTime until = pausedUntil.get(index);
+      MonotonicTime until = pausedUntil.get(index);
       if (until == null || !until.isAfter(now)) {
         found[count++] = index;
       }
--- a/src/main/java/org/mulleinshift/bookkeeping/Awaits.java
+++ b/src/main/java/org/mulleinshift/model/JobDependencies.java
@@ -1,14 +1,14 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.model;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
-import org.mulleinshift.protocol.BadMessage;
 import org.mulleinshift.protocol.JobCodec;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.Json;
+import org.mulleinshift.protocol.MalformedMessageException;
 
 /**
  * The jobs that a job awaits, as its record holds them: named there, or, where they would not fit
@@ -18,15 +18,15 @@
  * @param lists how many lists there are; 0 if the record names the jobs
  * @param digest of what the lists hold; lists of another submission have another
  */
-public record Awaits(List<JobId> named, int lists, String digest) {
-  public static final Awaits NOTHING = new Awaits(List.of(), 0, "");
+public record JobDependencies(List<JobId> named, int lists, String digest) {
+  public static final JobDependencies NOTHING = new JobDependencies(List.of(), 0, "");
   private static final String NAMED = "awaits";
   private static final String LISTS = "lists";
   private static final String DIGEST = "digest";
   private static final int MOST_LISTS = 10_000;
 
-  public static Awaits of(List<JobId> named) {
-    return named.isEmpty() ? NOTHING : new Awaits(List.copyOf(named), 0, "");
+  public static JobDependencies of(List<JobId> named) {
+    return named.isEmpty() ? NOTHING : new JobDependencies(List.copyOf(named), 0, "");
   }
 
   public boolean none() {
@@ -42,16 +42,16 @@
     }
   }
 
-  static Awaits read(JsonNode chain) throws BadMessage {
+  static JobDependencies read(JsonNode chain) throws MalformedMessageException {
     if (chain.has(LISTS)) {
-      return new Awaits(
+      return new JobDependencies(
           List.of(), (int) Json.count(chain, LISTS, 1, MOST_LISTS), Json.text(chain, DIGEST));
     }
     List<JobId> named = JobCodec.jobIds(chain.path(NAMED));
     if (named.isEmpty()) {
-      throw new BadMessage("a chain without jobs");
+      throw new MalformedMessageException("a chain without jobs");
     }
-    return new Awaits(named, 0, "");
+    return new JobDependencies(named, 0, "");
   }
 
   /** One list as it is stored. */
@@ -59,7 +59,7 @@
     return Json.object().set(NAMED, array(jobs));
   }
 
-  public static List<JobId> readList(JsonNode value) throws BadMessage {
+  public static List<JobId> readList(JsonNode value) throws MalformedMessageException {
     return JobCodec.jobIds(value.path(NAMED));
   }
 
--- a/src/main/java/org/mulleinshift/bookkeeping/JobRecord.java
+++ b/src/main/java/org/mulleinshift/model/JobRecord.java
@@ -1,18 +1,18 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.model;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Optional;
 import java.util.OptionalLong;
-import org.mulleinshift.protocol.BadMessage;
 import org.mulleinshift.protocol.JobCodec;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.JobPhase;
 import org.mulleinshift.protocol.JobSpec;
 import org.mulleinshift.protocol.Json;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.Item;
 import org.mulleinshift.protocol.TeamId;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -27,7 +27,7 @@
  */
 public record JobRecord(
     JobSpec spec,
-    Awaits awaits,
+    JobDependencies awaits,
     long acceptedMillis,
     boolean cancelled,
     Revision version,
@@ -40,11 +40,11 @@
   public record Footprint(Optional<TeamId> team, Resources most) {}
 
   public JobRecord(JobSpec spec, long acceptedMillis, boolean cancelled, Revision version) {
-    this(spec, Awaits.NOTHING, acceptedMillis, cancelled, version, Optional.empty());
+    this(spec, JobDependencies.NOTHING, acceptedMillis, cancelled, version, Optional.empty());
   }
 
   public static JsonNode value(
-      JobSpec spec, Awaits awaits, long acceptedMillis, boolean cancelled) {
+      JobSpec spec, JobDependencies awaits, long acceptedMillis, boolean cancelled) {
     ObjectNode node = Json.object();
     node.set("spec", JobCodec.write(spec));
     if (awaits.none()) {
@@ -72,7 +72,7 @@
       JobSpec spec = JobCodec.parse(value.path("spec"));
       boolean chained = value.has(CHAIN);
       JsonNode chain = value.path(CHAIN);
-      Awaits awaits = chained ? Awaits.read(chain) : Awaits.NOTHING;
+      JobDependencies awaits = chained ? JobDependencies.read(chain) : JobDependencies.NOTHING;
       long at = Json.count(chained ? chain : value, AT, 0, Long.MAX_VALUE);
       boolean cancelled = Json.flag(value, "cancelled");
       return Optional.of(
@@ -83,7 +83,7 @@
               cancelled,
               item.version(),
               UnknownFields.beyond(value(spec, awaits, at, cancelled), value)));
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       LOG.warn("{}: this build can't read it: {}", item.key(), e.getMessage());
       return Optional.empty();
     }
--- a/src/main/java/org/mulleinshift/bookkeeping/Machine.java
+++ b/src/main/java/org/mulleinshift/model/Machine.java
@@ -1,8 +1,8 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.model;
 
 import java.time.Duration;
 import java.util.Optional;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 
 /** A rented machine in the leader's memory. What is stored of it is its block's record. */
 public final class Machine {
@@ -19,13 +19,13 @@
   }
 
   private final boolean rentSeen;
-  private SteadyTime rentedAt;
-  private SteadyTime idleSince;
+  private MonotonicTime rentedAt;
+  private MonotonicTime idleSince;
   private boolean ageKnown;
-  private Optional<SteadyTime> spareSince = Optional.empty();
+  private Optional<MonotonicTime> spareSince = Optional.empty();
   private State state;
 
-  private Machine(SteadyTime rentedAt, boolean rentSeen, State state) {
+  private Machine(MonotonicTime rentedAt, boolean rentSeen, State state) {
     this.rentedAt = rentedAt;
     this.idleSince = rentedAt;
     this.rentSeen = rentSeen;
@@ -34,12 +34,12 @@
   }
 
   /** A machine whose rental this leader saw from its start. */
-  public static Machine rented(SteadyTime at) {
+  public static Machine rented(MonotonicTime at) {
     return new Machine(at, true, State.BOOTING);
   }
 
   /** A machine that was there before this leader, or that nobody expected. */
-  public static Machine found(SteadyTime now, boolean up) {
+  public static Machine found(MonotonicTime now, boolean up) {
     return new Machine(now, false, up ? State.UP : State.BOOTING);
   }
 
@@ -59,7 +59,7 @@
   }
 
   /** It has come up; tells how long that took, if its rental was seen. */
-  public Optional<Double> cameUp(SteadyTime now) {
+  public Optional<Double> cameUp(MonotonicTime now) {
     idleSince = now;
     if (state == State.BOOTING) {
       moveTo(State.UP);
@@ -86,19 +86,19 @@
   }
 
   /** The cloud's list tells the age of a machine that was found. */
-  public void age(SteadyTime now, Duration age) {
+  public void age(MonotonicTime now, Duration age) {
     if (!ageKnown) {
       rentedAt = now.minus(age);
       ageKnown = true;
     }
   }
 
-  public void busy(SteadyTime now) {
+  public void busy(MonotonicTime now) {
     idleSince = now;
   }
 
   /** Notes whether the fleet could do without it; tells for how long that has been so. */
-  public double spare(boolean isSpare, SteadyTime now) {
+  public double spare(boolean isSpare, MonotonicTime now) {
     if (!isSpare) {
       spareSince = Optional.empty();
       return 0;
@@ -118,15 +118,15 @@
     return state == State.DRAINING || state == State.RETURNING;
   }
 
-  public SteadyTime rentedAt() {
+  public MonotonicTime rentedAt() {
     return rentedAt;
   }
 
-  public double heldSeconds(SteadyTime now) {
+  public double heldSeconds(MonotonicTime now) {
     return now.secondsSince(rentedAt);
   }
 
-  public double idleSeconds(SteadyTime now) {
+  public double idleSeconds(MonotonicTime now) {
     return now.secondsSince(idleSince);
   }
 }
--- a/src/main/java/org/mulleinshift/bookkeeping/Rental.java
+++ b/src/main/java/org/mulleinshift/model/ProvisioningRequest.java
@@ -1,15 +1,15 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.model;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import org.mulleinshift.protocol.BadMessage;
 import org.mulleinshift.protocol.Json;
 import org.mulleinshift.protocol.MachineTypeId;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.ZoneId;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 
 /** A rental asked for. Its name is stored before it is first used and never used again. */
-public final class Rental {
+public final class ProvisioningRequest {
   /** Steps of a rental. */
   public enum State {
     /** Its name is being stored. */
@@ -25,16 +25,16 @@
   private final ZoneId zone;
   private final boolean spot;
   private final int count;
-  private final SteadyTime plannedAt;
+  private final MonotonicTime plannedAt;
   private State state;
 
-  public Rental(
+  public ProvisioningRequest(
       String name,
       MachineTypeId type,
       ZoneId zone,
       boolean spot,
       int count,
-      SteadyTime plannedAt,
+      MonotonicTime plannedAt,
       State state) {
     this.name = name;
     this.type = type;
@@ -63,8 +63,9 @@
   }
 
   /** Its name may stand in the store in a form that this build can't read; then it is not asked. */
-  public static Rental read(String name, JsonNode value, SteadyTime now) throws BadMessage {
-    return new Rental(
+  public static ProvisioningRequest read(String name, JsonNode value, MonotonicTime now)
+      throws MalformedMessageException {
+    return new ProvisioningRequest(
         name,
         new MachineTypeId(Json.text(value, "type")),
         new ZoneId(Json.text(value, "zone")),
@@ -94,7 +95,7 @@
     return count;
   }
 
-  public SteadyTime plannedAt() {
+  public MonotonicTime plannedAt() {
     return plannedAt;
   }
 
--- a/src/main/java/org/mulleinshift/bookkeeping/Delegation.java
+++ b/src/main/java/org/mulleinshift/model/TaskAssignment.java
@@ -1,20 +1,20 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.model;
 
 import java.util.Optional;
 import org.mulleinshift.protocol.Attempt;
-import org.mulleinshift.protocol.BlockId;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.Revision;
+import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.TaskId;
 import org.mulleinshift.protocol.ZoneId;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 
 /**
  * One try of one task, entrusted to a block. It counts against its team from the moment it is
  * decided until its end is stored.
  */
-public final class Delegation {
+public final class TaskAssignment {
   /** Steps of a delegation. */
   public enum State {
     /** Decided, not stored; the holder must not hear of it yet. */
@@ -31,17 +31,17 @@
 
   private final TaskId task;
   private final Resources perTask;
-  private final BlockId block;
+  private final ShardId block;
   private final ZoneId zone;
   private final Attempt attempt;
   private State state;
   private Optional<MachineId> machine = Optional.empty();
-  private Optional<SteadyTime> runningSince = Optional.empty();
+  private Optional<MonotonicTime> runningSince = Optional.empty();
   private boolean stop;
   private Revision storedAt = new Revision(0);
 
-  Delegation(
-      TaskId task, Resources perTask, BlockId block, ZoneId zone, Attempt attempt, State state) {
+  TaskAssignment(
+      TaskId task, Resources perTask, ShardId block, ZoneId zone, Attempt attempt, State state) {
     this.task = task;
     this.perTask = perTask;
     this.block = block;
@@ -71,7 +71,7 @@
     }
   }
 
-  public void running(MachineId where, SteadyTime since) {
+  public void running(MachineId where, MonotonicTime since) {
     machine = Optional.of(where);
     if (runningSince.isEmpty()) {
       runningSince = Optional.of(since);
@@ -104,7 +104,7 @@
     return perTask;
   }
 
-  public BlockId block() {
+  public ShardId block() {
     return block;
   }
 
@@ -124,7 +124,7 @@
     return machine;
   }
 
-  public Optional<SteadyTime> runningSince() {
+  public Optional<MonotonicTime> runningSince() {
     return runningSince;
   }
 
--- a/src/main/java/org/mulleinshift/bookkeeping/TaskRanges.java
+++ b/src/main/java/org/mulleinshift/model/TaskIndexRanges.java
@@ -1,12 +1,12 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.model;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.BitSet;
-import org.mulleinshift.protocol.BadMessage;
+import org.mulleinshift.protocol.MalformedMessageException;
 
 /** Writes sets of task numbers as short texts such as {@code 0-7,9}. */
-final class TaskRanges {
-  private TaskRanges() {}
+final class TaskIndexRanges {
+  private TaskIndexRanges() {}
 
   static String write(BitSet set) {
     StringBuilder text = new StringBuilder();
@@ -25,16 +25,16 @@
   }
 
   /** Task numbers below the bound; anything else is not such a text. */
-  static BitSet read(JsonNode node, int bound) throws BadMessage {
+  static BitSet read(JsonNode node, int bound) throws MalformedMessageException {
     try {
       BitSet set = node.isTextual() ? read(node.asText()) : null;
       if (set != null && set.length() <= bound) {
         return set;
       }
     } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-      throw new BadMessage("not a list of tasks: " + node);
+      throw new MalformedMessageException("not a list of tasks: " + node);
     }
-    throw new BadMessage("not a list of tasks: " + node);
+    throw new MalformedMessageException("not a list of tasks: " + node);
   }
 
   private static BitSet read(String text) {
--- a/src/main/java/org/mulleinshift/bookkeeping/UnknownFields.java
+++ b/src/main/java/org/mulleinshift/model/UnknownFields.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.model;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/src/main/java/org/mulleinshift/coordination/Placer.java
+++ b/src/main/java/org/mulleinshift/placement/BinPacker.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.placement;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -7,16 +7,17 @@
 import java.util.PriorityQueue;
 
 /** Chooses a machine for a task; the leader's plans and the holders' placements share it. */
-final class Placer {
-  private Placer() {}
+public final class BinPacker {
+  private BinPacker() {}
 
   /** Takes room for some of several equal tasks on a machine. */
-  interface Taker {
-    void take(Room room, int count);
+  public interface Taker {
+    void take(MachineCapacity room, int count);
   }
 
   /** A room that takes the tasks; of equal ones the first is chosen. */
-  private record Scored(Room room, double score, int place) implements Comparable<Scored> {
+  private record Scored(MachineCapacity room, double score, int place)
+      implements Comparable<Scored> {
     @Override
     public int compareTo(Scored other) {
       int byScore = Double.compare(score, other.score);
@@ -29,8 +30,9 @@
    * for each task anew: a room that was chosen only becomes a better choice, until it is full, and
    * the others stay as they are. So each room is looked at once, however many tasks there are.
    */
-  static int fill(PlacementNeed need, int count, Collection<Room> rooms, Taker taker) {
-    Room best = choose(need, rooms).orElse(null);
+  public static int fill(
+      ResourceRequest need, int count, Collection<MachineCapacity> rooms, Taker taker) {
+    MachineCapacity best = choose(need, rooms).orElse(null);
     if (best == null || count <= 0) {
       return 0;
     }
@@ -39,7 +41,7 @@
       return count;
     }
     List<Scored> others = new ArrayList<>();
-    for (Room room : rooms) {
+    for (MachineCapacity room : rooms) {
       if (room != best && room.takes(need)) {
         others.add(new Scored(room, room.score(need), others.size()));
       }
@@ -51,7 +53,7 @@
     return count - left;
   }
 
-  private static int take(PlacementNeed need, int most, Room room, Taker taker) {
+  private static int take(ResourceRequest need, int most, MachineCapacity room, Taker taker) {
     int taken = Math.min(most, room.countOf(need));
     room.take(need, taken);
     taker.take(room, taken);
@@ -59,14 +61,15 @@
   }
 
   /** The same where it does not matter on which machines. */
-  static int fill(PlacementNeed need, int count, Collection<Room> rooms) {
+  public static int fill(ResourceRequest need, int count, Collection<MachineCapacity> rooms) {
     return fill(need, count, rooms, (room, taken) -> {});
   }
 
-  static Optional<Room> choose(PlacementNeed need, Collection<Room> rooms) {
-    Room best = null;
+  public static Optional<MachineCapacity> choose(
+      ResourceRequest need, Collection<MachineCapacity> rooms) {
+    MachineCapacity best = null;
     double bestScore = 0;
-    for (Room room : rooms) {
+    for (MachineCapacity room : rooms) {
       if (!room.takes(need)) {
         continue;
       }
--- a/src/main/java/org/mulleinshift/coordination/Room.java
+++ b/src/main/java/org/mulleinshift/placement/MachineCapacity.java
@@ -1,20 +1,21 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.placement;
 
 import java.util.Collection;
 import java.util.HashSet;
 import java.util.Set;
-import org.mulleinshift.bookkeeping.ControlView.MachineRecord;
-import org.mulleinshift.protocol.BlockId;
+import org.mulleinshift.model.ClusterView.MachineRecord;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.MachineType;
 import org.mulleinshift.protocol.MachineTypeId;
 import org.mulleinshift.protocol.Resources;
+import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.ZoneId;
+import org.mulleinshift.sharding.ShardView;
 
 /** Free room on one machine while a plan is made. */
-final class Room {
+public final class MachineCapacity {
   /** Of a machine that is in no block yet. */
-  static final BlockId NO_BLOCK = new BlockId("-");
+  public static final ShardId NO_BLOCK = new ShardId("-");
 
   private static final double SIZE_WEIGHT = 3000;
 
@@ -25,7 +26,7 @@
   private static final double PRICE_WEIGHT = 300;
 
   private final MachineId machine;
-  private final BlockId block;
+  private final ShardId block;
   private final ZoneId zone;
   private final MachineType type;
   private final boolean spot;
@@ -35,9 +36,9 @@
   private final double dearness;
   private Resources free;
 
-  Room(
+  public MachineCapacity(
       MachineId machine,
-      BlockId block,
+      ShardId block,
       ZoneId zone,
       MachineType type,
       boolean spot,
@@ -55,34 +56,35 @@
   }
 
   /** Room on a machine of a block. */
-  static Room on(
-      LeaderBlock block,
+  public static MachineCapacity on(
+      ShardView block,
       MachineId machine,
       MachineRecord record,
       MachineType type,
       Resources free,
       Collection<String> images) {
-    return new Room(machine, block.id(), block.zone(), type, record.spot(), free, images);
+    return new MachineCapacity(
+        machine, block.id(), block.zone(), type, record.spot(), free, images);
   }
 
-  boolean takes(PlacementNeed need) {
+  boolean takes(ResourceRequest need) {
     return need.perTask().fitsInto(free) && allowedFor(need);
   }
 
-  private boolean allowedFor(PlacementNeed need) {
+  private boolean allowedFor(ResourceRequest need) {
     return need.allows(type.id(), spot) && need.allowsZone(zone);
   }
 
   /** How many such tasks fit. */
-  int countOf(PlacementNeed need) {
+  int countOf(ResourceRequest need) {
     return allowedFor(need) ? need.perTask().countIn(free) : 0;
   }
 
-  void take(PlacementNeed need) {
+  public void take(ResourceRequest need) {
     take(need, 1);
   }
 
-  void take(PlacementNeed need, int count) {
+  public void take(ResourceRequest need, int count) {
     free = free.minus(count == 1 ? need.perTask() : need.perTask().times(count));
     if (!coming.contains(need.image())) {
       coming = coming.isEmpty() ? new HashSet<>(4) : coming;
@@ -90,7 +92,7 @@
     }
   }
 
-  void give(Resources amount) {
+  public void give(Resources amount) {
     free = free.plus(amount);
   }
 
@@ -99,7 +101,7 @@
    * for; then one that has the image; then a cheap one, so that dear ones fall idle and are
    * returned; then the one that is left fullest.
    */
-  double score(PlacementNeed need) {
+  double score(ResourceRequest need) {
     double left = PRICE_WEIGHT * dearness + SIZE_WEIGHT * (1 - need.perTask().shareOf(size));
     left += size.cpus() > 0 ? (free.cpus() - need.perTask().cpus()) : 0;
     left += size.gpus() > 0 ? 8 * (free.gpus() - need.perTask().gpus()) : 0;
@@ -107,7 +109,7 @@
     return left + fetchWeight(need);
   }
 
-  private double fetchWeight(PlacementNeed need) {
+  private double fetchWeight(ResourceRequest need) {
     if (known.contains(need.image()) || coming.contains(need.image())) {
       return 0;
     }
@@ -118,29 +120,29 @@
   }
 
   /** A measure for choosing what to drain first. */
-  double drainWeight() {
+  public double drainWeight() {
     return (1 + dearness) * size.cpus();
   }
 
-  MachineId machine() {
+  public MachineId machine() {
     return machine;
   }
 
-  BlockId block() {
+  public ShardId block() {
     return block;
   }
 
-  ZoneId zone() {
+  public ZoneId zone() {
     return zone;
   }
 
-  Resources size() {
+  public Resources size() {
     return size;
   }
 
   /** The same room, to be taken from in a trial. */
-  Room copy() {
-    Room copy = new Room(machine, block, zone, type, spot, free, known);
+  public MachineCapacity copy() {
+    MachineCapacity copy = new MachineCapacity(machine, block, zone, type, spot, free, known);
     copy.coming = coming.isEmpty() ? coming : new HashSet<>(coming);
     return copy;
   }
@@ -149,11 +151,11 @@
     return spot;
   }
 
-  MachineTypeId type() {
+  public MachineTypeId type() {
     return type.id();
   }
 
-  Resources free() {
+  public Resources free() {
     return free;
   }
 }
--- a/src/main/java/org/mulleinshift/coordination/ZoneRules.java
+++ b/src/main/java/org/mulleinshift/placement/PlacementConstraints.java
@@ -1,18 +1,18 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.placement;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.mulleinshift.bookkeeping.Job;
+import org.mulleinshift.model.Job;
 import org.mulleinshift.protocol.ZoneId;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 
 /** Where a job's tasks may be together: one zone, spread, and gangs as a whole. */
-final class ZoneRules {
-  private ZoneRules() {}
+public final class PlacementConstraints {
+  private PlacementConstraints() {}
 
   /** Whether one more of its tasks may be in the zone, given where the others are. */
-  static boolean allowed(Job job, ZoneId zone) {
+  public static boolean allowed(Job job, ZoneId zone) {
     if (!job.spec().allowsZone(zone)) {
       return false;
     }
@@ -24,14 +24,14 @@
   }
 
   /** A gang starts as a whole: none of its tasks is out, and there is room for all of them. */
-  static boolean gangFits(
-      Job job, PlacementNeed need, List<Room> rooms, int allowed, SteadyTime now) {
+  public static boolean gangFits(
+      Job job, ResourceRequest need, List<MachineCapacity> rooms, int allowed, MonotonicTime now) {
     int tasks = job.spec().tasks() - job.doneCount();
     if (job.delegatedCount() > 0 || allowed < tasks || job.waiting(tasks, now).length < tasks) {
       return false;
     }
     Map<ZoneId, Integer> perZone = new HashMap<>();
-    for (Room room : rooms) {
+    for (MachineCapacity room : rooms) {
       ZoneId zone = room.zone();
       if (job.spec().allowsZone(zone)) {
         perZone.merge(zone, room.countOf(need), Integer::sum);
--- a/src/main/java/org/mulleinshift/coordination/PlacementNeed.java
+++ b/src/main/java/org/mulleinshift/placement/ResourceRequest.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.placement;
 
 import java.util.List;
 import java.util.Optional;
@@ -10,15 +10,15 @@
 import org.mulleinshift.protocol.peer.AssignedJob;
 
 /** What a task asks of a machine. An empty list of types allows all. */
-record PlacementNeed(
+public record ResourceRequest(
     Resources perTask,
     String image,
     double imageGb,
     List<MachineTypeId> types,
     Optional<ZoneId> zone,
     boolean spotAllowed) {
-  static PlacementNeed of(JobSpec spec) {
-    return new PlacementNeed(
+  public static ResourceRequest of(JobSpec spec) {
+    return new ResourceRequest(
         spec.perTask(),
         spec.image(),
         spec.imageGb(),
@@ -28,8 +28,8 @@
   }
 
   /** What a delegated job's tasks ask, as the leader told it; zones were decided there. */
-  static PlacementNeed of(AssignedJob job) {
-    return new PlacementNeed(
+  public static ResourceRequest of(AssignedJob job) {
+    return new ResourceRequest(
         new Resources(job.getCpus(), job.getGpus(), job.getMemoryGb()),
         job.getImage(),
         job.getImageGb(),
@@ -39,18 +39,18 @@
   }
 
   /** The same on some types only; none are left if it allows none of them. */
-  PlacementNeed onlyOn(List<MachineTypeId> some) {
+  public ResourceRequest onlyOn(List<MachineTypeId> some) {
     List<MachineTypeId> left = some.stream().filter(this::allowsType).toList();
-    return new PlacementNeed(perTask, image, imageGb, left, zone, spotAllowed);
+    return new ResourceRequest(perTask, image, imageGb, left, zone, spotAllowed);
   }
 
   /** A task fits an empty machine of the type, and may be on it. */
-  boolean mayUse(MachineType type) {
+  public boolean mayUse(MachineType type) {
     return perTask.fitsInto(type.size()) && allowsType(type.id());
   }
 
   /** Every machine that the other may be on, this may be on. */
-  boolean allowsAllOf(PlacementNeed other) {
+  boolean allowsAllOf(ResourceRequest other) {
     return (types.isEmpty() || types.equals(other.types))
         && (zone.isEmpty() || zone.equals(other.zone))
         && (spotAllowed || !other.spotAllowed);
@@ -60,11 +60,11 @@
     return types.isEmpty() || types.contains(type);
   }
 
-  boolean allowsZone(ZoneId candidate) {
+  public boolean allowsZone(ZoneId candidate) {
     return zone.isEmpty() || zone.get().equals(candidate);
   }
 
-  boolean allows(MachineTypeId type, boolean spot) {
+  public boolean allows(MachineTypeId type, boolean spot) {
     return allowsType(type) && (spotAllowed || !spot);
   }
 }
--- a/src/main/java/org/mulleinshift/coordination/UnplaceableNeeds.java
+++ b/src/main/java/org/mulleinshift/placement/UnschedulableRequests.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.placement;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -10,19 +10,19 @@
  * What found no room while rooms only get smaller: whatever asks for as much or more, and is
  * allowed no more machines, finds none either and need not look at every machine again.
  */
-final class UnplaceableNeeds {
+public final class UnschedulableRequests {
   private static final int MOST = 12;
 
-  private final List<PlacementNeed> failed = new ArrayList<>();
+  private final List<ResourceRequest> failed = new ArrayList<>();
 
-  void add(PlacementNeed need) {
+  public void add(ResourceRequest need) {
     if (failed.size() < MOST && !covers(need)) {
       failed.add(need);
     }
   }
 
-  boolean covers(PlacementNeed need) {
-    for (PlacementNeed known : failed) {
+  public boolean covers(ResourceRequest need) {
+    for (ResourceRequest known : failed) {
       if (known.perTask().within(need.perTask()) && known.allowsAllOf(need)) {
         return true;
       }
@@ -31,7 +31,7 @@
   }
 
   /** The least that any of these asks for, of each kind; endless if there are none. */
-  static <T> Resources leastOf(Collection<T> all, Function<T, PlacementNeed> need) {
+  public static <T> Resources leastOf(Collection<T> all, Function<T, ResourceRequest> need) {
     Resources least = Resources.ENDLESS;
     for (T one : all) {
       least = least(least, need.apply(one).perTask());
@@ -40,7 +40,7 @@
   }
 
   /** The least that any of the needs asks for, of each kind; no room without it is of any use. */
-  static Resources least(Resources one, Resources other) {
+  public static Resources least(Resources one, Resources other) {
     return new Resources(
         Math.min(one.cpus(), other.cpus()),
         Math.min(one.gpus(), other.gpus()),
--- a/src/main/java/org/mulleinshift/coordination/ChunkProgress.java
+++ b/src/main/java/org/mulleinshift/progress/ChunkUpdate.java
@@ -1,32 +1,33 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.progress;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.mulleinshift.bookkeeping.Delegation;
-import org.mulleinshift.bookkeeping.Job;
-import org.mulleinshift.bookkeeping.Keys;
-import org.mulleinshift.bookkeeping.Part;
+import org.mulleinshift.leader.Leader;
+import org.mulleinshift.model.Chunk;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.model.TaskAssignment;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec;
+import org.mulleinshift.protocol.StoreCodec;
+import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.transport.EventLoop;
 
 /** The parts of a chunk of a job's progress that have changed, on their way to the store. */
-final class ChunkProgress {
+final class ChunkUpdate {
   /** What is to be stored of a part. */
-  record Form(Part part, JsonNode progress, int bytes) {}
+  record Form(Chunk part, JsonNode progress, int bytes) {}
 
   private final Leader leader;
   private final EventLoop loop;
   private final Job job;
   private final int chunk;
-  private List<Part> parts = List.of();
-  private List<Delegation> written = List.of();
-  private List<Delegation> ended = List.of();
+  private List<Chunk> parts = List.of();
+  private List<TaskAssignment> written = List.of();
+  private List<TaskAssignment> ended = List.of();
 
-  ChunkProgress(Leader leader, EventLoop loop, Job job, int chunk) {
+  ChunkUpdate(Leader leader, EventLoop loop, Job job, int chunk) {
     this.leader = leader;
     this.loop = loop;
     this.job = job;
@@ -42,7 +43,7 @@
   }
 
   static String name(Job job, int chunk) {
-    return Keys.progress(job.spec().id(), Part.chunk(chunk));
+    return StoreKeys.progress(job.spec().id(), Chunk.chunk(chunk));
   }
 
   boolean pressing() {
@@ -60,20 +61,20 @@
     if (over()) {
       return List.of();
     }
-    Map<Part, Form> forms = new LinkedHashMap<>();
-    List<Part> waiting = job.parts().waiting(chunk);
+    Map<Chunk, Form> forms = new LinkedHashMap<>();
+    List<Chunk> waiting = job.parts().waiting(chunk);
     while (waiting.stream().anyMatch(part -> cut(part, forms, longest, maySplit))) {
       waiting = job.parts().waiting(chunk);
     }
     return waiting.stream().map(forms::get).toList();
   }
 
-  private boolean cut(Part part, Map<Part, Form> forms, int longest, boolean maySplit) {
+  private boolean cut(Chunk part, Map<Chunk, Form> forms, int longest, boolean maySplit) {
     if (forms.containsKey(part)) {
       return false;
     }
     JsonNode progress = job.progress(part);
-    int bytes = StateCodec.bytes(progress);
+    int bytes = StoreCodec.bytes(progress);
     if (maySplit && part.divisible() && bytes > longest) {
       job.split(part);
       return true;
@@ -89,11 +90,11 @@
       parts.add(form.part());
       job.parts().sent(form.part());
     }
-    written = select(Delegation.State.WRITING);
-    ended = select(Delegation.State.ENDED);
+    written = select(TaskAssignment.State.WRITING);
+    ended = select(TaskAssignment.State.ENDED);
   }
 
-  private List<Delegation> select(Delegation.State wanted) {
+  private List<TaskAssignment> select(TaskAssignment.State wanted) {
     return parts.stream()
         .flatMap(part -> job.delegations(part).stream())
         .filter(delegation -> delegation.state() == wanted)
@@ -101,7 +102,7 @@
   }
 
   /** What was sent last. */
-  List<Part> sentParts() {
+  List<Chunk> sentParts() {
     return parts;
   }
 
@@ -123,7 +124,7 @@
   }
 
   /** Parts in the store that are no longer read for anything. */
-  List<Part> outgrown() {
+  List<Chunk> outgrown() {
     return job.parts().outgrown(chunk);
   }
 }
--- a/src/main/java/org/mulleinshift/bookkeeping/Segment.java
+++ b/src/main/java/org/mulleinshift/progress/LogSegment.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.progress;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -6,16 +6,17 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.mulleinshift.protocol.BadMessage;
+import org.mulleinshift.model.Chunk;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.Json;
-import org.mulleinshift.protocol.StateCodec;
+import org.mulleinshift.protocol.MalformedMessageException;
+import org.mulleinshift.protocol.StoreCodec;
 
 /**
  * The stored form of one value of the progress log: the progress of parts of several jobs, each
  * whole, so that the newest image of a part is all that has to be read of it.
  */
-public final class Segment {
+public final class LogSegment {
   private static final int FORM = 1;
   private static final String FORM_FIELD = "form";
   private static final String ENTRIES = "entries";
@@ -31,23 +32,23 @@
   /** Bytes of a segment without entries, with a margin. */
   private static final int EMPTY_BYTES = 64;
 
-  private Segment() {}
+  private LogSegment() {}
 
   /**
    * The progress of one part of a job.
    *
    * @param bytes how long the entry is within a segment, worked out once
    */
-  public record Entry(JobId job, Part part, JsonNode progress, int bytes) {
+  public record Entry(JobId job, Chunk part, JsonNode progress, int bytes) {
     /** An entry whose progress is that long by itself. */
-    public static Entry of(JobId job, Part part, JsonNode progress, int progressBytes) {
-      int names = StateCodec.bytes(job.value()) + part.toString().length();
+    public static Entry of(JobId job, Chunk part, JsonNode progress, int progressBytes) {
+      int names = StoreCodec.bytes(job.value()) + part.toString().length();
       return new Entry(job, part, progress, progressBytes + names + ENTRY_BYTES);
     }
 
     /** An entry of any progress. */
-    public static Entry of(JobId job, Part part, JsonNode progress) {
-      return of(job, part, progress, StateCodec.bytes(progress));
+    public static Entry of(JobId job, Chunk part, JsonNode progress) {
+      return of(job, part, progress, StoreCodec.bytes(progress));
     }
   }
 
@@ -65,7 +66,7 @@
     return segment;
   }
 
-  private static ObjectNode node(JobId job, Part part, JsonNode progress) {
+  private static ObjectNode node(JobId job, Chunk part, JsonNode progress) {
     ObjectNode node = Json.object();
     node.put(JOB, job.value());
     node.put(PART, part.toString());
@@ -76,9 +77,9 @@
   /**
    * The entries of a segment.
    *
-   * @throws BadMessage if it is of another form than this build writes
+   * @throws MalformedMessageException if it is of another form than this build writes
    */
-  public static List<Entry> read(JsonNode value) throws BadMessage {
+  public static List<Entry> read(JsonNode value) throws MalformedMessageException {
     boolean known =
         value.isObject()
             && value.size() == SEGMENT_FIELDS
@@ -86,7 +87,7 @@
             && value.path(FORM_FIELD).asInt() == FORM
             && value.path(ENTRIES).isArray();
     if (!known) {
-      throw new BadMessage("a segment of another form");
+      throw new MalformedMessageException("a segment of another form");
     }
     List<Entry> entries = new ArrayList<>();
     for (JsonNode item : value.path(ENTRIES)) {
@@ -95,11 +96,11 @@
     return entries;
   }
 
-  private static Entry entry(JsonNode item) throws BadMessage {
-    Optional<Part> part =
-        item.path(PART).isTextual() ? Part.read(item.path(PART).asText()) : Optional.empty();
+  private static Entry entry(JsonNode item) throws MalformedMessageException {
+    Optional<Chunk> part =
+        item.path(PART).isTextual() ? Chunk.read(item.path(PART).asText()) : Optional.empty();
     if (item.size() != ENTRY_FIELDS || part.isEmpty() || !item.path(PROGRESS).isObject()) {
-      throw new BadMessage("an entry of another form");
+      throw new MalformedMessageException("an entry of another form");
     }
     return Entry.of(new JobId(Json.text(item, JOB)), part.get(), item.path(PROGRESS));
   }
--- a/src/main/java/org/mulleinshift/coordination/ProgressLoader.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressLoader.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.progress;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -9,18 +9,17 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 import java.util.TreeMap;
-import org.mulleinshift.bookkeeping.Job;
-import org.mulleinshift.bookkeeping.JobRecord;
-import org.mulleinshift.bookkeeping.Keys;
-import org.mulleinshift.bookkeeping.LeaderJournal;
-import org.mulleinshift.bookkeeping.Part;
-import org.mulleinshift.bookkeeping.ProgressLog;
-import org.mulleinshift.bookkeeping.Segment;
-import org.mulleinshift.protocol.BadMessage;
+import org.mulleinshift.leader.Leader;
+import org.mulleinshift.model.Chunk;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.model.JobRecord;
 import org.mulleinshift.protocol.JobId;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec;
-import org.mulleinshift.protocol.StateCodec.Item;
+import org.mulleinshift.protocol.StoreCodec;
+import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.store.StoreKeys;
+import org.mulleinshift.store.TransactionBatcher;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -29,32 +28,32 @@
  * that stands in both, or several times in the log, the image with the highest revision counts; an
  * image of a part that was cut gives way to those of what it was cut into.
  */
-final class ProgressLoader {
+public final class ProgressLoader {
   private static final Logger LOG = LoggerFactory.getLogger(ProgressLoader.class);
 
   /** The newest image of a part that was found, and its slot if it is in the log. */
   private record Found(Revision revision, JsonNode progress, OptionalInt slot) {}
 
-  private static final Comparator<Part> WHOLE_FIRST =
-      Comparator.<Part>comparingInt(Part::chunk).thenComparing(Part::path);
+  private static final Comparator<Chunk> WHOLE_FIRST =
+      Comparator.<Chunk>comparingInt(Chunk::chunk).thenComparing(Chunk::path);
 
   private final Leader leader;
-  private final LeaderJournal journal;
+  private final TransactionBatcher journal;
   private final ProgressLog log;
 
   /** Of jobs that the log has images of; those of the others are taken up page by page. */
-  private final Map<JobId, Map<Part, Found>> logged = new HashMap<>();
+  private final Map<JobId, Map<Chunk, Found>> logged = new HashMap<>();
 
-  ProgressLoader(Leader leader, LeaderJournal journal, ProgressLog log) {
+  ProgressLoader(Leader leader, TransactionBatcher journal, ProgressLog log) {
     this.leader = leader;
     this.journal = journal;
     this.log = log;
   }
 
   /** A page of the log; all of the log comes before the keys of parts. */
-  void loadSegments(StateCodec.Range page) {
+  public void loadSegments(StoreCodec.Range page) {
     for (Item item : page.items()) {
-      OptionalInt number = Keys.segmentNumber(item.key());
+      OptionalInt number = StoreKeys.segmentNumber(item.key());
       if (number.isEmpty()) {
         LOG.warn("{}: not a key of this build, left alone", item.key());
         continue;
@@ -62,15 +61,15 @@
       journal.known(item.key(), item.version());
       log.found(number.getAsInt());
       try {
-        Segment.read(item.value()).forEach(entry -> found(entry, item, number.getAsInt()));
-      } catch (BadMessage e) {
+        LogSegment.read(item.value()).forEach(entry -> found(entry, item, number.getAsInt()));
+      } catch (MalformedMessageException e) {
         log.pin(number.getAsInt());
         putAsideAllOf(item, e.getMessage());
       }
     }
   }
 
-  private void found(Segment.Entry entry, Item item, int slot) {
+  private void found(LogSegment.Entry entry, Item item, int slot) {
     if (leader.unreadable().has(entry.job())) {
       leader.unreadable().progress(entry.progress());
       log.pin(slot);
@@ -82,7 +81,7 @@
     }
   }
 
-  private static Map<Part, Found> newParts() {
+  private static Map<Chunk, Found> newParts() {
     return new TreeMap<>(WHOLE_FIRST);
   }
 
@@ -92,7 +91,7 @@
 
   /** Nothing of a job whose newest progress may stand there is started, ended or deleted. */
   private void putAsideAllOf(Item segment, String why) {
-    Optional<List<JobId>> named = Segment.jobsNamed(segment.value());
+    Optional<List<JobId>> named = LogSegment.jobsNamed(segment.value());
     List<Job> concerned =
         named.isPresent()
             ? named.get().stream().flatMap(id -> leader.known(id).stream()).distinct().toList()
@@ -113,9 +112,9 @@
   }
 
   /** A page of the keys of parts; the whole of a chunk comes before its parts. */
-  void loadParts(StateCodec.Range page) {
+  public void loadParts(StoreCodec.Range page) {
     for (Item item : page.items()) {
-      Optional<Keys.ProgressKey> key = Keys.progressKey(item.key());
+      Optional<StoreKeys.ProgressKey> key = StoreKeys.progressKey(item.key());
       if (key.isEmpty()) {
         LOG.warn("{}: not a key of this build, left alone", item.key());
         continue;
@@ -139,18 +138,18 @@
     }
   }
 
-  private boolean load(Job job, Part part, JsonNode value) {
+  private boolean load(Job job, Chunk part, JsonNode value) {
     try {
       job.load(part, value, leader::zoneOf);
       return true;
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       putAside(job, value, e.getMessage());
       return false;
     }
   }
 
   /** All was read: takes up the progress of the jobs that the log has images of. */
-  void finish() {
+  public void finish() {
     logged.forEach((id, parts) -> leader.known(id).ifPresent(job -> take(job, parts)));
     logged.entrySet().removeIf(entry -> !leader.unreadable().has(entry.getKey()));
     // Of jobs set aside meanwhile nothing may be overwritten.
@@ -158,13 +157,14 @@
     logged.clear();
   }
 
-  private void take(Job job, Map<Part, Found> parts) {
-    for (Map.Entry<Part, Found> entry : new ArrayList<>(parts.entrySet())) {
+  private void take(Job job, Map<Chunk, Found> parts) {
+    for (Map.Entry<Chunk, Found> entry : new ArrayList<>(parts.entrySet())) {
       Found found = entry.getValue();
       if (!load(job, entry.getKey(), found.progress())) {
         return;
       }
-      Segment.Entry image = Segment.Entry.of(job.spec().id(), entry.getKey(), found.progress());
+      LogSegment.Entry image =
+          LogSegment.Entry.of(job.spec().id(), entry.getKey(), found.progress());
       found.slot().ifPresent(slot -> log.found(slot, image));
     }
   }
--- a/src/main/java/org/mulleinshift/bookkeeping/ProgressLog.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressLog.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.progress;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -11,8 +11,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import org.mulleinshift.model.Chunk;
 import org.mulleinshift.protocol.JobId;
-import org.mulleinshift.protocol.StateCodec.Write;
+import org.mulleinshift.protocol.StoreCodec.Write;
+import org.mulleinshift.store.StoreKeys;
 
 /**
  * Where the newest stored image of each part of a job's progress stands in the log.
@@ -40,7 +42,7 @@
   private static final int NAMES_BYTES = 160;
 
   /** A part of a job whose progress is in the log. */
-  public record Image(JobId job, Part part) {}
+  public record Image(JobId job, Chunk part) {}
 
   private static final class Slot {
     private final int number;
@@ -84,13 +86,13 @@
    * @param valueBytes longest value that may be written
    */
   public ProgressLog(int valueBytes) {
-    this.slotBytes = Segment.room(valueBytes);
+    this.slotBytes = LogSegment.room(valueBytes);
   }
 
   /** What one transaction writes to the log. */
   public final class Batch {
     private final List<Slot> taken = new ArrayList<>();
-    private final Map<Slot, List<Segment.Entry>> entries = new LinkedHashMap<>();
+    private final Map<Slot, List<LogSegment.Entry>> entries = new LinkedHashMap<>();
     private final Map<Slot, Integer> bytes = new HashMap<>();
     private final int mostSlots;
 
@@ -106,7 +108,7 @@
     }
 
     /** Takes up an entry; false if nothing of the batch has room for it. */
-    public boolean add(Segment.Entry entry) {
+    public boolean add(LogSegment.Entry entry) {
       int size = entry.bytes();
       Optional<Slot> slot = roomFor(size);
       slot.ifPresent(
@@ -139,7 +141,7 @@
       List<Write> writes = new ArrayList<>();
       for (Slot slot : taken) {
         inDoubt.add(slot.number);
-        writes.add(Write.put(Keys.segment(slot.number), Segment.write(entries.get(slot))));
+        writes.add(Write.put(StoreKeys.segment(slot.number), LogSegment.write(entries.get(slot))));
       }
       return writes;
     }
@@ -185,7 +187,7 @@
     }
   }
 
-  private void enter(Slot slot, Segment.Entry entry) {
+  private void enter(Slot slot, LogSegment.Entry entry) {
     Image image = new Image(entry.job(), entry.part());
     release(image);
     int bytes = entry.bytes();
@@ -220,7 +222,7 @@
   }
 
   /** An image that was found to be the newest of its part. */
-  public void found(int number, Segment.Entry newest) {
+  public void found(int number, LogSegment.Entry newest) {
     enter(slots.computeIfAbsent(number, Slot::new), newest);
   }
 
@@ -297,6 +299,6 @@
 
   /** Keys of the slots that are known. */
   public List<String> keys() {
-    return slots.keySet().stream().map(Keys::segment).toList();
+    return slots.keySet().stream().map(StoreKeys::segment).toList();
   }
 }
--- a/src/main/java/org/mulleinshift/coordination/ProgressLogWriter.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressLogWriter.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.progress;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -7,19 +7,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.mulleinshift.bookkeeping.Keys;
-import org.mulleinshift.bookkeeping.LeaderJournal;
-import org.mulleinshift.bookkeeping.ProgressLog;
-import org.mulleinshift.bookkeeping.Segment;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec.Write;
+import org.mulleinshift.protocol.StoreCodec.Write;
+import org.mulleinshift.store.StoreKeys;
+import org.mulleinshift.store.TransactionBatcher;
 import org.mulleinshift.transport.EventLoop;
 
 /**
  * Group commit of progress: what has changed of all jobs goes into few values of the log. What
  * nobody waits for is held back for a moment, so that it shares a value with what comes next.
  */
-final class ProgressLogWriter implements LeaderJournal.Unit {
+final class ProgressLogWriter implements TransactionBatcher.Unit {
   /** Less than a scheduling cycle: what ends is stored with what the next cycle starts. */
   private static final Duration LINGER = Duration.ofMillis(100);
 
@@ -29,20 +27,20 @@
     boolean needsKeys(String chunk);
 
     /** Has a chunk written under its own keys. */
-    void writeByKeys(ChunkProgress progress);
+    void writeByKeys(ChunkUpdate progress);
 
     /** The changes of these chunks are stored. */
-    void stored(List<ChunkProgress> progress);
+    void stored(List<ChunkUpdate> progress);
   }
 
   private final EventLoop loop;
-  private final LeaderJournal journal;
+  private final TransactionBatcher journal;
   private final ProgressLog log;
   private final int mostSlots;
   private final Listener listener;
-  private final Map<String, ChunkProgress> pending = new LinkedHashMap<>();
+  private final Map<String, ChunkUpdate> pending = new LinkedHashMap<>();
   private final Set<String> inDoubt = new HashSet<>();
-  private List<ChunkProgress> sent = List.of();
+  private List<ChunkUpdate> sent = List.of();
   private ProgressLog.Batch batch;
   private boolean planned;
 
@@ -52,7 +50,11 @@
    * @param mostSlots values of a transaction at most
    */
   ProgressLogWriter(
-      EventLoop loop, LeaderJournal journal, ProgressLog log, int mostSlots, Listener listener) {
+      EventLoop loop,
+      TransactionBatcher journal,
+      ProgressLog log,
+      int mostSlots,
+      Listener listener) {
     this.loop = loop;
     this.journal = journal;
     this.log = log;
@@ -61,14 +63,14 @@
   }
 
   /** Has the changes of a chunk stored. */
-  void add(ChunkProgress progress) {
+  void add(ChunkUpdate progress) {
     pending.putIfAbsent(progress.name(), progress);
     plan();
   }
 
   private void plan() {
     if (pressing()) {
-      journal.submit(Keys.LOG, this);
+      journal.submit(StoreKeys.LOG, this);
     } else if (!planned && !pending.isEmpty()) {
       planned = true;
       loop.after(
@@ -76,7 +78,7 @@
           () -> {
             planned = false;
             if (!pending.isEmpty()) {
-              journal.submit(Keys.LOG, this);
+              journal.submit(StoreKeys.LOG, this);
             }
           });
     }
@@ -89,7 +91,7 @@
 
   @Override
   public boolean pressing() {
-    return pending.values().stream().anyMatch(ChunkProgress::pressing);
+    return pending.values().stream().anyMatch(ChunkUpdate::pressing);
   }
 
   @Override
@@ -101,7 +103,7 @@
   public List<Write> writes() {
     batch = log.begin(mostSlots);
     sent = new ArrayList<>();
-    for (ChunkProgress progress : inTurn()) {
+    for (ChunkUpdate progress : inTurn()) {
       if (listener.needsKeys(progress.name())) {
         moveToKeys(progress);
       } else if (!take(progress)) {
@@ -116,26 +118,27 @@
     return batch.writes();
   }
 
-  private void moveToKeys(ChunkProgress progress) {
+  private void moveToKeys(ChunkUpdate progress) {
     pending.remove(progress.name());
     listener.writeByKeys(progress);
   }
 
-  private List<ChunkProgress> inTurn() {
-    List<ChunkProgress> order = new ArrayList<>();
-    pending.values().stream().filter(ChunkProgress::pressing).forEach(order::add);
+  private List<ChunkUpdate> inTurn() {
+    List<ChunkUpdate> order = new ArrayList<>();
+    pending.values().stream().filter(ChunkUpdate::pressing).forEach(order::add);
     pending.values().stream().filter(progress -> !progress.pressing()).forEach(order::add);
     return order;
   }
 
   /** False if the batch is full. */
-  private boolean take(ChunkProgress progress) {
-    List<ChunkProgress.Form> chosen = new ArrayList<>();
+  private boolean take(ChunkUpdate progress) {
+    List<ChunkUpdate.Form> chosen = new ArrayList<>();
     boolean full = false;
     boolean unfit = false;
-    for (ChunkProgress.Form form : progress.forms(log.longestProgress(), true)) {
-      Segment.Entry entry =
-          Segment.Entry.of(progress.job().spec().id(), form.part(), form.progress(), form.bytes());
+    for (ChunkUpdate.Form form : progress.forms(log.longestProgress(), true)) {
+      LogSegment.Entry entry =
+          LogSegment.Entry.of(
+              progress.job().spec().id(), form.part(), form.progress(), form.bytes());
       boolean fits = entry.bytes() <= log.longestEntry();
       boolean taken = fits && batch.add(entry);
       if (taken) {
@@ -160,16 +163,16 @@
   @Override
   public void unfit() {
     log.shorten();
-    journal.submit(Keys.LOG, this);
+    journal.submit(StoreKeys.LOG, this);
   }
 
   @Override
   public void committed(Revision revision) {
     log.stored(batch);
     inDoubt.clear();
-    List<ChunkProgress> stored = sent;
+    List<ChunkUpdate> stored = sent;
     sent = List.of();
-    for (ChunkProgress progress : stored) {
+    for (ChunkUpdate progress : stored) {
       progress.stored(revision);
       if (!progress.waits()) {
         pending.remove(progress.name());
--- a/src/main/java/org/mulleinshift/coordination/ProgressKeeper.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressPersister.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.progress;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,21 +8,21 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.BiConsumer;
-import org.mulleinshift.bookkeeping.Delegation;
-import org.mulleinshift.bookkeeping.Job;
-import org.mulleinshift.bookkeeping.JobRecord;
-import org.mulleinshift.bookkeeping.Keys;
-import org.mulleinshift.bookkeeping.LeaderJournal;
-import org.mulleinshift.bookkeeping.Part;
-import org.mulleinshift.bookkeeping.ProgressLog;
-import org.mulleinshift.coordination.rollout.Builds;
+import org.mulleinshift.compatibility.FeatureGates;
+import org.mulleinshift.leader.Leader;
+import org.mulleinshift.model.Chunk;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.model.JobRecord;
+import org.mulleinshift.model.TaskAssignment;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec;
-import org.mulleinshift.protocol.StateCodec.Item;
-import org.mulleinshift.protocol.StateCodec.Write;
+import org.mulleinshift.protocol.StoreCodec;
+import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.Write;
 import org.mulleinshift.settings.PlatformSettings;
 import org.mulleinshift.settings.Tunables;
+import org.mulleinshift.store.StoreKeys;
+import org.mulleinshift.store.TransactionBatcher;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -33,8 +33,8 @@
  * into parts, but only once all controllers read parts: an older build would take a job's done
  * tasks in them for waiting ones.
  */
-final class ProgressKeeper implements ProgressLogWriter.Listener {
-  private static final Logger LOG = LoggerFactory.getLogger(ProgressKeeper.class);
+public final class ProgressPersister implements ProgressLogWriter.Listener {
+  private static final Logger LOG = LoggerFactory.getLogger(ProgressPersister.class);
 
   /** The service may count a value's bytes in a form with spaces. */
   private static final double USED_OF_VALUE = 0.85;
@@ -44,7 +44,7 @@
 
   private final Leader leader;
   private final Leader.Surroundings around;
-  private final LeaderJournal journal;
+  private final TransactionBatcher journal;
   private final int valueBytes;
   private final boolean limitsFall;
   private final int mostOps;
@@ -53,12 +53,13 @@
   private final ProgressLoader loader;
 
   /** Parts by chunk whose last write under a key of their own may still be carried out. */
-  private final Map<String, Set<Part>> keysInDoubt = new HashMap<>();
+  private final Map<String, Set<Chunk>> keysInDoubt = new HashMap<>();
 
   private boolean partsAllowed;
   private boolean logging;
 
-  ProgressKeeper(Leader leader, Leader.Surroundings around, LeaderJournal journal, int mostOps) {
+  public ProgressPersister(
+      Leader leader, Leader.Surroundings around, TransactionBatcher journal, int mostOps) {
     this.leader = leader;
     this.around = around;
     this.journal = journal;
@@ -74,7 +75,7 @@
   }
 
   /** Reads what is stored, before anything is written. */
-  ProgressLoader loader() {
+  public ProgressLoader loader() {
     return loader;
   }
 
@@ -84,13 +85,13 @@
    * there, unless the operators have switched it off: then what is there moves back to keys. Each
    * step may be the last.
    */
-  void upkeep() {
-    if (!partsAllowed && around.builds().all(Builds.PARTS)) {
+  public void upkeep() {
+    if (!partsAllowed && around.builds().all(FeatureGates.PARTS)) {
       partsAllowed = true;
       leader.jobs().values().forEach(this::convert);
     }
     boolean wanted = around.tunables().number(Tunables.Key.PROGRESS_LOG) > 0;
-    if (!logging && wanted && around.builds().all(Builds.PROGRESS_LOG)) {
+    if (!logging && wanted && around.builds().all(FeatureGates.PROGRESS_LOG)) {
       logging = true;
     }
     if (!wanted) {
@@ -111,40 +112,40 @@
   }
 
   private void convert(Job job) {
-    List<Part> open = new ArrayList<>(job.parts().uncovered());
-    for (Part part : List.copyOf(job.parts().live())) {
+    List<Chunk> open = new ArrayList<>(job.parts().uncovered());
+    for (Chunk part : List.copyOf(job.parts().live())) {
       // Also what could not be stored before.
       boolean waits =
           job.delegations(part).stream()
               .anyMatch(
                   delegation ->
-                      delegation.state() == Delegation.State.WRITING
-                          || delegation.state() == Delegation.State.ENDED);
-      if (waits || (limitsFall && StateCodec.bytes(job.progress(part)) > valueBytes)) {
+                      delegation.state() == TaskAssignment.State.WRITING
+                          || delegation.state() == TaskAssignment.State.ENDED);
+      if (waits || (limitsFall && StoreCodec.bytes(job.progress(part)) > valueBytes)) {
         open.add(part);
       }
     }
     open.forEach(part -> writeWhenIdle(job, part));
   }
 
-  private void writeWhenIdle(Job job, Part part) {
+  private void writeWhenIdle(Job job, Chunk part) {
     job.parts().changed(part, false);
     KeyedUnit unit = new KeyedUnit(chunkOf(job, part));
     journal.submitIdle(unit.progress.name(), unit);
   }
 
-  private ChunkProgress chunkOf(Job job, Part part) {
-    return new ChunkProgress(leader, around.loop(), job, part.chunk());
+  private ChunkUpdate chunkOf(Job job, Chunk part) {
+    return new ChunkUpdate(leader, around.loop(), job, part.chunk());
   }
 
   /** Has the progress of a task stored; pressing if its start waits for that. */
-  void store(Job job, int task, boolean pressing) {
-    Part part = job.partOf(task);
+  public void store(Job job, int task, boolean pressing) {
+    Chunk part = job.partOf(task);
     job.parts().changed(part, pressing);
     store(chunkOf(job, part));
   }
 
-  private void store(ChunkProgress progress) {
+  private void store(ChunkUpdate progress) {
     if (logging && !needsKeys(progress.name())) {
       logWriter.add(progress);
     } else {
@@ -158,18 +159,18 @@
   }
 
   @Override
-  public void writeByKeys(ChunkProgress progress) {
+  public void writeByKeys(ChunkUpdate progress) {
     journal.submit(progress.name(), new KeyedUnit(progress));
   }
 
   @Override
-  public void stored(List<ChunkProgress> stored) {
+  public void stored(List<ChunkUpdate> stored) {
     stored.forEach(this::cleanUp);
     compact();
   }
 
   /** After a chunk's changes were stored: what is no longer read goes, and the job may end. */
-  private void cleanUp(ChunkProgress progress) {
+  private void cleanUp(ChunkUpdate progress) {
     progress.outgrown().forEach(part -> remove(progress.job(), part));
     leader.settle(progress.job());
     leader.cycleSoon();
@@ -186,7 +187,7 @@
   }
 
   /** Images of jobs that this build can't read any more stay where they are. */
-  private void rewrite(List<ProgressLog.Image> images, BiConsumer<Job, Part> writer) {
+  private void rewrite(List<ProgressLog.Image> images, BiConsumer<Job, Chunk> writer) {
     for (ProgressLog.Image image : images) {
       Optional<Job> job = leader.known(image.job());
       if (job.isPresent()) {
@@ -199,17 +200,17 @@
   }
 
   /** Has the end of a job stored, whose state allows it. */
-  void end(Job job) {
-    journal.known(Keys.active(job.spec().id()), job.version());
-    journal.submit(Keys.ended(job.spec().id()), new EndUnit(job));
+  public void end(Job job) {
+    journal.known(StoreKeys.active(job.spec().id()), job.version());
+    journal.submit(StoreKeys.ended(job.spec().id()), new EndUnit(job));
     job.beginEnd();
   }
 
   /** Changed parts of a chunk, each under a key of its own. */
-  private final class KeyedUnit implements LeaderJournal.Unit {
-    private final ChunkProgress progress;
+  private final class KeyedUnit implements TransactionBatcher.Unit {
+    private final ChunkUpdate progress;
 
-    KeyedUnit(ChunkProgress progress) {
+    KeyedUnit(ChunkUpdate progress) {
       this.progress = progress;
     }
 
@@ -224,13 +225,13 @@
         // The log's next write takes it along.
         return List.of();
       }
-      List<ChunkProgress.Form> chosen =
+      List<ChunkUpdate.Form> chosen =
           progress.forms(valueBytes, partsAllowed).stream().limit(mostOps).toList();
       progress.sent(chosen);
       List<Write> writes = new ArrayList<>();
-      for (ChunkProgress.Form form : chosen) {
+      for (ChunkUpdate.Form form : chosen) {
         keysInDoubt.computeIfAbsent(progress.name(), key -> new HashSet<>()).add(form.part());
-        writes.add(Write.put(Keys.progress(id(), form.part()), form.progress()));
+        writes.add(Write.put(StoreKeys.progress(id(), form.part()), form.progress()));
       }
       return writes;
     }
@@ -242,7 +243,7 @@
     @Override
     public void committed(Revision revision) {
       certain();
-      for (Part part : progress.sentParts()) {
+      for (Chunk part : progress.sentParts()) {
         log.release(new ProgressLog.Image(id(), part));
       }
       progress.stored(revision);
@@ -254,7 +255,7 @@
 
     /** What was written is known; a part that was cut since is read for nothing. */
     private void certain() {
-      Set<Part> doubtful = keysInDoubt.getOrDefault(progress.name(), new HashSet<>());
+      Set<Chunk> doubtful = keysInDoubt.getOrDefault(progress.name(), new HashSet<>());
       doubtful.removeAll(progress.sentParts());
       doubtful.removeIf(part -> !progress.job().parts().live().contains(part));
       if (doubtful.isEmpty()) {
@@ -263,9 +264,9 @@
     }
   }
 
-  private void remove(Job job, Part part) {
+  private void remove(Job job, Chunk part) {
     log.release(new ProgressLog.Image(job.spec().id(), part));
-    String key = Keys.progress(job.spec().id(), part);
+    String key = StoreKeys.progress(job.spec().id(), part);
     if (journal.knows(key)) {
       // Nobody reads it any more: it need not compete with what tasks wait for.
       journal.submitIdle(key, new DeleteUnit(key, () -> job.parts().gone(part)));
@@ -280,9 +281,9 @@
   }
 
   /** The end of a job: from here on users hear done or cancelled, and jobs that await it may go. */
-  private final class EndUnit implements LeaderJournal.Unit {
+  private final class EndUnit implements TransactionBatcher.Unit {
     private final Job job;
-    private List<Delegation> left = List.of();
+    private List<TaskAssignment> left = List.of();
     private long atMillis;
 
     EndUnit(Job job) {
@@ -297,15 +298,15 @@
       }
       atMillis = around.loop().wallMillis();
       List<Write> writes = new ArrayList<>();
-      writes.add(Write.delete(Keys.active(id)));
-      writes.add(Write.put(Keys.ended(id), JobRecord.endedValue(job.endPhase(), atMillis)));
+      writes.add(Write.delete(StoreKeys.active(id)));
+      writes.add(Write.put(StoreKeys.ended(id), JobRecord.endedValue(job.endPhase(), atMillis)));
       left = List.copyOf(job.delegations());
       return writes;
     }
 
     @Override
     public void reread(String key, Optional<Item> item) {
-      if (key.equals(Keys.active(job.spec().id()))) {
+      if (key.equals(StoreKeys.active(job.spec().id()))) {
         item.flatMap(JobRecord::read).ifPresent(job::update);
       }
     }
@@ -316,7 +317,7 @@
       LOG.info("job {} {}: {}", id, job.endPhase().wire(), job.summary(atMillis));
       List.copyOf(job.parts().inStore()).forEach(part -> remove(job, part));
       for (int list = 0; list < job.awaits().lists(); list++) {
-        String key = Keys.awaited(id, job.awaits().digest(), list);
+        String key = StoreKeys.awaited(id, job.awaits().digest(), list);
         if (journal.knows(key)) {
           removeKey(key);
         }
@@ -324,20 +325,20 @@
       log.release(id);
       forgetDoubts(job);
       job.finishEnd();
-      journal.forgotten(Keys.ended(id));
+      journal.forgotten(StoreKeys.ended(id));
       leader.ended(job, left, atMillis);
     }
   }
 
   /** A late write of a job that is over is read for nothing. */
   private void forgetDoubts(Job job) {
-    for (Part part : job.parts().live()) {
-      keysInDoubt.remove(ChunkProgress.name(job, part.chunk()));
+    for (Chunk part : job.parts().live()) {
+      keysInDoubt.remove(ChunkUpdate.name(job, part.chunk()));
     }
   }
 
   /** A key that is no longer needed. */
-  private record DeleteUnit(String key, Runnable then) implements LeaderJournal.Unit {
+  private record DeleteUnit(String key, Runnable then) implements TransactionBatcher.Unit {
     DeleteUnit(String key) {
       this(key, () -> {});
     }
--- a/src/main/java/org/mulleinshift/protocol/CloudCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/CloudCodec.java
@@ -25,7 +25,8 @@
 
   private CloudCodec() {}
 
-  public static Map<MachineTypeId, MachineType> parseCatalog(String body) throws BadMessage {
+  public static Map<MachineTypeId, MachineType> parseCatalog(String body)
+      throws MalformedMessageException {
     Map<MachineTypeId, MachineType> types = new LinkedHashMap<>();
     for (JsonNode item : list(Json.parseObject(body), "builds")) {
       List<ZoneId> zones = new ArrayList<>();
@@ -49,7 +50,7 @@
               List.copyOf(zones)));
     }
     if (types.isEmpty()) {
-      throw new BadMessage("empty catalog");
+      throw new MalformedMessageException("empty catalog");
     }
     return types;
   }
@@ -64,11 +65,11 @@
     return Json.write(node);
   }
 
-  public static List<MachineId> parseRented(String body) throws BadMessage {
+  public static List<MachineId> parseRented(String body) throws MalformedMessageException {
     List<MachineId> machines = new ArrayList<>();
     for (JsonNode item : list(Json.parseObject(body), "hosts")) {
       if (!item.isTextual()) {
-        throw new BadMessage("hosts holds something else than names");
+        throw new MalformedMessageException("hosts holds something else than names");
       }
       machines.add(new MachineId(item.asText()));
     }
@@ -87,7 +88,7 @@
     return RENTALS + "?" + from + "limit=" + LIST_LIMIT;
   }
 
-  public static Page parseList(String body) throws BadMessage {
+  public static Page parseList(String body) throws MalformedMessageException {
     JsonNode node = Json.parseObject(body);
     List<CloudMachine> machines = new ArrayList<>();
     for (JsonNode item : list(node, "hosts")) {
@@ -104,19 +105,19 @@
     return new Page(machines, node.path("more").asBoolean(false));
   }
 
-  private static CloudMachine.Phase phase(String wire) throws BadMessage {
+  private static CloudMachine.Phase phase(String wire) throws MalformedMessageException {
     return switch (wire) {
       case "booting" -> CloudMachine.Phase.BOOTING;
       case "running" -> CloudMachine.Phase.RUNNING;
       case "failed" -> CloudMachine.Phase.FAILED;
-      default -> throw new BadMessage("phase is not one of the known values");
+      default -> throw new MalformedMessageException("phase is not one of the known values");
     };
   }
 
-  private static JsonNode list(JsonNode parent, String key) throws BadMessage {
+  private static JsonNode list(JsonNode parent, String key) throws MalformedMessageException {
     JsonNode node = parent.path(key);
     if (!node.isArray()) {
-      throw new BadMessage(key + " is missing");
+      throw new MalformedMessageException(key + " is missing");
     }
     return node;
   }
--- a/src/main/java/org/mulleinshift/protocol/ReportParser.java
+++ b/src/main/java/org/mulleinshift/protocol/HeartbeatParser.java
@@ -14,7 +14,7 @@
  * Reads one worker's report token by token. Reports are what a controller reads most, so no tree is
  * built of them. Fields it does not know are skipped; a field named twice is an error.
  */
-final class ReportParser {
+final class HeartbeatParser {
   private static final double LONGEST_RECALL_SECONDS = 1e9;
 
   private final JsonParser in;
@@ -28,23 +28,23 @@
   private long sequence = -1;
   private long token = -1;
   private Optional<Duration> recall = Optional.empty();
-  private List<WorkerReport.Entry> tasks;
+  private List<WorkerHeartbeat.Entry> tasks;
 
-  private ReportParser(JsonParser in) {
+  private HeartbeatParser(JsonParser in) {
     this.in = in;
   }
 
-  static WorkerReport parse(String body) throws BadMessage {
+  static WorkerHeartbeat parse(String body) throws MalformedMessageException {
     try (JsonParser in = Json.parser(body)) {
-      return new ReportParser(in).report();
+      return new HeartbeatParser(in).report();
     } catch (IOException e) {
-      throw new BadMessage("not JSON");
+      throw new MalformedMessageException("not JSON");
     }
   }
 
-  private WorkerReport report() throws IOException, BadMessage {
+  private WorkerHeartbeat report() throws IOException, MalformedMessageException {
     if (in.nextToken() != JsonToken.START_OBJECT) {
-      throw new BadMessage("not an object");
+      throw new MalformedMessageException("not an object");
     }
     for (String key = in.nextFieldName(); key != null; key = in.nextFieldName()) {
       in.nextToken();
@@ -52,24 +52,24 @@
       once(seen, key);
     }
     if (!in.hasToken(JsonToken.END_OBJECT) || in.nextToken() != null) {
-      throw new BadMessage("not JSON");
+      throw new MalformedMessageException("not JSON");
     }
     if (tasks == null) {
-      throw new BadMessage("pieces is missing");
+      throw new MalformedMessageException("pieces is missing");
     }
-    return new WorkerReport(
+    return new WorkerHeartbeat(
         new MachineId(given(machine, "host")),
         given(address, "addr"),
         new MachineTypeId(given(type, "build")),
         new ZoneId(given(zone, "yard")),
         given(spot, "loaner"),
-        new WorkerMoment(given(session, "shift"), given(sequence, "tick")),
+        new HeartbeatVersion(given(session, "shift"), given(sequence, "tick")),
         new FencingToken(given(token, "baton")),
         recall,
         tasks);
   }
 
-  private void field(String key) throws IOException, BadMessage {
+  private void field(String key) throws IOException, MalformedMessageException {
     switch (key) {
       case "host" -> machine = text(key);
       case "addr" -> address = text(key);
@@ -85,25 +85,25 @@
     }
   }
 
-  private List<WorkerReport.Entry> entries() throws IOException, BadMessage {
+  private List<WorkerHeartbeat.Entry> entries() throws IOException, MalformedMessageException {
     if (!in.hasToken(JsonToken.START_ARRAY)) {
-      throw new BadMessage("pieces is missing");
+      throw new MalformedMessageException("pieces is missing");
     }
-    List<WorkerReport.Entry> found = new ArrayList<>(8);
+    List<WorkerHeartbeat.Entry> found = new ArrayList<>(8);
     while (in.nextToken() != JsonToken.END_ARRAY) {
       found.add(entry());
     }
     return found;
   }
 
-  private WorkerReport.Entry entry() throws IOException, BadMessage {
+  private WorkerHeartbeat.Entry entry() throws IOException, MalformedMessageException {
     if (!in.hasToken(JsonToken.START_OBJECT)) {
-      throw new BadMessage("piece is missing or not a short text");
+      throw new MalformedMessageException("piece is missing or not a short text");
     }
     TaskId task = null;
     long attempt = -1;
-    WorkerReport.State state = null;
-    WorkerReport.Cause cause = null;
+    WorkerHeartbeat.State state = null;
+    WorkerHeartbeat.Cause cause = null;
     for (String key = in.nextFieldName(); key != null; key = in.nextFieldName()) {
       in.nextToken();
       switch (key) {
@@ -117,91 +117,91 @@
         default -> in.skipChildren();
       }
     }
-    return new WorkerReport.Entry(
+    return new WorkerHeartbeat.Entry(
         given(task, "piece"),
         new Attempt(given(attempt, "try")),
         given(state, "phase"),
-        cause == null ? WorkerReport.Cause.NONE : cause);
+        cause == null ? WorkerHeartbeat.Cause.NONE : cause);
   }
 
-  private WorkerReport.Cause causeOf(String key) throws IOException, BadMessage {
+  private WorkerHeartbeat.Cause causeOf(String key) throws IOException, MalformedMessageException {
     return in.hasToken(JsonToken.VALUE_NULL)
-        ? WorkerReport.Cause.NONE
+        ? WorkerHeartbeat.Cause.NONE
         : WorkerCodec.cause(text(key));
   }
 
-  private static TaskId taskId(String name) throws BadMessage {
+  private static TaskId taskId(String name) throws MalformedMessageException {
     int slash = name.lastIndexOf('/');
     int index;
     try {
       index = Integer.parseInt(name.substring(slash + 1));
     } catch (NumberFormatException e) {
-      throw new BadMessage("piece is not a task id");
+      throw new MalformedMessageException("piece is not a task id");
     }
     if (slash <= 0 || index < 0) {
-      throw new BadMessage("piece is not a task id");
+      throw new MalformedMessageException("piece is not a task id");
     }
     return new TaskId(new JobId(name.substring(0, slash)), index);
   }
 
-  private Optional<Duration> recall(String key) throws IOException, BadMessage {
+  private Optional<Duration> recall(String key) throws IOException, MalformedMessageException {
     if (in.hasToken(JsonToken.VALUE_NULL)) {
       return Optional.empty();
     }
     double seconds = in.currentToken().isNumeric() ? in.getDoubleValue() : Double.NaN;
     if (!(seconds >= 0 && seconds <= LONGEST_RECALL_SECONDS)) {
-      throw new BadMessage(key + " is missing or not an amount");
+      throw new MalformedMessageException(key + " is missing or not an amount");
     }
     return Optional.of(Duration.ofMillis((long) (seconds * 1000)));
   }
 
-  private String text(String key) throws IOException, BadMessage {
+  private String text(String key) throws IOException, MalformedMessageException {
     String value = in.hasToken(JsonToken.VALUE_STRING) ? in.getText() : "";
     if (value.isEmpty() || value.length() > Json.LONGEST_NAME) {
-      throw new BadMessage(key + " is missing or not a short text");
+      throw new MalformedMessageException(key + " is missing or not a short text");
     }
     return value;
   }
 
-  private long count(String key) throws IOException, BadMessage {
+  private long count(String key) throws IOException, MalformedMessageException {
     if (!in.hasToken(JsonToken.VALUE_NUMBER_INT)
         || in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
         || in.getLongValue() < 0) {
-      throw new BadMessage(key + " is missing or out of range");
+      throw new MalformedMessageException(key + " is missing or out of range");
     }
     return in.getLongValue();
   }
 
-  private boolean flag(String key) throws BadMessage {
+  private boolean flag(String key) throws MalformedMessageException {
     if (!in.currentToken().isBoolean()) {
-      throw new BadMessage(key + " is missing or not a boolean");
+      throw new MalformedMessageException(key + " is missing or not a boolean");
     }
     return in.hasToken(JsonToken.VALUE_TRUE);
   }
 
-  private static void once(Set<String> seen, String key) throws BadMessage {
+  private static void once(Set<String> seen, String key) throws MalformedMessageException {
     if (!seen.add(key)) {
-      throw new BadMessage(key + " is given twice");
+      throw new MalformedMessageException(key + " is given twice");
     }
   }
 
-  private static <T> T unset(T before, T now, String key) throws BadMessage {
+  private static <T> T unset(T before, T now, String key) throws MalformedMessageException {
     if (before != null) {
-      throw new BadMessage(key + " is given twice");
+      throw new MalformedMessageException(key + " is given twice");
     }
     return now;
   }
 
-  private static <T> T given(T value, String key) throws BadMessage {
+  private static <T> T given(T value, String key) throws MalformedMessageException {
     if (value == null) {
-      throw new BadMessage(key + " is missing");
+      throw new MalformedMessageException(key + " is missing");
     }
     return value;
   }
 
-  private static long given(long value, String key) throws BadMessage {
+  private static long given(long value, String key) throws MalformedMessageException {
     if (value < 0) {
-      throw new BadMessage(key + " is missing or out of range");
+      throw new MalformedMessageException(key + " is missing or out of range");
     }
     return value;
   }
--- a/src/main/java/org/mulleinshift/protocol/WorkerMoment.java
+++ b/src/main/java/org/mulleinshift/protocol/HeartbeatVersion.java
@@ -1,15 +1,16 @@
 package org.mulleinshift.protocol;
 
 /** Orders a worker's messages: the larger one is the newer one. */
-public record WorkerMoment(long session, long sequence) implements Comparable<WorkerMoment> {
-  public static final WorkerMoment NEVER = new WorkerMoment(0, 0);
+public record HeartbeatVersion(long session, long sequence)
+    implements Comparable<HeartbeatVersion> {
+  public static final HeartbeatVersion NEVER = new HeartbeatVersion(0, 0);
 
-  public boolean isAfter(WorkerMoment other) {
+  public boolean isAfter(HeartbeatVersion other) {
     return compareTo(other) > 0;
   }
 
   @Override
-  public int compareTo(WorkerMoment other) {
+  public int compareTo(HeartbeatVersion other) {
     int bySession = Long.compare(session, other.session);
     return bySession != 0 ? bySession : Long.compare(sequence, other.sequence);
   }
--- a/src/main/java/org/mulleinshift/protocol/JobCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/JobCodec.java
@@ -27,10 +27,10 @@
     return ID.matcher(text).matches();
   }
 
-  public static JobSpec parse(JsonNode node) throws BadMessage {
+  public static JobSpec parse(JsonNode node) throws MalformedMessageException {
     String id = Json.text(node, "ref");
     if (!isJobId(id)) {
-      throw new BadMessage("ref is not a job id");
+      throw new MalformedMessageException("ref is not a job id");
     }
     Resources perTask =
         new Resources(
@@ -59,7 +59,7 @@
   }
 
   /** The jobs that a submission awaits, each once. */
-  public static List<JobId> awaits(JsonNode node) throws BadMessage {
+  public static List<JobId> awaits(JsonNode node) throws MalformedMessageException {
     if (!node.hasNonNull("awaits")) {
       return List.of();
     }
@@ -67,14 +67,14 @@
   }
 
   /** A list of job ids, each once. */
-  public static List<JobId> jobIds(JsonNode list) throws BadMessage {
+  public static List<JobId> jobIds(JsonNode list) throws MalformedMessageException {
     if (!list.isArray()) {
-      throw new BadMessage("awaits is not a list");
+      throw new MalformedMessageException("awaits is not a list");
     }
     Set<JobId> jobs = new LinkedHashSet<>();
     for (JsonNode name : list) {
       if (!name.isTextual() || !isJobId(name.asText())) {
-        throw new BadMessage("awaits holds something else than job ids");
+        throw new MalformedMessageException("awaits holds something else than job ids");
       }
       jobs.add(new JobId(name.asText()));
     }
@@ -83,35 +83,36 @@
 
   private static <T> T oneOf(
       JsonNode node, String key, T[] values, java.util.function.Function<T, String> wire)
-      throws BadMessage {
+      throws MalformedMessageException {
     String text = Json.text(node, key);
     for (T value : values) {
       if (wire.apply(value).equals(text)) {
         return value;
       }
     }
-    throw new BadMessage(key + " is not one of the known values");
+    throw new MalformedMessageException(key + " is not one of the known values");
   }
 
-  private static Optional<List<MachineTypeId>> machineTypes(JsonNode node) throws BadMessage {
+  private static Optional<List<MachineTypeId>> machineTypes(JsonNode node)
+      throws MalformedMessageException {
     if (!node.hasNonNull("builds")) {
       return Optional.empty();
     }
     JsonNode list = node.get("builds");
     if (!list.isArray() || list.size() > MOST_TYPES) {
-      throw new BadMessage("builds is not a short list");
+      throw new MalformedMessageException("builds is not a short list");
     }
     List<MachineTypeId> types = new ArrayList<>();
     for (JsonNode type : list) {
       if (!type.isTextual() || type.asText().length() > Json.LONGEST_NAME) {
-        throw new BadMessage("builds holds something else than names");
+        throw new MalformedMessageException("builds holds something else than names");
       }
       types.add(new MachineTypeId(type.asText()));
     }
     return Optional.of(List.copyOf(types));
   }
 
-  private static Optional<ZoneId> zone(JsonNode node) throws BadMessage {
+  private static Optional<ZoneId> zone(JsonNode node) throws MalformedMessageException {
     return node.hasNonNull("yard")
         ? Optional.of(new ZoneId(Json.text(node, "yard")))
         : Optional.empty();
--- a/src/main/java/org/mulleinshift/protocol/Json.java
+++ b/src/main/java/org/mulleinshift/protocol/Json.java
@@ -43,51 +43,52 @@
   }
 
   /** Reads one JSON object. */
-  public static JsonNode parseObject(String text) throws BadMessage {
+  public static JsonNode parseObject(String text) throws MalformedMessageException {
     JsonNode node;
     try {
       node = MAPPER.readTree(text);
     } catch (JsonProcessingException e) {
-      throw new BadMessage("not JSON");
+      throw new MalformedMessageException("not JSON");
     }
     if (node == null || !node.isObject()) {
-      throw new BadMessage("not an object");
+      throw new MalformedMessageException("not an object");
     }
     return node;
   }
 
-  public static String text(JsonNode parent, String key) throws BadMessage {
+  public static String text(JsonNode parent, String key) throws MalformedMessageException {
     JsonNode node = parent.path(key);
     if (!node.isTextual() || node.asText().isEmpty() || node.asText().length() > LONGEST_NAME) {
-      throw new BadMessage(key + " is missing or not a short text");
+      throw new MalformedMessageException(key + " is missing or not a short text");
     }
     return node.asText();
   }
 
-  public static double amount(JsonNode parent, String key) throws BadMessage {
+  public static double amount(JsonNode parent, String key) throws MalformedMessageException {
     JsonNode node = parent.path(key);
     double value = node.isNumber() ? node.asDouble() : Double.NaN;
     if (!(value >= 0 && value <= 1e9)) {
-      throw new BadMessage(key + " is missing or not an amount");
+      throw new MalformedMessageException(key + " is missing or not an amount");
     }
     return value;
   }
 
-  public static long count(JsonNode parent, String key, long least, long most) throws BadMessage {
+  public static long count(JsonNode parent, String key, long least, long most)
+      throws MalformedMessageException {
     JsonNode node = parent.path(key);
     if (!node.isIntegralNumber()
         || !node.canConvertToLong()
         || node.asLong() < least
         || node.asLong() > most) {
-      throw new BadMessage(key + " is missing or out of range");
+      throw new MalformedMessageException(key + " is missing or out of range");
     }
     return node.asLong();
   }
 
-  public static boolean flag(JsonNode parent, String key) throws BadMessage {
+  public static boolean flag(JsonNode parent, String key) throws MalformedMessageException {
     JsonNode node = parent.path(key);
     if (!node.isBoolean()) {
-      throw new BadMessage(key + " is missing or not a boolean");
+      throw new MalformedMessageException(key + " is missing or not a boolean");
     }
     return node.asBoolean();
   }
--- a/src/main/java/org/mulleinshift/protocol/HoldId.java
+++ b/src/main/java/org/mulleinshift/protocol/LeaseId.java
@@ -1,9 +1,9 @@
 package org.mulleinshift.protocol;
 
 /** A lease at the state service. */
-public record HoldId(long value) implements Comparable<HoldId> {
+public record LeaseId(long value) implements Comparable<LeaseId> {
   @Override
-  public int compareTo(HoldId other) {
+  public int compareTo(LeaseId other) {
     return Long.compare(value, other.value);
   }
 
@@ -14,7 +14,7 @@
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof HoldId number && number.value == value;
+    return other instanceof LeaseId number && number.value == value;
   }
 
   @Override
--- a/src/main/java/org/mulleinshift/protocol/BadMessage.java
+++ b/src/main/java/org/mulleinshift/protocol/MalformedMessageException.java
@@ -1,10 +1,10 @@
 package org.mulleinshift.protocol;
 
 /** A message that does not follow the protocol; the text says why in a few words. */
-public final class BadMessage extends Exception {
+public final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  public BadMessage(String message) {
+  public MalformedMessageException(String message) {
     super(message, null, false, false);
   }
 }
--- a/src/main/java/org/mulleinshift/protocol/PeerCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/PeerCodec.java
@@ -33,11 +33,11 @@
     return out.toByteArray();
   }
 
-  public PeerFrame read(byte[] frame) throws BadMessage {
+  public PeerFrame read(byte[] frame) throws MalformedMessageException {
     try {
       return reader.read(null, DecoderFactory.get().binaryDecoder(frame, null));
     } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
-      throw new BadMessage("not a peer frame");
+      throw new MalformedMessageException("not a peer frame");
     }
   }
 }
--- a/src/main/java/org/mulleinshift/protocol/BlockId.java
+++ b/src/main/java/org/mulleinshift/protocol/ShardId.java
@@ -1,9 +1,9 @@
 package org.mulleinshift.protocol;
 
 /** A block of machines in one zone. */
-public record BlockId(String value) implements Comparable<BlockId> {
+public record ShardId(String value) implements Comparable<ShardId> {
   @Override
-  public int compareTo(BlockId other) {
+  public int compareTo(ShardId other) {
     return value.compareTo(other.value);
   }
 
@@ -14,7 +14,7 @@
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof BlockId id && id.value.equals(value);
+    return other instanceof ShardId id && id.value.equals(value);
   }
 
   @Override
--- a/src/main/java/org/mulleinshift/protocol/StateCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/StoreCodec.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 
 /** The state service's interface. */
-public final class StateCodec {
+public final class StoreCodec {
   public static final String COMMIT = "/commit";
   public static final String HOLDS = "/holds";
   public static final int RANGE_LIMIT = 250;
@@ -39,18 +39,18 @@
   public record Guard(String key, Revision version) {}
 
   /** A put or, without a value, a delete. The value is JSON text: it is encoded once. */
-  public record Write(String key, Optional<String> value, Optional<HoldId> hold) {
+  public record Write(String key, Optional<String> value, Optional<LeaseId> hold) {
     public static Write put(String key, JsonNode value) {
       return new Write(key, Optional.of(Json.write(value)), Optional.empty());
     }
 
-    public static Write put(String key, JsonNode value, HoldId hold) {
+    public static Write put(String key, JsonNode value, LeaseId hold) {
       return new Write(key, Optional.of(Json.write(value)), Optional.of(hold));
     }
 
     /** What the service counts against the limit of a value. */
     public int bytes() {
-      return value.map(text -> StateCodec.bytes(text)).orElse(0);
+      return value.map(text -> StoreCodec.bytes(text)).orElse(0);
     }
 
     public static Write delete(String key) {
@@ -58,7 +58,7 @@
     }
   }
 
-  private StateCodec() {}
+  private StoreCodec() {}
 
   /** How long a value is for the service. */
   public static int bytes(JsonNode value) {
@@ -86,11 +86,11 @@
     return "/changes?starts=" + prefix + "&from=" + from + "&hold_ms=" + wait.toMillis();
   }
 
-  public static String renewPath(HoldId hold) {
+  public static String renewPath(LeaseId hold) {
     return HOLDS + "/" + hold + "/renew";
   }
 
-  public static String holdPath(HoldId hold) {
+  public static String holdPath(LeaseId hold) {
     return HOLDS + "/" + hold;
   }
 
@@ -118,19 +118,19 @@
     return Json.write(node);
   }
 
-  public static HoldId parseHold(String body) throws BadMessage {
-    return new HoldId(Json.count(Json.parseObject(body), "hold", 0, Long.MAX_VALUE));
+  public static LeaseId parseHold(String body) throws MalformedMessageException {
+    return new LeaseId(Json.count(Json.parseObject(body), "hold", 0, Long.MAX_VALUE));
   }
 
-  public static Item parseItem(String body) throws BadMessage {
+  public static Item parseItem(String body) throws MalformedMessageException {
     return item(Json.parseObject(body));
   }
 
-  public static Revision parseRevision(String body) throws BadMessage {
+  public static Revision parseRevision(String body) throws MalformedMessageException {
     return revision(Json.parseObject(body), "epoch");
   }
 
-  public static Range parseRange(String body) throws BadMessage {
+  public static Range parseRange(String body) throws MalformedMessageException {
     JsonNode node = Json.parseObject(body);
     List<Item> items = new ArrayList<>();
     for (JsonNode row : node.path("rows")) {
@@ -139,7 +139,7 @@
     return new Range(items, node.path("more").asBoolean(false), revision(node, "epoch"));
   }
 
-  public static Changes parseChanges(String body) throws BadMessage {
+  public static Changes parseChanges(String body) throws MalformedMessageException {
     JsonNode node = Json.parseObject(body);
     List<Change> changes = new ArrayList<>();
     for (JsonNode event : node.path("news")) {
@@ -153,11 +153,11 @@
     return new Changes(changes, revision(node, "epoch"));
   }
 
-  private static Item item(JsonNode node) throws BadMessage {
+  private static Item item(JsonNode node) throws MalformedMessageException {
     return new Item(Json.text(node, "k"), node.path("value"), revision(node, "stamp"));
   }
 
-  private static Revision revision(JsonNode node, String key) throws BadMessage {
+  private static Revision revision(JsonNode node, String key) throws MalformedMessageException {
     return new Revision(Json.count(node, key, 0, Long.MAX_VALUE));
   }
 }
--- a/src/main/java/org/mulleinshift/protocol/WorkerCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/WorkerCodec.java
@@ -13,35 +13,35 @@
 
   private WorkerCodec() {}
 
-  public static WorkerReport parseReport(String body) throws BadMessage {
-    return ReportParser.parse(body);
+  public static WorkerHeartbeat parseReport(String body) throws MalformedMessageException {
+    return HeartbeatParser.parse(body);
   }
 
-  static WorkerReport.State state(String wire) throws BadMessage {
+  static WorkerHeartbeat.State state(String wire) throws MalformedMessageException {
     return switch (wire) {
-      case "fetching" -> WorkerReport.State.FETCHING;
-      case "waiting" -> WorkerReport.State.WAITING;
-      case "running" -> WorkerReport.State.RUNNING;
-      case "saving" -> WorkerReport.State.SAVING;
-      case "exited" -> WorkerReport.State.EXITED;
-      default -> throw new BadMessage("phase is not one of the known values");
+      case "fetching" -> WorkerHeartbeat.State.FETCHING;
+      case "waiting" -> WorkerHeartbeat.State.WAITING;
+      case "running" -> WorkerHeartbeat.State.RUNNING;
+      case "saving" -> WorkerHeartbeat.State.SAVING;
+      case "exited" -> WorkerHeartbeat.State.EXITED;
+      default -> throw new MalformedMessageException("phase is not one of the known values");
     };
   }
 
   /** An unknown cause counts as a failure: the task is tried again. */
-  static WorkerReport.Cause cause(String wire) {
+  static WorkerHeartbeat.Cause cause(String wire) {
     return switch (wire) {
-      case "done" -> WorkerReport.Cause.DONE;
-      case "halted" -> WorkerReport.Cause.STOPPED;
-      case "full" -> WorkerReport.Cause.NO_ROOM;
-      case "in_use" -> WorkerReport.Cause.BUSY;
-      case "peers", "incomplete" -> WorkerReport.Cause.GANG_BROKEN;
-      case "no_such" -> WorkerReport.Cause.UNKNOWN;
-      default -> WorkerReport.Cause.ERROR;
+      case "done" -> WorkerHeartbeat.Cause.DONE;
+      case "halted" -> WorkerHeartbeat.Cause.STOPPED;
+      case "full" -> WorkerHeartbeat.Cause.NO_ROOM;
+      case "in_use" -> WorkerHeartbeat.Cause.BUSY;
+      case "peers", "incomplete" -> WorkerHeartbeat.Cause.GANG_BROKEN;
+      case "no_such" -> WorkerHeartbeat.Cause.UNKNOWN;
+      default -> WorkerHeartbeat.Cause.ERROR;
     };
   }
 
-  public static String response(FencingToken token, List<Order> orders) {
+  public static String response(FencingToken token, List<WorkerCommand> orders) {
     if (orders.isEmpty()) {
       // Most reports ask for nothing.
       return "{\"baton\":" + token.value() + ",\"orders\":[]}";
@@ -52,7 +52,7 @@
     return Json.write(node);
   }
 
-  public static String direct(FencingToken token, long session, List<Order> orders) {
+  public static String direct(FencingToken token, long session, List<WorkerCommand> orders) {
     ObjectNode node = Json.object();
     node.put("baton", token.value());
     node.put("shift", session);
@@ -64,25 +64,25 @@
     return Json.write(Json.object().put("foreman", node.value()));
   }
 
-  private static ArrayNode write(List<Order> orders) {
+  private static ArrayNode write(List<WorkerCommand> orders) {
     ArrayNode list = Json.object().putArray("orders");
-    for (Order order : orders) {
+    for (WorkerCommand order : orders) {
       ObjectNode item = list.addObject();
       item.put("verb", verb(order));
       item.put("piece", order.task().toString());
       item.put("try", order.attempt().value());
-      if (order instanceof Order.Halt halt) {
+      if (order instanceof WorkerCommand.Halt halt) {
         item.put("wind_down_s", seconds(halt.grace()));
       }
     }
     return list;
   }
 
-  private static String verb(Order order) {
-    if (order instanceof Order.Run) {
+  private static String verb(WorkerCommand order) {
+    if (order instanceof WorkerCommand.Run) {
       return "run";
     }
-    return order instanceof Order.Halt ? "halt" : "forget";
+    return order instanceof WorkerCommand.Halt ? "halt" : "forget";
   }
 
   private static double seconds(Duration duration) {
--- a/src/main/java/org/mulleinshift/protocol/WorkerReport.java
+++ b/src/main/java/org/mulleinshift/protocol/WorkerHeartbeat.java
@@ -5,13 +5,13 @@
 import java.util.Optional;
 
 /** What a worker says of itself. */
-public record WorkerReport(
+public record WorkerHeartbeat(
     MachineId machine,
     String address,
     MachineTypeId type,
     ZoneId zone,
     boolean spot,
-    WorkerMoment moment,
+    HeartbeatVersion moment,
     FencingToken highestToken,
     Optional<Duration> recall,
     List<Entry> tasks) {
--- a/src/main/java/org/mulleinshift/coordination/Occupancy.java
+++ b/src/main/java/org/mulleinshift/scheduling/AllocationIndex.java
@@ -1,37 +1,37 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.scheduling;
 
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.mulleinshift.bookkeeping.Delegation;
-import org.mulleinshift.protocol.BlockId;
+import org.mulleinshift.model.TaskAssignment;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.Resources;
+import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.TaskId;
 
 /**
  * Where the delegated tasks are: what they take of each machine, and which of a block are not
  * placed yet. Kept in step with every change, so that a cycle need not look at every task.
  */
-final class Occupancy {
+public final class AllocationIndex {
   private static final class Load {
-    private final Map<TaskId, Delegation> tasks = new LinkedHashMap<>();
+    private final Map<TaskId, TaskAssignment> tasks = new LinkedHashMap<>();
     private Resources used = Resources.ZERO;
   }
 
   private final Map<MachineId, Load> machines = new HashMap<>();
-  private final Map<BlockId, Map<TaskId, Delegation>> unplaced = new HashMap<>();
+  private final Map<ShardId, Map<TaskId, TaskAssignment>> unplaced = new HashMap<>();
 
   /** Called before a delegation changes. */
-  void leave(Delegation delegation) {
-    if (delegation.state() == Delegation.State.ENDED) {
+  public void leave(TaskAssignment delegation) {
+    if (delegation.state() == TaskAssignment.State.ENDED) {
       return;
     }
     TaskId task = delegation.task();
     if (delegation.machine().isEmpty()) {
-      Map<TaskId, Delegation> waiting = unplaced.get(delegation.block());
+      Map<TaskId, TaskAssignment> waiting = unplaced.get(delegation.block());
       if (waiting != null) {
         waiting.remove(task, delegation);
       }
@@ -48,8 +48,8 @@
   }
 
   /** Called after a delegation has changed. */
-  void enter(Delegation delegation) {
-    if (delegation.state() == Delegation.State.ENDED) {
+  public void enter(TaskAssignment delegation) {
+    if (delegation.state() == TaskAssignment.State.ENDED) {
       return;
     }
     TaskId task = delegation.task();
@@ -70,17 +70,17 @@
     return load == null ? Resources.ZERO : load.used;
   }
 
-  Collection<Delegation> on(MachineId machine) {
+  public Collection<TaskAssignment> on(MachineId machine) {
     Load load = machines.get(machine);
     return load == null ? List.of() : load.tasks.values();
   }
 
-  Collection<Delegation> unplaced(BlockId block) {
+  Collection<TaskAssignment> unplaced(ShardId block) {
     return unplaced.getOrDefault(block, Map.of()).values();
   }
 
   /** Whether a task is, or may be about to be, on the machine. */
-  boolean busy(MachineId machine, BlockId block) {
+  public boolean busy(MachineId machine, ShardId block) {
     return machines.containsKey(machine) || !unplaced(block).isEmpty();
   }
 }
--- a/src/main/java/org/mulleinshift/coordination/FreeRoom.java
+++ b/src/main/java/org/mulleinshift/scheduling/AvailableCapacity.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.scheduling;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -7,26 +7,35 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.mulleinshift.bookkeeping.ControlView.MachineRecord;
-import org.mulleinshift.bookkeeping.Delegation;
-import org.mulleinshift.bookkeeping.Job;
-import org.mulleinshift.protocol.BlockId;
+import org.mulleinshift.leader.Leader;
+import org.mulleinshift.model.ClusterView.MachineRecord;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.model.TaskAssignment;
+import org.mulleinshift.placement.BinPacker;
+import org.mulleinshift.placement.MachineCapacity;
+import org.mulleinshift.placement.MachineTypeCatalog;
+import org.mulleinshift.placement.ResourceRequest;
+import org.mulleinshift.placement.UnschedulableRequests;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.MachineType;
 import org.mulleinshift.protocol.Resources;
-import org.mulleinshift.protocol.peer.MachineReport;
+import org.mulleinshift.protocol.ShardId;
+import org.mulleinshift.protocol.peer.MachineStatus;
+import org.mulleinshift.sharding.MachinePhase;
+import org.mulleinshift.sharding.OwnedMachine;
+import org.mulleinshift.sharding.ShardView;
 
 /** The room that a cycle gives out, and the tasks that wait at holders for more of it. */
-final class FreeRoom {
+public final class AvailableCapacity {
   /** Tasks that wait at a holder for room. */
-  record Ahead(BlockId block, PlacementNeed need, int count) {}
+  record Ahead(ShardId block, ResourceRequest need, int count) {}
 
   private final Leader leader;
-  private final Catalog catalog;
+  private final MachineTypeCatalog catalog;
   private final List<Ahead> ahead = new ArrayList<>();
 
-  FreeRoom(Leader leader, Catalog catalog) {
+  public AvailableCapacity(Leader leader, MachineTypeCatalog catalog) {
     this.leader = leader;
     this.catalog = catalog;
   }
@@ -40,23 +49,23 @@
    * Free room as the holders report it, less what is delegated and not yet placed. Machines that
    * have less left than the least that anybody asks for are left out.
    */
-  List<Room> rooms(Resources leastAsked) {
-    List<Room> rooms = new ArrayList<>();
+  List<MachineCapacity> rooms(Resources leastAsked) {
+    List<MachineCapacity> rooms = new ArrayList<>();
     ahead.clear();
-    for (LeaderBlock block : leader.blocks().values()) {
+    for (ShardView block : leader.blocks().values()) {
       Map<JobId, Integer> unplaced = new LinkedHashMap<>();
-      for (Delegation delegation : leader.occupancy().unplaced(block.id())) {
+      for (TaskAssignment delegation : leader.occupancy().unplaced(block.id())) {
         unplaced.merge(delegation.task().job(), 1, Integer::sum);
       }
       Resources least = leastAsked;
       for (JobId job : unplaced.keySet()) {
-        least = UnplaceableNeeds.least(least, leader.jobs().get(job).spec().perTask());
+        least = UnschedulableRequests.least(least, leader.jobs().get(job).spec().perTask());
       }
-      List<Room> found = roomsOf(block, least);
+      List<MachineCapacity> found = roomsOf(block, least);
       unplaced.forEach(
           (job, count) -> {
-            PlacementNeed need = PlacementNeed.of(leader.jobs().get(job).spec());
-            int left = count - Placer.fill(need, count, found);
+            ResourceRequest need = ResourceRequest.of(leader.jobs().get(job).spec());
+            int left = count - BinPacker.fill(need, count, found);
             if (left > 0) {
               ahead.add(new Ahead(block.id(), need, left));
             }
@@ -67,8 +76,8 @@
   }
 
   /** The rooms of a block's machines that have at least so much left. */
-  List<Room> roomsOf(LeaderBlock block, Resources least) {
-    List<Room> found = new ArrayList<>();
+  public List<MachineCapacity> roomsOf(ShardView block, Resources least) {
+    List<MachineCapacity> found = new ArrayList<>();
     if (block.hasReported()) {
       for (MachineId id : block.machines().keySet()) {
         roomOf(block, id, least).ifPresent(found::add);
@@ -78,7 +87,7 @@
   }
 
   /** What is left of a machine, if it may take tasks and has at least so much. */
-  Optional<Room> roomOf(LeaderBlock block, MachineId id, Resources least) {
+  Optional<MachineCapacity> roomOf(ShardView block, MachineId id, Resources least) {
     MachineRecord record = block.machines().get(id);
     MachineType type = record == null ? null : catalog.type(record.type()).orElse(null);
     if (type == null || !record.up() || !block.hasReported()) {
@@ -92,13 +101,13 @@
     return block
         .reportOf(id)
         .filter(report -> usable(id, report))
-        .map(report -> Room.on(block, id, record, type, free, images(id, report)));
+        .map(report -> MachineCapacity.on(block, id, record, type, free, images(id, report)));
   }
 
   /** What the machine has, and what its tasks fetch: like tasks then share the fetch. */
-  private Set<String> images(MachineId machine, MachineReport report) {
+  private Set<String> images(MachineId machine, MachineStatus report) {
     Set<String> images = new HashSet<>(report.getImages());
-    for (Delegation delegation : leader.occupancy().on(machine)) {
+    for (TaskAssignment delegation : leader.occupancy().on(machine)) {
       Job job = leader.jobs().get(delegation.task().job());
       if (job != null) {
         images.add(job.spec().image());
@@ -107,10 +116,10 @@
     return images;
   }
 
-  private boolean usable(MachineId machine, MachineReport report) {
+  private boolean usable(MachineId machine, MachineStatus report) {
     return report.getPhase().equals(MachinePhase.CONFIRMED.wireName())
         && !report.getRecalled()
-        && report.getSilence().equals(HeldMachine.Silence.HEARD.wireName())
+        && report.getSilence().equals(OwnedMachine.Silence.HEARD.wireName())
         && !leader.closed(machine);
   }
 }
--- a/src/main/java/org/mulleinshift/coordination/Headroom.java
+++ b/src/main/java/org/mulleinshift/scheduling/CapacityReservation.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.scheduling;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -7,24 +7,25 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.mulleinshift.placement.ResourceRequest;
 import org.mulleinshift.protocol.JobSpec;
 import org.mulleinshift.settings.PlatformSettings;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 
 /**
  * Room kept free of less urgent work for classes whose tasks must start soon: a share of what their
  * jobs ask for on average, as long as such jobs keep coming.
  */
-final class Headroom {
+public final class CapacityReservation {
   private static final double WEIGHT = 0.2;
 
   /** Tasks for which room is kept. */
-  record Kept(PlacementNeed need, int count) {}
+  public record Kept(ResourceRequest need, int count) {}
 
   private static final class Seen {
-    private PlacementNeed need;
+    private ResourceRequest need;
     private double tasks;
-    private SteadyTime lastAt;
+    private MonotonicTime lastAt;
   }
 
   private final Set<String> classes = new HashSet<>();
@@ -32,7 +33,8 @@
   private final double share;
   private final Duration lasting;
 
-  Headroom(List<PlatformSettings.Objective> objectives, double share, Duration lasting) {
+  public CapacityReservation(
+      List<PlatformSettings.Objective> objectives, double share, Duration lasting) {
     for (PlatformSettings.Objective objective : objectives) {
       if (objective.kind().equals("wait")) {
         objective.jobClass().ifPresent(classes::add);
@@ -51,17 +53,17 @@
     return !classes.isEmpty();
   }
 
-  void arrived(JobSpec spec, SteadyTime now) {
+  public void arrived(JobSpec spec, MonotonicTime now) {
     if (protects(spec)) {
       Seen known = seen.computeIfAbsent(spec.jobClass(), key -> new Seen());
       known.tasks =
           known.need == null ? spec.tasks() : known.tasks * (1 - WEIGHT) + spec.tasks() * WEIGHT;
-      known.need = PlacementNeed.of(spec);
+      known.need = ResourceRequest.of(spec);
       known.lastAt = now;
     }
   }
 
-  List<Kept> kept(SteadyTime now) {
+  public List<Kept> kept(MonotonicTime now) {
     List<Kept> kept = new ArrayList<>();
     for (Seen known : seen.values()) {
       int count = (int) Math.round(known.tasks * share);
--- a/src/main/java/org/mulleinshift/coordination/Blame.java
+++ b/src/main/java/org/mulleinshift/scheduling/FailureAttribution.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.scheduling;
 
 import java.time.Duration;
 import java.util.HashMap;
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.mulleinshift.bookkeeping.Job;
+import org.mulleinshift.model.Job;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.JobKind;
 import org.mulleinshift.protocol.MachineId;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -21,8 +21,8 @@
  * and again. What a blamed job did says nothing of machines: else one mistake takes the fleet out
  * of use.
  */
-final class Blame {
-  private static final Logger LOG = LoggerFactory.getLogger(Blame.class);
+public final class FailureAttribution {
+  private static final Logger LOG = LoggerFactory.getLogger(FailureAttribution.class);
 
   /** A job that failed on so many machines, and never succeeded, is to blame itself. */
   private static final int JOB_MACHINES = 3;
@@ -38,12 +38,12 @@
     private int failures;
     private int tries;
     private boolean blamed;
-    private SteadyTime notBefore;
+    private MonotonicTime notBefore;
   }
 
   private static final class MachineFailures {
     private final Map<Job, Integer> byJob = new LinkedHashMap<>();
-    private SteadyTime lastAt;
+    private MonotonicTime lastAt;
   }
 
   private final int faultyAfter;
@@ -51,13 +51,13 @@
   private final Map<JobId, JobFailures> jobs = new HashMap<>();
   private final Map<MachineId, MachineFailures> machines = new HashMap<>();
 
-  Blame(int faultyAfter, Duration pause) {
+  public FailureAttribution(int faultyAfter, Duration pause) {
     this.faultyAfter = faultyAfter;
     this.pause = pause;
   }
 
   /** A task of the job failed on the machine. */
-  void failed(Job job, MachineId machine, SteadyTime now) {
+  public void failed(Job job, MachineId machine, MonotonicTime now) {
     JobFailures known = jobs.computeIfAbsent(job.spec().id(), key -> new JobFailures());
     known.failures++;
     if (known.blamed) {
@@ -81,7 +81,7 @@
   }
 
   /** A task of the job was done on the machine: neither is to blame. */
-  void succeeded(Job job, MachineId machine) {
+  public void succeeded(Job job, MachineId machine) {
     machines.remove(machine);
     JobFailures known = jobs.remove(job.spec().id());
     if (known != null && known.blamed) {
@@ -99,12 +99,12 @@
             });
   }
 
-  void over(JobId job) {
+  public void over(JobId job) {
     jobs.remove(job);
     forgetOnMachines(job);
   }
 
-  void gone(List<MachineId> returned) {
+  public void gone(List<MachineId> returned) {
     machines.keySet().removeAll(returned);
   }
 
@@ -121,7 +121,7 @@
    * How many of the job's tasks may be tried now: of a blamed job one at a time, spaced out. A gang
    * is tried whole: one task of it alone fits nowhere, and it would never get another try.
    */
-  int tries(Job job, SteadyTime now) {
+  public int tries(Job job, MonotonicTime now) {
     JobFailures known = jobs.get(job.spec().id());
     if (known == null || !known.blamed) {
       return Integer.MAX_VALUE;
@@ -135,7 +135,7 @@
    * Jobs that succeed elsewhere failed there, with no success between: several jobs, or one twice
    * as often.
    */
-  boolean faulty(MachineId machine) {
+  public boolean faulty(MachineId machine) {
     MachineFailures there = machines.get(machine);
     if (there == null) {
       return false;
@@ -152,7 +152,7 @@
   }
 
   /** Something fails there and it is open whose fault that is: it takes nothing for a while. */
-  boolean suspect(MachineId machine, SteadyTime now) {
+  public boolean suspect(MachineId machine, MonotonicTime now) {
     MachineFailures there = machines.get(machine);
     return there != null
         && now.since(there.lastAt).compareTo(SUSPECT_FOR) < 0
--- a/src/main/java/org/mulleinshift/coordination/Ranking.java
+++ b/src/main/java/org/mulleinshift/scheduling/JobRanking.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.scheduling;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-import org.mulleinshift.bookkeeping.Job;
+import org.mulleinshift.model.Job;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.TeamId;
@@ -20,12 +20,12 @@
  * whose last start is near and who asks for little: where not all can be in time, that lets most
  * be. Last come those that fail everywhere, which also use up nothing of a guarantee.
  */
-final class Ranking {
+public final class JobRanking {
   private final List<Job> order;
   private final Map<JobId, Integer> ranks;
   private final Set<JobId> guaranteed = new HashSet<>();
 
-  private Ranking(List<Entry> entries) {
+  private JobRanking(List<Entry> entries) {
     order = new ArrayList<>(entries.size());
     ranks = new HashMap<>(2 * entries.size());
     for (Entry entry : entries) {
@@ -37,12 +37,12 @@
     }
   }
 
-  static Ranking of(
+  static JobRanking of(
       Collection<Job> jobs,
       Predicate<Job> blamed,
       Map<String, PlatformSettings.Team> teams,
-      Lateness lateness,
-      Floors.Picture picture,
+      Tardiness lateness,
+      MinimumShares.Picture picture,
       long nowMillis) {
     List<Entry> entries = new ArrayList<>(jobs.size());
     for (Job job : jobs) {
@@ -64,7 +64,7 @@
       }
     }
     entries.sort(Entry.BY_URGENCY);
-    return new Ranking(entries);
+    return new JobRanking(entries);
   }
 
   /** A job with all that its place depends on, each worked out once and not at each comparison. */
@@ -84,13 +84,13 @@
 
     private final Job job;
     private final boolean blamed;
-    private final Lateness.Grade grade;
+    private final Tardiness.Grade grade;
     private final int priority;
     private final double turn;
     private final long accepted;
     private boolean guaranteed;
 
-    Entry(Job job, boolean blamed, Lateness.Place place) {
+    Entry(Job job, boolean blamed, Tardiness.Place place) {
       this.job = job;
       this.blamed = blamed;
       this.grade = place.grade();
@@ -104,19 +104,19 @@
      * late for any aim comes after all of the next priority that is not.
      */
     private int urgency() {
-      boolean late = grade == Lateness.Grade.LATE;
+      boolean late = grade == Tardiness.Grade.LATE;
       int level = 2 * priority + (late ? 3 : 0);
       return (blamed ? 256 : 0) + level * 8 + (guaranteed ? 0 : 4) + grade.rank();
     }
   }
 
   /** Most urgent first. */
-  List<Job> order() {
+  public List<Job> order() {
     return order;
   }
 
   /** The job's place in the order; one that came since is last. */
-  int rank(JobId job) {
+  public int rank(JobId job) {
     return ranks.getOrDefault(job, ranks.size());
   }
 
--- a/src/main/java/org/mulleinshift/coordination/Floors.java
+++ b/src/main/java/org/mulleinshift/scheduling/MinimumShares.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.scheduling;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -11,20 +11,25 @@
 import java.util.Set;
 import java.util.function.Function;
 import java.util.stream.Collectors;
-import org.mulleinshift.bookkeeping.ControlView.MachineRecord;
-import org.mulleinshift.bookkeeping.Job;
-import org.mulleinshift.coordination.floor.Claims;
-import org.mulleinshift.coordination.floor.Party;
+import org.mulleinshift.fairness.ShareClaims;
+import org.mulleinshift.fairness.ShareEntity;
+import org.mulleinshift.leader.Leader;
+import org.mulleinshift.model.ClusterView.MachineRecord;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.placement.MachineTypeCatalog;
+import org.mulleinshift.placement.ResourceRequest;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.MachineType;
 import org.mulleinshift.protocol.MachineTypeId;
 import org.mulleinshift.protocol.Priority;
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.TeamId;
-import org.mulleinshift.protocol.peer.MachineReport;
+import org.mulleinshift.protocol.peer.MachineStatus;
 import org.mulleinshift.settings.PlatformSettings;
 import org.mulleinshift.settings.Tunables;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.sharding.OwnedMachine;
+import org.mulleinshift.sharding.ShardView;
+import org.mulleinshift.transport.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -32,21 +37,21 @@
  * The classes and teams as parties of the floor: what they have, ask for and can reach of the fleet
  * as it stands. All of it follows from what is stored, so it needs no memory of its own.
  */
-final class Floors {
-  private static final Logger LOG = LoggerFactory.getLogger(Floors.class);
+final class MinimumShares {
+  private static final Logger LOG = LoggerFactory.getLogger(MinimumShares.class);
   private static final double LOOK_SECONDS = 1;
   private static final double TELL_SECONDS = 10;
 
   private final Leader leader;
-  private final Catalog catalog;
+  private final MachineTypeCatalog catalog;
   private final double floorShare;
   private final Map<MachineTypeId, Resources> byType = new HashMap<>();
   private Resources fleet = Resources.ZERO;
-  private Optional<SteadyTime> told = Optional.empty();
-  private SteadyTime lookedAt;
+  private Optional<MonotonicTime> told = Optional.empty();
+  private MonotonicTime lookedAt;
   private boolean looked;
 
-  Floors(Leader leader, Catalog catalog, Tunables tunables, SteadyTime now) {
+  MinimumShares(Leader leader, MachineTypeCatalog catalog, Tunables tunables, MonotonicTime now) {
     this.leader = leader;
     this.catalog = catalog;
     this.floorShare = tunables.number(Tunables.Key.FLOOR_SHARE);
@@ -69,13 +74,13 @@
   /** The classes, or the teams, and what they may claim. */
   static final class Side {
     private final Function<Job, String> partyOf;
-    private final Map<String, Party> parties = new HashMap<>();
-    private final Claims claims;
+    private final Map<String, ShareEntity> parties = new HashMap<>();
+    private final ShareClaims claims;
     private final Map<String, Double> left;
 
-    private Side(Function<Job, String> partyOf, Collection<Party> all, double floorShare) {
+    private Side(Function<Job, String> partyOf, Collection<ShareEntity> all, double floorShare) {
       this.partyOf = partyOf;
-      this.claims = Claims.of(all, floorShare);
+      this.claims = ShareClaims.of(all, floorShare);
       this.left = new HashMap<>(claims.claims());
       all.forEach(party -> parties.put(party.name(), party));
     }
@@ -115,7 +120,7 @@
 
     /** What the job's party uses beyond its floor. */
     double aboveFloor(Job job) {
-      Party own = parties.get(partyOf(job));
+      ShareEntity own = parties.get(partyOf(job));
       return own == null ? 0 : own.inUse() - claims.floor(own.name());
     }
   }
@@ -132,7 +137,7 @@
     }
   }
 
-  Picture picture(Collection<Job> jobs, Map<TeamId, Resources> use, SteadyTime now) {
+  Picture picture(Collection<Job> jobs, Map<TeamId, Resources> use, MonotonicTime now) {
     if (!looked || now.secondsSince(lookedAt) >= LOOK_SECONDS) {
       look();
       lookedAt = now;
@@ -151,7 +156,7 @@
       Sum ofClass =
           classes.computeIfAbsent(
               job.spec().jobClass(), key -> new Sum(weight(job.spec().priority())));
-      PlacementNeed need = PlacementNeed.of(job.spec());
+      ResourceRequest need = ResourceRequest.of(job.spec());
       for (MachineType type : catalog.types().values()) {
         if (need.mayUse(type)) {
           ofClass.types.add(type.id());
@@ -166,9 +171,9 @@
       ofTeam.inUse += out;
       ofTeam.demand += out + asked;
     }
-    List<Party> ofClasses = new ArrayList<>();
+    List<ShareEntity> ofClasses = new ArrayList<>();
     classes.forEach((name, sum) -> ofClasses.add(party(name, sum, reach(sum.types))));
-    List<Party> ofTeams = new ArrayList<>();
+    List<ShareEntity> ofTeams = new ArrayList<>();
     teams.forEach((name, sum) -> ofTeams.add(party(name, sum, sum.most)));
     Picture picture =
         new Picture(
@@ -181,7 +186,7 @@
   }
 
   /** Operators see that floors act: seldom, and only then. */
-  private void tell(Picture picture, SteadyTime now) {
+  private void tell(Picture picture, MonotonicTime now) {
     boolean claimed = picture.sides().stream().anyMatch(Side::claimsAny);
     if (claimed && (told.isEmpty() || now.secondsSince(told.get()) >= TELL_SECONDS)) {
       told = Optional.of(now);
@@ -191,8 +196,8 @@
     }
   }
 
-  private static Party party(String name, Sum sum, double reach) {
-    return new Party(name, sum.weight, sum.inUse, sum.demand, reach);
+  private static ShareEntity party(String name, Sum sum, double reach) {
+    return new ShareEntity(name, sum.weight, sum.inUse, sum.demand, reach);
   }
 
   /** Twice the part for each step of priority. */
@@ -221,11 +226,11 @@
     looked = true;
     byType.clear();
     fleet = Resources.ZERO;
-    for (LeaderBlock block : leader.blocks().values()) {
+    for (ShardView block : leader.blocks().values()) {
       for (Map.Entry<MachineId, MachineRecord> entry : block.machines().entrySet()) {
-        MachineReport report = block.reportOf(entry.getKey()).orElse(null);
+        MachineStatus report = block.reportOf(entry.getKey()).orElse(null);
         boolean silent =
-            report != null && !report.getSilence().equals(HeldMachine.Silence.HEARD.wireName());
+            report != null && !report.getSilence().equals(OwnedMachine.Silence.HEARD.wireName());
         MachineType type = catalog.type(entry.getValue().type()).orElse(null);
         if (type != null && !silent && !leader.closed(entry.getKey())) {
           byType.merge(type.id(), type.size(), Resources::plus);
--- a/src/main/java/org/mulleinshift/coordination/Preemption.java
+++ b/src/main/java/org/mulleinshift/scheduling/Preemption.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.scheduling;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -11,12 +11,13 @@
 import java.util.PriorityQueue;
 import java.util.function.BiConsumer;
 import java.util.function.Predicate;
-import org.mulleinshift.bookkeeping.Delegation;
-import org.mulleinshift.bookkeeping.Job;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.model.TaskAssignment;
+import org.mulleinshift.placement.ResourceRequest;
 import org.mulleinshift.protocol.MachineTypeId;
 import org.mulleinshift.protocol.Priority;
 import org.mulleinshift.protocol.ZoneId;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 
 /**
  * Chooses tasks that give way to a job of higher priority: only such as have run for a short while,
@@ -33,10 +34,10 @@
 
   /** Tells where a told task is, if it is on a machine of a known block. */
   interface Placed {
-    Optional<Where> of(Delegation delegation);
+    Optional<Where> of(TaskAssignment delegation);
   }
 
-  private record Candidate(Delegation delegation, double ranSeconds) {}
+  private record Candidate(TaskAssignment delegation, double ranSeconds) {}
 
   /** A job's tasks on machines that are alike: for whoever asks, one may give way as the other. */
   private static final class Group {
@@ -51,7 +52,7 @@
       this.where = where;
     }
 
-    void add(Delegation delegation, double ranSeconds) {
+    void add(TaskAssignment delegation, double ranSeconds) {
       if (delegation.stopRequested()) {
         leaving++;
       } else {
@@ -95,9 +96,9 @@
   /**
    * Tasks whose stop makes room for so many of the job's tasks; they are taken out of the round.
    */
-  List<Delegation> victims(
+  List<TaskAssignment> victims(
       Job job, int wanted, Round round, GivesWay rule, Predicate<Where> usable) {
-    PlacementNeed need = PlacementNeed.of(job.spec());
+    ResourceRequest need = ResourceRequest.of(job.spec());
     int missing = wanted;
     PriorityQueue<Open> open = new PriorityQueue<>();
     for (Group group : round.groups()) {
@@ -112,7 +113,7 @@
         open.add(new Open(group, room, group.candidates.peek().ranSeconds));
       }
     }
-    List<Delegation> chosen = new ArrayList<>();
+    List<TaskAssignment> chosen = new ArrayList<>();
     while (missing > 0 && !open.isEmpty()) {
       Open next = open.poll();
       Group group = next.group;
@@ -137,11 +138,11 @@
   final class Round {
     private final Collection<Job> jobs;
     private final Placed placed;
-    private final SteadyTime now;
+    private final MonotonicTime now;
     private final Map<String, Integer> asked = new HashMap<>();
     private List<Group> groups;
 
-    Round(Collection<Job> jobs, Placed placed, SteadyTime now) {
+    Round(Collection<Job> jobs, Placed placed, MonotonicTime now) {
       this.jobs = jobs;
       this.placed = placed;
       this.now = now;
@@ -162,7 +163,7 @@
 
     private void look(Job other) {
       Map<Where, Group> byPlace = new LinkedHashMap<>();
-      for (Delegation delegation : other.delegations()) {
+      for (TaskAssignment delegation : other.delegations()) {
         double ran = delegation.runningSince().map(now::secondsSince).orElse(0.0);
         if (delegation.stopRequested() || ran <= mostSeconds) {
           placed
@@ -186,6 +187,6 @@
 
   /** On a machine that the preempting job may use. */
   static boolean onUsableMachine(Job job, Where where) {
-    return PlacementNeed.of(job.spec()).allows(where.type(), where.spot());
+    return ResourceRequest.of(job.spec()).allows(where.type(), where.spot());
   }
 }
--- a/src/main/java/org/mulleinshift/coordination/StopRules.java
+++ b/src/main/java/org/mulleinshift/scheduling/PreemptionPolicies.java
@@ -1,15 +1,15 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.scheduling;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Predicate;
-import org.mulleinshift.bookkeeping.Job;
+import org.mulleinshift.model.Job;
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.TeamId;
 
 /** The two cases in which the protocol lets work be stopped to make room. */
-final class StopRules {
-  private StopRules() {}
+final class PreemptionPolicies {
+  private PreemptionPolicies() {}
 
   /** Only work of strictly lower priority. */
   record ByPriority(Job job) implements Preemption.GivesWay {
@@ -28,7 +28,7 @@
    * What a rule allows, but only work that comes after the job: what is too late for its aims comes
    * after less urgent work, and would stop what gets its room again at once.
    */
-  record Behind(Preemption.GivesWay rule, int rank, Ranking ranking)
+  record Behind(Preemption.GivesWay rule, int rank, JobRanking ranking)
       implements Preemption.GivesWay {
     @Override
     public boolean mayStop(Job other) {
@@ -48,15 +48,15 @@
   static final class AboveFloor implements Preemption.GivesWay {
     private final Preemption.GivesWay rule;
     private final Job job;
-    private final Floors.Side side;
-    private final Floors.Picture picture;
+    private final MinimumShares.Side side;
+    private final MinimumShares.Picture picture;
     private final Map<String, Double> stopped = new HashMap<>();
 
     AboveFloor(
         Job job,
         Preemption.GivesWay rule,
-        Floors.Side side,
-        Floors.Picture picture,
+        MinimumShares.Side side,
+        MinimumShares.Picture picture,
         Preemption.Round round) {
       this.job = job;
       this.rule = rule;
@@ -90,15 +90,15 @@
    */
   static final class ByGuarantee implements Preemption.GivesWay {
     private final Job job;
-    private final Ranking ranking;
+    private final JobRanking ranking;
     private final Predicate<Job> startsSoon;
     private final Map<TeamId, Double> excess = new HashMap<>();
 
     ByGuarantee(
         Job job,
-        Ranking ranking,
+        JobRanking ranking,
         Predicate<Job> startsSoon,
-        Quota quota,
+        TeamQuotas quota,
         Map<TeamId, Resources> inUse,
         Preemption.Round round) {
       this.job = job;
--- a/src/main/java/org/mulleinshift/coordination/RunTimes.java
+++ b/src/main/java/org/mulleinshift/scheduling/RunTimeEstimator.java
@@ -1,16 +1,16 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.scheduling;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
-import org.mulleinshift.bookkeeping.Job;
+import org.mulleinshift.model.Job;
 import org.mulleinshift.protocol.JobSpec;
 
 /**
  * Expected run times: a job's own finished tasks say most, else its class's ratio of run time to
  * the owner's guess, else the guess alone.
  */
-final class RunTimes {
+public final class RunTimeEstimator {
   private static final double WEIGHT = 0.1;
   private static final double LEAST_RATIO = 0.2;
   private static final double MOST_RATIO = 5;
@@ -18,7 +18,7 @@
 
   private final Map<String, Double> ratios = new HashMap<>();
 
-  void finished(JobSpec spec, double seconds) {
+  public void finished(JobSpec spec, double seconds) {
     if (spec.estimateSeconds() > 0 && seconds > 0) {
       double ratio = Math.min(MOST_RATIO, Math.max(LEAST_RATIO, seconds / spec.estimateSeconds()));
       ratios.merge(spec.jobClass(), ratio, (old, seen) -> old * (1 - WEIGHT) + seen * WEIGHT);
@@ -26,25 +26,25 @@
   }
 
   /** What was learned, by class; at most so many. */
-  Map<String, Double> ratios(int most) {
+  public Map<String, Double> ratios(int most) {
     Map<String, Double> some = new TreeMap<>();
     ratios.entrySet().stream().limit(most).forEach(e -> some.put(e.getKey(), e.getValue()));
     return some;
   }
 
   /** What another leader learned. */
-  void advise(String jobClass, double ratio) {
+  public void advise(String jobClass, double ratio) {
     if (ratio >= LEAST_RATIO && ratio <= MOST_RATIO) {
       ratios.put(jobClass, ratio);
     }
   }
 
   /** What a task should still take; one past its expected end frees nothing to count on. */
-  static double left(double expected, double ran) {
+  public static double left(double expected, double ran) {
     return ran > expected ? expected / 2 : expected - ran;
   }
 
-  double expectedSeconds(Job job) {
+  public double expectedSeconds(Job job) {
     double guess = job.spec().estimateSeconds();
     double byClass =
         guess > 0 ? guess * ratios.getOrDefault(job.spec().jobClass(), 1.0) : UNKNOWN_SECONDS;
