--- a/src/main/java/org/mulleinshift/coordination/SchedulingCycle.java
+++ b/src/main/java/org/mulleinshift/scheduling/SchedulingCycle.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.scheduling;
 
 import java.util.Comparator;
 import java.util.HashMap;
@@ -6,24 +6,31 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Predicate;
-import org.mulleinshift.bookkeeping.Delegation;
-import org.mulleinshift.bookkeeping.Job;
+import org.mulleinshift.leader.Leader;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.model.TaskAssignment;
+import org.mulleinshift.placement.BinPacker;
+import org.mulleinshift.placement.MachineCapacity;
+import org.mulleinshift.placement.PlacementConstraints;
+import org.mulleinshift.placement.ResourceRequest;
+import org.mulleinshift.placement.UnschedulableRequests;
 import org.mulleinshift.protocol.Attempt;
-import org.mulleinshift.protocol.BlockId;
 import org.mulleinshift.protocol.JobKind;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.Revision;
+import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.TeamId;
 import org.mulleinshift.settings.PlatformSettings;
 import org.mulleinshift.settings.Tunables;
+import org.mulleinshift.sharding.ShardView;
 import org.mulleinshift.transport.EventLoop;
 
 /**
  * One scheduling cycle after another: gives free room to waiting tasks in order, within limits and
  * zones, and asks for more room where the protocol lets work be stopped.
  */
-final class SchedulingCycle {
+public final class SchedulingCycle {
   private static final int ATTEMPT_BITS = 20;
 
   /** A job that begins at last starts one of so many of its tasks. */
@@ -33,19 +40,20 @@
   private final Leader.Surroundings around;
   private final EventLoop loop;
   private final Revision term;
-  private final FreeRoom freeRoom;
-  private final Headroom headroom;
+  private final AvailableCapacity freeRoom;
+  private final CapacityReservation headroom;
   private final Preemption preemption;
   private final Optional<Double> guaranteeWithin;
   private final double aheadSeconds;
-  private final LargestJobs largest;
-  private final Floors floors;
-  private final Lateness lateness;
-  private Optional<Ranking> ranking = Optional.empty();
-  private Optional<Floors.Picture> picture = Optional.empty();
-  private UnplaceableNeeds unplaceable = new UnplaceableNeeds();
+  private final StarvationPrevention largest;
+  private final MinimumShares floors;
+  private final Tardiness lateness;
+  private Optional<JobRanking> ranking = Optional.empty();
+  private Optional<MinimumShares.Picture> picture = Optional.empty();
+  private UnschedulableRequests unplaceable = new UnschedulableRequests();
 
-  SchedulingCycle(Leader leader, Leader.Surroundings around, Revision term, FreeRoom freeRoom) {
+  public SchedulingCycle(
+      Leader leader, Leader.Surroundings around, Revision term, AvailableCapacity freeRoom) {
     this.leader = leader;
     this.around = around;
     this.loop = around.loop();
@@ -59,10 +67,11 @@
     // Room that frees first refills what is kept for classes with a start aim; tasks that wait at
     // holders would take it before.
     this.aheadSeconds = headroom.protectsAny() ? 0 : around.tunables().number(Tunables.Key.AHEAD_S);
-    this.largest = new LargestJobs(around.tunables().number(Tunables.Key.BEGIN_S), loop.now());
-    this.floors = new Floors(leader, around.catalog(), around.tunables(), loop.now());
+    this.largest =
+        new StarvationPrevention(around.tunables().number(Tunables.Key.BEGIN_S), loop.now());
+    this.floors = new MinimumShares(leader, around.catalog(), around.tunables(), loop.now());
     this.lateness =
-        new Lateness(
+        new Tardiness(
             around.runTimes(),
             around.settings().cluster().objectives(),
             around.tunables().number(Tunables.Key.OVERDUE_S));
@@ -73,14 +82,14 @@
             .findFirst();
   }
 
-  void cycle() {
+  public void cycle() {
     ranking = Optional.empty();
     picture = Optional.empty();
     List<Job> order = ranking().order();
-    List<Room> rooms = freeRoom.rooms(leastAsked(order));
+    List<MachineCapacity> rooms = freeRoom.rooms(leastAsked(order));
     Map<TeamId, Resources> inUse = leader.use();
     Attempt attempt = new Attempt((term.value() << ATTEMPT_BITS) + 1);
-    unplaceable = new UnplaceableNeeds();
+    unplaceable = new UnschedulableRequests();
     beginLargest(rooms, inUse, attempt);
     claim(order, job -> job.state() == Job.State.ACTIVE, rooms, inUse, attempt);
     for (Job job : order) {
@@ -104,17 +113,18 @@
     Resources least = Resources.ENDLESS;
     for (Job job : order) {
       if (job.state() == Job.State.ACTIVE && job.waitingCount() > 0) {
-        least = UnplaceableNeeds.least(least, job.spec().perTask());
+        least = UnschedulableRequests.least(least, job.spec().perTask());
       }
     }
-    for (Headroom.Kept kept : headroom.kept(loop.now())) {
-      least = UnplaceableNeeds.least(least, kept.need().perTask());
+    for (CapacityReservation.Kept kept : headroom.kept(loop.now())) {
+      least = UnschedulableRequests.least(least, kept.need().perTask());
     }
     return least;
   }
 
   /** A part of each of the largest jobs that waited too long, whatever the order says. */
-  private void beginLargest(List<Room> rooms, Map<TeamId, Resources> inUse, Attempt attempt) {
+  private void beginLargest(
+      List<MachineCapacity> rooms, Map<TeamId, Resources> inUse, Attempt attempt) {
     for (Job job : largest.toBegin(leader.jobs().values(), loop.now(), loop.wallMillis())) {
       delegate(job, rooms, inUse, attempt, (job.spec().tasks() + FIRST_PART - 1) / FIRST_PART);
     }
@@ -124,10 +134,10 @@
   private void claim(
       List<Job> order,
       Predicate<Job> open,
-      List<Room> rooms,
+      List<MachineCapacity> rooms,
       Map<TeamId, Resources> inUse,
       Attempt attempt) {
-    for (Floors.Side side : picture().sides()) {
+    for (MinimumShares.Side side : picture().sides()) {
       for (Job job : side.claimsAny() ? order : List.<Job>of()) {
         int most = side.mayClaim(job, picture().share(job));
         if (most > 0 && job.waitingCount() > 0 && open.test(job)) {
@@ -137,13 +147,18 @@
     }
   }
 
-  private void delegate(Job job, List<Room> rooms, Map<TeamId, Resources> inUse, Attempt attempt) {
+  private void delegate(
+      Job job, List<MachineCapacity> rooms, Map<TeamId, Resources> inUse, Attempt attempt) {
     delegate(job, rooms, inUse, attempt, Integer.MAX_VALUE);
   }
 
   /** Gives room to up to so many of the job's tasks; tells to how many. */
   private int delegate(
-      Job job, List<Room> rooms, Map<TeamId, Resources> inUse, Attempt attempt, int most) {
+      Job job,
+      List<MachineCapacity> rooms,
+      Map<TeamId, Resources> inUse,
+      Attempt attempt,
+      int most) {
     TeamId team = job.spec().team();
     Resources used = inUse.getOrDefault(team, Resources.ZERO);
     int allowed =
@@ -153,9 +168,9 @@
     if (allowed == 0 || job.waitingCount() == 0) {
       return 0;
     }
-    PlacementNeed need = PlacementNeed.of(job.spec());
+    ResourceRequest need = ResourceRequest.of(job.spec());
     if (job.spec().kind() == JobKind.GANG
-        && !ZoneRules.gangFits(job, need, rooms, allowed, loop.now())) {
+        && !PlacementConstraints.gangFits(job, need, rooms, allowed, loop.now())) {
       return 0;
     }
     // Where each task changes which zones are left, they are placed one by one.
@@ -165,7 +180,7 @@
     }
     int[] waiting = job.waiting(allowed, loop.now());
     int[] next = {0};
-    Placer.Taker taker =
+    BinPacker.Taker taker =
         (room, count) -> {
           for (int i = 0; i < count; i++) {
             int index = waiting[next[0]++];
@@ -176,11 +191,11 @@
     int placed = 0;
     if (oneByOne) {
       while (placed < waiting.length
-          && Placer.fill(need, 1, allowedRooms(job, rooms), taker) == 1) {
+          && BinPacker.fill(need, 1, allowedRooms(job, rooms), taker) == 1) {
         placed++;
       }
     } else {
-      placed = Placer.fill(need, waiting.length, allowedRooms(job, rooms), taker);
+      placed = BinPacker.fill(need, waiting.length, allowedRooms(job, rooms), taker);
       if (placed < waiting.length) {
         unplaceable.add(need);
       }
@@ -195,17 +210,17 @@
    * room is there.
    */
   private void delegateAhead(
-      List<Job> order, List<Room> rooms, Map<TeamId, Resources> inUse, Attempt attempt) {
+      List<Job> order, List<MachineCapacity> rooms, Map<TeamId, Resources> inUse, Attempt attempt) {
     if (aheadSeconds == 0
         || order.stream().noneMatch(job -> mayWaitAtHolder(job) && job.waitingCount() > 0)) {
       return;
     }
-    Map<MachineId, Room> byMachine = new HashMap<>();
+    Map<MachineId, MachineCapacity> byMachine = new HashMap<>();
     rooms.forEach(room -> byMachine.put(room.machine(), room));
     for (Job job : order) {
-      for (Delegation delegation : freeSoon(job)) {
+      for (TaskAssignment delegation : freeSoon(job)) {
         MachineId machine = delegation.machine().get();
-        Room room = byMachine.get(machine);
+        MachineCapacity room = byMachine.get(machine);
         if (room == null) {
           room = fullRoom(delegation.block(), machine);
           byMachine.put(machine, room);
@@ -215,10 +230,11 @@
       }
     }
     // Rooms have grown.
-    unplaceable = new UnplaceableNeeds();
-    for (FreeRoom.Ahead known : freeRoom.ahead()) {
-      List<Room> own = rooms.stream().filter(room -> room.block().equals(known.block())).toList();
-      Placer.fill(known.need(), known.count(), own);
+    unplaceable = new UnschedulableRequests();
+    for (AvailableCapacity.Ahead known : freeRoom.ahead()) {
+      List<MachineCapacity> own =
+          rooms.stream().filter(room -> room.block().equals(known.block())).toList();
+      BinPacker.fill(known.need(), known.count(), own);
     }
     claim(order, SchedulingCycle::mayWaitAtHolder, rooms, inUse, attempt);
     for (Job job : order) {
@@ -229,7 +245,7 @@
   }
 
   /** A machine's room that was left out since too little of it is left; none if it is unusable. */
-  private Room fullRoom(BlockId block, MachineId machine) {
+  private MachineCapacity fullRoom(ShardId block, MachineId machine) {
     return Optional.ofNullable(leader.blocks().get(block))
         .flatMap(found -> freeRoom.roomOf(found, machine, Resources.ZERO))
         .orElse(null);
@@ -244,10 +260,10 @@
   }
 
   /** As many of the job's running tasks as should end soon, the longest running first. */
-  private List<Delegation> freeSoon(Job job) {
-    List<Delegation> running =
+  private List<TaskAssignment> freeSoon(Job job) {
+    List<TaskAssignment> running =
         job.delegations().stream()
-            .filter(delegation -> delegation.state() == Delegation.State.RUNNING)
+            .filter(delegation -> delegation.state() == TaskAssignment.State.RUNNING)
             .sorted(Comparator.comparing(delegation -> delegation.runningSince().get()))
             .toList();
     double ends =
@@ -255,11 +271,11 @@
     return running.subList(0, (int) Math.min(running.size(), Math.round(ends)));
   }
 
-  private List<Room> allowedRooms(Job job, List<Room> rooms) {
+  private List<MachineCapacity> allowedRooms(Job job, List<MachineCapacity> rooms) {
     boolean anywhere = job.spec().zone().isEmpty() && !job.spec().oneZone() && !job.spec().spread();
     return anywhere
         ? rooms
-        : rooms.stream().filter(room -> ZoneRules.allowed(job, room.zone())).toList();
+        : rooms.stream().filter(room -> PlacementConstraints.allowed(job, room.zone())).toList();
   }
 
   private void preempt(List<Job> order, Map<TeamId, Resources> inUse) {
@@ -278,7 +294,7 @@
             job,
             round,
             inUse,
-            new StopRules.ByGuarantee(
+            new PreemptionPolicies.ByGuarantee(
                 job,
                 ranking(),
                 other -> headroom.protects(other.spec()),
@@ -300,10 +316,10 @@
 
   private Preemption.GivesWay byPriority(Job job, Preemption.Round round) {
     Preemption.GivesWay rule =
-        new StopRules.Behind(
-            new StopRules.ByPriority(job), ranking().rank(job.spec().id()), ranking());
-    for (Floors.Side side : picture().sides()) {
-      rule = new StopRules.AboveFloor(job, rule, side, picture(), round);
+        new PreemptionPolicies.Behind(
+            new PreemptionPolicies.ByPriority(job), ranking().rank(job.spec().id()), ranking());
+    for (MinimumShares.Side side : picture().sides()) {
+      rule = new PreemptionPolicies.AboveFloor(job, rule, side, picture(), round);
     }
     return rule;
   }
@@ -324,12 +340,13 @@
   }
 
   private static boolean canMakeRoom(Job job, Preemption.Where where) {
-    return ZoneRules.allowed(job, where.zone()) && Preemption.onUsableMachine(job, where);
+    return PlacementConstraints.allowed(job, where.zone())
+        && Preemption.onUsableMachine(job, where);
   }
 
-  private Optional<Preemption.Where> whereCanMakeRoom(Delegation delegation) {
-    LeaderBlock block = leader.blocks().get(delegation.block());
-    if (block == null || delegation.state() == Delegation.State.ENDED || !delegation.told()) {
+  private Optional<Preemption.Where> whereCanMakeRoom(TaskAssignment delegation) {
+    ShardView block = leader.blocks().get(delegation.block());
+    if (block == null || delegation.state() == TaskAssignment.State.ENDED || !delegation.told()) {
       return Optional.empty();
     }
     return delegation
@@ -338,14 +355,14 @@
         .map(record -> new Preemption.Where(block.zone(), record.type(), record.spot()));
   }
 
-  private void keepHeadroom(List<Room> rooms) {
-    for (Headroom.Kept kept : headroom.kept(loop.now())) {
-      Placer.fill(kept.need(), kept.count(), rooms);
+  private void keepHeadroom(List<MachineCapacity> rooms) {
+    for (CapacityReservation.Kept kept : headroom.kept(loop.now())) {
+      BinPacker.fill(kept.need(), kept.count(), rooms);
     }
   }
 
   /** How classes and teams stand in the current cycle. */
-  private Floors.Picture picture() {
+  private MinimumShares.Picture picture() {
     if (picture.isEmpty()) {
       picture = Optional.of(floors.picture(leader.jobs().values(), leader.use(), loop.now()));
     }
@@ -353,11 +370,11 @@
   }
 
   /** The order of the current cycle; between cycles it changes little. */
-  Ranking ranking() {
+  public JobRanking ranking() {
     if (ranking.isEmpty()) {
       ranking =
           Optional.of(
-              Ranking.of(
+              JobRanking.of(
                   leader.jobs().values(),
                   leader.blame()::blamed,
                   leader.quota().teams(),
--- a/src/main/java/org/mulleinshift/coordination/LargestJobs.java
+++ b/src/main/java/org/mulleinshift/scheduling/StarvationPrevention.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.scheduling;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -6,15 +6,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.mulleinshift.bookkeeping.Job;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.transport.MonotonicTime;
 
 /**
  * The largest jobs of each class that have waited too long without any task. The order by work left
  * would put them off for as long as smaller ones come; a few at a time may begin before that order.
  * All of it follows from what is stored, so a new leader finds the same.
  */
-final class LargestJobs {
+final class StarvationPrevention {
   private static final int ONE_OF = 10;
   private static final int MOST = 16;
   private static final double LOOK_SECONDS = 1;
@@ -26,20 +26,20 @@
 
   private final long patienceMillis;
   private List<Job> found = List.of();
-  private SteadyTime lookedAt;
+  private MonotonicTime lookedAt;
 
-  LargestJobs(double patienceSeconds, SteadyTime now) {
+  StarvationPrevention(double patienceSeconds, MonotonicTime now) {
     this.patienceMillis = (long) (1000 * patienceSeconds);
     this.lookedAt = now.minus(java.time.Duration.ofSeconds(1));
   }
 
   /** Those that are to begin now, the one that waited longest first. */
-  List<Job> toBegin(Collection<Job> jobs, SteadyTime now, long wallMillis) {
+  List<Job> toBegin(Collection<Job> jobs, MonotonicTime now, long wallMillis) {
     if (now.secondsSince(lookedAt) >= LOOK_SECONDS) {
       lookedAt = now;
       found = look(jobs, wallMillis - patienceMillis);
     }
-    return found.stream().filter(LargestJobs::notBegun).toList();
+    return found.stream().filter(StarvationPrevention::notBegun).toList();
   }
 
   private static List<Job> look(Collection<Job> jobs, long readyBefore) {
--- a/src/main/java/org/mulleinshift/coordination/Lateness.java
+++ b/src/main/java/org/mulleinshift/scheduling/Tardiness.java
@@ -1,16 +1,16 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.scheduling;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.mulleinshift.bookkeeping.Job;
+import org.mulleinshift.model.Job;
 import org.mulleinshift.settings.PlatformSettings;
 
 /**
  * How late a job will be at the least, and how long that may put it behind others: a queue of late
  * jobs must not make all that come after them late, too, nor may a late job wait for ever.
  */
-final class Lateness {
+final class Tardiness {
   /** As far as can be told; the earlier grade is served first. */
   enum Grade {
     IN_TIME(0),
@@ -42,11 +42,14 @@
   /** Seconds of a job's slack that a second of the whole fleet is worth. */
   private static final double WORK_WEIGHT = 60;
 
-  private final RunTimes runTimes;
+  private final RunTimeEstimator runTimes;
   private final Map<String, Double> lastTimes = new HashMap<>();
   private final double overdueMillis;
 
-  Lateness(RunTimes runTimes, List<PlatformSettings.Objective> objectives, double overdueSeconds) {
+  Tardiness(
+      RunTimeEstimator runTimes,
+      List<PlatformSettings.Objective> objectives,
+      double overdueSeconds) {
     this.runTimes = runTimes;
     this.overdueMillis = 1000 * overdueSeconds;
     for (PlatformSettings.Objective objective : objectives) {
@@ -67,7 +70,7 @@
   record Place(Grade grade, double turn) {}
 
   /** By the time of day. */
-  Place place(Job job, Floors.Picture picture, long nowMillis) {
+  Place place(Job job, MinimumShares.Picture picture, long nowMillis) {
     double expected = runTimes.expectedSeconds(job);
     double slack = (job.dueMillis() - nowMillis) / 1000.0 - expected;
     double workLeft = picture.share(job) * job.waitingCount() * expected;
--- a/src/main/java/org/mulleinshift/coordination/Quota.java
+++ b/src/main/java/org/mulleinshift/scheduling/TeamQuotas.java
@@ -1,10 +1,10 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.scheduling;
 
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.mulleinshift.bookkeeping.Job;
+import org.mulleinshift.model.Job;
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.TeamId;
 import org.mulleinshift.settings.PlatformSettings;
@@ -12,12 +12,12 @@
 /**
  * The teams' limits and guarantees. What is delegated counts as running until its end is stored.
  */
-final class Quota {
+public final class TeamQuotas {
   private static final double NO_LIMIT = 1e12;
 
   private final Map<String, PlatformSettings.Team> teams = new HashMap<>();
 
-  Quota(List<PlatformSettings.Team> teams) {
+  public TeamQuotas(List<PlatformSettings.Team> teams) {
     teams.forEach(team -> this.teams.put(team.name(), team));
   }
 
@@ -26,7 +26,7 @@
   }
 
   /** What each team has out. */
-  static Map<TeamId, Resources> use(Collection<Job> jobs) {
+  public static Map<TeamId, Resources> use(Collection<Job> jobs) {
     Map<TeamId, Resources> use = new HashMap<>();
     for (Job job : jobs) {
       if (!job.delegations().isEmpty()) {
@@ -37,7 +37,7 @@
   }
 
   /** How many more of the job's tasks its team may have out. */
-  int withinLimit(Job job, Resources used) {
+  public int withinLimit(Job job, Resources used) {
     PlatformSettings.Team team = teams.get(job.spec().team().value());
     if (team == null) {
       return 0;
--- a/src/main/java/org/mulleinshift/coordination/AssignmentWriter.java
+++ b/src/main/java/org/mulleinshift/sharding/AssignmentWriter.java
@@ -1,40 +1,42 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.sharding;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.mulleinshift.bookkeeping.Delegation;
+import org.mulleinshift.leader.Leader;
+import org.mulleinshift.model.TaskAssignment;
+import org.mulleinshift.placement.ResourceRequest;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.JobSpec;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.TaskId;
 import org.mulleinshift.protocol.peer.AssignedJob;
 import org.mulleinshift.protocol.peer.AssignedTask;
-import org.mulleinshift.protocol.peer.Assignment;
 import org.mulleinshift.protocol.peer.RemovedTask;
+import org.mulleinshift.protocol.peer.ShardAssignment;
 import org.mulleinshift.transport.EventLoop;
 
 /** Writes what the holder of a block is to hear. */
-final class AssignmentWriter {
+public final class AssignmentWriter {
   private final Leader leader;
   private final EventLoop loop;
   private final Revision term;
 
-  AssignmentWriter(Leader leader, EventLoop loop, Revision term) {
+  public AssignmentWriter(Leader leader, EventLoop loop, Revision term) {
     this.leader = leader;
     this.loop = loop;
     this.term = term;
   }
 
   /** Marks the block's changes as sent. */
-  Assignment of(LeaderBlock block) {
+  public ShardAssignment of(ShardView block) {
     Revision grant = block.grant().get().revision();
     long base = block.base();
     Map<JobId, List<AssignedTask>> byJob = new LinkedHashMap<>();
     List<RemovedTask> removed = new ArrayList<>();
     for (TaskId task : block.changesSince(base)) {
-      Delegation delegation = block.told(task).orElse(null);
+      TaskAssignment delegation = block.told(task).orElse(null);
       if (delegation == null) {
         removed.add(new RemovedTask(task.job().value(), task.index()));
       } else {
@@ -56,7 +58,7 @@
     block.machines().keySet().stream()
         .filter(machine -> leader.closed(machine))
         .forEach(machine -> closed.add(machine.value()));
-    return new Assignment(
+    return new ShardAssignment(
         term.value(),
         block.id().value(),
         grant.value(),
@@ -71,8 +73,8 @@
    * Also a task whose end is not stored yet: a holder that is new to the block must not start what
    * an earlier one has reported as ended, since it may be started elsewhere once that is stored.
    */
-  private static boolean mustNotStart(Delegation delegation) {
-    return delegation.stopRequested() || delegation.state() == Delegation.State.ENDED;
+  private static boolean mustNotStart(TaskAssignment delegation) {
+    return delegation.stopRequested() || delegation.state() == TaskAssignment.State.ENDED;
   }
 
   private static AssignedJob leftAlone(JobId id) {
@@ -80,7 +82,7 @@
   }
 
   private AssignedJob assignedJob(JobSpec spec, List<AssignedTask> tasks) {
-    PlacementNeed need = PlacementNeed.of(spec);
+    ResourceRequest need = ResourceRequest.of(spec);
     return new AssignedJob(
         spec.id().value(),
         need.perTask().cpus(),
--- a/src/main/java/org/mulleinshift/coordination/ChangeLog.java
+++ b/src/main/java/org/mulleinshift/sharding/ChangeLog.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.sharding;
 
 import java.util.ArrayList;
 import java.util.Iterator;
--- a/src/main/java/org/mulleinshift/coordination/MachinePhase.java
+++ b/src/main/java/org/mulleinshift/sharding/MachinePhase.java
@@ -1,7 +1,7 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.sharding;
 
 /** How a holder stands with a machine of its block. */
-enum MachinePhase {
+public enum MachinePhase {
   /** No report under this grant yet. */
   UNSEEN("UNSEEN"),
   /** It reports, but has not yet shown that it knows the token. */
@@ -18,7 +18,7 @@
   }
 
   /** How peer frames name it. */
-  String wireName() {
+  public String wireName() {
     return wireName;
   }
 }
--- a/src/main/java/org/mulleinshift/coordination/HeldMachine.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedMachine.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.sharding;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -8,20 +8,20 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.mulleinshift.bookkeeping.ControlView.MachineRecord;
+import org.mulleinshift.model.ClusterView.MachineRecord;
 import org.mulleinshift.protocol.FencingToken;
+import org.mulleinshift.protocol.HeartbeatVersion;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.TaskId;
-import org.mulleinshift.protocol.WorkerMoment;
-import org.mulleinshift.protocol.WorkerReport;
-import org.mulleinshift.protocol.peer.MachineReport;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.protocol.WorkerHeartbeat;
+import org.mulleinshift.protocol.peer.MachineStatus;
+import org.mulleinshift.transport.MonotonicTime;
 
 /** A machine of a held block. */
-final class HeldMachine {
+public final class OwnedMachine {
   /** Low bits of a token, for raising it on one machine without a new grant. */
   static final int BUMP_BITS = 20;
 
@@ -32,21 +32,21 @@
   private MachineRecord record;
   private MachinePhase phase = MachinePhase.UNSEEN;
   private FencingToken token;
-  private WorkerMoment moment = WorkerMoment.NEVER;
-  private SteadyTime momentAt;
+  private HeartbeatVersion moment = HeartbeatVersion.NEVER;
+  private MonotonicTime momentAt;
   private String address = "";
-  private Optional<SteadyTime> answeredAt = Optional.empty();
-  private Optional<SteadyTime> reachedAt = Optional.empty();
-  private Optional<SteadyTime> echoAwaited = Optional.empty();
+  private Optional<MonotonicTime> answeredAt = Optional.empty();
+  private Optional<MonotonicTime> reachedAt = Optional.empty();
+  private Optional<MonotonicTime> echoAwaited = Optional.empty();
   private Optional<Duration> recall = Optional.empty();
   private static final String OCCUPIED = "OCCUPIED";
 
   private boolean occupied;
-  private List<WorkerReport.Entry> strays = new ArrayList<>();
+  private List<WorkerHeartbeat.Entry> strays = new ArrayList<>();
   private final Map<String, Double> images = new LinkedHashMap<>();
-  private final Map<TaskId, HeldTask> bound = new LinkedHashMap<>();
+  private final Map<TaskId, OwnedTask> bound = new LinkedHashMap<>();
   private Resources used = Resources.ZERO;
-  private List<WorkerReport.Entry> absorbed = List.of();
+  private List<WorkerHeartbeat.Entry> absorbed = List.of();
   private long bindings;
   private long absorbedBindings = -1;
   private Silence silence = Silence.HEARD;
@@ -54,7 +54,7 @@
   private boolean ordersWaiting;
 
   /** For how long a machine has not been heard, as far as it matters to the leader. */
-  enum Silence {
+  public enum Silence {
     HEARD("HEARD"),
     /** Reports are missing, or it may not hear this node: it takes nothing new. */
     QUIET("QUIET"),
@@ -68,12 +68,12 @@
     }
 
     /** How peer frames name it. */
-    String wireName() {
+    public String wireName() {
       return wireName;
     }
   }
 
-  HeldMachine(MachineId id, MachineRecord record, Revision grant, SteadyTime now) {
+  OwnedMachine(MachineId id, MachineRecord record, Revision grant, MonotonicTime now) {
     this.momentAt = now;
     this.id = id;
     this.record = record;
@@ -99,13 +99,13 @@
    * worker that hears the new one. Until it shows that it does, nobody knows whether it hears
    * anything, whatever it says.
    */
-  void raiseToken(SteadyTime now) {
+  void raiseToken(MonotonicTime now) {
     token = new FencingToken(token.value() + 1);
     echoAwaited = Optional.of(echoAwaited.orElse(now));
   }
 
   /** Since when it has shown no sign that it hears this node; empty if it has. */
-  Optional<SteadyTime> deafSince() {
+  Optional<MonotonicTime> deafSince() {
     return echoAwaited;
   }
 
@@ -120,11 +120,11 @@
    * its worker waits for no answer to it any more. Such a one shows no sign of life, and an answer
    * to it renews nothing.
    */
-  boolean surelyCopy(WorkerReport report, SteadyTime now) {
+  boolean surelyCopy(WorkerHeartbeat report, MonotonicTime now) {
     return !report.moment().isAfter(moment) && now.since(momentAt).compareTo(ANSWERS_AWAITED) > 0;
   }
 
-  void heard(WorkerReport report, SteadyTime now) {
+  void heard(WorkerHeartbeat report, MonotonicTime now) {
     moment = report.moment();
     momentAt = now;
     address = report.address();
@@ -135,7 +135,7 @@
   }
 
   /** All that the report says was taken over. */
-  void absorbed(WorkerReport report) {
+  void absorbed(WorkerHeartbeat report) {
     absorbed = report.tasks();
     absorbedBindings = bindings;
   }
@@ -144,7 +144,7 @@
    * Whether the report says what the last one did, of a machine that is as it should be: then
    * nothing follows from it but that the machine is there. Most reports are such.
    */
-  boolean repeats(WorkerReport report) {
+  boolean repeats(WorkerHeartbeat report) {
     return bindings == absorbedBindings
         && phase == MachinePhase.CONFIRMED
         && echoAwaited.isEmpty()
@@ -157,15 +157,15 @@
   }
 
   /** A report came, whether or not this node may answer it. */
-  void reached(SteadyTime now) {
+  void reached(MonotonicTime now) {
     reachedAt = Optional.of(now);
   }
 
-  Optional<SteadyTime> reachedAt() {
+  Optional<MonotonicTime> reachedAt() {
     return reachedAt;
   }
 
-  void answered(SteadyTime now) {
+  void answered(MonotonicTime now) {
     answeredAt = Optional.of(now);
   }
 
@@ -190,14 +190,14 @@
     record = next;
   }
 
-  void bind(HeldTask task) {
+  void bind(OwnedTask task) {
     bindings++;
     if (bound.put(task.task(), task) == null) {
       used = used.plus(task.need().perTask());
     }
   }
 
-  void release(HeldTask task) {
+  void release(OwnedTask task) {
     bindings++;
     if (bound.remove(task.task(), task)) {
       used = bound.isEmpty() ? Resources.ZERO : used.minus(task.need().perTask());
@@ -205,7 +205,7 @@
   }
 
   /** The tasks that are, or possibly are, on it. */
-  List<HeldTask> tasks() {
+  List<OwnedTask> tasks() {
     return new ArrayList<>(bound.values());
   }
 
@@ -241,7 +241,7 @@
     return token;
   }
 
-  WorkerMoment moment() {
+  HeartbeatVersion moment() {
     return moment;
   }
 
@@ -249,7 +249,7 @@
     return address;
   }
 
-  Optional<SteadyTime> answeredAt() {
+  Optional<MonotonicTime> answeredAt() {
     return answeredAt;
   }
 
@@ -258,11 +258,11 @@
     return recall.isPresent();
   }
 
-  List<WorkerReport.Entry> strays() {
+  List<WorkerHeartbeat.Entry> strays() {
     return strays;
   }
 
-  void strays(List<WorkerReport.Entry> found) {
+  void strays(List<WorkerHeartbeat.Entry> found) {
     strays = found;
   }
 
@@ -274,13 +274,13 @@
     boolean before = occupied;
     occupied =
         strays.stream()
-            .filter(entry -> entry.state() != WorkerReport.State.EXITED)
+            .filter(entry -> entry.state() != WorkerHeartbeat.State.EXITED)
             .anyMatch(entry -> leftAlone.contains(entry.task().job()));
     return before != occupied;
   }
 
   /** Whether such tasks run on it, as its holder told. */
-  static boolean occupied(MachineReport report) {
+  public static boolean occupied(MachineStatus report) {
     return report.getPhase().equals(OCCUPIED);
   }
 
--- a/src/main/java/org/mulleinshift/coordination/HeldBlocks.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedShards.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.sharding;
 
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -13,23 +13,23 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import org.mulleinshift.bookkeeping.ControlView;
-import org.mulleinshift.bookkeeping.ControlView.GrantRecord;
-import org.mulleinshift.coordination.membership.Session;
-import org.mulleinshift.coordination.membership.WorkerLink;
-import org.mulleinshift.protocol.BadMessage;
-import org.mulleinshift.protocol.BlockId;
+import org.mulleinshift.membership.ControllerSession;
+import org.mulleinshift.membership.WorkerReachability;
+import org.mulleinshift.model.ClusterView;
+import org.mulleinshift.model.ClusterView.GrantRecord;
 import org.mulleinshift.protocol.JobCodec;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.MachineId;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Revision;
+import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.WorkerCodec;
-import org.mulleinshift.protocol.WorkerReport;
-import org.mulleinshift.protocol.peer.Assignment;
-import org.mulleinshift.protocol.peer.Knock;
-import org.mulleinshift.protocol.peer.ReportsSeen;
-import org.mulleinshift.protocol.peer.StrangerReport;
+import org.mulleinshift.protocol.WorkerHeartbeat;
+import org.mulleinshift.protocol.peer.OwnerSuspicion;
+import org.mulleinshift.protocol.peer.ShardAssignment;
+import org.mulleinshift.protocol.peer.ShardStatusAck;
+import org.mulleinshift.protocol.peer.UnknownWorkerReport;
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.HttpRequest;
 import org.mulleinshift.transport.Responder;
@@ -37,8 +37,8 @@
 import org.slf4j.LoggerFactory;
 
 /** The blocks that this node holds; sends workers of other blocks to their holders. */
-final class HeldBlocks {
-  private static final Logger LOG = LoggerFactory.getLogger(HeldBlocks.class);
+public final class OwnedShards {
+  private static final Logger LOG = LoggerFactory.getLogger(OwnedShards.class);
   private static final Duration TICK = Duration.ofMillis(250);
   private static final Duration REPORT_SPACING = Duration.ofMillis(80);
   private static final Duration REPORT_AT_LEAST = Duration.ofSeconds(1);
@@ -48,27 +48,27 @@
   private static final int MOST_ASKED = 64;
 
   /** What the desk asks of the other controllers. */
-  record Peers(List<NodeId> nodes, Predicate<NodeId> answersWorkers, Runnable beat) {}
+  public record Peers(List<NodeId> nodes, Predicate<NodeId> answersWorkers, Runnable beat) {}
 
   private final EventLoop loop;
   private final NodeId self;
-  private final ControlView view;
-  private final Session session;
-  private final BlockHolder.Surroundings around;
+  private final ClusterView view;
+  private final ControllerSession session;
+  private final ShardOwner.Surroundings around;
   private final Peers peers;
   private final Consumer<Object> toLeader;
-  private final Map<BlockId, BlockHolder> held = new HashMap<>();
+  private final Map<ShardId, ShardOwner> held = new HashMap<>();
   private final Set<MachineId> asked = new HashSet<>();
-  private final Map<BlockId, Set<MachineId>> knocked = new HashMap<>();
-  private final WorkerLink workers;
+  private final Map<ShardId, Set<MachineId>> knocked = new HashMap<>();
+  private final WorkerReachability workers;
   private boolean reportPlanned;
   private long badReports;
 
-  HeldBlocks(
+  public OwnedShards(
       NodeId self,
-      ControlView view,
-      Session session,
-      BlockHolder.Surroundings around,
+      ClusterView view,
+      ControllerSession session,
+      ShardOwner.Surroundings around,
       Peers peers,
       Consumer<Object> toLeader) {
     this.loop = around.loop();
@@ -79,13 +79,14 @@
     this.peers = peers;
     this.toLeader = toLeader;
     this.workers =
-        new WorkerLink(
+        new WorkerReachability(
             loop,
             around.timing().report(),
-            new WorkerLink.Parts(around.workers(), this::count, this::addresses, peers.beat()));
+            new WorkerReachability.Parts(
+                around.workers(), this::count, this::addresses, peers.beat()));
   }
 
-  void start() {
+  public void start() {
     workers.start();
     loop.after(TICK, this::tick);
     loop.after(REPORT_AT_LEAST, this::reportRegularly);
@@ -96,30 +97,30 @@
     if (!held.isEmpty()) {
       session.tellRight();
     }
-    held.values().forEach(BlockHolder::tick);
+    held.values().forEach(ShardOwner::tick);
   }
 
   /**
    * Blocks that this node may no longer act for say nothing: their machines may have gone to
    * others.
    */
-  private WorkerLink.Count count() {
+  private WorkerReachability.Count count() {
     int known = 0;
     int silent = 0;
-    for (BlockHolder holder : held.values()) {
+    for (ShardOwner holder : held.values()) {
       if (holder.entitled()) {
         known += holder.knownMachines();
         silent += holder.silentMachines();
       }
     }
-    return new WorkerLink.Count(known, silent);
+    return new WorkerReachability.Count(known, silent);
   }
 
   private List<InetSocketAddress> addresses() {
     return held.values().stream().flatMap(holder -> holder.addresses().stream()).toList();
   }
 
-  WorkerLink.State hearing() {
+  public WorkerReachability.State hearing() {
     return workers.state();
   }
 
@@ -129,7 +130,7 @@
   }
 
   /** Something that the leader should know; several changes share a report. */
-  void reportSoon() {
+  public void reportSoon() {
     if (!reportPlanned) {
       reportPlanned = true;
       loop.after(
@@ -142,7 +143,7 @@
   }
 
   private void sendReports() {
-    for (BlockHolder holder : held.values()) {
+    for (ShardOwner holder : held.values()) {
       if (holder.reports().hasNews()) {
         toLeader.accept(holder.reports().newsReport());
       }
@@ -150,8 +151,8 @@
   }
 
   /** Takes up and gives up blocks as the store says. */
-  void onControlChange() {
-    Map<BlockId, Revision> verified = session.grants();
+  public void onControlChange() {
+    Map<ShardId, Revision> verified = session.grants();
     held.entrySet()
         .removeIf(
             entry -> {
@@ -161,8 +162,8 @@
               }
               return lost;
             });
-    for (Map.Entry<BlockId, GrantRecord> entry : view.grants().entrySet()) {
-      BlockId block = entry.getKey();
+    for (Map.Entry<ShardId, GrantRecord> entry : view.grants().entrySet()) {
+      ShardId block = entry.getKey();
       GrantRecord grant = entry.getValue();
       // Both the reading and the watch must show the grant: the watch then also shows the block's
       // machines as of the grant or later.
@@ -173,7 +174,7 @@
         Revision revision = grant.revision();
         held.put(
             block,
-            new BlockHolder(around, block, revision, () -> session.entitled(block, revision)));
+            new ShardOwner(around, block, revision, () -> session.entitled(block, revision)));
       }
     }
     held.forEach(
@@ -181,34 +182,34 @@
             Optional.ofNullable(view.blocks().get(block)).ifPresent(holder::onRecord));
   }
 
-  void onAssignment(Assignment assignment) {
-    BlockHolder holder = held.get(new BlockId(assignment.getBlock()));
+  public void onAssignment(ShardAssignment assignment) {
+    ShardOwner holder = held.get(new ShardId(assignment.getBlock()));
     if (holder != null) {
       holder.onAssignment(assignment);
     }
   }
 
-  void onReportsSeen(ReportsSeen seen) {
-    BlockHolder holder = held.get(new BlockId(seen.getBlock()));
+  public void onReportsSeen(ShardStatusAck seen) {
+    ShardOwner holder = held.get(new ShardId(seen.getBlock()));
     if (holder != null) {
       holder.onReportsSeen(seen);
     }
   }
 
-  void stoodStill() {
+  public void stoodStill() {
     workers.stoodStill();
-    held.values().forEach(BlockHolder::stoodStill);
+    held.values().forEach(ShardOwner::stoodStill);
   }
 
-  void onCancelled(JobId job) {
+  public void onCancelled(JobId job) {
     held.values().forEach(holder -> holder.onCancelled(job));
   }
 
-  void checkin(String body, Responder responder) {
-    WorkerReport report;
+  public void checkin(String body, Responder responder) {
+    WorkerHeartbeat report;
     try {
       report = WorkerCodec.parseReport(body);
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       if (badReports++ % 100 == 0) {
         LOG.warn("malformed report: {}", e.getMessage());
       }
@@ -216,13 +217,13 @@
       return;
     }
     workers.reported();
-    Optional<BlockId> block = view.blockOf(report.machine());
+    Optional<ShardId> block = view.blockOf(report.machine());
     if (block.isEmpty()) {
       ask(
           report,
           () ->
               toLeader.accept(
-                  new StrangerReport(
+                  new UnknownWorkerReport(
                       report.machine().value(),
                       report.address(),
                       report.type().value(),
@@ -231,7 +232,7 @@
       responder.respond(421, "{}");
       return;
     }
-    BlockHolder holder = held.get(block.get());
+    ShardOwner holder = held.get(block.get());
     if (holder != null) {
       Optional<String> answer = holder.onReport(report);
       if (answer.isPresent()) {
@@ -275,7 +276,7 @@
    * The report of a machine that nobody knows, or that its holder does not answer, may be a late
    * copy, and the machine long gone: only one that can be asked is there.
    */
-  private void ask(WorkerReport report, Runnable ifThere) {
+  private void ask(WorkerHeartbeat report, Runnable ifThere) {
     Optional<InetSocketAddress> address = WorkerAddress.parse(report.address());
     if (address.isEmpty() || asked.size() >= MOST_ASKED || !asked.add(report.machine())) {
       return;
@@ -294,7 +295,7 @@
   }
 
   /** The leader hears of machines whose holder does not answer them; several share a message. */
-  private void knocked(BlockId block, MachineId machine) {
+  private void knocked(ShardId block, MachineId machine) {
     if (knocked.isEmpty()) {
       loop.after(KNOCKS, this::sendKnocks);
     }
@@ -307,7 +308,7 @@
           GrantRecord grant = view.grants().get(block);
           if (grant != null) {
             toLeader.accept(
-                new Knock(
+                new OwnerSuspicion(
                     block.value(),
                     grant.revision().value(),
                     machines.stream().map(MachineId::value).toList()));
--- a/src/main/java/org/mulleinshift/coordination/HeldTask.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedTask.java
@@ -1,34 +1,35 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.sharding;
 
 import java.util.Optional;
+import org.mulleinshift.placement.ResourceRequest;
 import org.mulleinshift.protocol.Attempt;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.TaskId;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 
 /** A task that the leader delegated to a block, at the block's holder. */
-final class HeldTask {
+final class OwnedTask {
   private final TaskId task;
   private final Attempt attempt;
-  private final PlacementNeed need;
+  private final ResourceRequest need;
   private final double saveSeconds;
   private final int rank;
   private final boolean fresh;
-  private final SteadyTime takenAt;
+  private final MonotonicTime takenAt;
   private TaskPhase phase = TaskPhase.NEW;
   private Optional<MachineId> machine = Optional.empty();
-  private Optional<SteadyTime> runningSince = Optional.empty();
+  private Optional<MonotonicTime> runningSince = Optional.empty();
   private long ranMillis;
   private boolean stop;
 
-  HeldTask(
+  OwnedTask(
       TaskId task,
       Attempt attempt,
-      PlacementNeed need,
+      ResourceRequest need,
       double saveSeconds,
       int rank,
       boolean fresh,
-      SteadyTime takenAt) {
+      MonotonicTime takenAt) {
     this.task = task;
     this.attempt = attempt;
     this.need = need;
@@ -39,7 +40,7 @@
   }
 
   /** The only place where the phase changes; a final phase stays. */
-  void moveTo(TaskPhase next, MachineId where, SteadyTime now) {
+  void moveTo(TaskPhase next, MachineId where, MonotonicTime now) {
     if (phase.isFinal()) {
       return;
     }
@@ -85,7 +86,7 @@
     return attempt;
   }
 
-  PlacementNeed need() {
+  ResourceRequest need() {
     return need;
   }
 
@@ -103,7 +104,7 @@
   }
 
   /** When the leader's message about it came. */
-  SteadyTime takenAt() {
+  MonotonicTime takenAt() {
     return takenAt;
   }
 
@@ -115,7 +116,7 @@
     return machine;
   }
 
-  long ranMillis(SteadyTime now) {
+  long ranMillis(MonotonicTime now) {
     if (phase.isFinal()) {
       return ranMillis;
     }
--- a/src/main/java/org/mulleinshift/coordination/BlockGrants.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardGrants.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.sharding;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -7,39 +7,40 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.mulleinshift.bookkeeping.ControlView;
-import org.mulleinshift.bookkeeping.Keys;
-import org.mulleinshift.bookkeeping.LeaderJournal;
-import org.mulleinshift.coordination.membership.BlockSharing;
-import org.mulleinshift.coordination.membership.HolderFitness;
-import org.mulleinshift.coordination.membership.WorkerLink;
+import org.mulleinshift.leader.Leader;
+import org.mulleinshift.membership.OwnerEligibility;
+import org.mulleinshift.membership.ShardAssigner;
+import org.mulleinshift.membership.WorkerReachability;
+import org.mulleinshift.model.ClusterView;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec.Write;
+import org.mulleinshift.protocol.StoreCodec.Write;
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.settings.PlatformSettings;
 import org.mulleinshift.settings.Tunables;
+import org.mulleinshift.store.StoreKeys;
+import org.mulleinshift.store.TransactionBatcher;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Grants blocks of machines to controllers, and has the grants stored. */
-final class BlockGrants {
-  private static final Logger LOG = LoggerFactory.getLogger(BlockGrants.class);
+public final class ShardGrants {
+  private static final Logger LOG = LoggerFactory.getLogger(ShardGrants.class);
   private static final Duration KNOCKED = Duration.ofSeconds(5);
 
   private final Leader leader;
   private final Leader.Surroundings around;
-  private final LeaderJournal journal;
-  private final BlockSharing sharing;
-  private final HolderFitness fitness;
+  private final TransactionBatcher journal;
+  private final ShardAssigner sharing;
+  private final OwnerEligibility fitness;
 
-  BlockGrants(Leader leader, Leader.Surroundings around, LeaderJournal journal) {
+  public ShardGrants(Leader leader, Leader.Surroundings around, TransactionBatcher journal) {
     this.leader = leader;
     this.around = around;
     this.journal = journal;
-    this.fitness = new HolderFitness(around.hearing());
+    this.fitness = new OwnerEligibility(around.hearing());
     this.sharing =
-        new BlockSharing(
+        new ShardAssigner(
             around.self(), zonesOf(around.self(), around.settings()), around.loop().now());
   }
 
@@ -48,7 +49,7 @@
    * lost the state service, or says that its workers are silent, keeps what it holds but gets no
    * more: it could not take it up.
    */
-  void assign() {
+  public void assign() {
     if (!around.certain().getAsBoolean()) {
       // Whoever leads by now would have to undo it.
       return;
@@ -63,24 +64,25 @@
     List<NodeId> takers = new ArrayList<>(live);
     takers.removeIf(
         node ->
-            around.storeLost().test(node) || around.hearing().apply(node) != WorkerLink.State.WELL);
+            around.storeLost().test(node)
+                || around.hearing().apply(node) != WorkerReachability.State.WELL);
     takers = takers.isEmpty() ? live : takers;
     // Held by somebody that this build can't read: not its to give to others.
-    List<LeaderBlock> known = new ArrayList<>(leader.blocks().values());
+    List<ShardView> known = new ArrayList<>(leader.blocks().values());
     known.removeIf(block -> around.view().unreadableGrants().contains(block.id()));
-    for (BlockSharing.Move move :
+    for (ShardAssigner.Move move :
         sharing.moves(known, live, takers, limit.multipliedBy(2), around.loop().now())) {
-      LeaderBlock block = leader.blocks().get(move.block().id());
+      ShardView block = leader.blocks().get(move.block().id());
       LOG.info("granting {} to {}", block.id(), move.holder());
       block.granting(Optional.of(move.holder()));
-      journal.submit(Keys.grant(block.id()), new GrantUnit(block, move.holder()));
+      journal.submit(StoreKeys.grant(block.id()), new GrantUnit(block, move.holder()));
     }
   }
 
   /** How many machines of each holder reported elsewhere lately. */
   private Map<NodeId, Integer> knocks() {
     Map<NodeId, Integer> knocks = new HashMap<>();
-    for (LeaderBlock block : leader.blocks().values()) {
+    for (ShardView block : leader.blocks().values()) {
       int count = block.knocks(KNOCKED, around.loop().now());
       block.holder().ifPresent(node -> knocks.merge(node, count, Integer::sum));
     }
@@ -97,31 +99,32 @@
   }
 
   /** A block's new holder, bound to the holder's session lease. */
-  private final class GrantUnit implements LeaderJournal.Unit {
-    private final LeaderBlock block;
+  private final class GrantUnit implements TransactionBatcher.Unit {
+    private final ShardView block;
     private final NodeId holder;
 
-    GrantUnit(LeaderBlock block, NodeId holder) {
+    GrantUnit(ShardView block, NodeId holder) {
       this.block = block;
       this.holder = holder;
     }
 
     @Override
     public List<Write> writes() {
-      ControlView.NodeRecord node = around.view().nodes().get(holder);
+      ClusterView.NodeRecord node = around.view().nodes().get(holder);
       if (node == null) {
         block.granting(Optional.empty());
       }
       return node == null
           ? List.of()
-          : List.of(Write.put(Keys.grant(block.id()), ControlView.grantValue(holder), node.hold()));
+          : List.of(
+              Write.put(StoreKeys.grant(block.id()), ClusterView.grantValue(holder), node.hold()));
     }
 
     @Override
     public void committed(Revision revision) {
       block.granting(Optional.empty());
-      block.grant(Optional.of(new LeaderBlock.Grant(holder, revision)), around.loop().now());
-      if (block.lastHolder(Optional.of(holder)) && journal.knows(Keys.block(block.id()))) {
+      block.grant(Optional.of(new ShardView.Grant(holder, revision)), around.loop().now());
+      if (block.lastHolder(Optional.of(holder)) && journal.knows(StoreKeys.block(block.id()))) {
         // Only the next fall of many asks for it.
         leader.fleet().storeWhenIdle(block);
       }
--- a/src/main/java/org/mulleinshift/coordination/BlockHolder.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardOwner.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.sharding;
 
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -15,32 +15,37 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Predicate;
 import java.util.stream.Stream;
-import org.mulleinshift.bookkeeping.ControlView.BlockRecord;
-import org.mulleinshift.bookkeeping.ControlView.MachineRecord;
+import org.mulleinshift.model.ClusterView.BlockRecord;
+import org.mulleinshift.model.ClusterView.MachineRecord;
+import org.mulleinshift.placement.BinPacker;
+import org.mulleinshift.placement.MachineCapacity;
+import org.mulleinshift.placement.MachineTypeCatalog;
+import org.mulleinshift.placement.ResourceRequest;
+import org.mulleinshift.placement.UnschedulableRequests;
 import org.mulleinshift.protocol.Attempt;
-import org.mulleinshift.protocol.BadMessage;
-import org.mulleinshift.protocol.BlockId;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.MachineType;
-import org.mulleinshift.protocol.Order;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.Revision;
+import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.TaskId;
 import org.mulleinshift.protocol.WorkerCodec;
-import org.mulleinshift.protocol.WorkerReport;
+import org.mulleinshift.protocol.WorkerCommand;
+import org.mulleinshift.protocol.WorkerHeartbeat;
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.protocol.peer.AssignedJob;
 import org.mulleinshift.protocol.peer.AssignedTask;
-import org.mulleinshift.protocol.peer.Assignment;
 import org.mulleinshift.protocol.peer.RemovedTask;
-import org.mulleinshift.protocol.peer.ReportsSeen;
+import org.mulleinshift.protocol.peer.ShardAssignment;
+import org.mulleinshift.protocol.peer.ShardStatusAck;
 import org.mulleinshift.settings.PlatformSettings;
+import org.mulleinshift.transport.AsyncHttpClient;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.HttpCaller;
-import org.mulleinshift.transport.HttpReply;
 import org.mulleinshift.transport.HttpRequest;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.HttpResponse;
+import org.mulleinshift.transport.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -48,8 +53,8 @@
  * A block under one grant: takes its machines' reports, places the tasks delegated to it, and tells
  * the leader what became of them. A task counts as absent from a machine only on proof.
  */
-final class BlockHolder {
-  private static final Logger LOG = LoggerFactory.getLogger(BlockHolder.class);
+public final class ShardOwner {
+  private static final Logger LOG = LoggerFactory.getLogger(ShardOwner.class);
   private static final Duration ORDERS_DEADLINE = Duration.ofMillis(1200);
   private static final Duration UNPLACEABLE = Duration.ofSeconds(4);
 
@@ -59,10 +64,10 @@
   private static final int MOST_ORDERS = 200;
 
   /** What a holder needs of its node. */
-  record Surroundings(
+  public record Surroundings(
       EventLoop loop,
-      HttpCaller workers,
-      Catalog catalog,
+      AsyncHttpClient workers,
+      MachineTypeCatalog catalog,
       PlatformSettings.Workers timing,
       Duration blockLease,
       Predicate<JobId> cancelled,
@@ -70,22 +75,22 @@
 
   private final Surroundings around;
   private final EventLoop loop;
-  private final BlockId id;
+  private final ShardId id;
   private final Revision grant;
   private final BooleanSupplier entitled;
-  private final SteadyTime startedAt;
-  private SteadyTime listeningSince;
-  private final Map<MachineId, HeldMachine> machines = new TreeMap<>();
-  private final Map<TaskId, HeldTask> tasks = new LinkedHashMap<>();
-  private final Set<HeldTask> unplaced = new LinkedHashSet<>();
+  private final MonotonicTime startedAt;
+  private MonotonicTime listeningSince;
+  private final Map<MachineId, OwnedMachine> machines = new TreeMap<>();
+  private final Map<TaskId, OwnedTask> tasks = new LinkedHashMap<>();
+  private final Set<OwnedTask> unplaced = new LinkedHashSet<>();
   private final Set<JobId> leftAlone = new HashSet<>();
   private Set<MachineId> closed = Set.of();
-  private final BlockReporting reports;
+  private final ShardStatusReporter reports;
   private long seenTerm;
   private long seenVersion;
   private Revision recordSeen = new Revision(0);
 
-  BlockHolder(Surroundings around, BlockId id, Revision grant, BooleanSupplier entitled) {
+  ShardOwner(Surroundings around, ShardId id, Revision grant, BooleanSupplier entitled) {
     this.around = around;
     this.loop = around.loop();
     this.id = id;
@@ -93,7 +98,7 @@
     this.entitled = entitled;
     this.startedAt = loop.now();
     this.listeningSince = startedAt;
-    this.reports = new BlockReporting(loop, id, grant, machines, tasks, around.onNews());
+    this.reports = new ShardStatusReporter(loop, id, grant, machines, tasks, around.onNews());
   }
 
   Revision grant() {
@@ -114,7 +119,7 @@
     for (Map.Entry<MachineId, MachineRecord> entry : record.machines().entrySet()) {
       machines
           .computeIfAbsent(
-              entry.getKey(), key -> new HeldMachine(key, entry.getValue(), grant, loop.now()))
+              entry.getKey(), key -> new OwnedMachine(key, entry.getValue(), grant, loop.now()))
           .update(entry.getValue());
       news(entry.getKey());
     }
@@ -126,21 +131,21 @@
     placeAndSend();
   }
 
-  private void loseTasksOf(HeldMachine machine) {
-    for (HeldTask task : machine.tasks()) {
+  private void loseTasksOf(OwnedMachine machine) {
+    for (OwnedTask task : machine.tasks()) {
       finish(task, task.stopRequested() ? TaskPhase.STOPPED : TaskPhase.LOST);
     }
   }
 
-  private void finish(HeldTask task, TaskPhase phase) {
+  private void finish(OwnedTask task, TaskPhase phase) {
     move(task, phase, null);
   }
 
   /** All changes of a task's phase pass here, so that what is indexed by it stays in step. */
-  private void move(HeldTask task, TaskPhase next, MachineId where) {
-    HeldMachine before = task.place().map(machines::get).orElse(null);
+  private void move(OwnedTask task, TaskPhase next, MachineId where) {
+    OwnedMachine before = task.place().map(machines::get).orElse(null);
     task.moveTo(next, where, loop.now());
-    HeldMachine after = task.place().map(machines::get).orElse(null);
+    OwnedMachine after = task.place().map(machines::get).orElse(null);
     if (before != null && before != after) {
       before.release(task);
     }
@@ -154,7 +159,7 @@
     around.onNews().run();
   }
 
-  private void drop(HeldTask task) {
+  private void drop(OwnedTask task) {
     task.place().map(machines::get).ifPresent(machine -> machine.release(task));
     unplaced.remove(task);
   }
@@ -169,7 +174,7 @@
    * that builds on a version that never came is left out, the leader sends from the known one
    * again.
    */
-  void onAssignment(Assignment assignment) {
+  void onAssignment(ShardAssignment assignment) {
     long term = assignment.getLeaderTerm();
     long known = term == seenTerm ? seenVersion : 0;
     boolean unfit =
@@ -192,7 +197,7 @@
     Set<TaskId> named = new HashSet<>();
     leftAlone.clear();
     for (AssignedJob job : assignment.getJobs()) {
-      PlacementNeed need = PlacementNeed.of(job);
+      ResourceRequest need = ResourceRequest.of(job);
       JobId id = new JobId(job.getJob());
       if (job.getTasks().isEmpty()) {
         leftAlone.add(id);
@@ -218,21 +223,21 @@
   }
 
   /** Up to where the leader knows this block. */
-  void onReportsSeen(ReportsSeen seen) {
+  void onReportsSeen(ShardStatusAck seen) {
     if (seen.getGrant() == grant.value() && seen.getLeaderTerm() >= seenTerm) {
       reports.seen(seen.getSequence());
     }
   }
 
-  private void take(TaskId id, AssignedJob job, AssignedTask item, PlacementNeed need) {
-    HeldTask known = tasks.get(id);
+  private void take(TaskId id, AssignedJob job, AssignedTask item, ResourceRequest need) {
+    OwnedTask known = tasks.get(id);
     Attempt attempt = new Attempt(item.getAttempt());
     if (known == null || !known.attempt().equals(attempt)) {
       if (known != null) {
         drop(known);
       }
       known =
-          new HeldTask(
+          new OwnedTask(
               id, attempt, need, job.getSaveSeconds(), job.getRank(), item.getFresh(), loop.now());
       tasks.put(id, known);
       unplaced.add(known);
@@ -246,10 +251,10 @@
 
   /** Tasks that machines reported before the leader's set arrived. */
   private void adoptFromStrays() {
-    for (HeldMachine machine : machines.values()) {
-      List<WorkerReport.Entry> left = new ArrayList<>();
-      for (WorkerReport.Entry entry : machine.strays()) {
-        HeldTask task = matching(entry);
+    for (OwnedMachine machine : machines.values()) {
+      List<WorkerHeartbeat.Entry> left = new ArrayList<>();
+      for (WorkerHeartbeat.Entry entry : machine.strays()) {
+        OwnedTask task = matching(entry);
         if (task == null) {
           left.add(entry);
         } else {
@@ -261,23 +266,23 @@
     }
   }
 
-  private void tellIfOccupied(HeldMachine machine) {
+  private void tellIfOccupied(OwnedMachine machine) {
     if (machine.occupiedBy(leftAlone)) {
       news(machine.id());
     }
   }
 
-  private HeldTask matching(WorkerReport.Entry entry) {
-    HeldTask task = tasks.get(entry.task());
+  private OwnedTask matching(WorkerHeartbeat.Entry entry) {
+    OwnedTask task = tasks.get(entry.task());
     return task != null && task.attempt().equals(entry.attempt()) ? task : null;
   }
 
-  private void requestStop(HeldTask task) {
+  private void requestStop(OwnedTask task) {
     if (task.stopRequested()) {
       return;
     }
     task.requestStop();
-    HeldMachine machine = task.machine().map(machines::get).orElse(null);
+    OwnedMachine machine = task.machine().map(machines::get).orElse(null);
     if (machine == null) {
       return;
     }
@@ -291,7 +296,7 @@
 
   /** A job was cancelled: its tasks stop without waiting for the leader. */
   void onCancelled(JobId job) {
-    for (HeldTask task : tasks.values()) {
+    for (OwnedTask task : tasks.values()) {
       if (task.task().job().equals(job)) {
         requestStop(task);
       }
@@ -300,8 +305,8 @@
   }
 
   /** The answer to a report, or none if this node must not give one. */
-  Optional<String> onReport(WorkerReport report) {
-    HeldMachine machine = machines.get(report.machine());
+  Optional<String> onReport(WorkerHeartbeat report) {
+    OwnedMachine machine = machines.get(report.machine());
     if (machine == null) {
       return Optional.empty();
     }
@@ -314,7 +319,7 @@
       return Optional.empty();
     }
     if (report.highestToken().compareTo(machine.token()) > 0) {
-      if (!HeldMachine.belongsTo(report.highestToken(), grant)) {
+      if (!OwnedMachine.belongsTo(report.highestToken(), grant)) {
         // A 200 with a lower token would be dropped and hold the worker here without a lease.
         return Optional.empty();
       }
@@ -329,7 +334,7 @@
     return Optional.of(body);
   }
 
-  private void absorb(HeldMachine machine, WorkerReport report) {
+  private void absorb(OwnedMachine machine, WorkerHeartbeat report) {
     if (!report.moment().isAfter(machine.moment())) {
       return;
     }
@@ -344,14 +349,14 @@
       machine.raiseToken(loop.now());
     }
     Set<TaskId> listed = new HashSet<>();
-    List<WorkerReport.Entry> strays = new ArrayList<>();
+    List<WorkerHeartbeat.Entry> strays = new ArrayList<>();
     boolean recalled = machine.recalled();
     machine.heard(report, loop.now());
     if (recalled != machine.recalled()) {
       news(machine.id());
     }
-    for (WorkerReport.Entry entry : report.tasks()) {
-      HeldTask task = matching(entry);
+    for (WorkerHeartbeat.Entry entry : report.tasks()) {
+      OwnedTask task = matching(entry);
       if (task == null) {
         strays.add(entry);
       } else {
@@ -363,7 +368,7 @@
     tellIfOccupied(machine);
     boolean knowsToken = report.highestToken().compareTo(machine.token()) >= 0;
     moveMachine(machine, knowsToken ? MachinePhase.CONFIRMED : MachinePhase.HEARD);
-    for (HeldTask task : machine.tasks()) {
+    for (OwnedTask task : machine.tasks()) {
       if (!listed.contains(task.task())) {
         unlisted(machine, task, newSession, knowsToken);
       }
@@ -373,7 +378,7 @@
 
   /** A task that should be on the machine, but is not in its newest report. */
   private void unlisted(
-      HeldMachine machine, HeldTask task, boolean newSession, boolean knowsToken) {
+      OwnedMachine machine, OwnedTask task, boolean newSession, boolean knowsToken) {
     if (task.phase() != TaskPhase.STARTING || newSession) {
       finish(task, task.stopRequested() ? TaskPhase.STOPPED : TaskPhase.LOST);
     } else if (task.stopRequested() && knowsToken && !machine.directInFlight()) {
@@ -384,7 +389,7 @@
     }
   }
 
-  private void moveMachine(HeldMachine machine, MachinePhase next) {
+  private void moveMachine(OwnedMachine machine, MachinePhase next) {
     if (machine.phase() == MachinePhase.CONFIRMED && next == MachinePhase.HEARD) {
       return;
     }
@@ -394,7 +399,7 @@
     }
   }
 
-  private void observe(HeldMachine machine, HeldTask task, WorkerReport.Entry entry) {
+  private void observe(OwnedMachine machine, OwnedTask task, WorkerHeartbeat.Entry entry) {
     if (task.bound() && !task.boundTo(machine.id())) {
       LOG.error("{} is on {} and on {}", task.task(), task.machine(), machine.id());
       return;
@@ -416,23 +421,23 @@
    * Everything the machine still has to do, in one go: every order can be repeated. What must stop
    * comes first: an answer that reaches the worker then never keeps it alive without telling it so.
    */
-  private List<Order> ordersFor(HeldMachine machine) {
-    List<Order> halts = new ArrayList<>();
-    List<Order> others = new ArrayList<>();
-    for (WorkerReport.Entry stray : machine.strays()) {
-      boolean exited = stray.state() == WorkerReport.State.EXITED;
+  private List<WorkerCommand> ordersFor(OwnedMachine machine) {
+    List<WorkerCommand> halts = new ArrayList<>();
+    List<WorkerCommand> others = new ArrayList<>();
+    for (WorkerHeartbeat.Entry stray : machine.strays()) {
+      boolean exited = stray.state() == WorkerHeartbeat.State.EXITED;
       if (!exited && mustStop(stray.task().job())) {
-        halts.add(new Order.Halt(stray.task(), stray.attempt(), Duration.ZERO));
+        halts.add(new WorkerCommand.Halt(stray.task(), stray.attempt(), Duration.ZERO));
       } else if (exited && mayJudge(stray.task().job()) && !machine.directInFlight()) {
         // An order that is still on its way would start a forgotten attempt again.
-        others.add(new Order.Forget(stray.task(), stray.attempt()));
+        others.add(new WorkerCommand.Forget(stray.task(), stray.attempt()));
       }
     }
-    for (HeldTask task : machine.tasks()) {
+    for (OwnedTask task : machine.tasks()) {
       if (task.stopRequested()) {
-        halts.add(new Order.Halt(task.task(), task.attempt(), graceOf(task)));
+        halts.add(new WorkerCommand.Halt(task.task(), task.attempt(), graceOf(task)));
       } else if (task.phase() == TaskPhase.STARTING) {
-        others.add(new Order.Run(task.task(), task.attempt()));
+        others.add(new WorkerCommand.Run(task.task(), task.attempt()));
       }
     }
     halts.addAll(others);
@@ -453,7 +458,7 @@
     return mayJudge(job) || around.cancelled().test(job);
   }
 
-  private Duration graceOf(HeldTask task) {
+  private Duration graceOf(OwnedTask task) {
     // Nobody has any use for the progress of a cancelled job.
     return around.cancelled().test(task.task().job())
         ? Duration.ZERO
@@ -466,8 +471,8 @@
       // Who may not answer hears nothing that counts: the machines may have gone to others.
       return;
     }
-    SteadyTime now = loop.now();
-    for (HeldMachine machine : machines.values()) {
+    MonotonicTime now = loop.now();
+    for (OwnedMachine machine : machines.values()) {
       if (justAnswered(machine, now)) {
         continue;
       }
@@ -489,8 +494,8 @@
   }
 
   /** Most machines, most of the time: neither silent nor near the end of any lease. */
-  private boolean justAnswered(HeldMachine machine, SteadyTime now) {
-    return machine.silence() == HeldMachine.Silence.HEARD
+  private boolean justAnswered(OwnedMachine machine, MonotonicTime now) {
+    return machine.silence() == OwnedMachine.Silence.HEARD
         && machine.phase() == MachinePhase.CONFIRMED
         && machine.answeredAt().isPresent()
         && now.since(machine.answeredAt().get()).compareTo(around.timing().report()) < 0;
@@ -500,10 +505,10 @@
    * When the worker has surely ended its session. Until it has shown that it knows our token, the
    * block's earlier holder may have answered it, for as long as a block lease lasts.
    */
-  private SteadyTime workerLeaseOver(HeldMachine machine) {
-    SteadyTime last = machine.answeredAt().orElse(startedAt);
+  private MonotonicTime workerLeaseOver(OwnedMachine machine) {
+    MonotonicTime last = machine.answeredAt().orElse(startedAt);
     if (machine.phase() != MachinePhase.CONFIRMED) {
-      SteadyTime others = startedAt.plus(around.blockLease());
+      MonotonicTime others = startedAt.plus(around.blockLease());
       last = others.isAfter(last) ? others : last;
     }
     Duration lease = around.timing().lease();
@@ -516,7 +521,7 @@
   }
 
   /** Machines that should be heard by now: none that may still be looking for this node. */
-  private Stream<HeldMachine> expected() {
+  private Stream<OwnedMachine> expected() {
     Duration since = loop.now().since(startedAt);
     boolean settled =
         since.compareTo(around.timing().lease()) > 0 && since.compareTo(around.blockLease()) > 0;
@@ -529,7 +534,7 @@
   }
 
   int silentMachines() {
-    return (int) expected().filter(m -> m.silence() != HeldMachine.Silence.HEARD).count();
+    return (int) expected().filter(m -> m.silence() != OwnedMachine.Silence.HEARD).count();
   }
 
   private void placeAndSend() {
@@ -541,26 +546,28 @@
     if (unplaced.isEmpty() || !entitled.getAsBoolean()) {
       return;
     }
-    List<HeldTask> waiting = new ArrayList<>();
+    List<OwnedTask> waiting = new ArrayList<>();
     boolean accounted = accounted();
-    for (HeldTask task : unplaced) {
+    for (OwnedTask task : unplaced) {
       if (task.fresh() || accounted) {
         waiting.add(task);
       }
     }
-    waiting.sort(Comparator.comparingInt(HeldTask::rank));
+    waiting.sort(Comparator.comparingInt(OwnedTask::rank));
     Set<TaskId> straying = new HashSet<>();
     machines.values().forEach(m -> m.strays().forEach(entry -> straying.add(entry.task())));
-    Resources least = UnplaceableNeeds.leastOf(waiting, HeldTask::need);
-    List<Room> rooms = rooms(least);
-    UnplaceableNeeds unplaceable = new UnplaceableNeeds();
-    SteadyTime now = loop.now();
-    for (HeldTask task : waiting) {
+    Resources least = UnschedulableRequests.leastOf(waiting, OwnedTask::need);
+    List<MachineCapacity> rooms = rooms(least);
+    UnschedulableRequests unplaceable = new UnschedulableRequests();
+    MonotonicTime now = loop.now();
+    for (OwnedTask task : waiting) {
       if (task.stopRequested() || around.cancelled().test(task.task().job())) {
         finish(task, TaskPhase.STOPPED);
       } else if (!straying.contains(task.task())) {
-        Optional<Room> room =
-            unplaceable.covers(task.need()) ? Optional.empty() : Placer.choose(task.need(), rooms);
+        Optional<MachineCapacity> room =
+            unplaceable.covers(task.need())
+                ? Optional.empty()
+                : BinPacker.choose(task.need(), rooms);
         if (room.isPresent()) {
           room.get().take(task.need());
           move(task, TaskPhase.STARTING, room.get().machine());
@@ -577,7 +584,7 @@
 
   /** A fresh holder knows where inherited tasks are not only once each machine is accounted for. */
   private boolean accounted() {
-    for (HeldMachine machine : machines.values()) {
+    for (OwnedMachine machine : machines.values()) {
       boolean known =
           machine.phase() == MachinePhase.CONFIRMED || machine.phase() == MachinePhase.SILENT;
       if (machine.record().up() && !known) {
@@ -588,10 +595,10 @@
   }
 
   /** Where the tasks may go: machines that have at least so much left. */
-  private List<Room> rooms(Resources least) {
-    List<Room> rooms = new ArrayList<>();
-    SteadyTime now = loop.now();
-    for (HeldMachine machine : machines.values()) {
+  private List<MachineCapacity> rooms(Resources least) {
+    List<MachineCapacity> rooms = new ArrayList<>();
+    MonotonicTime now = loop.now();
+    for (OwnedMachine machine : machines.values()) {
       Optional<MachineType> type = around.catalog().type(machine.record().type());
       if (type.isEmpty()) {
         continue;
@@ -603,22 +610,24 @@
       Set<String> images = new HashSet<>(machine.images());
       machine.tasks().forEach(task -> images.add(task.need().image()));
       rooms.add(
-          new Room(machine.id(), id, ANY_ZONE, type.get(), machine.record().spot(), free, images));
+          new MachineCapacity(
+              machine.id(), id, ANY_ZONE, type.get(), machine.record().spot(), free, images));
     }
     return rooms;
   }
 
-  private boolean usable(HeldMachine machine, SteadyTime now) {
+  private boolean usable(OwnedMachine machine, MonotonicTime now) {
     return machine.phase() == MachinePhase.CONFIRMED
         && machine.record().up()
         && !closed.contains(machine.id())
         && !machine.recalled()
-        && silenceOf(machine, now) == HeldMachine.Silence.HEARD
-        && machine.strays().stream().allMatch(entry -> entry.state() == WorkerReport.State.EXITED);
+        && silenceOf(machine, now) == OwnedMachine.Silence.HEARD
+        && machine.strays().stream()
+            .allMatch(entry -> entry.state() == WorkerHeartbeat.State.EXITED);
   }
 
-  private HeldMachine.Silence silenceOf(HeldMachine machine, SteadyTime now) {
-    SteadyTime last = machine.reachedAt().orElse(startedAt);
+  private OwnedMachine.Silence silenceOf(OwnedMachine machine, MonotonicTime now) {
+    MonotonicTime last = machine.reachedAt().orElse(startedAt);
     Duration silent = now.since(listeningSince.isAfter(last) ? listeningSince : last);
     Duration quiet = around.timing().report().multipliedBy(5).dividedBy(2);
     Duration gone = around.timing().lease().plusSeconds(1);
@@ -630,10 +639,10 @@
     }
     Duration deaf = machine.deafSince().map(now::since).orElse(Duration.ZERO);
     if (silent.compareTo(gone) > 0 || deaf.compareTo(around.timing().lease().multipliedBy(2)) > 0) {
-      return HeldMachine.Silence.GONE;
+      return OwnedMachine.Silence.GONE;
     }
     boolean quietOrDeaf = silent.compareTo(quiet) >= 0 || machine.deafSince().isPresent();
-    return quietOrDeaf ? HeldMachine.Silence.QUIET : HeldMachine.Silence.HEARD;
+    return quietOrDeaf ? OwnedMachine.Silence.QUIET : OwnedMachine.Silence.HEARD;
   }
 
   /** Orders that need not wait for the next report. */
@@ -641,12 +650,12 @@
     if (!entitled.getAsBoolean()) {
       return;
     }
-    for (HeldMachine machine : machines.values()) {
+    for (OwnedMachine machine : machines.values()) {
       if (machine.ordersWaiting()
           && !machine.directInFlight()
           && machine.phase() == MachinePhase.CONFIRMED) {
         machine.ordersWaiting(false);
-        List<Order> orders = ordersFor(machine);
+        List<WorkerCommand> orders = ordersFor(machine);
         Optional<InetSocketAddress> address = addressOf(machine);
         if (!orders.isEmpty() && address.isPresent()) {
           sendDirect(machine, address.get(), orders);
@@ -655,7 +664,7 @@
     }
   }
 
-  private static Optional<InetSocketAddress> addressOf(HeldMachine machine) {
+  private static Optional<InetSocketAddress> addressOf(OwnedMachine machine) {
     return WorkerAddress.parse(machine.address());
   }
 
@@ -664,7 +673,8 @@
     return machines.values().stream().flatMap(machine -> addressOf(machine).stream()).toList();
   }
 
-  private void sendDirect(HeldMachine machine, InetSocketAddress address, List<Order> orders) {
+  private void sendDirect(
+      OwnedMachine machine, InetSocketAddress address, List<WorkerCommand> orders) {
     machine.directInFlight(true);
     String body = WorkerCodec.direct(machine.token(), machine.moment().session(), orders);
     around
@@ -675,17 +685,17 @@
             reply -> directAnswered(machine, reply));
   }
 
-  private void directAnswered(HeldMachine machine, HttpReply reply) {
+  private void directAnswered(OwnedMachine machine, HttpResponse reply) {
     machine.directInFlight(false);
     if (reply.status() == 200 || reply.status() == 409) {
       try {
-        WorkerReport report = WorkerCodec.parseReport(reply.body());
+        WorkerHeartbeat report = WorkerCodec.parseReport(reply.body());
         if (report.machine().equals(machine.id()) && machines.get(machine.id()) == machine) {
           absorb(machine, report);
           placeAndSend();
         }
         return;
-      } catch (BadMessage e) {
+      } catch (MalformedMessageException e) {
         LOG.warn("answer of {}: {}", machine.id(), e.getMessage());
       }
     }
@@ -697,7 +707,7 @@
     }
   }
 
-  BlockReporting reports() {
+  ShardStatusReporter reports() {
     return reports;
   }
 }
--- a/src/main/java/org/mulleinshift/coordination/BlockReporting.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardStatusReporter.java
@@ -1,25 +1,25 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.sharding;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.mulleinshift.protocol.BlockId;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.Revision;
+import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.TaskId;
-import org.mulleinshift.protocol.peer.BlockReport;
-import org.mulleinshift.protocol.peer.MachineReport;
-import org.mulleinshift.protocol.peer.TaskReport;
+import org.mulleinshift.protocol.peer.MachineStatus;
+import org.mulleinshift.protocol.peer.ShardStatus;
+import org.mulleinshift.protocol.peer.TaskStatus;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 
 /** What a holder tells the leader of its block: each report holds what is new since another one. */
-final class BlockReporting {
+final class ShardStatusReporter {
   private final EventLoop loop;
-  private final BlockId id;
+  private final ShardId id;
   private final Revision grant;
-  private final Map<MachineId, HeldMachine> machines;
-  private final Map<TaskId, HeldTask> tasks;
+  private final Map<MachineId, OwnedMachine> machines;
+  private final Map<TaskId, OwnedTask> tasks;
   private final Runnable onNews;
   private final ChangeLog<TaskId> taskNews = new ChangeLog<>();
   private final ChangeLog<MachineId> machineNews = new ChangeLog<>();
@@ -31,12 +31,12 @@
   private long toldVersion;
   private boolean resend;
 
-  BlockReporting(
+  ShardStatusReporter(
       EventLoop loop,
-      BlockId id,
+      ShardId id,
       Revision grant,
-      Map<MachineId, HeldMachine> machines,
-      Map<TaskId, HeldTask> tasks,
+      Map<MachineId, OwnedMachine> machines,
+      Map<TaskId, OwnedTask> tasks,
       Runnable onNews) {
     this.loop = loop;
     this.id = id;
@@ -89,28 +89,28 @@
   }
 
   /** What is new since the last report. */
-  BlockReport newsReport() {
+  ShardStatus newsReport() {
     return report(resend ? confirmedSequence : sequence);
   }
 
   /** Sent even without news; tells again what has stayed unconfirmed since the one before. */
-  BlockReport regularReport() {
+  ShardStatus regularReport() {
     boolean confirmed = confirmedSequence >= regularSequence && !resend;
-    BlockReport report = report(confirmed ? sequence : confirmedSequence);
+    ShardStatus report = report(confirmed ? sequence : confirmedSequence);
     regularSequence = sequence;
     return report;
   }
 
-  private BlockReport report(long base) {
+  private ShardStatus report(long base) {
     resend = false;
     toldVersion = seenVersion;
-    SteadyTime now = loop.now();
-    List<MachineReport> machineReports = new ArrayList<>();
+    MonotonicTime now = loop.now();
+    List<MachineStatus> machineReports = new ArrayList<>();
     for (MachineId id : base == 0 ? List.copyOf(machines.keySet()) : machineNews.since(base)) {
-      HeldMachine machine = machines.get(id);
+      OwnedMachine machine = machines.get(id);
       if (machine != null) {
         machineReports.add(
-            new MachineReport(
+            new MachineStatus(
                 id.value(),
                 machine.toldPhase(),
                 machine.silence().wireName(),
@@ -118,12 +118,12 @@
                 new ArrayList<>(machine.images())));
       }
     }
-    List<TaskReport> taskReports = new ArrayList<>();
+    List<TaskStatus> taskReports = new ArrayList<>();
     for (TaskId id : base == 0 ? List.copyOf(tasks.keySet()) : taskNews.since(base)) {
-      HeldTask task = tasks.get(id);
+      OwnedTask task = tasks.get(id);
       if (task != null) {
         taskReports.add(
-            new TaskReport(
+            new TaskStatus(
                 id.job().value(),
                 id.index(),
                 task.attempt().value(),
@@ -132,7 +132,7 @@
                 task.ranMillis(now)));
       }
     }
-    return new BlockReport(
+    return new ShardStatus(
         id.value(),
         grant.value(),
         base,
--- a/src/main/java/org/mulleinshift/coordination/LeaderBlock.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardView.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.sharding;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.time.Duration;
@@ -10,44 +10,44 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import org.mulleinshift.bookkeeping.ControlView.BlockRecord;
-import org.mulleinshift.bookkeeping.ControlView.MachineRecord;
-import org.mulleinshift.bookkeeping.Delegation;
-import org.mulleinshift.bookkeeping.UnknownFields;
-import org.mulleinshift.coordination.membership.SharedBlock;
-import org.mulleinshift.protocol.BlockId;
+import org.mulleinshift.membership.AssignableShard;
+import org.mulleinshift.model.ClusterView.BlockRecord;
+import org.mulleinshift.model.ClusterView.MachineRecord;
+import org.mulleinshift.model.TaskAssignment;
+import org.mulleinshift.model.UnknownFields;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Revision;
+import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.TaskId;
 import org.mulleinshift.protocol.ZoneId;
-import org.mulleinshift.protocol.peer.BlockReport;
-import org.mulleinshift.protocol.peer.MachineReport;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.protocol.peer.MachineStatus;
+import org.mulleinshift.protocol.peer.ShardStatus;
+import org.mulleinshift.transport.MonotonicTime;
 
 /**
  * A block as the leader knows it: its machines, what its holder reported, and which tasks the
  * holder was or will be told of. Both directions carry only what has changed since a version that
  * the other side confirmed, so that a message costs what changed and not the size of the block.
  */
-final class LeaderBlock implements SharedBlock {
+public final class ShardView implements AssignableShard {
   /** A block's standing grant. */
-  record Grant(NodeId holder, Revision revision) {}
+  public record Grant(NodeId holder, Revision revision) {}
 
-  private final BlockId id;
+  private final ShardId id;
   private final ZoneId zone;
   private final Map<MachineId, MachineRecord> machines = new TreeMap<>();
-  private final Map<MachineId, MachineReport> reports = new HashMap<>();
-  private final Map<TaskId, Delegation> told = new LinkedHashMap<>();
+  private final Map<MachineId, MachineStatus> reports = new HashMap<>();
+  private final Map<TaskId, TaskAssignment> told = new LinkedHashMap<>();
   private final ChangeLog<TaskId> changes = new ChangeLog<>();
   private Optional<Grant> grant = Optional.empty();
   private Optional<NodeId> granting = Optional.empty();
   private boolean reported;
   private long lastSequence;
   private long seenSequence;
-  private SteadyTime reportedAt;
-  private SteadyTime heardAt;
-  private SteadyTime waitingSince;
+  private MonotonicTime reportedAt;
+  private MonotonicTime heardAt;
+  private MonotonicTime waitingSince;
   private long confirmedVersion;
   private long heardVersion;
   private long sentVersion;
@@ -55,10 +55,10 @@
   private boolean dirty = true;
   private Optional<UnknownFields> beyond = Optional.empty();
   private Optional<NodeId> lastHolder = Optional.empty();
-  private SteadyTime grantedAt;
-  private final Map<MachineId, SteadyTime> knocks = new HashMap<>();
+  private MonotonicTime grantedAt;
+  private final Map<MachineId, MonotonicTime> knocks = new HashMap<>();
 
-  LeaderBlock(BlockId id, ZoneId zone, SteadyTime now) {
+  public ShardView(ShardId id, ZoneId zone, MonotonicTime now) {
     this.id = id;
     this.zone = zone;
     this.reportedAt = now;
@@ -68,7 +68,7 @@
   }
 
   /** Who held the block last, by its record or by its grants since; tells whether that is new. */
-  boolean lastHolder(Optional<NodeId> holder) {
+  public boolean lastHolder(Optional<NodeId> holder) {
     boolean news = holder.isPresent() && !holder.equals(lastHolder);
     lastHolder = news ? holder : lastHolder;
     return news;
@@ -80,23 +80,23 @@
   }
 
   @Override
-  public Duration without(SteadyTime now) {
+  public Duration without(MonotonicTime now) {
     return grant.isPresent() ? Duration.ZERO : now.since(grantedAt);
   }
 
   /** Fields of its record that this build doesn't know. */
-  void beyond(Optional<UnknownFields> fields) {
+  public void beyond(Optional<UnknownFields> fields) {
     beyond = fields;
   }
 
   /** Its record as it is to be stored. */
-  JsonNode stored() {
+  public JsonNode stored() {
     JsonNode node = BlockRecord.write(zone, machines, lastHolder);
     beyond.ifPresent(fields -> fields.restore(node));
     return node;
   }
 
-  void grant(Optional<Grant> next, SteadyTime now) {
+  public void grant(Optional<Grant> next, MonotonicTime now) {
     if (!next.equals(grant)) {
       grant = next;
       grantedAt = now;
@@ -116,12 +116,12 @@
   }
 
   /** Whether the report continues what is known; if not, the holder must tell again. */
-  boolean continues(BlockReport report) {
+  public boolean continues(ShardStatus report) {
     return report.getBase() <= lastSequence;
   }
 
   /** Takes over the report's machines; tells which of them it named. */
-  List<MachineId> reported(BlockReport report, SteadyTime now) {
+  public List<MachineId> reported(ShardStatus report, MonotonicTime now) {
     reported = true;
     lastSequence = report.getSequence();
     reportedAt = now;
@@ -129,7 +129,7 @@
       reports.clear();
     }
     List<MachineId> named = new ArrayList<>();
-    for (MachineReport machine : report.getMachines()) {
+    for (MachineStatus machine : report.getMachines()) {
       MachineId key = new MachineId(machine.getMachine());
       reports.put(key, machine);
       named.add(key);
@@ -138,7 +138,7 @@
   }
 
   /** The version up to which the holder knows the set of this term. */
-  void confirmed(long version, SteadyTime now) {
+  public void confirmed(long version, MonotonicTime now) {
     if (version > confirmedVersion) {
       confirmedVersion = version;
       waitingSince = now;
@@ -146,58 +146,58 @@
     }
   }
 
-  boolean hasReported() {
+  public boolean hasReported() {
     return reported;
   }
 
-  long lastSequence() {
+  public long lastSequence() {
     return lastSequence;
   }
 
   /** Whether the holder should hear up to where it is known; asked once for each report. */
-  boolean sequenceToConfirm() {
+  public boolean sequenceToConfirm() {
     boolean news = seenSequence != lastSequence;
     seenSequence = lastSequence;
     return news;
   }
 
-  Optional<MachineReport> reportOf(MachineId machine) {
+  public Optional<MachineStatus> reportOf(MachineId machine) {
     return Optional.ofNullable(reports.get(machine));
   }
 
   /** A stored delegation that the holder is to hear of, or hear of again. */
-  void tell(Delegation delegation) {
+  public void tell(TaskAssignment delegation) {
     told.put(delegation.task(), delegation);
     changes.changed(delegation.task(), sentVersion + 1);
     dirty = true;
   }
 
-  void untell(Delegation delegation) {
+  public void untell(TaskAssignment delegation) {
     if (told.remove(delegation.task(), delegation)) {
       changes.changed(delegation.task(), sentVersion + 1);
       dirty = true;
     }
   }
 
-  Collection<Delegation> told() {
+  public Collection<TaskAssignment> told() {
     return told.values();
   }
 
-  Optional<Delegation> told(TaskId task) {
+  public Optional<TaskAssignment> told(TaskId task) {
     return Optional.ofNullable(told.get(task));
   }
 
-  void changed() {
+  public void changed() {
     dirty = true;
   }
 
   /** Whether something is to be sent that was not sent yet. */
-  boolean dirty() {
+  public boolean dirty() {
     return dirty;
   }
 
   /** Whether the holder has long not confirmed what was sent: it is sent from there again. */
-  boolean lost(SteadyTime now, Duration patience) {
+  public boolean lost(MonotonicTime now, Duration patience) {
     boolean lost =
         confirmedVersion < sentVersion && now.since(waitingSince).compareTo(patience) >= 0;
     if (lost) {
@@ -218,7 +218,7 @@
   }
 
   /** A message is sent; tells its version. */
-  long send(SteadyTime now) {
+  long send(MonotonicTime now) {
     dirty = false;
     if (confirmedVersion >= sentVersion) {
       waitingSince = now;
@@ -229,7 +229,7 @@
   }
 
   @Override
-  public Duration unheard(SteadyTime now) {
+  public Duration unheard(MonotonicTime now) {
     boolean all = !dirty && confirmedVersion >= sentVersion;
     if (all || confirmedVersion > heardVersion || grant.isEmpty()) {
       heardAt = now;
@@ -239,7 +239,7 @@
   }
 
   /** A machine reported elsewhere, since its holder does not answer it. */
-  void knocked(MachineId machine, SteadyTime now) {
+  public void knocked(MachineId machine, MonotonicTime now) {
     if (machines.containsKey(machine)) {
       knocks.put(machine, now);
     }
@@ -249,19 +249,19 @@
    * How many machines knocked elsewhere within that time, of those that their holder does not say
    * it hears: copies of reports come late, also of machines that are well.
    */
-  int knocks(Duration within, SteadyTime now) {
+  int knocks(Duration within, MonotonicTime now) {
     knocks.values().removeIf(at -> now.since(at).compareTo(within) > 0);
     return (int) knocks.keySet().stream().filter(machine -> !heard(machine)).count();
   }
 
   private boolean heard(MachineId machine) {
     return reportOf(machine)
-        .filter(report -> report.getSilence().equals(HeldMachine.Silence.HEARD.wireName()))
+        .filter(report -> report.getSilence().equals(OwnedMachine.Silence.HEARD.wireName()))
         .isPresent();
   }
 
   @Override
-  public BlockId id() {
+  public ShardId id() {
     return id;
   }
 
@@ -275,11 +275,11 @@
     return machines.size();
   }
 
-  Map<MachineId, MachineRecord> machines() {
+  public Map<MachineId, MachineRecord> machines() {
     return machines;
   }
 
-  Optional<Grant> grant() {
+  public Optional<Grant> grant() {
     return grant;
   }
 
@@ -297,7 +297,7 @@
     granting = next;
   }
 
-  SteadyTime reportedAt() {
+  public MonotonicTime reportedAt() {
     return reportedAt;
   }
 }
--- a/src/main/java/org/mulleinshift/coordination/TaskPhase.java
+++ b/src/main/java/org/mulleinshift/sharding/TaskPhase.java
@@ -1,13 +1,13 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.sharding;
 
 import java.util.Arrays;
 import java.util.Map;
 import java.util.function.Function;
 import java.util.stream.Collectors;
-import org.mulleinshift.protocol.WorkerReport;
+import org.mulleinshift.protocol.WorkerHeartbeat;
 
 /** The phases in which a holder reports a task. The last five are final for the attempt. */
-enum TaskPhase {
+public enum TaskPhase {
   NEW("NEW"),
   STARTING("STARTING"),
   FETCHING("FETCHING"),
@@ -39,7 +39,7 @@
    *
    * @throws IllegalArgumentException if no phase has that name
    */
-  static TaskPhase fromWireName(String wireName) {
+  public static TaskPhase fromWireName(String wireName) {
     TaskPhase phase = BY_WIRE_NAME.get(wireName);
     if (phase == null) {
       throw new IllegalArgumentException("unknown task phase " + wireName);
@@ -52,7 +52,7 @@
   }
 
   /** What a worker reports of a task. */
-  static TaskPhase of(WorkerReport.Entry entry) {
+  static TaskPhase of(WorkerHeartbeat.Entry entry) {
     return switch (entry.state()) {
       case FETCHING, WAITING -> FETCHING;
       case RUNNING -> RUNNING;
--- a/src/main/java/org/mulleinshift/coordination/WorkerAddress.java
+++ b/src/main/java/org/mulleinshift/sharding/WorkerAddress.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.sharding;
 
 import java.net.InetSocketAddress;
 import java.util.Optional;
--- a/src/main/java/org/mulleinshift/bookkeeping/StateStore.java
+++ b/src/main/java/org/mulleinshift/store/KeyValueStore.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.store;
 
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -6,19 +6,19 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.mulleinshift.protocol.BadMessage;
-import org.mulleinshift.protocol.HoldId;
+import org.mulleinshift.protocol.LeaseId;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec;
-import org.mulleinshift.protocol.StateCodec.Guard;
-import org.mulleinshift.protocol.StateCodec.Item;
-import org.mulleinshift.protocol.StateCodec.Write;
+import org.mulleinshift.protocol.StoreCodec;
+import org.mulleinshift.protocol.StoreCodec.Guard;
+import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.Write;
+import org.mulleinshift.transport.AsyncHttpClient;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.HttpCaller;
-import org.mulleinshift.transport.HttpReply;
 import org.mulleinshift.transport.HttpRequest;
-import org.mulleinshift.transport.RateBudget;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.HttpResponse;
+import org.mulleinshift.transport.MonotonicTime;
+import org.mulleinshift.transport.RateLimiter;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -26,8 +26,8 @@
  * The state service. Every write is guarded, so that a transaction that is applied late changes
  * nothing. An answer that makes no sense counts as none.
  */
-public final class StateStore {
-  private static final Logger LOG = LoggerFactory.getLogger(StateStore.class);
+public final class KeyValueStore {
+  private static final Logger LOG = LoggerFactory.getLogger(KeyValueStore.class);
   private static final Duration DEADLINE = Duration.ofSeconds(2);
 
   /** Whoever asked waits for hardly longer. */
@@ -94,7 +94,7 @@
   public record Rates(double requests, double writes, double requestsLeft, double writesLeft) {}
 
   private interface Parser<T> {
-    T parse(String body) throws BadMessage;
+    T parse(String body) throws MalformedMessageException;
   }
 
   /** Hears how calls fare; not of watches, whose answers wait for news. */
@@ -109,25 +109,25 @@
      *
      * @param sentAt when the call was made: answers to later ones may have come meanwhile
      */
-    void failed(SteadyTime sentAt);
+    void failed(MonotonicTime sentAt);
   }
 
   private final EventLoop loop;
-  private final HttpCaller calls;
-  private final HttpCaller watches;
+  private final AsyncHttpClient calls;
+  private final AsyncHttpClient watches;
   private final InetSocketAddress address;
-  private final RateBudget requests;
-  private final RateBudget writes;
+  private final RateLimiter requests;
+  private final RateLimiter writes;
   private final Rates rates;
   private double requestRate;
   private double writeRate;
   private boolean fallen;
   private Optional<Fates> fates = Optional.empty();
 
-  public StateStore(
+  public KeyValueStore(
       EventLoop loop,
-      HttpCaller calls,
-      HttpCaller watches,
+      AsyncHttpClient calls,
+      AsyncHttpClient watches,
       InetSocketAddress address,
       Rates rates) {
     this.loop = loop;
@@ -137,16 +137,16 @@
     this.rates = rates;
     this.requestRate = rates.requests();
     this.writeRate = rates.writes();
-    this.requests = new RateBudget(loop, requestRate);
-    this.writes = new RateBudget(loop, writeRate);
+    this.requests = new RateLimiter(loop, requestRate);
+    this.writes = new RateLimiter(loop, writeRate);
   }
 
   public void tell(Fates listener) {
     fates = Optional.of(listener);
   }
 
-  private void ask(HttpRequest request, Consumer<HttpReply> then) {
-    SteadyTime sentAt = loop.now();
+  private void ask(HttpRequest request, Consumer<HttpResponse> then) {
+    MonotonicTime sentAt = loop.now();
     fates.ifPresent(Fates::sent);
     calls.call(
         address,
@@ -180,20 +180,20 @@
   }
 
   public void get(String key, Urgency urgency, Consumer<Answer<Item>> then) {
-    call(HttpRequest.get(StateCodec.keyPath(key), DEADLINE), urgency, StateCodec::parseItem, then);
+    call(HttpRequest.get(StoreCodec.keyPath(key), DEADLINE), urgency, StoreCodec::parseItem, then);
   }
 
   /** The keys with the prefix that come after the given one, as many as fit into an answer. */
-  public void page(String prefix, Optional<String> after, Consumer<Answer<StateCodec.Range>> then) {
+  public void page(String prefix, Optional<String> after, Consumer<Answer<StoreCodec.Range>> then) {
     call(
-        HttpRequest.get(StateCodec.rangePath(prefix, after), DEADLINE.multipliedBy(2)),
+        HttpRequest.get(StoreCodec.rangePath(prefix, after), DEADLINE.multipliedBy(2)),
         Urgency.URGENT,
-        StateCodec::parseRange,
+        StoreCodec::parseRange,
         then);
   }
 
   /** All keys with a prefix that few keys have; not one moment's picture. */
-  public void range(String prefix, Consumer<Answer<StateCodec.Range>> then) {
+  public void range(String prefix, Consumer<Answer<StoreCodec.Range>> then) {
     rangeFrom(prefix, Optional.empty(), new ArrayList<>(), Optional.empty(), then);
   }
 
@@ -202,23 +202,23 @@
       Optional<String> after,
       List<Item> found,
       Optional<Revision> first,
-      Consumer<Answer<StateCodec.Range>> then) {
+      Consumer<Answer<StoreCodec.Range>> then) {
     page(
         prefix,
         after,
         answer -> {
-          if (!(answer instanceof Answer.Found<StateCodec.Range> page)) {
+          if (!(answer instanceof Answer.Found<StoreCodec.Range> page)) {
             then.accept(answer);
             return;
           }
-          StateCodec.Range range = page.value();
+          StoreCodec.Range range = page.value();
           found.addAll(range.items());
           // The oldest page's revision: a watch from there misses nothing.
           Revision revision = first.orElse(range.revision());
           if (range.next().isPresent()) {
             rangeFrom(prefix, range.next(), found, Optional.of(revision), then);
           } else {
-            then.accept(new Answer.Found<>(new StateCodec.Range(found, false, revision)));
+            then.accept(new Answer.Found<>(new StoreCodec.Range(found, false, revision)));
           }
         });
   }
@@ -234,11 +234,11 @@
     }
     requests.force(1);
     ask(
-        HttpRequest.post(StateCodec.COMMIT, StateCodec.commit(guards, changes), DEADLINE),
+        HttpRequest.post(StoreCodec.COMMIT, StoreCodec.commit(guards, changes), DEADLINE),
         reply -> then.accept(outcome(reply)));
   }
 
-  private static Outcome outcome(HttpReply reply) {
+  private static Outcome outcome(HttpResponse reply) {
     return switch (reply.status()) {
       case 200 -> committed(reply);
       case 409 -> new Outcome.Conflict();
@@ -249,40 +249,40 @@
     };
   }
 
-  private static Outcome committed(HttpReply reply) {
+  private static Outcome committed(HttpResponse reply) {
     try {
-      return new Outcome.Committed(StateCodec.parseRevision(reply.body()));
-    } catch (BadMessage e) {
+      return new Outcome.Committed(StoreCodec.parseRevision(reply.body()));
+    } catch (MalformedMessageException e) {
       return new Outcome.Unknown();
     }
   }
 
-  private static Outcome refused(HttpReply reply) {
+  private static Outcome refused(HttpResponse reply) {
     LOG.info("transaction refused: {}", reply.body());
     return reply.body().contains("no such lease")
         ? new Outcome.LeaseGone()
         : new Outcome.Unfit(reply.body());
   }
 
-  public void grantHold(Duration ttl, Consumer<Answer<HoldId>> then) {
+  public void grantHold(Duration ttl, Consumer<Answer<LeaseId>> then) {
     call(
-        HttpRequest.post(StateCodec.HOLDS, StateCodec.grant(ttl), DEADLINE),
+        HttpRequest.post(StoreCodec.HOLDS, StoreCodec.grant(ttl), DEADLINE),
         Urgency.URGENT,
-        StateCodec::parseHold,
+        StoreCodec::parseHold,
         then);
   }
 
-  public void renew(HoldId hold, Consumer<Answer<Boolean>> then) {
+  public void renew(LeaseId hold, Consumer<Answer<Boolean>> then) {
     call(
-        HttpRequest.post(StateCodec.renewPath(hold), "{}", DEADLINE),
+        HttpRequest.post(StoreCodec.renewPath(hold), "{}", DEADLINE),
         Urgency.URGENT,
         body -> true,
         then);
   }
 
-  public void endHold(HoldId hold, Consumer<Answer<Boolean>> then) {
+  public void endHold(LeaseId hold, Consumer<Answer<Boolean>> then) {
     call(
-        HttpRequest.delete(StateCodec.holdPath(hold), DEADLINE),
+        HttpRequest.delete(StoreCodec.holdPath(hold), DEADLINE),
         Urgency.URGENT,
         body -> true,
         then);
@@ -290,20 +290,20 @@
 
   /** All changes up to now, without waiting for any. */
   public void changes(
-      String prefix, Revision from, Urgency urgency, Consumer<Answer<StateCodec.Changes>> then) {
+      String prefix, Revision from, Urgency urgency, Consumer<Answer<StoreCodec.Changes>> then) {
     call(
-        HttpRequest.get(StateCodec.watchPath(prefix, from, Duration.ZERO), PROOF_DEADLINE),
+        HttpRequest.get(StoreCodec.watchPath(prefix, from, Duration.ZERO), PROOF_DEADLINE),
         urgency,
-        StateCodec::parseChanges,
+        StoreCodec::parseChanges,
         then);
   }
 
-  public void watch(String prefix, Revision from, Consumer<Answer<StateCodec.Changes>> then) {
+  public void watch(String prefix, Revision from, Consumer<Answer<StoreCodec.Changes>> then) {
     requests.force(1);
     watches.call(
         address,
-        HttpRequest.get(StateCodec.watchPath(prefix, from, WATCH), WATCH_DEADLINE),
-        reply -> then.accept(answer(reply, StateCodec::parseChanges)));
+        HttpRequest.get(StoreCodec.watchPath(prefix, from, WATCH), WATCH_DEADLINE),
+        reply -> then.accept(answer(reply, StoreCodec::parseChanges)));
   }
 
   private <T> void call(
@@ -317,20 +317,20 @@
     ask(request, reply -> then.accept(answer(reply, parser)));
   }
 
-  private static <T> Answer<T> answer(HttpReply reply, Parser<T> parser) {
+  private static <T> Answer<T> answer(HttpResponse reply, Parser<T> parser) {
     return switch (reply.status()) {
       case 200 -> found(reply, parser);
       // Too long: more changes than this node takes in one answer, as if they were no longer kept.
-      case 404, 410, HttpReply.TOO_LONG -> new Answer.Absent<>();
+      case 404, 410, HttpResponse.TOO_LONG -> new Answer.Absent<>();
       case 429, 503 -> new Answer.Refused<>();
       default -> new Answer.Unknown<>();
     };
   }
 
-  private static <T> Answer<T> found(HttpReply reply, Parser<T> parser) {
+  private static <T> Answer<T> found(HttpResponse reply, Parser<T> parser) {
     try {
       return new Answer.Found<>(parser.parse(reply.body()));
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       LOG.warn("answer of the state service: {}", e.getMessage());
       return new Answer.Unknown<>();
     }
--- a/src/main/java/org/mulleinshift/bookkeeping/Keys.java
+++ b/src/main/java/org/mulleinshift/store/StoreKeys.java
@@ -1,10 +1,11 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.store;
 
 import java.util.Optional;
 import java.util.OptionalInt;
-import org.mulleinshift.protocol.BlockId;
+import org.mulleinshift.model.Chunk;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.NodeId;
+import org.mulleinshift.protocol.ShardId;
 
 /**
  * The layout of the state service.
@@ -24,7 +25,7 @@
  *   <li>{@code c/v/NODE} which build the controller has shown
  * </ul>
  */
-public final class Keys {
+public final class StoreKeys {
   public static final String CONTROL = "c/";
   public static final String LEADER = "c/leader";
   public static final String NODES = "c/n/";
@@ -39,9 +40,9 @@
   public static final String BUILDS = "c/v/";
 
   /** What a key of progress says. */
-  public record ProgressKey(JobId job, Part part) {}
+  public record ProgressKey(JobId job, Chunk part) {}
 
-  private Keys() {}
+  private StoreKeys() {}
 
   /** None if it is not a key of this build. */
   public static Optional<ProgressKey> progressKey(String key) {
@@ -50,18 +51,18 @@
       return Optional.empty();
     }
     JobId job = new JobId(key.substring(PROGRESS.length(), slash));
-    return Part.read(key.substring(slash + 1)).map(part -> new ProgressKey(job, part));
+    return Chunk.read(key.substring(slash + 1)).map(part -> new ProgressKey(job, part));
   }
 
   public static String node(NodeId node) {
     return NODES + node;
   }
 
-  public static String grant(BlockId block) {
+  public static String grant(ShardId block) {
     return GRANTS + block;
   }
 
-  public static String block(BlockId block) {
+  public static String block(ShardId block) {
     return BLOCKS + block;
   }
 
@@ -73,7 +74,7 @@
     return ENDED + job;
   }
 
-  public static String progress(JobId job, Part part) {
+  public static String progress(JobId job, Chunk part) {
     return PROGRESS + job + "/" + part;
   }
 
--- a/src/main/java/org/mulleinshift/bookkeeping/LeaderJournal.java
+++ b/src/main/java/org/mulleinshift/store/TransactionBatcher.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.store;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -10,11 +10,11 @@
 import java.util.Map;
 import java.util.Set;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec.Guard;
-import org.mulleinshift.protocol.StateCodec.Item;
-import org.mulleinshift.protocol.StateCodec.Write;
+import org.mulleinshift.protocol.StoreCodec.Guard;
+import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.Write;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -23,8 +23,8 @@
  * at a time. Every transaction demands that this leader still leads and that each key it writes is
  * as last seen, so a transaction applied late does nothing (a later write has moved the key on).
  */
-public final class LeaderJournal {
-  private static final Logger LOG = LoggerFactory.getLogger(LeaderJournal.class);
+public final class TransactionBatcher {
+  private static final Logger LOG = LoggerFactory.getLogger(TransactionBatcher.class);
   private static final Duration RETRY = Duration.ofMillis(250);
 
   /** What need not be stored at once goes before what came after it, once it waited this long. */
@@ -67,7 +67,7 @@
   }
 
   private final EventLoop loop;
-  private final StateStore store;
+  private final KeyValueStore store;
   private final Revision term;
   private final int mostOps;
   private final Duration spacing;
@@ -75,12 +75,12 @@
   private final Map<String, Revision> versions = new HashMap<>();
   private final Map<String, Unit> dirty = new LinkedHashMap<>();
   private final Map<String, Unit> idle = new LinkedHashMap<>();
-  private final Map<String, SteadyTime> askedAt = new HashMap<>();
+  private final Map<String, MonotonicTime> askedAt = new HashMap<>();
   private final Set<String> unfit = new HashSet<>();
   private int alone;
   private State state = State.IDLE;
   private boolean flushPlanned;
-  private SteadyTime sentAt;
+  private MonotonicTime sentAt;
 
   /**
    * A journal of one term.
@@ -90,9 +90,9 @@
    *     and the requests are left to others
    * @param onLost called once it is certain that the term is over
    */
-  public LeaderJournal(
+  public TransactionBatcher(
       EventLoop loop,
-      StateStore store,
+      KeyValueStore store,
       Revision term,
       int mostOps,
       Duration spacing,
@@ -112,11 +112,11 @@
    */
   public void ifTermStands(Runnable then, Runnable otherwise) {
     store.commit(
-        List.of(new Guard(Keys.LEADER, term)),
+        List.of(new Guard(StoreKeys.LEADER, term)),
         List.of(),
-        StateStore.Urgency.PROMPT,
+        KeyValueStore.Urgency.PROMPT,
         outcome -> {
-          if (outcome instanceof StateStore.Outcome.Committed && state != State.CLOSED) {
+          if (outcome instanceof KeyValueStore.Outcome.Committed && state != State.CLOSED) {
             then.run();
           } else {
             otherwise.run();
@@ -193,10 +193,10 @@
     if (state != State.IDLE) {
       return;
     }
-    StateStore.Urgency urgency = StateStore.Urgency.NORMAL;
+    KeyValueStore.Urgency urgency = KeyValueStore.Urgency.NORMAL;
     Map<String, Unit> source = dirty;
     if (dirty.isEmpty()) {
-      urgency = StateStore.Urgency.LOW;
+      urgency = KeyValueStore.Urgency.LOW;
       source = idle;
     }
     Map<String, Unit> taken = new LinkedHashMap<>();
@@ -210,7 +210,7 @@
         askedAt.remove(name);
         continue;
       }
-      int size = unitWrites.stream().mapToInt(LeaderJournal::roughSize).sum();
+      int size = unitWrites.stream().mapToInt(TransactionBatcher::roughSize).sum();
       boolean full =
           alone > 0 || writes.size() + unitWrites.size() > mostOps || bytes + size > 48_000;
       if (!writes.isEmpty() && full) {
@@ -237,10 +237,10 @@
     List<String> order = new ArrayList<>();
     List<String> first = new ArrayList<>();
     List<String> later = new ArrayList<>();
-    SteadyTime late = loop.now().minus(PATIENCE);
+    MonotonicTime late = loop.now().minus(PATIENCE);
     source.forEach(
         (name, unit) -> {
-          SteadyTime since = askedAt.get(name);
+          MonotonicTime since = askedAt.get(name);
           boolean soon = unit.pressing() || since == null || late.isAfter(since);
           boolean ahead = unit.first() && unit.pressing();
           (ahead ? order : soon ? first : later).add(name);
@@ -284,7 +284,7 @@
 
   private List<Guard> guards(List<Write> writes) {
     List<Guard> guards = new ArrayList<>();
-    guards.add(new Guard(Keys.LEADER, term));
+    guards.add(new Guard(StoreKeys.LEADER, term));
     Set<String> keys = new LinkedHashSet<>();
     writes.forEach(write -> keys.add(write.key()));
     keys.forEach(key -> guards.add(new Guard(key, versions.getOrDefault(key, new Revision(0)))));
@@ -295,11 +295,11 @@
       Map<String, Unit> from,
       Map<String, Unit> taken,
       List<Write> writes,
-      StateStore.Outcome outcome) {
+      KeyValueStore.Outcome outcome) {
     if (state == State.CLOSED) {
       return;
     }
-    if (outcome instanceof StateStore.Outcome.Committed committed) {
+    if (outcome instanceof KeyValueStore.Outcome.Committed committed) {
       for (Write write : writes) {
         if (write.value().isPresent()) {
           versions.put(write.key(), committed.revision());
@@ -313,13 +313,13 @@
       planFlush(Duration.ZERO);
       return;
     }
-    if (outcome instanceof StateStore.Outcome.Unfit refusal) {
+    if (outcome instanceof KeyValueStore.Outcome.Unfit refusal) {
       refusedForGood(from, taken, refusal.why());
       return;
     }
     restore(from, taken);
-    if (outcome instanceof StateStore.Outcome.Refused
-        || outcome instanceof StateStore.Outcome.Busy) {
+    if (outcome instanceof KeyValueStore.Outcome.Refused
+        || outcome instanceof KeyValueStore.Outcome.Busy) {
       moveTo(State.IDLE);
       planFlush(RETRY);
       return;
@@ -327,7 +327,7 @@
     LOG.info("transaction of {} writes: {}", writes.size(), outcome.getClass().getSimpleName());
     moveTo(State.REREADING);
     Set<String> keys = new LinkedHashSet<>();
-    keys.add(Keys.LEADER);
+    keys.add(StoreKeys.LEADER);
     writes.forEach(write -> keys.add(write.key()));
     reread(new ArrayList<>(keys), taken);
   }
@@ -345,20 +345,20 @@
     String key = keys.get(keys.size() - 1);
     store.get(
         key,
-        StateStore.Urgency.NORMAL,
+        KeyValueStore.Urgency.NORMAL,
         answer -> {
           if (state == State.CLOSED) {
             return;
           }
-          if (answer instanceof StateStore.Answer.Found<Item> found) {
-            if (key.equals(Keys.LEADER) && !found.value().version().equals(term)) {
+          if (answer instanceof KeyValueStore.Answer.Found<Item> found) {
+            if (key.equals(StoreKeys.LEADER) && !found.value().version().equals(term)) {
               onLost.run();
               return;
             }
             versions.put(key, found.value().version());
             taken.values().forEach(unit -> unit.reread(key, java.util.Optional.of(found.value())));
-          } else if (answer instanceof StateStore.Answer.Absent<Item>) {
-            if (key.equals(Keys.LEADER)) {
+          } else if (answer instanceof KeyValueStore.Answer.Absent<Item>) {
+            if (key.equals(StoreKeys.LEADER)) {
               onLost.run();
               return;
             }
--- a/src/main/java/org/mulleinshift/bookkeeping/PrefixView.java
+++ b/src/main/java/org/mulleinshift/store/WatchCache.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.store;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -10,13 +10,13 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec;
-import org.mulleinshift.protocol.StateCodec.Item;
+import org.mulleinshift.protocol.StoreCodec;
+import org.mulleinshift.protocol.StoreCodec.Item;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 
 /** Follows all keys with a prefix: reads them once, then watches, and reads again when it must. */
-public final class PrefixView {
+public final class WatchCache {
   /** The states of following. */
   public enum State {
     IDLE,
@@ -36,14 +36,14 @@
   private static final Duration PAUSE = Duration.ofMillis(400);
 
   private final EventLoop loop;
-  private final StateStore store;
+  private final KeyValueStore store;
   private final String prefix;
   private final Duration spacing;
   private final Listener listener;
   private final Map<String, Revision> versions = new HashMap<>();
   private List<Consumer<Boolean>> unproven = new ArrayList<>();
-  private SteadyTime provenAt;
-  private Optional<SteadyTime> knownAsOf = Optional.empty();
+  private MonotonicTime provenAt;
+  private Optional<MonotonicTime> knownAsOf = Optional.empty();
   private boolean proving;
   private boolean promptly;
   private boolean complete;
@@ -52,8 +52,8 @@
   private Revision revision = new Revision(0);
   private long round;
 
-  public PrefixView(
-      EventLoop loop, StateStore store, String prefix, Duration spacing, Listener listener) {
+  public WatchCache(
+      EventLoop loop, KeyValueStore store, String prefix, Duration spacing, Listener listener) {
     this.loop = loop;
     this.store = store;
     this.prefix = prefix;
@@ -73,11 +73,11 @@
   }
 
   /** From where a watch misses nothing, and when the reading that shows that was asked for. */
-  private record First(Revision revision, SteadyTime asked) {}
+  private record First(Revision revision, MonotonicTime asked) {}
 
   private void readPage(Optional<String> after, Optional<First> first, Set<String> unseen) {
     long mine = enter(State.READING);
-    SteadyTime asked = loop.now();
+    MonotonicTime asked = loop.now();
     store.page(
         prefix,
         after,
@@ -85,11 +85,11 @@
           if (mine != round) {
             return;
           }
-          if (!(answer instanceof StateStore.Answer.Found<StateCodec.Range> found)) {
+          if (!(answer instanceof KeyValueStore.Answer.Found<StoreCodec.Range> found)) {
             pause(() -> readPage(after, first, unseen));
             return;
           }
-          StateCodec.Range page = found.value();
+          StoreCodec.Range page = found.value();
           take(page.items(), unseen);
           // The oldest page's revision: a watch from there misses nothing.
           First from = first.orElse(new First(page.revision(), asked));
@@ -140,7 +140,7 @@
     prove(known -> {});
   }
 
-  private void known(SteadyTime asked) {
+  private void known(MonotonicTime asked) {
     knownAsOf = Optional.of(knownAsOf.filter(known -> known.isAfter(asked)).orElse(asked));
   }
 
@@ -148,7 +148,7 @@
    * Every change stored before this moment was told to the listener: it is when a question was sent
    * that was answered since. None before all keys were read.
    */
-  public Optional<SteadyTime> knownAsOf() {
+  public Optional<MonotonicTime> knownAsOf() {
     return knownAsOf;
   }
 
@@ -165,9 +165,10 @@
   private void sendProof() {
     List<Consumer<Boolean>> asking = unproven;
     unproven = new ArrayList<>();
-    SteadyTime asked = loop.now();
+    MonotonicTime asked = loop.now();
     provenAt = asked;
-    StateStore.Urgency urgency = promptly ? StateStore.Urgency.URGENT : StateStore.Urgency.NORMAL;
+    KeyValueStore.Urgency urgency =
+        promptly ? KeyValueStore.Urgency.URGENT : KeyValueStore.Urgency.NORMAL;
     promptly = false;
     if (!complete) {
       proven(asking, false);
@@ -178,9 +179,10 @@
         revision,
         urgency,
         answer -> {
-          boolean found = !reading && answer instanceof StateStore.Answer.Found<StateCodec.Changes>;
+          boolean found =
+              !reading && answer instanceof KeyValueStore.Answer.Found<StoreCodec.Changes>;
           if (found) {
-            apply(((StateStore.Answer.Found<StateCodec.Changes>) answer).value(), asked);
+            apply(((KeyValueStore.Answer.Found<StoreCodec.Changes>) answer).value(), asked);
           }
           proven(asking, found);
         });
@@ -215,7 +217,7 @@
 
   private void watch() {
     long mine = enter(State.WATCHING);
-    SteadyTime opened = loop.now();
+    MonotonicTime opened = loop.now();
     store.watch(
         prefix,
         revision,
@@ -223,10 +225,10 @@
           if (mine != round) {
             return;
           }
-          if (answer instanceof StateStore.Answer.Found<StateCodec.Changes> found) {
+          if (answer instanceof KeyValueStore.Answer.Found<StoreCodec.Changes> found) {
             apply(found.value(), opened);
             watchAgain(opened);
-          } else if (answer instanceof StateStore.Answer.Absent<StateCodec.Changes>) {
+          } else if (answer instanceof KeyValueStore.Answer.Absent<StoreCodec.Changes>) {
             // 410: the service no longer keeps the changes since our revision.
             read();
           } else {
@@ -236,7 +238,7 @@
   }
 
   /** Changes that follow each other closely share an answer. */
-  private void watchAgain(SteadyTime opened) {
+  private void watchAgain(MonotonicTime opened) {
     Duration since = loop.now().since(opened);
     if (since.compareTo(spacing) >= 0) {
       watch();
@@ -262,7 +264,7 @@
    *
    * @param asked when they were asked for
    */
-  public boolean take(StateCodec.Changes seen, SteadyTime asked) {
+  public boolean take(StoreCodec.Changes seen, MonotonicTime asked) {
     if (!complete || reading) {
       return false;
     }
@@ -270,8 +272,8 @@
     return true;
   }
 
-  private void apply(StateCodec.Changes seen, SteadyTime asked) {
-    for (StateCodec.Change change : seen.changes()) {
+  private void apply(StoreCodec.Changes seen, MonotonicTime asked) {
+    for (StoreCodec.Change change : seen.changes()) {
       // Answers to watches and proofs cross: what lies before our revision was told already, and a
       // key that is gone since must not come back by it.
       Revision known = versions.getOrDefault(change.key(), revision);
--- a/src/main/java/org/mulleinshift/transport/EventLoop.java
+++ b/src/main/java/org/mulleinshift/transport/EventLoop.java
@@ -11,7 +11,7 @@
   /** Runs the step on the loop once the time has passed; call it on the loop only. */
   Timer after(Duration delay, Runnable step);
 
-  SteadyTime now();
+  MonotonicTime now();
 
   /** Time of day, as exact as the platform's bound. */
   long wallMillis();
--- a/src/main/java/org/mulleinshift/transport/HttpReply.java
+++ b/src/main/java/org/mulleinshift/transport/HttpResponse.java
@@ -1,8 +1,8 @@
 package org.mulleinshift.transport;
 
 /** An answer, or the lack of one: then it is unknown whether the request was carried out. */
-public record HttpReply(int status, String body) {
-  public static final HttpReply NONE = new HttpReply(0, "");
+public record HttpResponse(int status, String body) {
+  public static final HttpResponse NONE = new HttpResponse(0, "");
 
   /** Stands for the status of an answer that was longer than {@link #LONGEST_BODY}. */
   public static final int TOO_LONG = -1;
@@ -11,8 +11,10 @@
   public static final int LONGEST_BODY = 1 << 20;
 
   /** An answer as far as this node takes it. */
-  public static HttpReply bounded(int status, String body) {
-    return body.length() > LONGEST_BODY ? new HttpReply(TOO_LONG, "") : new HttpReply(status, body);
+  public static HttpResponse bounded(int status, String body) {
+    return body.length() > LONGEST_BODY
+        ? new HttpResponse(TOO_LONG, "")
+        : new HttpResponse(status, body);
   }
 
   public boolean answered() {
--- a/src/main/java/org/mulleinshift/transport/ByteBudget.java
+++ b/src/main/java/org/mulleinshift/transport/InFlightBytesLimiter.java
@@ -3,11 +3,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** Bytes that may wait at a time, counted by several threads. */
-final class ByteBudget {
+final class InFlightBytesLimiter {
   private final long most;
   private final AtomicLong taken = new AtomicLong();
 
-  ByteBudget(long most) {
+  InFlightBytesLimiter(long most) {
     this.most = most;
   }
 
--- a/src/main/java/org/mulleinshift/transport/JdkHttpCaller.java
+++ b/src/main/java/org/mulleinshift/transport/JdkAsyncHttpClient.java
@@ -19,14 +19,14 @@
  * A few threads that make blocking calls, each of which holds at most one socket. The queue is
  * bounded: a call that finds it full counts as never answered.
  */
-public final class JdkHttpCaller implements HttpCaller {
-  private static final Logger LOG = LoggerFactory.getLogger(JdkHttpCaller.class);
+public final class JdkAsyncHttpClient implements AsyncHttpClient {
+  private static final Logger LOG = LoggerFactory.getLogger(JdkAsyncHttpClient.class);
   private static final int STACK_BYTES = 192 * 1024;
 
   private final EventLoop loop;
   private final ThreadPoolExecutor threads;
 
-  public JdkHttpCaller(String name, EventLoop loop, int threadCount, int queueLength) {
+  public JdkAsyncHttpClient(String name, EventLoop loop, int threadCount, int queueLength) {
     this.loop = loop;
     this.threads =
         new ThreadPoolExecutor(
@@ -43,22 +43,22 @@
   }
 
   @Override
-  public void call(InetSocketAddress target, HttpRequest request, Consumer<HttpReply> reply) {
+  public void call(InetSocketAddress target, HttpRequest request, Consumer<HttpResponse> reply) {
     long givenUpAt = System.nanoTime() + request.deadline().toNanos();
     try {
       threads.execute(
           () -> {
             // A call that waited past its deadline is not sent: its caller has moved on.
-            HttpReply result =
-                System.nanoTime() - givenUpAt > 0 ? HttpReply.NONE : exchange(target, request);
+            HttpResponse result =
+                System.nanoTime() - givenUpAt > 0 ? HttpResponse.NONE : exchange(target, request);
             loop.post(() -> reply.accept(result));
           });
     } catch (RejectedExecutionException e) {
-      loop.post(() -> reply.accept(HttpReply.NONE));
+      loop.post(() -> reply.accept(HttpResponse.NONE));
     }
   }
 
-  private static HttpReply exchange(InetSocketAddress target, HttpRequest request) {
+  private static HttpResponse exchange(InetSocketAddress target, HttpRequest request) {
     HttpURLConnection connection = null;
     try {
       URL url = new URL("http", target.getHostString(), target.getPort(), request.path());
@@ -80,20 +80,20 @@
       }
       int status = connection.getResponseCode();
       if (status < 0) {
-        return HttpReply.NONE;
+        return HttpResponse.NONE;
       }
       String body = readBody(connection, status);
-      if (body.length() > HttpReply.LONGEST_BODY) {
+      if (body.length() > HttpResponse.LONGEST_BODY) {
         // The rest is still to come on this connection.
         connection.disconnect();
       }
-      return HttpReply.bounded(status, body);
+      return HttpResponse.bounded(status, body);
     } catch (IOException e) {
       LOG.debug("{} {} at {}: {}", request.method(), request.path(), target, e.toString());
       if (connection != null) {
         connection.disconnect();
       }
-      return HttpReply.NONE;
+      return HttpResponse.NONE;
     }
   }
 
@@ -102,7 +102,7 @@
         status >= 400 ? connection.getErrorStream() : connection.getInputStream()) {
       return in == null
           ? ""
-          : new String(in.readNBytes(HttpReply.LONGEST_BODY + 1), StandardCharsets.UTF_8);
+          : new String(in.readNBytes(HttpResponse.LONGEST_BODY + 1), StandardCharsets.UTF_8);
     }
   }
 }
--- a/src/main/java/org/mulleinshift/transport/HttpFrontend.java
+++ b/src/main/java/org/mulleinshift/transport/JdkHttpServer.java
@@ -20,8 +20,8 @@
  * the server's own limits end connections whose request or answer takes too long, so that slow
  * clients cannot hold the threads.
  */
-public final class HttpFrontend {
-  private static final Logger LOG = LoggerFactory.getLogger(HttpFrontend.class);
+public final class JdkHttpServer {
+  private static final Logger LOG = LoggerFactory.getLogger(JdkHttpServer.class);
   private static final int LONGEST_BODY = 64 * 1024;
 
   /** A large machine may have run thousands of tasks while no node could answer it. */
@@ -34,8 +34,8 @@
   private final ThreadPoolExecutor threads;
   private final HttpServer server;
   private final Predicate<String> isReport;
-  private final ByteBudget userBodies;
-  private final ByteBudget reportBodies;
+  private final InFlightBytesLimiter userBodies;
+  private final InFlightBytesLimiter reportBodies;
 
   /**
    * What it may hold at a time.
@@ -48,14 +48,14 @@
   public record Bounds(
       int threads, int userBodyBytes, int reportBodyBytes, Predicate<String> isReport) {}
 
-  public HttpFrontend(
+  public JdkHttpServer(
       EventLoop loop, RequestHandler handler, InetSocketAddress address, Bounds bounds)
       throws IOException {
     this.loop = loop;
     this.handler = handler;
     this.isReport = bounds.isReport();
-    this.userBodies = new ByteBudget(bounds.userBodyBytes());
-    this.reportBodies = new ByteBudget(bounds.reportBodyBytes());
+    this.userBodies = new InFlightBytesLimiter(bounds.userBodyBytes());
+    this.reportBodies = new InFlightBytesLimiter(bounds.reportBodyBytes());
     this.threads =
         new ThreadPoolExecutor(
             bounds.threads(),
@@ -110,7 +110,7 @@
     }
     Responder responder = new ExchangeResponder(exchange);
     // Reports have a budget of their own: however much users send, workers are heard.
-    ByteBudget budget = report ? reportBodies : userBodies;
+    InFlightBytesLimiter budget = report ? reportBodies : userBodies;
     if (!budget.take(body.length)) {
       responder.respondLater(503, "{\"error\":\"try again\"}", 1);
       return;
--- a/src/main/java/org/mulleinshift/transport/PeerLink.java
+++ b/src/main/java/org/mulleinshift/transport/PeerTransport.java
@@ -1,6 +1,6 @@
 package org.mulleinshift.transport;
 
 /** Best-effort frames to the other controllers; a frame may be lost, never reordered. */
-public interface PeerLink {
+public interface PeerTransport {
   void send(String label, byte[] frame);
 }
--- a/src/main/java/org/mulleinshift/transport/RateBudget.java
+++ b/src/main/java/org/mulleinshift/transport/RateLimiter.java
@@ -3,14 +3,14 @@
 import java.time.Duration;
 
 /** A share of an outside system's rate, with one second's worth of burst. */
-public final class RateBudget {
+public final class RateLimiter {
   private final EventLoop loop;
   private double burst;
   private double perSecond;
   private double tokens;
-  private SteadyTime filledAt;
+  private MonotonicTime filledAt;
 
-  public RateBudget(EventLoop loop, double perSecond) {
+  public RateLimiter(EventLoop loop, double perSecond) {
     this.loop = loop;
     this.perSecond = perSecond;
     this.burst = Math.max(1, perSecond);
@@ -52,7 +52,7 @@
   }
 
   private void refill() {
-    SteadyTime now = loop.now();
+    MonotonicTime now = loop.now();
     tokens = Math.min(burst, tokens + perSecond * now.secondsSince(filledAt));
     filledAt = now;
   }
--- a/src/main/java/org/mulleinshift/transport/TcpPeerLink.java
+++ b/src/main/java/org/mulleinshift/transport/TcpPeerTransport.java
@@ -25,8 +25,8 @@
  * by its length and answered by one byte on the same connection: after a network cut a connection
  * may take frames for ever without delivering or failing, and only the missing answer shows it.
  */
-public final class TcpPeerLink implements PeerLink {
-  private static final Logger LOG = LoggerFactory.getLogger(TcpPeerLink.class);
+public final class TcpPeerTransport implements PeerTransport {
+  private static final Logger LOG = LoggerFactory.getLogger(TcpPeerTransport.class);
   private static final int LONGEST_FRAME = 4 << 20;
   private static final int UNIT = 1024;
   private static final int QUEUED_FRAMES = 64;
@@ -45,7 +45,7 @@
   private final int incomingUnits;
   private final Semaphore unread;
 
-  public TcpPeerLink(
+  public TcpPeerTransport(
       EventLoop loop,
       Map<String, InetSocketAddress> peers,
       Consumer<byte[]> receiver,
--- a/src/main/java/org/mulleinshift/transport/ThreadEventLoop.java
+++ b/src/main/java/org/mulleinshift/transport/ThreadEventLoop.java
@@ -45,8 +45,8 @@
   }
 
   @Override
-  public SteadyTime now() {
-    return new SteadyTime(System.nanoTime());
+  public MonotonicTime now() {
+    return new MonotonicTime(System.nanoTime());
   }
 
   @Override
@@ -62,7 +62,7 @@
   /** Runs until the process ends. */
   public void run() throws InterruptedException {
     List<Runnable> batch = new ArrayList<>();
-    SteadyTime turnedAt = now();
+    MonotonicTime turnedAt = now();
     while (true) {
       turnedAt = noticeStandstill(turnedAt);
       runDueTimers();
@@ -77,8 +77,8 @@
   }
 
   /** There are timers all the time, so a turn never takes this long unless the process stood. */
-  private SteadyTime noticeStandstill(SteadyTime turnedAt) {
-    SteadyTime now = now();
+  private MonotonicTime noticeStandstill(MonotonicTime turnedAt) {
+    MonotonicTime now = now();
     Duration gap = now.since(turnedAt);
     if (gap.compareTo(STANDSTILL) > 0) {
       runGuarded(() -> onStandstill.accept(gap));
@@ -96,7 +96,7 @@
   }
 
   private void runDueTimers() {
-    SteadyTime now = now();
+    MonotonicTime now = now();
     while (!timers.isEmpty() && !timers.peek().due.isAfter(now)) {
       Pending pending = timers.poll();
       if (!pending.cancelled) {
@@ -132,12 +132,12 @@
   }
 
   private static final class Pending implements Timer, Comparable<Pending> {
-    private final SteadyTime due;
+    private final MonotonicTime due;
     private final long sequence;
     private final Runnable step;
     private boolean cancelled;
 
-    Pending(SteadyTime due, long sequence, Runnable step) {
+    Pending(MonotonicTime due, long sequence, Runnable step) {
       this.due = due;
       this.sequence = sequence;
       this.step = step;
--- a/src/test/java/org/mulleinshift/TakeoverTest.java
+++ b/src/test/java/org/mulleinshift/FailoverTest.java
@@ -16,7 +16,7 @@
  * How long a fleet is without a leader, over many seeded takeovers: {@code -Dtakeovers=200} plays
  * so many of each kind and prints the distributions.
  */
-final class TakeoverTest {
+final class FailoverTest {
   private static final int PLAYED = Integer.getInteger("takeovers", 3);
 
   @ParameterizedTest(name = "{0} controllers, {1}: {2} ms at the median, {3} ms at most")
--- a/src/test/java/org/mulleinshift/MarginTest.java
+++ b/src/test/java/org/mulleinshift/MemoryLimitsTest.java
@@ -21,17 +21,17 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.mulleinshift.margin.MemoryPlan;
-import org.mulleinshift.protocol.BadMessage;
+import org.mulleinshift.memory.MemoryPlan;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.WorkerCodec;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.HttpFrontend;
+import org.mulleinshift.transport.JdkHttpServer;
+import org.mulleinshift.transport.MonotonicTime;
 import org.mulleinshift.transport.RequestHandler;
-import org.mulleinshift.transport.SteadyTime;
-import org.mulleinshift.transport.TcpPeerLink;
+import org.mulleinshift.transport.TcpPeerTransport;
 
 /** What a controller holds at most, over real loopback sockets. */
-final class MarginTest {
+final class MemoryLimitsTest {
   private static final long MIB = 1 << 20;
   private static final int BODY = 60_000;
 
@@ -56,8 +56,8 @@
     }
 
     @Override
-    public SteadyTime now() {
-      return new SteadyTime(0);
+    public MonotonicTime now() {
+      return new MonotonicTime(0);
     }
 
     @Override
@@ -98,8 +98,8 @@
       InetSocketAddress address =
           new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
       int most = 256 * 1024;
-      TcpPeerLink link =
-          new TcpPeerLink(
+      TcpPeerTransport link =
+          new TcpPeerTransport(
               new LaggingLoop(),
               Map.of("peer", address),
               frame -> {},
@@ -117,7 +117,7 @@
   @Test
   @Timeout(60)
   void usersBodiesAreBoundedAndReportsStillHeard()
-      throws IOException, InterruptedException, BadMessage {
+      throws IOException, InterruptedException, MalformedMessageException {
     LaggingLoop loop = new LaggingLoop();
     String report = reportOf(4000);
     RequestHandler handler =
@@ -126,16 +126,16 @@
             int tasks =
                 path.equals(WorkerCodec.CHECKIN) ? WorkerCodec.parseReport(body).tasks().size() : 0;
             responder.respond(200, "{\"tasks\":" + tasks + "}");
-          } catch (BadMessage e) {
+          } catch (MalformedMessageException e) {
             responder.respond(400, "{}");
           }
         };
-    HttpFrontend frontend =
-        new HttpFrontend(
+    JdkHttpServer frontend =
+        new JdkHttpServer(
             loop,
             handler,
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-            new HttpFrontend.Bounds(4, 4 * BODY, 1 << 20, WorkerCodec.CHECKIN::equals));
+            new JdkHttpServer.Bounds(4, 4 * BODY, 1 << 20, WorkerCodec.CHECKIN::equals));
     frontend.start();
     Socket[] users = new Socket[4];
     Runnable[] waiting = new Runnable[4];
@@ -181,7 +181,7 @@
     return body.append("]}").toString();
   }
 
-  private static Socket request(HttpFrontend frontend, String path, String body)
+  private static Socket request(JdkHttpServer frontend, String path, String body)
       throws IOException {
     Socket socket = new Socket(InetAddress.getLoopbackAddress(), frontend.address().getPort());
     socket.setSoTimeout(20_000);
--- a/src/test/java/org/mulleinshift/coordination/floor/FloorTest.java
+++ b/src/test/java/org/mulleinshift/fairness/MinimumSharesTest.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination.floor;
+package org.mulleinshift.fairness;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Fair parts and claims over drawn mixes of parties, with fixed seeds. */
-class FloorTest {
+class MinimumSharesTest {
   private static final int SEEDS = 200;
   private static final int SLOTS = 200;
   private static final int STEPS = 300;
@@ -21,35 +21,38 @@
   @Test
   void fairPartsAreMaxMin() {
     for (int seed = 0; seed < SEEDS; seed++) {
-      List<Party> parties = drawn(new Random(seed));
-      FairParts fair = FairParts.of(parties);
+      List<ShareEntity> parties = drawn(new Random(seed));
+      MaxMinFairShare fair = MaxMinFairShare.of(parties);
       double sum = 0;
-      for (Party party : parties) {
+      for (ShareEntity party : parties) {
         double part = fair.of(party.name());
         sum += part;
         assertTrue(part <= party.wanted() + 1e-9, "seed " + seed + ": " + party);
-        for (Party other : parties) {
+        for (ShareEntity other : parties) {
           boolean shorted = part < party.wanted() - 1e-9;
           assertTrue(
               !shorted || fair.of(other.name()) / other.weight() <= part / party.weight() + 1e-9,
               "seed " + seed + ": " + other + " beside " + party);
         }
       }
-      double wanted = parties.stream().mapToDouble(Party::wanted).sum();
+      double wanted = parties.stream().mapToDouble(ShareEntity::wanted).sum();
       assertEquals(Math.min(1, wanted), sum, 1e-9, "seed " + seed);
     }
   }
 
   @Test
   void nobodyClaimsWhileNobodyHasTooMuch() {
-    List<Party> even = List.of(new Party("a", 2, 0.6, 1, 1), new Party("b", 1, 0.1, 1, 1));
-    assertEquals(Map.of(), Claims.of(even, SHARE).claims());
-    List<Party> uneven = List.of(new Party("a", 2, 0.9, 1, 1), new Party("b", 1, 0.1, 1, 1));
-    assertEquals(SHARE / 3 - 0.1, Claims.of(uneven, SHARE).claims().get("b"), 1e-9);
-    assertEquals(Map.of(), Claims.of(uneven, 0).claims());
+    List<ShareEntity> even =
+        List.of(new ShareEntity("a", 2, 0.6, 1, 1), new ShareEntity("b", 1, 0.1, 1, 1));
+    assertEquals(Map.of(), ShareClaims.of(even, SHARE).claims());
+    List<ShareEntity> uneven =
+        List.of(new ShareEntity("a", 2, 0.9, 1, 1), new ShareEntity("b", 1, 0.1, 1, 1));
+    assertEquals(SHARE / 3 - 0.1, ShareClaims.of(uneven, SHARE).claims().get("b"), 1e-9);
+    assertEquals(Map.of(), ShareClaims.of(uneven, 0).claims());
     // What little waits is all that is claimed.
-    List<Party> little = List.of(new Party("a", 2, 0.9, 1, 1), new Party("b", 1, 0.1, 0.12, 1));
-    assertEquals(0.02, Claims.of(little, SHARE).claims().get("b"), 1e-9);
+    List<ShareEntity> little =
+        List.of(new ShareEntity("a", 2, 0.9, 1, 1), new ShareEntity("b", 1, 0.1, 0.12, 1));
+    assertEquals(0.02, ShareClaims.of(little, SHARE).claims().get("b"), 1e-9);
   }
 
   /** In no window does a party with work waiting have less than half of its fair part. */
@@ -64,13 +67,14 @@
     assertTrue(starvedWithout > SEEDS / 2, "starved without floors: " + starvedWithout);
   }
 
-  private static List<Party> drawn(Random random) {
-    List<Party> parties = new ArrayList<>();
+  private static List<ShareEntity> drawn(Random random) {
+    List<ShareEntity> parties = new ArrayList<>();
     int count = 2 + random.nextInt(4);
     for (int i = 0; i < count; i++) {
       double demand = random.nextDouble() * 1.5;
       parties.add(
-          new Party("p" + i, 1 << random.nextInt(4), 0, demand, 0.2 + 0.8 * random.nextDouble()));
+          new ShareEntity(
+              "p" + i, 1 << random.nextInt(4), 0, demand, 0.2 + 0.8 * random.nextDouble()));
     }
     return parties;
   }
@@ -81,13 +85,13 @@
    */
   private static int starved(int seed, double share) {
     Random random = new Random(seed);
-    List<Party> drawn = drawn(random);
+    List<ShareEntity> drawn = drawn(random);
     int count = drawn.size();
     int[] used = new int[count];
     double[][] had = new double[STEPS][count];
     // All is the first one's when the others come.
     used[0] = (int) (SLOTS * drawn.get(0).wanted() > SLOTS ? SLOTS : SLOTS * drawn.get(0).wanted());
-    List<Party> now = parties(drawn, used);
+    List<ShareEntity> now = parties(drawn, used);
     for (int step = 0; step < STEPS; step++) {
       for (int i = 0; i < count; i++) {
         for (int slot = used[i]; slot > 0; slot--) {
@@ -98,7 +102,7 @@
       for (int use : used) {
         free -= use;
       }
-      Map<String, Double> claims = Claims.of(now, share).claims();
+      Map<String, Double> claims = ShareClaims.of(now, share).claims();
       for (int i = 0; i < count; i++) {
         double claim = claims.getOrDefault(drawn.get(i).name(), 0.0);
         int given = Math.min(free, Math.min(most(drawn.get(i)) - used[i], ceil(claim)));
@@ -115,7 +119,7 @@
         had[step][i] = used[i] / (double) SLOTS;
       }
     }
-    FairParts fair = FairParts.of(now);
+    MaxMinFairShare fair = MaxMinFairShare.of(now);
     int starved = 0;
     for (int i = 0; i < count; i++) {
       for (int from = WINDOW; from + WINDOW <= STEPS; from++) {
@@ -134,17 +138,17 @@
     return (int) Math.ceil(share * SLOTS - 1e-6);
   }
 
-  private static int most(Party party) {
+  private static int most(ShareEntity party) {
     return (int) (SLOTS * party.wanted());
   }
 
-  private static List<Party> parties(List<Party> drawn, int[] used) {
-    List<Party> parties = new ArrayList<>();
+  private static List<ShareEntity> parties(List<ShareEntity> drawn, int[] used) {
+    List<ShareEntity> parties = new ArrayList<>();
     for (int i = 0; i < used.length; i++) {
-      Party party = drawn.get(i);
+      ShareEntity party = drawn.get(i);
       double use = used[i] / (double) SLOTS;
       parties.add(
-          new Party(
+          new ShareEntity(
               party.name(), party.weight(), use, Math.max(use, party.demand()), party.reach()));
     }
     return parties;
--- a/src/test/java/org/mulleinshift/coordination/membership/ProofTest.java
+++ b/src/test/java/org/mulleinshift/membership/IndirectLeaseRenewalTest.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination.membership;
+package org.mulleinshift.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,94 +11,94 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import org.mulleinshift.bookkeeping.ControlView;
-import org.mulleinshift.bookkeeping.Keys;
-import org.mulleinshift.bookkeeping.PrefixView;
-import org.mulleinshift.bookkeeping.StateStore;
-import org.mulleinshift.protocol.BlockId;
+import org.mulleinshift.model.ClusterView;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec;
+import org.mulleinshift.protocol.ShardId;
+import org.mulleinshift.protocol.StoreCodec;
 import org.mulleinshift.protocol.peer.Heartbeat;
 import org.mulleinshift.protocol.peer.KeyChange;
-import org.mulleinshift.protocol.peer.ProofAnswer;
-import org.mulleinshift.protocol.peer.ProofRequest;
-import org.mulleinshift.transport.HttpReply;
+import org.mulleinshift.protocol.peer.LeaseRenewalRequest;
+import org.mulleinshift.protocol.peer.LeaseRenewalResponse;
+import org.mulleinshift.store.KeyValueStore;
+import org.mulleinshift.store.StoreKeys;
+import org.mulleinshift.store.WatchCache;
 import org.mulleinshift.transport.HttpRequest;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.HttpResponse;
+import org.mulleinshift.transport.MonotonicTime;
 
 /** Entitlement by a peer's proof counts from when this node asked, however late the answer is. */
-final class ProofTest {
+final class IndirectLeaseRenewalTest {
   private static final Duration LEASE = Duration.ofSeconds(10);
   private static final NodeId SELF = new NodeId("node-0");
   private static final NodeId PEER = new NodeId("node-1");
-  private static final BlockId BLOCK = new BlockId("a-0");
+  private static final ShardId BLOCK = new ShardId("a-0");
   private static final Revision GRANT = new Revision(40);
 
-  private final VirtualLoop loop = new VirtualLoop();
+  private final VirtualEventLoop loop = new VirtualEventLoop();
   private final List<Object> sent = new ArrayList<>();
-  private final ControlView view = new ControlView();
-  private final Links links = new Links(loop, SELF);
+  private final ClusterView view = new ClusterView();
+  private final PeerFailureDetector links = new PeerFailureDetector(loop, SELF);
   private boolean cut;
   private boolean newsHeldBack;
-  private final StateStore store =
-      new StateStore(
+  private final KeyValueStore store =
+      new KeyValueStore(
           loop,
           this::state,
           this::state,
           new InetSocketAddress(1),
-          new StateStore.Rates(1000, 1000, 1, 1));
-  private final StateLink link =
-      new StateLink(
+          new KeyValueStore.Rates(1000, 1000, 1, 1));
+  private final StoreHealth link =
+      new StoreHealth(
           loop,
           Duration.ofSeconds(1),
           Duration.ofMillis(500),
           this::probe,
-          new StateLink.Listener() {
+          new StoreHealth.Listener() {
             @Override
             public void doubted() {
               peerSpeaks();
             }
 
             @Override
-            public boolean peerServedSince(SteadyTime moment) {
+            public boolean peerServedSince(MonotonicTime moment) {
               return links.anyServedSince(moment);
             }
 
             @Override
-            public void changed(StateLink.State next) {
-              if (next == StateLink.State.LOST) {
+            public void changed(StoreHealth.State next) {
+              if (next == StoreHealth.State.LOST) {
                 proofs.start();
               }
             }
           });
-  private final Session session =
-      new Session(
+  private final ControllerSession session =
+      new ControllerSession(
           loop, store, SELF, LEASE, Duration.ofSeconds(2), () -> jobs().provePromptly(), () -> {});
-  private final PrefixView control = follow(Keys.CONTROL, () -> {});
-  private final PrefixView jobs =
-      follow(Keys.ACTIVE, () -> jobs().knownAsOf().ifPresent(session::cancellationsKnown));
-  private final PeerProofs proofs =
-      new PeerProofs(
+  private final WatchCache control = follow(StoreKeys.CONTROL, () -> {});
+  private final WatchCache jobs =
+      follow(StoreKeys.ACTIVE, () -> jobs().knownAsOf().ifPresent(session::cancellationsKnown));
+  private final IndirectLeaseRenewal proofs =
+      new IndirectLeaseRenewal(
           loop,
           SELF,
-          new PeerProofs.Parts(store, link, links, session, view, control, jobs),
+          new IndirectLeaseRenewal.Parts(store, link, links, session, view, control, jobs),
           (node, body) -> sent.add(body));
 
-  private PrefixView jobs() {
+  private WatchCache jobs() {
     return jobs;
   }
 
-  private PrefixView follow(String prefix, Runnable settled) {
-    return new PrefixView(
+  private WatchCache follow(String prefix, Runnable settled) {
+    return new WatchCache(
         loop,
         store,
         prefix,
         Duration.ofMillis(40),
-        new PrefixView.Listener() {
+        new WatchCache.Listener() {
           @Override
-          public void changed(String key, Optional<StateCodec.Item> item) {
-            if (prefix.equals(Keys.CONTROL)) {
+          public void changed(String key, Optional<StoreCodec.Item> item) {
+            if (prefix.equals(StoreKeys.CONTROL)) {
               view.apply(key, item);
             }
           }
@@ -111,7 +111,7 @@
   }
 
   private void probe() {
-    store.get(Keys.LEADER, StateStore.Urgency.URGENT, answer -> {});
+    store.get(StoreKeys.LEADER, KeyValueStore.Urgency.URGENT, answer -> {});
   }
 
   private void peerSpeaks() {
@@ -120,7 +120,7 @@
   }
 
   /** The state service until it is cut off; watches never answer. */
-  private void state(InetSocketAddress target, HttpRequest request, Consumer<HttpReply> reply) {
+  private void state(InetSocketAddress target, HttpRequest request, Consumer<HttpResponse> reply) {
     String path = request.path();
     String body =
         path.equals("/holds")
@@ -132,9 +132,9 @@
     boolean waits = path.startsWith("/changes") && !path.endsWith("hold_ms=0");
     boolean heldBack = newsHeldBack && path.startsWith("/changes");
     if (cut || heldBack) {
-      loop.after(request.deadline(), () -> reply.accept(HttpReply.NONE));
+      loop.after(request.deadline(), () -> reply.accept(HttpResponse.NONE));
     } else if (!waits) {
-      loop.post(() -> reply.accept(new HttpReply(known ? 200 : 404, body)));
+      loop.post(() -> reply.accept(new HttpResponse(known ? 200 : 404, body)));
     }
   }
 
@@ -145,31 +145,31 @@
     control.start();
     jobs.start();
     loop.runFor(1);
-    assertEquals(Session.State.HELD, session.state());
+    assertEquals(ControllerSession.State.HELD, session.state());
   }
 
-  private ProofRequest cutOffAndAsked() {
+  private LeaseRenewalRequest cutOffAndAsked() {
     served();
     cut = true;
     for (int i = 0; i < 6 && sent.isEmpty(); i++) {
       peerSpeaks();
       loop.runFor(0.5);
     }
-    assertEquals(StateLink.State.LOST, link.state());
-    return (ProofRequest) sent.get(0);
+    assertEquals(StoreHealth.State.LOST, link.state());
+    return (LeaseRenewalRequest) sent.get(0);
   }
 
   /** The question for what was cancelled, asked beside the one for the session. */
-  private ProofRequest second() {
-    return (ProofRequest) sent.get(1);
+  private LeaseRenewalRequest second() {
+    return (LeaseRenewalRequest) sent.get(1);
   }
 
-  private static ProofAnswer nothingCancelled(ProofRequest asked) {
-    return new ProofAnswer(asked.getId(), asked.getHold(), false, true, 50L, List.of());
+  private static LeaseRenewalResponse nothingCancelled(LeaseRenewalRequest asked) {
+    return new LeaseRenewalResponse(asked.getId(), asked.getHold(), false, true, 50L, List.of());
   }
 
-  private static ProofAnswer answerTo(ProofRequest asked) {
-    return new ProofAnswer(
+  private static LeaseRenewalResponse answerTo(LeaseRenewalRequest asked) {
+    return new LeaseRenewalResponse(
         asked.getId(),
         asked.getHold(),
         false,
@@ -180,8 +180,8 @@
 
   @Test
   void countsFromTheQuestion() {
-    ProofRequest asked = cutOffAndAsked();
-    SteadyTime askedBy = loop.now();
+    LeaseRenewalRequest asked = cutOffAndAsked();
+    MonotonicTime askedBy = loop.now();
     loop.runFor(0.4);
     proofs.onAnswer(PEER, answerTo(asked));
     proofs.onAnswer(PEER, nothingCancelled(second()));
@@ -194,7 +194,7 @@
 
   @Test
   void lateAnswerEntitlesToNothing() {
-    ProofRequest asked = cutOffAndAsked();
+    LeaseRenewalRequest asked = cutOffAndAsked();
     loop.runFor(12);
     proofs.onAnswer(PEER, answerTo(asked));
     proofs.onAnswer(PEER, nothingCancelled(second()));
@@ -203,13 +203,14 @@
 
   @Test
   void leaseFoundOverEndsEverything() {
-    ProofRequest asked = cutOffAndAsked();
+    LeaseRenewalRequest asked = cutOffAndAsked();
     proofs.onAnswer(PEER, answerTo(asked));
     assertTrue(session.entitled(BLOCK, GRANT));
     peerSpeaks();
     loop.runFor(1.2);
-    ProofRequest next = (ProofRequest) sent.get(sent.size() - 2);
-    proofs.onAnswer(PEER, new ProofAnswer(next.getId(), next.getHold(), true, true, 0L, List.of()));
+    LeaseRenewalRequest next = (LeaseRenewalRequest) sent.get(sent.size() - 2);
+    proofs.onAnswer(
+        PEER, new LeaseRenewalResponse(next.getId(), next.getHold(), true, true, 0L, List.of()));
     assertFalse(session.entitled(BLOCK, GRANT));
     assertEquals(Optional.empty(), session.hold());
   }
@@ -217,19 +218,19 @@
   /**
    * Renews the session by the peer for so many seconds; the last question for what is cancelled.
    */
-  private ProofRequest renewedByPeerFor(int seconds) {
+  private LeaseRenewalRequest renewedByPeerFor(int seconds) {
     for (int i = 0; i < seconds; i++) {
       peerSpeaks();
       loop.runFor(1);
-      proofs.onAnswer(PEER, answerTo((ProofRequest) sent.get(sent.size() - 2)));
+      proofs.onAnswer(PEER, answerTo((LeaseRenewalRequest) sent.get(sent.size() - 2)));
     }
-    return (ProofRequest) sent.get(sent.size() - 1);
+    return (LeaseRenewalRequest) sent.get(sent.size() - 1);
   }
 
   @Test
   void sessionAndGrantsWithoutCancellationsEndTheRight() {
     cutOffAndAsked();
-    ProofRequest asked = renewedByPeerFor(12);
+    LeaseRenewalRequest asked = renewedByPeerFor(12);
     assertFalse(session.entitled(BLOCK, GRANT), "a lease after cancellations were last known");
     proofs.onAnswer(PEER, nothingCancelled(asked));
     assertTrue(session.entitled(BLOCK, GRANT));
@@ -238,32 +239,32 @@
   @Test
   void peerOfAnEarlierBuildProvesNoCancellations() {
     cutOffAndAsked();
-    ProofRequest asked = renewedByPeerFor(12);
+    LeaseRenewalRequest asked = renewedByPeerFor(12);
     // It looks for a lease of that name, finds none, and says that it is over.
     proofs.onAnswer(
-        PEER, new ProofAnswer(asked.getId(), asked.getHold(), true, true, 0L, List.of()));
+        PEER, new LeaseRenewalResponse(asked.getId(), asked.getHold(), true, true, 0L, List.of()));
     assertFalse(session.entitled(BLOCK, GRANT));
-    assertEquals(Session.State.HELD, session.state(), "the session's own lease stands");
+    assertEquals(ControllerSession.State.HELD, session.state(), "the session's own lease stands");
   }
 
   @Test
   void contradictionsProveNothing() {
     cutOffAndAsked();
-    ProofRequest asked = renewedByPeerFor(12);
+    LeaseRenewalRequest asked = renewedByPeerFor(12);
     long id = asked.getId();
     KeyChange elsewhere = new KeyChange("c/g/a-0", "{}", 40L);
     KeyChange later = new KeyChange("a/run-1", "{}", 60L);
     KeyChange unreadable = new KeyChange("a/run-1", "[", 40L);
-    List<ProofAnswer> bad =
+    List<LeaseRenewalResponse> bad =
         List.of(
-            new ProofAnswer(id, asked.getHold(), false, false, 50L, List.of()),
-            new ProofAnswer(id, asked.getHold(), false, true, 1L, List.of()),
-            new ProofAnswer(id, 9L, false, true, 50L, List.of()),
-            new ProofAnswer(id, asked.getHold(), false, true, 50L, List.of(elsewhere)),
-            new ProofAnswer(id, asked.getHold(), false, true, 50L, List.of(later)),
-            new ProofAnswer(id, asked.getHold(), false, true, 50L, List.of(unreadable)));
-    for (ProofAnswer answer : bad) {
-      ProofRequest open = renewedByPeerFor(1);
+            new LeaseRenewalResponse(id, asked.getHold(), false, false, 50L, List.of()),
+            new LeaseRenewalResponse(id, asked.getHold(), false, true, 1L, List.of()),
+            new LeaseRenewalResponse(id, 9L, false, true, 50L, List.of()),
+            new LeaseRenewalResponse(id, asked.getHold(), false, true, 50L, List.of(elsewhere)),
+            new LeaseRenewalResponse(id, asked.getHold(), false, true, 50L, List.of(later)),
+            new LeaseRenewalResponse(id, asked.getHold(), false, true, 50L, List.of(unreadable)));
+    for (LeaseRenewalResponse answer : bad) {
+      LeaseRenewalRequest open = renewedByPeerFor(1);
       answer.setId(open.getId());
       proofs.onAnswer(PEER, answer);
       assertFalse(session.entitled(BLOCK, GRANT), answer.toString());
--- a/src/test/java/org/mulleinshift/coordination/membership/SuccessionTest.java
+++ b/src/test/java/org/mulleinshift/membership/StandbyFailoverTest.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination.membership;
+package org.mulleinshift.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -8,40 +8,42 @@
 import java.util.Optional;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.mulleinshift.bookkeeping.ControlView;
-import org.mulleinshift.bookkeeping.Keys;
-import org.mulleinshift.protocol.HoldId;
+import org.mulleinshift.model.ClusterView;
+import org.mulleinshift.protocol.LeaseId;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.Item;
 import org.mulleinshift.protocol.peer.Heartbeat;
-import org.mulleinshift.protocol.peer.PeerHeard;
+import org.mulleinshift.protocol.peer.PeerLastHeard;
+import org.mulleinshift.store.StoreKeys;
 
 /** When the standby ends the leader's lease, and when it must not. */
-final class SuccessionTest {
+final class StandbyFailoverTest {
   private static final NodeId SELF = new NodeId("node-0");
   private static final NodeId LEADER = new NodeId("node-1");
   private static final NodeId OTHER = new NodeId("node-2");
 
-  private final VirtualLoop loop = new VirtualLoop();
-  private final Links links = new Links(loop, SELF);
-  private final ControlView view = new ControlView();
-  private final List<Election.Standing> ended = new ArrayList<>();
+  private final VirtualEventLoop loop = new VirtualEventLoop();
+  private final PeerFailureDetector links = new PeerFailureDetector(loop, SELF);
+  private final ClusterView view = new ClusterView();
+  private final List<LeaderElection.Standing> ended = new ArrayList<>();
   private boolean ownLinksWell = true;
   private boolean otherHearsLeader;
-  private final Succession succession =
-      new Succession(
+  private final StandbyFailover succession =
+      new StandbyFailover(
           loop,
           SELF,
           Duration.ofSeconds(1),
           Duration.ofSeconds(5),
-          new Succession.Parts(links, view, () -> ownLinksWell, this::otherSpeaks, ended::add));
+          new StandbyFailover.Parts(
+              links, view, () -> ownLinksWell, this::otherSpeaks, ended::add));
 
   @BeforeEach
   void leaderNamesUs() {
     Item key =
-        new Item(Keys.LEADER, ControlView.leaderValue(LEADER, new HoldId(9)), new Revision(4));
-    view.apply(Keys.LEADER, Optional.of(key));
+        new Item(
+            StoreKeys.LEADER, ClusterView.leaderValue(LEADER, new LeaseId(9)), new Revision(4));
+    view.apply(StoreKeys.LEADER, Optional.of(key));
     succession.start();
     leaderSpeaksFor(3);
   }
@@ -61,13 +63,21 @@
     links.beat(
         OTHER,
         new Heartbeat(
-            2L, 0L, false, "WELL", "", 0L, "", false, List.of(new PeerHeard("node-1", silent))));
+            2L,
+            0L,
+            false,
+            "WELL",
+            "",
+            0L,
+            "",
+            false,
+            List.of(new PeerLastHeard("node-1", silent))));
   }
 
   @Test
   void silentLeaderIsReplacedOnce() {
     loop.runFor(1.5);
-    assertEquals(List.of(new Election.Standing(new Revision(4), new HoldId(9))), ended);
+    assertEquals(List.of(new LeaderElection.Standing(new Revision(4), new LeaseId(9))), ended);
   }
 
   @Test
--- a/src/test/java/org/mulleinshift/coordination/membership/VirtualLoop.java
+++ b/src/test/java/org/mulleinshift/membership/VirtualEventLoop.java
@@ -1,14 +1,14 @@
-package org.mulleinshift.coordination.membership;
+package org.mulleinshift.membership;
 
 import java.time.Duration;
 import java.util.Comparator;
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 
 /** A loop in virtual time. */
-public final class VirtualLoop implements EventLoop {
+public final class VirtualEventLoop implements EventLoop {
   private record Step(long at, long order, Runnable run) {}
 
   private final PriorityQueue<Step> steps =
@@ -38,8 +38,8 @@
   }
 
   @Override
-  public SteadyTime now() {
-    return new SteadyTime(now);
+  public MonotonicTime now() {
+    return new MonotonicTime(now);
   }
 
   @Override
--- a/src/test/java/org/mulleinshift/bookkeeping/ProgressPartsTest.java
+++ b/src/test/java/org/mulleinshift/model/ChunkLayoutTest.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.model;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,17 +11,18 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import org.mulleinshift.protocol.Attempt;
-import org.mulleinshift.protocol.BadMessage;
-import org.mulleinshift.protocol.BlockId;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.Json;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec;
-import org.mulleinshift.protocol.StateCodec.Item;
+import org.mulleinshift.protocol.ShardId;
+import org.mulleinshift.protocol.StoreCodec;
+import org.mulleinshift.protocol.StoreCodec.Item;
 import org.mulleinshift.protocol.ZoneId;
+import org.mulleinshift.store.StoreKeys;
 
 /** A chunk that an older build left too long is taken apart; each step may be the last. */
-class ProgressPartsTest {
+class ChunkLayoutTest {
   private static final int TASKS = 730;
   private static final int VALUE_BYTES = 400;
   private static final String RECORD =
@@ -31,16 +32,16 @@
        "same_place":false,"spread":false,"loaner":true,"guess_s":10.0,"snapshot_s":0.0,
        "flush_s":0.0},"at":5,"cancelled":false}""";
 
-  private static Job job() throws BadMessage {
+  private static Job job() throws MalformedMessageException {
     Item item = new Item("a/run-1", Json.parseObject(RECORD), new Revision(3));
     return new Job(JobRecord.read(item).get());
   }
 
   /** Reads keys in the store's order, as a new leader does. */
-  private static Job load(Map<String, JsonNode> store) throws BadMessage {
+  private static Job load(Map<String, JsonNode> store) throws MalformedMessageException {
     Job job = job();
     for (Map.Entry<String, JsonNode> entry : store.entrySet()) {
-      Part part = Keys.progressKey(entry.getKey()).get().part();
+      Chunk part = StoreKeys.progressKey(entry.getKey()).get().part();
       job.load(part, entry.getValue(), block -> new ZoneId("a"));
     }
     return job;
@@ -53,17 +54,18 @@
     return tasks;
   }
 
-  private static String key(Part part) {
-    return Keys.progress(new JobId("run-1"), part);
+  private static String key(Chunk part) {
+    return StoreKeys.progress(new JobId("run-1"), part);
   }
 
-  private static Job scattered(Random random) throws BadMessage {
+  private static Job scattered(Random random) throws MalformedMessageException {
     Job job = job();
     for (int index = 0; index < TASKS; index++) {
       int kind = random.nextInt(3);
       if (kind > 0) {
-        BlockId block = new BlockId("a-" + random.nextInt(40));
-        Delegation delegation = job.delegate(index, block, new ZoneId("a"), new Attempt(7L << 20));
+        ShardId block = new ShardId("a-" + random.nextInt(40));
+        TaskAssignment delegation =
+            job.delegate(index, block, new ZoneId("a"), new Attempt(7L << 20));
         if (kind == 2) {
           job.taskDone(delegation, 1);
           job.stored(List.of(), List.of(delegation), new Revision(4));
@@ -74,10 +76,10 @@
   }
 
   @Test
-  void eachStepOfTakingApartMayBeTheLast() throws BadMessage {
+  void eachStepOfTakingApartMayBeTheLast() throws MalformedMessageException {
     Job old = scattered(new Random(1));
     Map<String, JsonNode> store = new TreeMap<>();
-    for (Part chunk : old.parts().live()) {
+    for (Chunk chunk : old.parts().live()) {
       store.put(key(chunk), old.progress(chunk));
     }
     List<String> expected = tasks(load(store));
@@ -87,26 +89,26 @@
       // A new leader each time: it writes one part that fits, and dies.
       Job job = load(store);
       assertEquals(expected, tasks(job));
-      for (Part part : List.copyOf(job.parts().live())) {
+      for (Chunk part : List.copyOf(job.parts().live())) {
         cut(job, part);
       }
-      List<Part> uncovered = job.parts().uncovered();
+      List<Chunk> uncovered = job.parts().uncovered();
       more = !uncovered.isEmpty();
       if (more) {
-        Part part = uncovered.get(steps % uncovered.size());
+        Chunk part = uncovered.get(steps % uncovered.size());
         store.put(key(part), job.progress(part));
-        assertTrue(StateCodec.bytes(store.get(key(part))) <= VALUE_BYTES);
+        assertTrue(StoreCodec.bytes(store.get(key(part))) <= VALUE_BYTES);
         job.parts().stored(List.of(part));
       }
       job.parts().outgrown(0).forEach(part -> store.remove(key(part)));
       job.parts().outgrown(1).forEach(part -> store.remove(key(part)));
     }
     assertTrue(steps > 20, steps + " steps");
-    assertTrue(store.values().stream().allMatch(v -> StateCodec.bytes(v) <= VALUE_BYTES));
+    assertTrue(store.values().stream().allMatch(v -> StoreCodec.bytes(v) <= VALUE_BYTES));
   }
 
-  private static void cut(Job job, Part part) {
-    if (StateCodec.bytes(job.progress(part)) > VALUE_BYTES && part.divisible()) {
+  private static void cut(Job job, Chunk part) {
+    if (StoreCodec.bytes(job.progress(part)) > VALUE_BYTES && part.divisible()) {
       job.split(part);
       cut(job, part.half(0));
       if (job.parts().exists(part.half(1))) {
--- a/src/test/java/org/mulleinshift/bookkeeping/StoredByEarlierBuildTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredByEarlierBuildTest.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.model;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,13 +12,14 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
-import org.mulleinshift.protocol.BadMessage;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.JobPhase;
 import org.mulleinshift.protocol.Json;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.Item;
 import org.mulleinshift.protocol.ZoneId;
+import org.mulleinshift.store.StoreKeys;
 
 /**
  * What the build of commit e61c2b1 had stored 27 s into a day: jobs half done, one just over, one
@@ -28,15 +29,15 @@
   private static final Path SAMPLE = Path.of("src/test/resources/stored/e61c2b1.json");
 
   @Test
-  void allOfItIsReadAndWrittenTheSame() throws IOException, BadMessage {
+  void allOfItIsReadAndWrittenTheSame() throws IOException, MalformedMessageException {
     JsonNode sample = Json.parseObject(Files.readString(SAMPLE));
     Map<JobId, Job> jobs = new HashMap<>();
-    ControlView view = new ControlView();
+    ClusterView view = new ClusterView();
     for (Map.Entry<String, JsonNode> entry : sample.properties()) {
       Item item = new Item(entry.getKey(), entry.getValue(), new Revision(9));
       String kind = entry.getKey().substring(0, 2);
       switch (kind) {
-        case Keys.ACTIVE -> {
+        case StoreKeys.ACTIVE -> {
           JobRecord record = JobRecord.read(item).get();
           JsonNode written =
               JobRecord.value(
@@ -44,14 +45,14 @@
           assertEquals(Json.write(item.value()), Json.write(written));
           jobs.put(record.id(), new Job(record));
         }
-        case Keys.CONTROL -> view.apply(item.key(), Optional.of(item));
-        case Keys.PROGRESS -> {
-          Keys.ProgressKey key = Keys.progressKey(item.key()).get();
+        case StoreKeys.CONTROL -> view.apply(item.key(), Optional.of(item));
+        case StoreKeys.PROGRESS -> {
+          StoreKeys.ProgressKey key = StoreKeys.progressKey(item.key()).get();
           Job job = jobs.get(key.job());
           job.load(key.part(), item.value(), block -> new ZoneId("a"));
           assertEquals(Json.write(item.value()), Json.write(job.progress(key.part())));
         }
-        case Keys.ENDED -> {
+        case StoreKeys.ENDED -> {
           assertEquals(
               item.key().endsWith("run-4") ? JobPhase.CANCELLED : JobPhase.DONE,
               JobRecord.endedPhase(item).get());
--- a/src/test/java/org/mulleinshift/bookkeeping/StoredRecordGoldenTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordGoldenTest.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.model;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,15 +15,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.mulleinshift.GoldenFile;
-import org.mulleinshift.bookkeeping.ControlView.BlockRecord;
-import org.mulleinshift.protocol.BadMessage;
-import org.mulleinshift.protocol.BlockId;
+import org.mulleinshift.model.ClusterView.BlockRecord;
+import org.mulleinshift.progress.LogSegment;
 import org.mulleinshift.protocol.JobPhase;
 import org.mulleinshift.protocol.Json;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.NodeId;
-import org.mulleinshift.protocol.StateCodec.Item;
+import org.mulleinshift.protocol.ShardId;
+import org.mulleinshift.protocol.StoreCodec.Item;
 import org.mulleinshift.protocol.ZoneId;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.store.StoreKeys;
+import org.mulleinshift.transport.MonotonicTime;
 
 /** Keys and values of the state service are as an earlier build wrote them. */
 class StoredRecordGoldenTest {
@@ -40,7 +42,7 @@
     return StoredRecordSamples.all().keySet();
   }
 
-  private static Item golden(String name) throws BadMessage {
+  private static Item golden(String name) throws MalformedMessageException {
     String[] keyAndValue = GoldenFile.text(file(name)).split(SEPARATOR, 2);
     return StoredRecordSamples.item(keyAndValue[0], keyAndValue[1]);
   }
@@ -54,49 +56,50 @@
 
   @ParameterizedTest
   @MethodSource("names")
-  void isReadAndWrittenBackByteForByte(String name) throws BadMessage {
+  void isReadAndWrittenBackByteForByte(String name) throws MalformedMessageException {
     Item item = golden(name);
     assertEquals(GoldenFile.text(file(name)), item.key() + SEPARATOR + Json.write(rewritten(item)));
   }
 
   /** What this build writes of a record that it has read. */
-  private static JsonNode rewritten(Item item) throws BadMessage {
+  private static JsonNode rewritten(Item item) throws MalformedMessageException {
     String key = item.key();
-    if (key.startsWith(Keys.CONTROL)) {
+    if (key.startsWith(StoreKeys.CONTROL)) {
       return rewrittenControl(item);
     }
     return switch (key.substring(0, 2)) {
-      case Keys.ACTIVE -> rewrittenJob(item);
-      case Keys.ENDED -> rewrittenEnd(item);
-      case Keys.PROGRESS -> rewrittenProgress(item);
-      case Keys.LOG -> Segment.write(Segment.read(item.value()));
-      case Keys.RENTALS ->
-          Rental.read(key.substring(Keys.RENTALS.length()), item.value(), new SteadyTime(0))
+      case StoreKeys.ACTIVE -> rewrittenJob(item);
+      case StoreKeys.ENDED -> rewrittenEnd(item);
+      case StoreKeys.PROGRESS -> rewrittenProgress(item);
+      case StoreKeys.LOG -> LogSegment.write(LogSegment.read(item.value()));
+      case StoreKeys.RENTALS ->
+          ProvisioningRequest.read(
+                  key.substring(StoreKeys.RENTALS.length()), item.value(), new MonotonicTime(0))
               .write();
-      case Keys.AWAITED -> Awaits.list(Awaits.readList(item.value()));
+      case StoreKeys.AWAITED -> JobDependencies.list(JobDependencies.readList(item.value()));
       default -> throw new AssertionError(key);
     };
   }
 
   private static JsonNode rewrittenControl(Item item) {
     String key = item.key();
-    ControlView view = new ControlView();
+    ClusterView view = new ClusterView();
     view.apply(key, Optional.of(item));
-    if (key.equals(Keys.LEADER)) {
-      ControlView.LeaderRecord leader = view.leader().orElseThrow();
+    if (key.equals(StoreKeys.LEADER)) {
+      ClusterView.LeaderRecord leader = view.leader().orElseThrow();
       assertEquals(item.version(), leader.term());
-      return ControlView.leaderValue(leader.node(), leader.hold());
-    } else if (key.startsWith(Keys.NODES)) {
-      NodeId node = new NodeId(key.substring(Keys.NODES.length()));
-      return ControlView.nodeValue(view.nodes().get(node).hold());
-    } else if (key.startsWith(Keys.GRANTS)) {
-      BlockId block = new BlockId(key.substring(Keys.GRANTS.length()));
-      return ControlView.grantValue(view.grants().get(block).holder());
-    } else if (key.startsWith(Keys.BUILDS)) {
-      NodeId node = new NodeId(key.substring(Keys.BUILDS.length()));
-      return ControlView.buildValue(view.builds().get(node));
+      return ClusterView.leaderValue(leader.node(), leader.hold());
+    } else if (key.startsWith(StoreKeys.NODES)) {
+      NodeId node = new NodeId(key.substring(StoreKeys.NODES.length()));
+      return ClusterView.nodeValue(view.nodes().get(node).hold());
+    } else if (key.startsWith(StoreKeys.GRANTS)) {
+      ShardId block = new ShardId(key.substring(StoreKeys.GRANTS.length()));
+      return ClusterView.grantValue(view.grants().get(block).holder());
+    } else if (key.startsWith(StoreKeys.BUILDS)) {
+      NodeId node = new NodeId(key.substring(StoreKeys.BUILDS.length()));
+      return ClusterView.buildValue(view.builds().get(node));
     }
-    BlockRecord block = view.blocks().get(new BlockId(key.substring(Keys.BLOCKS.length())));
+    BlockRecord block = view.blocks().get(new ShardId(key.substring(StoreKeys.BLOCKS.length())));
     JsonNode node = BlockRecord.write(block.zone(), block.machines(), block.lastHolder());
     block.beyond().ifPresent(fields -> fields.restore(node));
     return node;
@@ -118,17 +121,19 @@
     return at.isPresent() ? node : node.without("at");
   }
 
-  private static JsonNode rewrittenProgress(Item item) throws BadMessage {
-    Keys.ProgressKey key = Keys.progressKey(item.key()).orElseThrow();
+  private static JsonNode rewrittenProgress(Item item) throws MalformedMessageException {
+    StoreKeys.ProgressKey key = StoreKeys.progressKey(item.key()).orElseThrow();
     boolean awaiting = item.value().has("ready");
-    Job job = StoredRecordSamples.job(awaiting ? StoredRecordSamples.namedJobs() : Awaits.NOTHING);
+    Job job =
+        StoredRecordSamples.job(
+            awaiting ? StoredRecordSamples.namedJobs() : JobDependencies.NOTHING);
     assertEquals(job.spec().id(), key.job());
     job.load(key.part(), item.value(), block -> new ZoneId("a"));
     return job.progress(key.part());
   }
 
   @Test
-  void jobsAreReadAsTheyWereMeant() throws BadMessage {
+  void jobsAreReadAsTheyWereMeant() throws MalformedMessageException {
     JobRecord record = JobRecord.read(golden("job-awaiting-named-jobs")).orElseThrow();
     assertEquals(StoredRecordSamples.shortSpec(), record.spec());
     assertEquals(StoredRecordSamples.namedJobs(), record.awaits());
@@ -136,12 +141,12 @@
   }
 
   @Test
-  void segmentsNameTheirJobsAndParts() throws BadMessage {
+  void segmentsNameTheirJobsAndParts() throws MalformedMessageException {
     Item item = golden("log-segment");
-    assertEquals(17, Keys.segmentNumber(item.key()).orElseThrow());
+    assertEquals(17, StoreKeys.segmentNumber(item.key()).orElseThrow());
     assertEquals(
         "run-1 0, run-2 0/1",
-        Segment.read(item.value()).stream()
+        LogSegment.read(item.value()).stream()
             .map(entry -> entry.job() + " " + entry.part())
             .collect(Collectors.joining(", ")));
   }
@@ -152,7 +157,7 @@
         StoredRecordSamples.all().values().stream()
             .map(StoredRecordSamples.Stored::key)
             .collect(Collectors.toSet());
-    for (Field prefix : Keys.class.getFields()) {
+    for (Field prefix : StoreKeys.class.getFields()) {
       String text = (String) prefix.get(null);
       assertTrue(keys.stream().anyMatch(key -> key.startsWith(text)), text);
     }
--- a/src/test/java/org/mulleinshift/bookkeeping/StoredRecordSamples.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordSamples.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.model;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -7,33 +7,35 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import org.mulleinshift.bookkeeping.ControlView.BlockRecord;
-import org.mulleinshift.bookkeeping.ControlView.MachineRecord;
+import org.mulleinshift.model.ClusterView.BlockRecord;
+import org.mulleinshift.model.ClusterView.MachineRecord;
+import org.mulleinshift.progress.LogSegment;
 import org.mulleinshift.protocol.Attempt;
-import org.mulleinshift.protocol.BadMessage;
-import org.mulleinshift.protocol.BlockId;
-import org.mulleinshift.protocol.HoldId;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.JobKind;
 import org.mulleinshift.protocol.JobPhase;
 import org.mulleinshift.protocol.JobSpec;
 import org.mulleinshift.protocol.JobSpecSamples;
 import org.mulleinshift.protocol.Json;
+import org.mulleinshift.protocol.LeaseId;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.MachineTypeId;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Priority;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec.Item;
+import org.mulleinshift.protocol.ShardId;
+import org.mulleinshift.protocol.StoreCodec.Item;
 import org.mulleinshift.protocol.ZoneId;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.store.StoreKeys;
+import org.mulleinshift.transport.MonotonicTime;
 
 /** Every form of a stored record that this build writes, by the name of its golden file. */
 final class StoredRecordSamples {
   static final long ACCEPTED_AT = 1_700_000_003_002L;
   static final int TASKS = 730;
   private static final JobId JOB = new JobId("run-1");
-  private static final BlockId BLOCK = new BlockId("a-0");
+  private static final ShardId BLOCK = new ShardId("a-0");
   private static final ZoneId ZONE = new ZoneId("a");
   private static final String DIGEST = "0f8fad5b-d9cb-369f-a165-70867728950e";
 
@@ -61,24 +63,24 @@
 
   private void addControl() {
     NodeId node = new NodeId("n-1");
-    HoldId hold = new HoldId(Long.MAX_VALUE);
-    add("leader", Keys.LEADER, ControlView.leaderValue(node, hold));
-    add("node", Keys.node(node), ControlView.nodeValue(new HoldId(7)));
-    add("grant", Keys.grant(BLOCK), ControlView.grantValue(node));
-    add("build", Keys.build(node), ControlView.buildValue(2));
+    LeaseId hold = new LeaseId(Long.MAX_VALUE);
+    add("leader", StoreKeys.LEADER, ClusterView.leaderValue(node, hold));
+    add("node", StoreKeys.node(node), ClusterView.nodeValue(new LeaseId(7)));
+    add("grant", StoreKeys.grant(BLOCK), ClusterView.grantValue(node));
+    add("build", StoreKeys.build(node), ClusterView.buildValue(2));
     JsonNode block = BlockRecord.write(ZONE, machines(), Optional.of(node));
-    add("block", Keys.block(BLOCK), block);
+    add("block", StoreKeys.block(BLOCK), block);
     add(
         "block-without-last-holder",
-        Keys.block(BLOCK),
+        StoreKeys.block(BLOCK),
         BlockRecord.write(ZONE, machines(), Optional.empty()));
     add(
         "block-without-machines",
-        Keys.block(BLOCK),
+        StoreKeys.block(BLOCK),
         BlockRecord.write(ZONE, Map.of(), Optional.of(node)));
     ObjectNode newer = block.deepCopy();
     newer.put("tier", 2);
-    add("block-with-unknown-fields", Keys.block(BLOCK), newer);
+    add("block-with-unknown-fields", StoreKeys.block(BLOCK), newer);
   }
 
   private static Map<MachineId, MachineRecord> machines() {
@@ -95,37 +97,38 @@
       addActiveJob(
           "job-" + kind.wire(),
           JobSpecSamples.full(JOB, kind, Priority.NORMAL),
-          Awaits.NOTHING,
+          JobDependencies.NOTHING,
           false);
     }
     for (Priority priority : Priority.values()) {
       JobSpec spec = JobSpecSamples.full(JOB, JobKind.ARRAY, priority);
-      addActiveJob("job-" + priority.wire(), spec, Awaits.NOTHING, false);
+      addActiveJob("job-" + priority.wire(), spec, JobDependencies.NOTHING, false);
     }
     JobSpec spec = shortSpec();
-    addActiveJob("job-without-optional-fields", spec, Awaits.NOTHING, false);
-    addActiveJob("job-cancelled", spec, Awaits.NOTHING, true);
+    addActiveJob("job-without-optional-fields", spec, JobDependencies.NOTHING, false);
+    addActiveJob("job-cancelled", spec, JobDependencies.NOTHING, true);
     addActiveJob("job-awaiting-named-jobs", spec, namedJobs(), false);
-    addActiveJob("job-awaiting-lists", spec, new Awaits(List.of(), 2, DIGEST), false);
+    addActiveJob("job-awaiting-lists", spec, new JobDependencies(List.of(), 2, DIGEST), false);
     addActiveJob("job-awaiting-cancelled", spec, namedJobs(), true);
-    add("job-cancelled-with-unknown-fields", Keys.active(JOB), cancelledOfNewerBuild(spec));
+    add("job-cancelled-with-unknown-fields", StoreKeys.active(JOB), cancelledOfNewerBuild(spec));
   }
 
-  private void addActiveJob(String name, JobSpec spec, Awaits awaits, boolean cancelled) {
-    add(name, Keys.active(spec.id()), JobRecord.value(spec, awaits, ACCEPTED_AT, cancelled));
+  private void addActiveJob(String name, JobSpec spec, JobDependencies awaits, boolean cancelled) {
+    add(name, StoreKeys.active(spec.id()), JobRecord.value(spec, awaits, ACCEPTED_AT, cancelled));
   }
 
   private static JsonNode cancelledOfNewerBuild(JobSpec spec) {
-    ObjectNode stored = (ObjectNode) JobRecord.value(spec, Awaits.NOTHING, ACCEPTED_AT, false);
+    ObjectNode stored =
+        (ObjectNode) JobRecord.value(spec, JobDependencies.NOTHING, ACCEPTED_AT, false);
     stored.put("format", 2);
     ((ObjectNode) stored.get("spec")).put("colour", "red");
-    return JobRecord.read(new Item(Keys.active(JOB), stored, new Revision(3)))
+    return JobRecord.read(new Item(StoreKeys.active(JOB), stored, new Revision(3)))
         .orElseThrow()
         .cancelledValue();
   }
 
-  static Awaits namedJobs() {
-    return Awaits.of(List.of(new JobId("run-7"), new JobId("run-8")));
+  static JobDependencies namedJobs() {
+    return JobDependencies.of(List.of(new JobId("run-7"), new JobId("run-8")));
   }
 
   static JobSpec shortSpec() {
@@ -135,43 +138,46 @@
   private void addEnds() {
     JsonNode done = JobRecord.endedValue(JobPhase.DONE, ACCEPTED_AT);
     JsonNode cancelled = JobRecord.endedValue(JobPhase.CANCELLED, ACCEPTED_AT);
-    add("ended-done", Keys.ended(JOB), done);
-    add("ended-cancelled", Keys.ended(JOB), cancelled);
+    add("ended-done", StoreKeys.ended(JOB), done);
+    add("ended-cancelled", StoreKeys.ended(JOB), cancelled);
     // As builds before chains stored it.
     ObjectNode older = done.deepCopy();
     older.remove("at");
-    add("ended-without-time", Keys.ended(JOB), older);
+    add("ended-without-time", StoreKeys.ended(JOB), older);
   }
 
   private void addProgress() {
-    Part first = Part.chunk(0);
-    add("progress-none", Keys.progress(JOB, first), job(Awaits.NOTHING).progress(first));
-    Job job = startedJob(Awaits.NOTHING);
-    add("progress-chunk", Keys.progress(JOB, first), job.progress(first));
-    Part second = Part.chunk(1);
-    add("progress-second-chunk", Keys.progress(JOB, second), job.progress(second));
-    Part half = first.half(0);
-    add("progress-part", Keys.progress(JOB, half), job.progress(half));
-    Part quarter = first.half(1).half(1);
-    add("progress-part-of-part", Keys.progress(JOB, quarter), job.progress(quarter));
+    Chunk first = Chunk.chunk(0);
+    add(
+        "progress-none",
+        StoreKeys.progress(JOB, first),
+        job(JobDependencies.NOTHING).progress(first));
+    Job job = startedJob(JobDependencies.NOTHING);
+    add("progress-chunk", StoreKeys.progress(JOB, first), job.progress(first));
+    Chunk second = Chunk.chunk(1);
+    add("progress-second-chunk", StoreKeys.progress(JOB, second), job.progress(second));
+    Chunk half = first.half(0);
+    add("progress-part", StoreKeys.progress(JOB, half), job.progress(half));
+    Chunk quarter = first.half(1).half(1);
+    add("progress-part-of-part", StoreKeys.progress(JOB, quarter), job.progress(quarter));
     Job chained = startedJob(namedJobs());
-    add("progress-awaiting", Keys.progress(JOB, first), chained.progress(first));
-    add("progress-with-unknown-fields", Keys.progress(JOB, first), progressOfNewerBuild(job));
+    add("progress-awaiting", StoreKeys.progress(JOB, first), chained.progress(first));
+    add("progress-with-unknown-fields", StoreKeys.progress(JOB, first), progressOfNewerBuild(job));
   }
 
   private static JsonNode progressOfNewerBuild(Job job) {
-    ObjectNode stored = (ObjectNode) job.progress(Part.chunk(0));
+    ObjectNode stored = (ObjectNode) job.progress(Chunk.chunk(0));
     stored.put("new", 9);
     return stored;
   }
 
-  static Job job(Awaits awaits) {
+  static Job job(JobDependencies awaits) {
     return new Job(
         new JobRecord(shortSpec(), awaits, ACCEPTED_AT, false, new Revision(3), Optional.empty()));
   }
 
   /** Tasks done, at two blocks, and with a second attempt; in both chunks. */
-  private static Job startedJob(Awaits awaits) {
+  private static Job startedJob(JobDependencies awaits) {
     Job job = job(awaits);
     job.release(ACCEPTED_AT + 500, ACCEPTED_AT + 900);
     Attempt term = new Attempt(1L << 40);
@@ -181,41 +187,41 @@
     for (int index : new int[] {3, 4, 10, 251, 498, 501}) {
       job.delegate(index, BLOCK, ZONE, term);
     }
-    job.delegate(11, new BlockId("b-1"), new ZoneId("b"), term);
-    job.taskReturned(job.delegate(12, BLOCK, ZONE, term), Optional.<SteadyTime>empty());
+    job.delegate(11, new ShardId("b-1"), new ZoneId("b"), term);
+    job.taskReturned(job.delegate(12, BLOCK, ZONE, term), Optional.<MonotonicTime>empty());
     job.delegate(12, BLOCK, ZONE, term);
     return job;
   }
 
   private void addLog() {
-    Part first = Part.chunk(0);
-    Part part = first.half(1);
-    Job job = startedJob(Awaits.NOTHING);
-    List<Segment.Entry> entries =
+    Chunk first = Chunk.chunk(0);
+    Chunk part = first.half(1);
+    Job job = startedJob(JobDependencies.NOTHING);
+    List<LogSegment.Entry> entries =
         List.of(
-            Segment.Entry.of(JOB, first, job.progress(first)),
-            Segment.Entry.of(new JobId("run-2"), part, job.progress(part)));
-    add("log-segment", Keys.segment(17), Segment.write(entries));
-    add("log-segment-without-entries", Keys.segment(0), Segment.write(List.of()));
+            LogSegment.Entry.of(JOB, first, job.progress(first)),
+            LogSegment.Entry.of(new JobId("run-2"), part, job.progress(part)));
+    add("log-segment", StoreKeys.segment(17), LogSegment.write(entries));
+    add("log-segment-without-entries", StoreKeys.segment(0), LogSegment.write(List.of()));
   }
 
   private void addOthers() {
-    Rental rental =
-        new Rental(
+    ProvisioningRequest rental =
+        new ProvisioningRequest(
             "r-417-1",
             new MachineTypeId("g8"),
             ZONE,
             true,
             12,
-            new SteadyTime(0),
-            Rental.State.PLANNED);
-    add("rental", Keys.rental(rental.name()), rental.write());
+            new MonotonicTime(0),
+            ProvisioningRequest.State.PLANNED);
+    add("rental", StoreKeys.rental(rental.name()), rental.write());
     List<JobId> awaited = namedJobs().named();
-    add("awaited-list", Keys.awaited(JOB, DIGEST, 1), Awaits.list(awaited));
+    add("awaited-list", StoreKeys.awaited(JOB, DIGEST, 1), JobDependencies.list(awaited));
   }
 
   /** The records as a reader of the store gets them. */
-  static Item item(String key, String value) throws BadMessage {
+  static Item item(String key, String value) throws MalformedMessageException {
     return new Item(key, Json.parseObject(value), new Revision(9));
   }
 }
--- a/src/test/java/org/mulleinshift/bookkeeping/StoredRecordsTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordsTest.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.model;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.mulleinshift.protocol.BadMessage;
-import org.mulleinshift.protocol.BlockId;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.Json;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StateCodec.Item;
+import org.mulleinshift.protocol.ShardId;
+import org.mulleinshift.protocol.StoreCodec.Item;
 import org.mulleinshift.protocol.ZoneId;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 
 /** What another build stored: kept where this one can carry it, left alone where it can't. */
 class StoredRecordsTest {
@@ -28,7 +28,7 @@
        "cpus":2.0,"cards":0.0,"ram_gb":4.0,"bundle":"img-1","pull_gb":0.0,"same_place":false,
        "spread":false,"loaner":true,"guess_s":10.0,"snapshot_s":0.0,"flush_s":0.0%s}""";
 
-  private static JsonNode job(String inSpec, String beside) throws BadMessage {
+  private static JsonNode job(String inSpec, String beside) throws MalformedMessageException {
     return Json.parseObject(
         "{\"spec\":" + SPEC.formatted(inSpec) + ",\"at\":5,\"cancelled\":false" + beside + "}");
   }
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void unknownFieldsSurviveACancellation() throws BadMessage {
+  void unknownFieldsSurviveACancellation() throws MalformedMessageException {
     JsonNode stored =
         job(",\"colour\":\"red\",\"yard\":null", ",\"format\":2,\"more\":{\"x\":[1]}");
     ObjectNode expected = stored.deepCopy();
@@ -50,14 +50,14 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"at", "cancelled", "spec"})
-  void whatIsMissingIsNoDefault(String field) throws BadMessage {
+  void whatIsMissingIsNoDefault(String field) throws MalformedMessageException {
     ObjectNode stored = (ObjectNode) job("", "");
     stored.remove(field);
     assertTrue(read(stored).isEmpty());
   }
 
   @Test
-  void anUnreadableJobStillCountsAgainstItsTeam() throws BadMessage {
+  void anUnreadableJobStillCountsAgainstItsTeam() throws MalformedMessageException {
     ObjectNode stored = (ObjectNode) job("", "");
     ((ObjectNode) stored.get("spec")).put("urgency", "solar");
     assertTrue(read(stored).isEmpty());
@@ -67,13 +67,13 @@
   }
 
   @Test
-  void progressKeepsWhatItDoesNotKnow() throws BadMessage {
+  void progressKeepsWhatItDoesNotKnow() throws MalformedMessageException {
     Job job = new Job(read(job("", "")).get());
     JsonNode stored =
         Json.parseObject(
             "{\"done\":\"0-2\",\"at\":[{\"b\":\"a-0\",\"n\":7,\"r\":\"3-4\"}],\"new\":9}");
-    job.load(Part.chunk(0), stored, block -> new ZoneId("a"));
-    assertEquals(Json.write(stored), Json.write(job.progress(Part.chunk(0))));
+    job.load(Chunk.chunk(0), stored, block -> new ZoneId("a"));
+    assertEquals(Json.write(stored), Json.write(job.progress(Chunk.chunk(0))));
   }
 
   @ParameterizedTest
@@ -88,18 +88,20 @@
         "{\"done\":\"0\",\"at\":[{\"b\":\"a-0\",\"n\":7,\"r\":\"1\",\"since\":4}]}",
         "{\"done\":\"0\",\"at\":[{\"b\":\"a-0\",\"n\":-7,\"r\":\"1\"}]}"
       })
-  void ofProgressThatCantBeReadNothingIsTaken(String stored) throws BadMessage {
+  void ofProgressThatCantBeReadNothingIsTaken(String stored) throws MalformedMessageException {
     Job job = new Job(read(job("", "")).get());
     JsonNode value = Json.parseObject(stored);
-    assertThrows(BadMessage.class, () -> job.load(Part.chunk(0), value, block -> new ZoneId("a")));
+    assertThrows(
+        MalformedMessageException.class,
+        () -> job.load(Chunk.chunk(0), value, block -> new ZoneId("a")));
     assertEquals(8, job.waitingCount());
     assertEquals(0, job.doneCount());
   }
 
   /** Builds before chains look for {@code at} beside {@code spec}, and set aside what lacks it. */
   @Test
-  void aChainedRecordIsNothingToOlderBuilds() throws BadMessage {
-    Awaits awaits = Awaits.of(List.of(new JobId("run-7"), new JobId("run-8")));
+  void aChainedRecordIsNothingToOlderBuilds() throws MalformedMessageException {
+    JobDependencies awaits = JobDependencies.of(List.of(new JobId("run-7"), new JobId("run-8")));
     JsonNode chained = JobRecord.value(read(job("", "")).get().spec(), awaits, 5, false);
     assertTrue(chained.path("at").isMissingNode());
     JobRecord record = read(chained).get();
@@ -121,14 +123,14 @@
         "{\"at\":5,\"lists\":0,\"digest\":\"d\"}",
         "{\"at\":5,\"lists\":2}"
       })
-  void aChainThatCantBeReadIsNoJobWithoutOne(String chain) throws BadMessage {
+  void aChainThatCantBeReadIsNoJobWithoutOne(String chain) throws MalformedMessageException {
     ObjectNode stored = (ObjectNode) job("", "");
     stored.set("chain", Json.parseObject(chain));
     assertTrue(read(stored).isEmpty());
   }
 
   @Test
-  void anUnknownEndIsNoEnd() throws BadMessage {
+  void anUnknownEndIsNoEnd() throws MalformedMessageException {
     JsonNode archived = Json.parseObject("{\"phase\":\"archived\"}");
     JsonNode running = Json.parseObject("{\"phase\":\"running\"}");
     assertTrue(JobRecord.endedPhase(new Item("t/run-1", archived, new Revision(1))).isEmpty());
@@ -136,16 +138,16 @@
   }
 
   @Test
-  void aBlockKeepsWhatItDoesNotKnow() throws BadMessage {
-    ControlView view = new ControlView();
+  void aBlockKeepsWhatItDoesNotKnow() throws MalformedMessageException {
+    ClusterView view = new ClusterView();
     JsonNode stored =
         Json.parseObject(
             "{\"zone\":\"a\",\"last\":\"n-1\",\"tier\":2,"
                 + "\"machines\":{\"i-1\":{\"type\":\"g8\",\"spot\":true,\"up\":false}}}");
     view.apply("c/b/a-0", Optional.of(new Item("c/b/a-0", stored, new Revision(4))));
-    ControlView.BlockRecord record = view.blocks().get(new BlockId("a-0"));
+    ClusterView.BlockRecord record = view.blocks().get(new ShardId("a-0"));
     JsonNode written =
-        ControlView.BlockRecord.write(record.zone(), record.machines(), record.lastHolder());
+        ClusterView.BlockRecord.write(record.zone(), record.machines(), record.lastHolder());
     record.beyond().get().restore(written);
     assertEquals(stored.get("tier"), written.get("tier"));
     assertEquals(stored.size(), written.size());
@@ -153,26 +155,27 @@
     other.put("machines", "elsewhere");
     view.apply("c/b/a-0", Optional.of(new Item("c/b/a-0", other, new Revision(5))));
     assertTrue(view.blocks().isEmpty());
-    assertTrue(view.unreadableBlocks().contains(new BlockId("a-0")));
+    assertTrue(view.unreadableBlocks().contains(new ShardId("a-0")));
     view.apply("c/b/a-0", Optional.of(new Item("c/b/a-0", stored, new Revision(6))));
     assertTrue(view.unreadableBlocks().isEmpty());
   }
 
   @Test
-  void aGrantThatCantBeReadIsSomebodysGrant() throws BadMessage {
-    ControlView view = new ControlView();
+  void aGrantThatCantBeReadIsSomebodysGrant() throws MalformedMessageException {
+    ClusterView view = new ClusterView();
     JsonNode stored = Json.parseObject("{\"holders\":[\"n-1\"]}");
     view.apply("c/g/a-0", Optional.of(new Item("c/g/a-0", stored, new Revision(4))));
     assertTrue(view.grants().isEmpty());
-    assertTrue(view.unreadableGrants().contains(new BlockId("a-0")));
+    assertTrue(view.unreadableGrants().contains(new ShardId("a-0")));
     view.apply("c/g/a-0", Optional.empty());
     assertTrue(view.unreadableGrants().isEmpty());
   }
 
   @Test
-  void aRentalThatCantBeReadIsNoRental() throws BadMessage {
+  void aRentalThatCantBeReadIsNoRental() throws MalformedMessageException {
     JsonNode stored = Json.parseObject("{\"type\":\"g8\",\"zone\":\"a\",\"spot\":true}");
-    SteadyTime now = new SteadyTime(0);
-    assertThrows(BadMessage.class, () -> Rental.read("r-1-1", stored, now));
+    MonotonicTime now = new MonotonicTime(0);
+    assertThrows(
+        MalformedMessageException.class, () -> ProvisioningRequest.read("r-1-1", stored, now));
   }
 }
