--- a/src/test/java/org/mulleinshift/bookkeeping/ProgressLogTest.java
+++ b/src/test/java/org/mulleinshift/progress/ProgressLogTest.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.bookkeeping;
+package org.mulleinshift.progress;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,11 +15,12 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import org.mulleinshift.protocol.BadMessage;
+import org.mulleinshift.model.Chunk;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.Json;
-import org.mulleinshift.protocol.StateCodec;
-import org.mulleinshift.protocol.StateCodec.Write;
+import org.mulleinshift.protocol.MalformedMessageException;
+import org.mulleinshift.protocol.StoreCodec;
+import org.mulleinshift.protocol.StoreCodec.Write;
 
 /** The accounts of the log: what may be overwritten, and what is certain. */
 class ProgressLogTest {
@@ -47,7 +48,7 @@
       return keys.containsKey(key) ? keys.get(key).revision() : 0;
     }
 
-    void apply(Transaction transaction) throws BadMessage {
+    void apply(Transaction transaction) throws MalformedMessageException {
       for (Map.Entry<String, Integer> guard : transaction.guards().entrySet()) {
         if (version(guard.getKey()) != guard.getValue()) {
           return;
@@ -60,11 +61,11 @@
     }
 
     /** Of each part the image with the highest revision, as a new leader reads it. */
-    Map<ProgressLog.Image, String> newest() throws BadMessage {
+    Map<ProgressLog.Image, String> newest() throws MalformedMessageException {
       Map<ProgressLog.Image, Integer> at = new HashMap<>();
       Map<ProgressLog.Image, String> found = new HashMap<>();
       for (Stored stored : keys.values()) {
-        for (Segment.Entry entry : Segment.read(stored.value())) {
+        for (LogSegment.Entry entry : LogSegment.read(stored.value())) {
           ProgressLog.Image image = new ProgressLog.Image(entry.job(), entry.part());
           if (stored.revision() > at.getOrDefault(image, 0)) {
             at.put(image, stored.revision());
@@ -76,12 +77,12 @@
     }
   }
 
-  private static Segment.Entry entry(int job, String done) {
+  private static LogSegment.Entry entry(int job, String done) {
     JsonNode progress = Json.object().put("done", done);
-    return Segment.Entry.of(new JobId("run-" + job), Part.chunk(0), progress);
+    return LogSegment.Entry.of(new JobId("run-" + job), Chunk.chunk(0), progress);
   }
 
-  private static ProgressLog.Image image(Segment.Entry entry) {
+  private static ProgressLog.Image image(LogSegment.Entry entry) {
     return new ProgressLog.Image(entry.job(), entry.part());
   }
 
@@ -90,13 +91,13 @@
    * order: what was told as stored is what a new leader reads.
    */
   @Test
-  void whatIsStoredIsReadAfterLateWrites() throws BadMessage {
+  void whatIsStoredIsReadAfterLateWrites() throws MalformedMessageException {
     for (int seed = 1; seed <= 30; seed++) {
       playLateWrites(seed);
     }
   }
 
-  private static void playLateWrites(int seed) throws BadMessage {
+  private static void playLateWrites(int seed) throws MalformedMessageException {
     Random random = new Random(seed);
     Store store = new Store();
     ProgressLog log = new ProgressLog(VALUE_BYTES);
@@ -118,9 +119,9 @@
         log.release(new JobId("run-" + job));
       }
       ProgressLog.Batch batch = log.begin(2);
-      List<Segment.Entry> taken = new ArrayList<>();
+      List<LogSegment.Entry> taken = new ArrayList<>();
       for (Map.Entry<Integer, String> change : pending.entrySet()) {
-        Segment.Entry entry = entry(change.getKey(), change.getValue());
+        LogSegment.Entry entry = entry(change.getKey(), change.getValue());
         if (batch.add(entry)) {
           taken.add(entry);
         }
@@ -180,7 +181,7 @@
     for (int step = 0; step < 10 && !log.toCompact().isEmpty(); step++) {
       ProgressLog.Batch batch = log.begin(1);
       for (ProgressLog.Image image : log.toCompact()) {
-        assertTrue(batch.add(Segment.Entry.of(image.job(), image.part(), Json.object())));
+        assertTrue(batch.add(LogSegment.Entry.of(image.job(), image.part(), Json.object())));
         moved++;
       }
       log.stored(batch);
@@ -229,21 +230,21 @@
   /** What is counted for a segment is no less than what it takes. */
   @Test
   void entriesAreNotLongerThanCounted() {
-    List<Segment.Entry> entries = new ArrayList<>();
-    int counted = VALUE_BYTES - Segment.room(VALUE_BYTES);
+    List<LogSegment.Entry> entries = new ArrayList<>();
+    int counted = VALUE_BYTES - LogSegment.room(VALUE_BYTES);
     for (int job = 0; job < 50; job++) {
       entries.add(entry(job * 7919, "0-" + job));
       counted += entries.get(job).bytes();
     }
-    assertTrue(StateCodec.bytes(Segment.write(entries)) <= counted);
+    assertTrue(StoreCodec.bytes(LogSegment.write(entries)) <= counted);
   }
 
   /** Anything that a segment may hold is read as it was written, or refused as a whole. */
   @Test
-  void damagedSegmentsAreRefused() throws BadMessage {
-    List<Segment.Entry> entries = List.of(entry(1, "0-4"), entry(2, "7"));
-    JsonNode value = Segment.write(entries);
-    assertEquals(entries, Segment.read(value));
+  void damagedSegmentsAreRefused() throws MalformedMessageException {
+    List<LogSegment.Entry> entries = List.of(entry(1, "0-4"), entry(2, "7"));
+    JsonNode value = LogSegment.write(entries);
+    assertEquals(entries, LogSegment.read(value));
     String text = Json.write(value);
     Random random = new Random(5);
     int refused = 0;
@@ -253,15 +254,17 @@
         damaged.setCharAt(random.nextInt(damaged.length()), (char) (32 + random.nextInt(95)));
       }
       try {
-        List<Segment.Entry> read = Segment.read(Json.parseObject(damaged.toString()));
-        assertEquals(read, Segment.read(Segment.write(read)));
-      } catch (BadMessage e) {
+        List<LogSegment.Entry> read = LogSegment.read(Json.parseObject(damaged.toString()));
+        assertEquals(read, LogSegment.read(LogSegment.write(read)));
+      } catch (MalformedMessageException e) {
         refused++;
       }
     }
     assertTrue(refused > 10_000, "refused " + refused);
-    assertThrows(BadMessage.class, () -> Segment.read(Json.parseObject("{\"entries\":[]}")));
-    assertEquals(List.of(), Segment.jobsNamed(Json.parseObject("{\"entries\":[]}")).get());
-    assertTrue(Segment.jobsNamed(Json.parseObject("{\"form\":2}")).isEmpty());
+    assertThrows(
+        MalformedMessageException.class,
+        () -> LogSegment.read(Json.parseObject("{\"entries\":[]}")));
+    assertEquals(List.of(), LogSegment.jobsNamed(Json.parseObject("{\"entries\":[]}")).get());
+    assertTrue(LogSegment.jobsNamed(Json.parseObject("{\"form\":2}")).isEmpty());
   }
 }
--- a/src/test/java/org/mulleinshift/protocol/CloudMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/CloudMessageGoldenTest.java
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void theCatalogIsReadAsItWasMeant() throws BadMessage {
+  void theCatalogIsReadAsItWasMeant() throws MalformedMessageException {
     MachineType expected =
         new MachineType(
             TYPE,
@@ -108,12 +108,12 @@
   }
 
   @Test
-  void rentedMachinesAreReadAsTheyWereMeant() throws BadMessage {
+  void rentedMachinesAreReadAsTheyWereMeant() throws MalformedMessageException {
     assertEquals(MACHINES, CloudCodec.parseRented(GoldenFile.text(file("rented"))));
   }
 
   @Test
-  void theMachineListIsReadAsItWasMeant() throws BadMessage {
+  void theMachineListIsReadAsItWasMeant() throws MalformedMessageException {
     List<CloudMachine> expected =
         List.of(
             machine("i-booting", false, Phase.BOOTING),
--- a/src/test/java/org/mulleinshift/protocol/JobMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/JobMessageGoldenTest.java
@@ -49,7 +49,7 @@
 
   @ParameterizedTest
   @MethodSource("submissions")
-  void submissionsAreReadAsTheyWereMeant(String name) throws BadMessage {
+  void submissionsAreReadAsTheyWereMeant(String name) throws MalformedMessageException {
     JsonNode submission = Json.parseObject(GoldenFile.text(file(name)));
     assertEquals(specs().get(name), JobCodec.parse(submission));
     assertEquals(List.of(), JobCodec.awaits(submission));
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void aSubmissionThatAwaitsJobsIsReadAsItWasMeant() throws BadMessage {
+  void aSubmissionThatAwaitsJobsIsReadAsItWasMeant() throws MalformedMessageException {
     JsonNode submission = Json.parseObject(GoldenFile.text(file("submission-awaiting")));
     assertEquals(JobSpecSamples.withoutOptionalFields(JOB, TASKS), JobCodec.parse(submission));
     assertEquals(List.of(new JobId("run-7"), new JobId("run-8")), JobCodec.awaits(submission));
--- a/src/test/java/org/mulleinshift/protocol/PeerFrameGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/PeerFrameGoldenTest.java
@@ -42,7 +42,7 @@
 
   @ParameterizedTest
   @MethodSource("names")
-  void isDecodedFromTheGoldenBytes(String name) throws BadMessage {
+  void isDecodedFromTheGoldenBytes(String name) throws MalformedMessageException {
     PeerFrame frame = codec.read(GoldenFile.bytes(file(name)));
     assertEquals(SENDER, frame.getSender());
     assertEquals(PeerFrameSamples.all().get(name), frame.getBodies());
@@ -50,7 +50,7 @@
 
   @ParameterizedTest
   @MethodSource("names")
-  void isWrittenBackByteForByte(String name) throws BadMessage {
+  void isWrittenBackByteForByte(String name) throws MalformedMessageException {
     byte[] golden = GoldenFile.bytes(file(name));
     PeerFrame frame = codec.read(golden);
     assertArrayEquals(golden, codec.write(new NodeId(frame.getSender()), frame.getBodies()));
--- a/src/test/java/org/mulleinshift/protocol/PeerFrameSamples.java
+++ b/src/test/java/org/mulleinshift/protocol/PeerFrameSamples.java
@@ -4,28 +4,28 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.mulleinshift.protocol.peer.Advice;
 import org.mulleinshift.protocol.peer.AssignedJob;
 import org.mulleinshift.protocol.peer.AssignedTask;
-import org.mulleinshift.protocol.peer.Assignment;
-import org.mulleinshift.protocol.peer.BlockReport;
-import org.mulleinshift.protocol.peer.BootsSeen;
-import org.mulleinshift.protocol.peer.ClassRatio;
+import org.mulleinshift.protocol.peer.BootTimeSamples;
 import org.mulleinshift.protocol.peer.Heartbeat;
-import org.mulleinshift.protocol.peer.JobCount;
-import org.mulleinshift.protocol.peer.JobDigest;
+import org.mulleinshift.protocol.peer.JobSummary;
+import org.mulleinshift.protocol.peer.JobTaskCounts;
 import org.mulleinshift.protocol.peer.KeyChange;
-import org.mulleinshift.protocol.peer.Knock;
-import org.mulleinshift.protocol.peer.MachineReport;
-import org.mulleinshift.protocol.peer.PeerHeard;
-import org.mulleinshift.protocol.peer.ProofAnswer;
-import org.mulleinshift.protocol.peer.ProofRequest;
-import org.mulleinshift.protocol.peer.Relay;
+import org.mulleinshift.protocol.peer.LeadershipTransfer;
+import org.mulleinshift.protocol.peer.LearnedEstimates;
+import org.mulleinshift.protocol.peer.LeaseRenewalRequest;
+import org.mulleinshift.protocol.peer.LeaseRenewalResponse;
+import org.mulleinshift.protocol.peer.MachineStatus;
+import org.mulleinshift.protocol.peer.OwnerSuspicion;
+import org.mulleinshift.protocol.peer.PeerLastHeard;
+import org.mulleinshift.protocol.peer.RelayedFrame;
 import org.mulleinshift.protocol.peer.RemovedTask;
-import org.mulleinshift.protocol.peer.ReportsSeen;
-import org.mulleinshift.protocol.peer.Resignation;
-import org.mulleinshift.protocol.peer.StrangerReport;
-import org.mulleinshift.protocol.peer.TaskReport;
+import org.mulleinshift.protocol.peer.RunTimeRatio;
+import org.mulleinshift.protocol.peer.ShardAssignment;
+import org.mulleinshift.protocol.peer.ShardStatus;
+import org.mulleinshift.protocol.peer.ShardStatusAck;
+import org.mulleinshift.protocol.peer.TaskStatus;
+import org.mulleinshift.protocol.peer.UnknownWorkerReport;
 
 /**
  * One frame body of each kind by the name of its golden file. Fields are set by name and hold
@@ -67,36 +67,36 @@
         .build();
   }
 
-  private static PeerHeard peerHeard(String node, long silentMillis) {
-    return PeerHeard.newBuilder().setNode(node).setSilentMs(silentMillis).build();
+  private static PeerLastHeard peerHeard(String node, long silentMillis) {
+    return PeerLastHeard.newBuilder().setNode(node).setSilentMs(silentMillis).build();
   }
 
-  private static Resignation resignation() {
-    return Resignation.newBuilder().setTerm(413).setHold(7).setSuccessor("n-3").build();
+  private static LeadershipTransfer resignation() {
+    return LeadershipTransfer.newBuilder().setTerm(413).setHold(7).setSuccessor("n-3").build();
   }
 
-  private static Relay relay() {
+  private static RelayedFrame relay() {
     ByteBuffer frame = ByteBuffer.wrap(new byte[] {0, 1, -1, 127, -128});
-    return Relay.newBuilder().setReceiver("n-4").setFrame(frame).build();
+    return RelayedFrame.newBuilder().setReceiver("n-4").setFrame(frame).build();
   }
 
-  private static Advice advice() {
-    ClassRatio ratio = ClassRatio.newBuilder().setName("train").setRatio(1.25).build();
-    BootsSeen boots =
-        BootsSeen.newBuilder().setMachineType("g8").setSeconds(List.of(44.5, 61.0)).build();
-    return Advice.newBuilder()
+  private static LearnedEstimates advice() {
+    RunTimeRatio ratio = RunTimeRatio.newBuilder().setName("train").setRatio(1.25).build();
+    BootTimeSamples boots =
+        BootTimeSamples.newBuilder().setMachineType("g8").setSeconds(List.of(44.5, 61.0)).build();
+    return LearnedEstimates.newBuilder()
         .setTerm(414)
         .setClasses(List.of(ratio))
         .setBoots(List.of(boots))
         .build();
   }
 
-  private static ProofRequest proofRequest() {
-    return ProofRequest.newBuilder().setId(5).setHold(8).setSince(430).build();
+  private static LeaseRenewalRequest proofRequest() {
+    return LeaseRenewalRequest.newBuilder().setId(5).setHold(8).setSince(430).build();
   }
 
-  private static ProofAnswer proofAnswer() {
-    return ProofAnswer.newBuilder()
+  private static LeaseRenewalResponse proofAnswer() {
+    return LeaseRenewalResponse.newBuilder()
         .setId(5)
         .setHold(8)
         .setOver(false)
@@ -112,8 +112,8 @@
     return KeyChange.newBuilder().setKey(key).setValue(value).setVersion(version).build();
   }
 
-  private static Assignment assignment() {
-    return Assignment.newBuilder()
+  private static ShardAssignment assignment() {
+    return ShardAssignment.newBuilder()
         .setLeaderTerm(415)
         .setBlock("a-0")
         .setGrant(416)
@@ -151,8 +151,8 @@
         .build();
   }
 
-  private static BlockReport blockReport() {
-    return BlockReport.newBuilder()
+  private static ShardStatus blockReport() {
+    return ShardStatus.newBuilder()
         .setBlock("a-1")
         .setGrant(417)
         .setBase(21)
@@ -164,8 +164,8 @@
         .build();
   }
 
-  private static MachineReport machineReport() {
-    return MachineReport.newBuilder()
+  private static MachineStatus machineReport() {
+    return MachineStatus.newBuilder()
         .setMachine("i-000005")
         .setPhase("CONFIRMED")
         .setSilence("QUIET")
@@ -174,8 +174,8 @@
         .build();
   }
 
-  private static TaskReport taskReport() {
-    return TaskReport.newBuilder()
+  private static TaskStatus taskReport() {
+    return TaskStatus.newBuilder()
         .setJob("run-9")
         .setIndex(12)
         .setAttempt(6)
@@ -185,8 +185,8 @@
         .build();
   }
 
-  private static ReportsSeen reportsSeen() {
-    return ReportsSeen.newBuilder()
+  private static ShardStatusAck reportsSeen() {
+    return ShardStatusAck.newBuilder()
         .setLeaderTerm(419)
         .setBlock("a-2")
         .setGrant(420)
@@ -194,8 +194,8 @@
         .build();
   }
 
-  private static StrangerReport strangerReport() {
-    return StrangerReport.newBuilder()
+  private static UnknownWorkerReport strangerReport() {
+    return UnknownWorkerReport.newBuilder()
         .setMachine("i-000007")
         .setAddress("10.1.0.7:9000")
         .setMachineType("g4")
@@ -204,16 +204,17 @@
         .build();
   }
 
-  private static Knock knock() {
-    return Knock.newBuilder()
+  private static OwnerSuspicion knock() {
+    return OwnerSuspicion.newBuilder()
         .setBlock("a-3")
         .setGrant(421)
         .setMachines(List.of("i-000008", "i-000009"))
         .build();
   }
 
-  private static JobDigest jobDigest() {
-    JobCount count = JobCount.newBuilder().setJob("run-10").setDone(3).setRunning(13).build();
-    return JobDigest.newBuilder().setCounts(List.of(count)).build();
+  private static JobSummary jobDigest() {
+    JobTaskCounts count =
+        JobTaskCounts.newBuilder().setJob("run-10").setDone(3).setRunning(13).build();
+    return JobSummary.newBuilder().setCounts(List.of(count)).build();
   }
 }
--- a/src/test/java/org/mulleinshift/protocol/StateMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/StoreMessageGoldenTest.java
@@ -15,17 +15,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.mulleinshift.GoldenFile;
-import org.mulleinshift.protocol.StateCodec.Change;
-import org.mulleinshift.protocol.StateCodec.Changes;
-import org.mulleinshift.protocol.StateCodec.Guard;
-import org.mulleinshift.protocol.StateCodec.Item;
-import org.mulleinshift.protocol.StateCodec.Range;
-import org.mulleinshift.protocol.StateCodec.Write;
+import org.mulleinshift.protocol.StoreCodec.Change;
+import org.mulleinshift.protocol.StoreCodec.Changes;
+import org.mulleinshift.protocol.StoreCodec.Guard;
+import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.Range;
+import org.mulleinshift.protocol.StoreCodec.Write;
 
 /** What the store is asked is written, and its answers are understood, as by an earlier build. */
-class StateMessageGoldenTest {
+class StoreMessageGoldenTest {
   private static final String DIRECTORY = "state/";
-  private static final HoldId HOLD = new HoldId(7);
+  private static final LeaseId HOLD = new LeaseId(7);
   private static final Revision REVISION = new Revision(433);
 
   private static String file(String name) {
@@ -39,10 +39,10 @@
         List.of(
             Write.put("a/b", value()), Write.put("c/n/n-1", value(), HOLD), Write.delete("c/d"));
     Map<String, String> messages = new LinkedHashMap<>();
-    messages.put("commit", StateCodec.commit(guards, writes));
-    messages.put("commit-comparing-only", StateCodec.commit(guards, List.of()));
-    messages.put("commit-without-guards", StateCodec.commit(List.of(), writes));
-    messages.put("lease-request", StateCodec.grant(Duration.ofSeconds(5)));
+    messages.put("commit", StoreCodec.commit(guards, writes));
+    messages.put("commit-comparing-only", StoreCodec.commit(guards, List.of()));
+    messages.put("commit-without-guards", StoreCodec.commit(List.of(), writes));
+    messages.put("lease-request", StoreCodec.grant(Duration.ofSeconds(5)));
     messages.put("lease", Json.write(Json.object().put("hold", 7)));
     messages.put("committed", Json.write(Json.object().put("epoch", 433)));
     messages.put("key", Json.write(row("a/b", 412).put("hold", 7)));
@@ -93,53 +93,53 @@
         DIRECTORY + "paths.txt",
         String.join(
             "\n",
-            StateCodec.COMMIT,
-            StateCodec.HOLDS,
-            StateCodec.keyPath("c/n/n-1"),
-            StateCodec.rangePath("a/", Optional.empty()),
-            StateCodec.rangePath("a/", Optional.of("a/run-1")),
-            StateCodec.watchPath("c/", REVISION, Duration.ofSeconds(10)),
-            StateCodec.renewPath(HOLD),
-            StateCodec.holdPath(HOLD)));
+            StoreCodec.COMMIT,
+            StoreCodec.HOLDS,
+            StoreCodec.keyPath("c/n/n-1"),
+            StoreCodec.rangePath("a/", Optional.empty()),
+            StoreCodec.rangePath("a/", Optional.of("a/run-1")),
+            StoreCodec.watchPath("c/", REVISION, Duration.ofSeconds(10)),
+            StoreCodec.renewPath(HOLD),
+            StoreCodec.holdPath(HOLD)));
   }
 
   @Test
-  void aLeaseIsReadAsItWasMeant() throws BadMessage {
-    assertEquals(HOLD, StateCodec.parseHold(GoldenFile.text(file("lease"))));
+  void aLeaseIsReadAsItWasMeant() throws MalformedMessageException {
+    assertEquals(HOLD, StoreCodec.parseHold(GoldenFile.text(file("lease"))));
   }
 
   @Test
-  void aRevisionIsReadAsItWasMeant() throws BadMessage {
-    assertEquals(REVISION, StateCodec.parseRevision(GoldenFile.text(file("committed"))));
+  void aRevisionIsReadAsItWasMeant() throws MalformedMessageException {
+    assertEquals(REVISION, StoreCodec.parseRevision(GoldenFile.text(file("committed"))));
   }
 
   @Test
-  void aKeyIsReadAsItWasMeant() throws BadMessage {
+  void aKeyIsReadAsItWasMeant() throws MalformedMessageException {
     Item expected = new Item("a/b", stored(), new Revision(412));
-    assertEquals(expected, StateCodec.parseItem(GoldenFile.text(file("key"))));
+    assertEquals(expected, StoreCodec.parseItem(GoldenFile.text(file("key"))));
   }
 
   @Test
-  void aPageOfKeysIsReadAsItWasMeant() throws BadMessage {
+  void aPageOfKeysIsReadAsItWasMeant() throws MalformedMessageException {
     List<Item> items =
         List.of(
             new Item("a/b", stored(), new Revision(412)),
             new Item("a/c", stored(), new Revision(413)));
     assertEquals(
-        new Range(items, true, REVISION), StateCodec.parseRange(GoldenFile.text(file("keys"))));
+        new Range(items, true, REVISION), StoreCodec.parseRange(GoldenFile.text(file("keys"))));
   }
 
   @Test
-  void changesAreReadAsTheyWereMeant() throws BadMessage {
+  void changesAreReadAsTheyWereMeant() throws MalformedMessageException {
     List<Change> expected =
         List.of(
             new Change("c/9", Optional.of(stored()), REVISION),
             new Change("c/d", Optional.empty(), new Revision(432)));
     assertEquals(
-        new Changes(expected, REVISION), StateCodec.parseChanges(GoldenFile.text(file("changes"))));
+        new Changes(expected, REVISION), StoreCodec.parseChanges(GoldenFile.text(file("changes"))));
   }
 
-  private static JsonNode stored() throws BadMessage {
+  private static JsonNode stored() throws MalformedMessageException {
     return Json.parseObject(Json.write(value()));
   }
 }
--- a/src/test/java/org/mulleinshift/protocol/WorkerMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/WorkerMessageGoldenTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.mulleinshift.GoldenFile;
-import org.mulleinshift.protocol.WorkerReport.Cause;
-import org.mulleinshift.protocol.WorkerReport.State;
+import org.mulleinshift.protocol.WorkerHeartbeat.Cause;
+import org.mulleinshift.protocol.WorkerHeartbeat.State;
 
 /** What workers report is understood, and what they are told is written, as by an earlier build. */
 class WorkerMessageGoldenTest {
@@ -79,33 +79,34 @@
   }
 
   @Test
-  void aReportOfAllTaskStatesIsReadAsItWasMeant() throws BadMessage {
-    WorkerReport report = WorkerCodec.parseReport(GoldenFile.text(REPORT));
+  void aReportOfAllTaskStatesIsReadAsItWasMeant() throws MalformedMessageException {
+    WorkerHeartbeat report = WorkerCodec.parseReport(GoldenFile.text(REPORT));
     assertEquals(expected(Optional.empty(), report.tasks()), report);
     assertEquals(REPORTED.size(), report.tasks().size());
     for (int i = 0; i < REPORTED.size(); i++) {
       Reported reported = REPORTED.get(i);
-      WorkerReport.Entry entry =
-          new WorkerReport.Entry(
+      WorkerHeartbeat.Entry entry =
+          new WorkerHeartbeat.Entry(
               new TaskId(JOB, i), new Attempt(100 + i), reported.state(), reported.why());
       assertEquals(entry, report.tasks().get(i));
     }
   }
 
   @Test
-  void aReportOfARecalledMachineIsReadAsItWasMeant() throws BadMessage {
-    WorkerReport report = WorkerCodec.parseReport(GoldenFile.text(RECALLED));
+  void aReportOfARecalledMachineIsReadAsItWasMeant() throws MalformedMessageException {
+    WorkerHeartbeat report = WorkerCodec.parseReport(GoldenFile.text(RECALLED));
     assertEquals(expected(Optional.of(Duration.ofMillis(27_500)), List.of()), report);
   }
 
-  private static WorkerReport expected(Optional<Duration> recall, List<WorkerReport.Entry> tasks) {
-    return new WorkerReport(
+  private static WorkerHeartbeat expected(
+      Optional<Duration> recall, List<WorkerHeartbeat.Entry> tasks) {
+    return new WorkerHeartbeat(
         new MachineId("i-000231"),
         "10.1.0.232:9000",
         new MachineTypeId("g8"),
         new ZoneId("a"),
         true,
-        new WorkerMoment(3, 88),
+        new HeartbeatVersion(3, 88),
         TOKEN,
         recall,
         tasks);
@@ -113,12 +114,12 @@
 
   private static Map<String, String> messages() {
     TaskId task = new TaskId(JOB, 4);
-    List<Order> orders =
+    List<WorkerCommand> orders =
         List.of(
-            new Order.Run(task, new Attempt(2)),
-            new Order.Halt(new TaskId(JOB, 5), new Attempt(3), Duration.ofMillis(10_250)),
-            new Order.Halt(new TaskId(JOB, 6), new Attempt(4), Duration.ZERO),
-            new Order.Forget(new TaskId(JOB, 7), new Attempt(1L << 40)));
+            new WorkerCommand.Run(task, new Attempt(2)),
+            new WorkerCommand.Halt(new TaskId(JOB, 5), new Attempt(3), Duration.ofMillis(10_250)),
+            new WorkerCommand.Halt(new TaskId(JOB, 6), new Attempt(4), Duration.ZERO),
+            new WorkerCommand.Forget(new TaskId(JOB, 7), new Attempt(1L << 40)));
     Map<String, String> messages = new LinkedHashMap<>();
     messages.put("response", WorkerCodec.response(TOKEN, orders));
     messages.put("response-without-orders", WorkerCodec.response(TOKEN, List.of()));
--- a/src/test/java/org/mulleinshift/coordination/LongQueueTest.java
+++ b/src/test/java/org/mulleinshift/scheduling/LongQueueTest.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,11 +9,10 @@
 import java.util.OptionalDouble;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.mulleinshift.bookkeeping.Delegation;
-import org.mulleinshift.bookkeeping.Job;
-import org.mulleinshift.bookkeeping.JobRecord;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.model.JobRecord;
+import org.mulleinshift.model.TaskAssignment;
 import org.mulleinshift.protocol.Attempt;
-import org.mulleinshift.protocol.BlockId;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.JobKind;
 import org.mulleinshift.protocol.JobSpec;
@@ -22,13 +21,14 @@
 import org.mulleinshift.protocol.Priority;
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.Revision;
+import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.TeamId;
 import org.mulleinshift.protocol.ZoneId;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.transport.MonotonicTime;
 
 /** What a cycle looks at while many jobs wait in vain does not grow with them. */
 final class LongQueueTest {
-  private static final SteadyTime NOW = new SteadyTime(100_000_000_000L);
+  private static final MonotonicTime NOW = new MonotonicTime(100_000_000_000L);
   private static final ZoneId ZONE = new ZoneId("a");
   private static final int RUNNING = 2000;
 
@@ -60,8 +60,8 @@
   private static Job running(int number, double sinceSeconds) {
     Job job = job(number, Priority.NORMAL, RUNNING);
     for (int index = 0; index < RUNNING; index++) {
-      Delegation delegation = job.delegate(index, new BlockId("a-0"), ZONE, new Attempt(1));
-      SteadyTime since = new SteadyTime(NOW.nanos() - (long) (sinceSeconds * 1e9));
+      TaskAssignment delegation = job.delegate(index, new ShardId("a-0"), ZONE, new Attempt(1));
+      MonotonicTime since = new MonotonicTime(NOW.nanos() - (long) (sinceSeconds * 1e9));
       delegation.running(new MachineId("i-" + index), since);
     }
     return job;
@@ -90,8 +90,8 @@
     int stopped = 0;
     for (Job job : order.subList(0, waiting)) {
       if (round.mayAsk("priority")) {
-        StopRules.ByPriority rule = new StopRules.ByPriority(job);
-        List<Delegation> victims =
+        PreemptionPolicies.ByPriority rule = new PreemptionPolicies.ByPriority(job);
+        List<TaskAssignment> victims =
             preemption.victims(
                 job,
                 10,
@@ -101,7 +101,7 @@
                   looks[1]++;
                   return true;
                 });
-        victims.forEach(Delegation::requestStop);
+        victims.forEach(TaskAssignment::requestStop);
         stopped += victims.size();
       }
     }
@@ -127,6 +127,7 @@
             NOW);
     assertEquals(
         List.of(),
-        preemption.victims(waiting, 10, round, new StopRules.ByPriority(waiting), c -> true));
+        preemption.victims(
+            waiting, 10, round, new PreemptionPolicies.ByPriority(waiting), c -> true));
   }
 }
--- a/src/test/java/org/mulleinshift/coordination/AnswersInFlightTest.java
+++ b/src/test/java/org/mulleinshift/sharding/CommandsInFlightTest.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.sharding;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,29 +13,30 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import org.mulleinshift.bookkeeping.ControlView.BlockRecord;
-import org.mulleinshift.bookkeeping.ControlView.MachineRecord;
-import org.mulleinshift.coordination.membership.VirtualLoop;
-import org.mulleinshift.protocol.BadMessage;
-import org.mulleinshift.protocol.BlockId;
+import org.mulleinshift.membership.VirtualEventLoop;
+import org.mulleinshift.model.ClusterView.BlockRecord;
+import org.mulleinshift.model.ClusterView.MachineRecord;
+import org.mulleinshift.placement.MachineTypeCatalog;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.Json;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.MachineTypeId;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.Revision;
+import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.WorkerCodec;
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.protocol.peer.AssignedJob;
 import org.mulleinshift.protocol.peer.AssignedTask;
-import org.mulleinshift.protocol.peer.Assignment;
+import org.mulleinshift.protocol.peer.ShardAssignment;
 import org.mulleinshift.settings.PlatformSettings;
-import org.mulleinshift.transport.HttpReply;
+import org.mulleinshift.transport.HttpResponse;
 
 /** A direct order overtakes the answer to a report. */
-final class AnswersInFlightTest {
+final class CommandsInFlightTest {
   private static final InetSocketAddress CLOUD = new InetSocketAddress("10.2.0.2", 8443);
   private static final Revision GRANT = new Revision(7);
-  private static final long TOKEN = HeldMachine.firstToken(GRANT).value();
+  private static final long TOKEN = OwnedMachine.firstToken(GRANT).value();
   private static final JobId JOB = new JobId("run-1");
   private static final String CATALOG =
       "{\"builds\":[{\"label\":\"small\",\"cpus\":8,\"cards\":0,\"ram_gb\":64,\"local_gb\":100,"
@@ -43,24 +44,24 @@
           + "\"yards\":[\"a\"]}]}";
 
   /** A direct command that nobody has answered yet. */
-  private record Direct(String body, Consumer<HttpReply> reply) {}
+  private record Direct(String body, Consumer<HttpResponse> reply) {}
 
-  private final VirtualLoop loop = new VirtualLoop();
+  private final VirtualEventLoop loop = new VirtualEventLoop();
   private final List<Direct> directs = new ArrayList<>();
   private final Set<JobId> cancelled = new HashSet<>();
-  private final BlockHolder holder;
+  private final ShardOwner holder;
 
-  AnswersInFlightTest() {
-    Catalog catalog =
-        new Catalog(
+  CommandsInFlightTest() {
+    MachineTypeCatalog catalog =
+        new MachineTypeCatalog(
             loop,
-            (to, request, reply) -> reply.accept(new HttpReply(200, CATALOG)),
+            (to, request, reply) -> reply.accept(new HttpResponse(200, CATALOG)),
             CLOUD,
             () -> {});
     catalog.start();
     holder =
-        new BlockHolder(
-            new BlockHolder.Surroundings(
+        new ShardOwner(
+            new ShardOwner.Surroundings(
                 loop,
                 (to, request, reply) -> directs.add(new Direct(request.body().get(), reply)),
                 catalog,
@@ -69,7 +70,7 @@
                 Duration.ofSeconds(14),
                 cancelled::contains,
                 () -> {}),
-            new BlockId("a-0"),
+            new ShardId("a-0"),
             GRANT,
             () -> true);
     MachineRecord machine = new MachineRecord(new MachineTypeId("small"), false, true);
@@ -93,7 +94,7 @@
         + "]}";
   }
 
-  private String answerTo(int tick, long token, String tasks) throws BadMessage {
+  private String answerTo(int tick, long token, String tasks) throws MalformedMessageException {
     return holder.onReport(WorkerCodec.parseReport(report(tick, token, tasks))).orElseThrow();
   }
 
@@ -103,16 +104,16 @@
         new AssignedJob(
             JOB.value(), 1.0, 0.0, 1.0, "image", 1.0, 0.0, List.of(), true, 0, List.of(task));
     holder.onAssignment(
-        new Assignment(
+        new ShardAssignment(
             3L, "a-0", GRANT.value(), version - 1, version, List.of(), List.of(job), List.of()));
   }
 
-  private static long token(String body) throws BadMessage {
+  private static long token(String body) throws MalformedMessageException {
     return Json.count(Json.parseObject(body), "baton", 0, Long.MAX_VALUE);
   }
 
   @Test
-  void stopOfTaskThatAnAnswerMayStillStartGoesUnderHigherToken() throws BadMessage {
+  void stopOfTaskThatAnAnswerMayStillStartGoesUnderHigherToken() throws MalformedMessageException {
     answerTo(1, 0, "");
     answerTo(2, TOKEN, "");
     assign(1, 0);
@@ -126,7 +127,7 @@
     cancelled.add(JOB);
     holder.onCancelled(JOB);
     // Carried out before the answer to the report is there: the worker doesn't know the second yet.
-    directs.get(0).reply().accept(new HttpReply(200, report(4, TOKEN, fetching)));
+    directs.get(0).reply().accept(new HttpResponse(200, report(4, TOKEN, fetching)));
 
     String stop = directs.get(directs.size() - 1).body();
     assertTrue(stop.contains("halt") && stop.contains("run-1/1"), stop);
--- a/src/test/java/org/mulleinshift/coordination/PeerPhaseGoldenTest.java
+++ b/src/test/java/org/mulleinshift/sharding/PeerPhaseGoldenTest.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.coordination;
+package org.mulleinshift.sharding;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,53 +11,53 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.mulleinshift.GoldenFile;
-import org.mulleinshift.bookkeeping.ControlView.MachineRecord;
-import org.mulleinshift.coordination.membership.Links;
-import org.mulleinshift.coordination.membership.WorkerLink;
+import org.mulleinshift.membership.PeerFailureDetector;
+import org.mulleinshift.membership.WorkerReachability;
+import org.mulleinshift.model.ClusterView.MachineRecord;
 import org.mulleinshift.protocol.Attempt;
-import org.mulleinshift.protocol.BadMessage;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.MachineTypeId;
+import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.PeerCodec;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.TaskId;
-import org.mulleinshift.protocol.WorkerReport;
-import org.mulleinshift.protocol.peer.BlockReport;
+import org.mulleinshift.protocol.WorkerHeartbeat;
 import org.mulleinshift.protocol.peer.Heartbeat;
-import org.mulleinshift.protocol.peer.MachineReport;
-import org.mulleinshift.protocol.peer.TaskReport;
-import org.mulleinshift.transport.SteadyTime;
+import org.mulleinshift.protocol.peer.MachineStatus;
+import org.mulleinshift.protocol.peer.ShardStatus;
+import org.mulleinshift.protocol.peer.TaskStatus;
+import org.mulleinshift.transport.MonotonicTime;
 
 /** Phases and states that peer frames hold as text keep their names and their order. */
 class PeerPhaseGoldenTest {
   private static final NodeId SENDER = new NodeId("n-1");
   private static final String PHASES = "peer/phases.hex";
   private static final String WORKER_LINKS = "peer/worker-links.hex";
-  private static final String HEARD = HeldMachine.Silence.HEARD.wireName();
+  private static final String HEARD = OwnedMachine.Silence.HEARD.wireName();
 
   private final PeerCodec codec = new PeerCodec();
 
-  private BlockReport goldenReport() throws BadMessage {
-    return (BlockReport) codec.read(GoldenFile.bytes(PHASES)).getBodies().get(0);
+  private ShardStatus goldenReport() throws MalformedMessageException {
+    return (ShardStatus) codec.read(GoldenFile.bytes(PHASES)).getBodies().get(0);
   }
 
-  private static MachineReport machine(String phase, String silence) {
-    return new MachineReport("i-1", phase, silence, false, List.of());
+  private static MachineStatus machine(String phase, String silence) {
+    return new MachineStatus("i-1", phase, silence, false, List.of());
   }
 
-  private static HeldMachine occupiedMachine() {
-    SteadyTime now = new SteadyTime(0);
+  private static OwnedMachine occupiedMachine() {
+    MonotonicTime now = new MonotonicTime(0);
     MachineRecord record = new MachineRecord(new MachineTypeId("g8"), false, true);
-    HeldMachine machine = new HeldMachine(new MachineId("i-1"), record, new Revision(7), now);
+    OwnedMachine machine = new OwnedMachine(new MachineId("i-1"), record, new Revision(7), now);
     JobId job = new JobId("run-1");
-    WorkerReport.Entry stray =
-        new WorkerReport.Entry(
+    WorkerHeartbeat.Entry stray =
+        new WorkerHeartbeat.Entry(
             new TaskId(job, 0),
             new Attempt(1),
-            WorkerReport.State.RUNNING,
-            WorkerReport.Cause.NONE);
+            WorkerHeartbeat.State.RUNNING,
+            WorkerHeartbeat.Cause.NONE);
     machine.strays(List.of(stray));
     machine.occupiedBy(Set.of(job));
     return machine;
@@ -65,26 +65,26 @@
 
   @Test
   void blockReportsNamePhasesAsBefore() {
-    List<MachineReport> machines = new ArrayList<>();
+    List<MachineStatus> machines = new ArrayList<>();
     for (MachinePhase phase : MachinePhase.values()) {
       machines.add(machine(phase.wireName(), HEARD));
     }
-    for (HeldMachine.Silence silence : HeldMachine.Silence.values()) {
+    for (OwnedMachine.Silence silence : OwnedMachine.Silence.values()) {
       machines.add(machine(MachinePhase.CONFIRMED.wireName(), silence.wireName()));
     }
     machines.add(machine(occupiedMachine().toldPhase(), HEARD));
-    List<TaskReport> tasks = new ArrayList<>();
+    List<TaskStatus> tasks = new ArrayList<>();
     for (TaskPhase phase : TaskPhase.values()) {
-      tasks.add(new TaskReport("run-1", 0, 1L, phase.wireName(), "i-1", 0L));
+      tasks.add(new TaskStatus("run-1", 0, 1L, phase.wireName(), "i-1", 0L));
     }
-    BlockReport report = new BlockReport("a-0", 7L, 0L, 1L, 0L, 0L, machines, tasks);
+    ShardStatus report = new ShardStatus("a-0", 7L, 0L, 1L, 0L, 0L, machines, tasks);
     GoldenFile.assertHolds(PHASES, codec.write(SENDER, List.of(report)));
   }
 
   @Test
   void heartbeatsNameTheWorkerLinkAsBefore() {
     List<Object> beats = new ArrayList<>();
-    for (WorkerLink.State state : WorkerLink.State.values()) {
+    for (WorkerReachability.State state : WorkerReachability.State.values()) {
       beats.add(heartbeat(state.wireName()));
     }
     GoldenFile.assertHolds(WORKER_LINKS, codec.write(SENDER, beats));
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void taskPhasesAreReadByTheirNames() throws BadMessage {
+  void taskPhasesAreReadByTheirNames() throws MalformedMessageException {
     List<TaskPhase> read =
         goldenReport().getTasks().stream()
             .map(task -> TaskPhase.fromWireName(task.getPhase()))
@@ -104,12 +104,12 @@
   }
 
   @Test
-  void workerLinksAreReadByTheirNames() throws BadMessage {
-    List<WorkerLink.State> read =
+  void workerLinksAreReadByTheirNames() throws MalformedMessageException {
+    List<WorkerReachability.State> read =
         codec.read(GoldenFile.bytes(WORKER_LINKS)).getBodies().stream()
-            .map(beat -> Links.workers((Heartbeat) beat))
+            .map(beat -> PeerFailureDetector.workers((Heartbeat) beat))
             .toList();
-    assertEquals(Arrays.asList(WorkerLink.State.values()), read);
+    assertEquals(Arrays.asList(WorkerReachability.State.values()), read);
   }
 
   @Test
@@ -119,14 +119,14 @@
 
   @Test
   void anUnknownWorkerLinkCountsAsWell() {
-    assertEquals(WorkerLink.State.WELL, Links.workers(heartbeat("PARKED")));
+    assertEquals(WorkerReachability.State.WELL, PeerFailureDetector.workers(heartbeat("PARKED")));
   }
 
   @Test
-  void onlyTheLastMachineIsReadAsOccupied() throws BadMessage {
-    List<MachineReport> machines = goldenReport().getMachines();
+  void onlyTheLastMachineIsReadAsOccupied() throws MalformedMessageException {
+    List<MachineStatus> machines = goldenReport().getMachines();
     int last = machines.size() - 1;
-    assertTrue(HeldMachine.occupied(machines.get(last)));
-    assertFalse(machines.subList(0, last).stream().anyMatch(HeldMachine::occupied));
+    assertTrue(OwnedMachine.occupied(machines.get(last)));
+    assertFalse(machines.subList(0, last).stream().anyMatch(OwnedMachine::occupied));
   }
 }
--- a/src/test/java/org/mulleinshift/sim/HttpConnection.java
+++ b/src/test/java/org/mulleinshift/sim/HttpConnection.java
@@ -22,7 +22,7 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
-import org.mulleinshift.transport.HttpReply;
+import org.mulleinshift.transport.HttpResponse;
 
 /**
  * One client's connection, kept open as long as it asks the same address. A question takes the
@@ -36,20 +36,20 @@
   private final ByteCounter counter;
   private Channel channel;
   private InetSocketAddress target;
-  private Consumer<HttpReply> waiting;
+  private Consumer<HttpResponse> waiting;
 
   HttpConnection(EventLoopGroup threads, ByteCounter counter) {
     this.threads = threads;
     this.counter = counter;
   }
 
-  /** Asks; {@link HttpReply#NONE} is the reply if the connection fails. */
+  /** Asks; {@link HttpResponse#NONE} is the reply if the connection fails. */
   synchronized void ask(
       InetSocketAddress address,
       String method,
       String path,
       String body,
-      Consumer<HttpReply> reply) {
+      Consumer<HttpResponse> reply) {
     boolean busy = waiting != null;
     boolean usable = !busy && channel != null && channel.isActive() && address.equals(target);
     if (!usable) {
@@ -90,7 +90,7 @@
             ChannelFuture unused = opened.writeAndFlush(request);
           } else {
             request.release();
-            answer(opened, HttpReply.NONE);
+            answer(opened, HttpResponse.NONE);
           }
         });
   }
@@ -121,8 +121,8 @@
     }
   }
 
-  private void answer(Channel from, HttpReply reply) {
-    Consumer<HttpReply> asked;
+  private void answer(Channel from, HttpResponse reply) {
+    Consumer<HttpResponse> asked;
     synchronized (this) {
       if (from != channel) {
         return;
@@ -140,7 +140,7 @@
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
       String body = response.content().toString(StandardCharsets.UTF_8);
       boolean stays = HttpUtil.isKeepAlive(response);
-      answer(context.channel(), new HttpReply(response.status().code(), body));
+      answer(context.channel(), new HttpResponse(response.status().code(), body));
       if (!stays) {
         ChannelFuture unused = context.close();
       }
@@ -148,7 +148,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      answer(context.channel(), HttpReply.NONE);
+      answer(context.channel(), HttpResponse.NONE);
     }
 
     @Override
--- a/src/test/java/org/mulleinshift/sim/HttpListener.java
+++ b/src/test/java/org/mulleinshift/sim/HttpListener.java
@@ -23,14 +23,14 @@
 import java.time.Duration;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.mulleinshift.transport.HttpReply;
 import org.mulleinshift.transport.HttpRequest;
+import org.mulleinshift.transport.HttpResponse;
 
 /** An HTTP server of the stand-ins; it may answer for many addresses of the loopback range. */
 final class HttpListener {
   /** Answers a request; the reply may be given later and from any thread. */
   interface Handler {
-    void handle(InetSocketAddress local, HttpRequest request, Consumer<HttpReply> reply);
+    void handle(InetSocketAddress local, HttpRequest request, Consumer<HttpResponse> reply);
   }
 
   private static final int LONGEST_BODY = 4 << 20;
@@ -86,11 +86,11 @@
       handler.handle(local, request, reply -> respond(context, reply));
     }
 
-    private static void respond(ChannelHandlerContext context, HttpReply reply) {
+    private static void respond(ChannelHandlerContext context, HttpResponse reply) {
       ChannelFuture unused = context.writeAndFlush(response(reply));
     }
 
-    private static FullHttpResponse response(HttpReply reply) {
+    private static FullHttpResponse response(HttpResponse reply) {
       FullHttpResponse response =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1,
--- a/src/test/java/org/mulleinshift/sim/ScaleCell.java
+++ b/src/test/java/org/mulleinshift/sim/ScaleCell.java
@@ -19,8 +19,8 @@
 import java.util.function.Consumer;
 import java.util.function.DoubleConsumer;
 import java.util.function.Supplier;
-import org.mulleinshift.transport.HttpReply;
 import org.mulleinshift.transport.HttpRequest;
+import org.mulleinshift.transport.HttpResponse;
 
 /**
  * One cell of a scale run: real controllers, and stand-ins of its state service, cloud, users and
@@ -208,7 +208,7 @@
         () -> new ScaleWorkload(world, rules, this::askUsers, options, number).start(seconds));
   }
 
-  private void onState(InetSocketAddress local, HttpRequest request, Consumer<HttpReply> reply) {
+  private void onState(InetSocketAddress local, HttpRequest request, Consumer<HttpResponse> reply) {
     stateWorld.post(
         () -> {
           stateRequests++;
@@ -216,11 +216,12 @@
         });
   }
 
-  private void onCloud(InetSocketAddress local, HttpRequest request, Consumer<HttpReply> reply) {
+  private void onCloud(InetSocketAddress local, HttpRequest request, Consumer<HttpResponse> reply) {
     world.post(() -> cloud.handle(request, reply));
   }
 
-  private void onOrders(InetSocketAddress local, HttpRequest request, Consumer<HttpReply> reply) {
+  private void onOrders(
+      InetSocketAddress local, HttpRequest request, Consumer<HttpResponse> reply) {
     SimWorker worker = byAddress.get(local.getAddress().getHostAddress() + ":" + local.getPort());
     if (worker != null) {
       world.post(() -> worker.direct(request, reply));
@@ -254,7 +255,7 @@
     }
 
     @Override
-    public void checkin(SimWorker worker, int node, String body, Consumer<HttpReply> reply) {
+    public void checkin(SimWorker worker, int node, String body, Consumer<HttpResponse> reply) {
       connections
           .get(worker)
           .ask(
@@ -266,10 +267,10 @@
     }
   }
 
-  private void askUsers(String method, String path, String body, Consumer<HttpReply> reply) {
+  private void askUsers(String method, String path, String body, Consumer<HttpResponse> reply) {
     List<ControllerProcess> ready = controllers.stream().filter(ControllerProcess::ready).toList();
     if (ready.isEmpty()) {
-      reply.accept(HttpReply.NONE);
+      reply.accept(HttpResponse.NONE);
       return;
     }
     ControllerProcess chosen = ready.get((int) (world.random() * ready.size()));
@@ -277,7 +278,11 @@
   }
 
   private void call(
-      ControllerProcess node, String method, String path, String body, Consumer<HttpReply> reply) {
+      ControllerProcess node,
+      String method,
+      String path,
+      String body,
+      Consumer<HttpResponse> reply) {
     URI uri =
         URI.create(
             "http://" + node.address().getHostString() + ":" + node.address().getPort() + path);
@@ -294,8 +299,8 @@
                 (answer, failure) ->
                     reply.accept(
                         failure != null
-                            ? HttpReply.NONE
-                            : new HttpReply(answer.statusCode(), answer.body())));
+                            ? HttpResponse.NONE
+                            : new HttpResponse(answer.statusCode(), answer.body())));
   }
 
   /** What a load balancer does: asks each controller every second whether it is ready. */
--- a/src/test/java/org/mulleinshift/sim/Scenario.java
+++ b/src/test/java/org/mulleinshift/sim/Scenario.java
@@ -17,8 +17,8 @@
 import org.mulleinshift.settings.PlatformSettings;
 import org.mulleinshift.settings.SettingsException;
 import org.mulleinshift.settings.Tunables;
-import org.mulleinshift.transport.HttpReply;
 import org.mulleinshift.transport.HttpRequest;
+import org.mulleinshift.transport.HttpResponse;
 
 /**
  * Plays a scenario file against real controllers in a simulated world. {@code docs/scenarios.md}
@@ -647,17 +647,17 @@
     node(words[1]).onFrame(words[2].getBytes(java.nio.charset.StandardCharsets.UTF_8));
   }
 
-  private void send(String method, String path, String body, Consumer<HttpReply> reply) {
+  private void send(String method, String path, String body, Consumer<HttpResponse> reply) {
     List<SimNode> alive = nodes.stream().filter(SimNode::alive).toList();
     if (alive.isEmpty()) {
-      reply.accept(new HttpReply(0, ""));
+      reply.accept(new HttpResponse(0, ""));
       return;
     }
     sendTo(alive.get((int) (world.random() * alive.size())), method, path, body, reply);
   }
 
   private void sendTo(
-      SimNode node, String method, String path, String body, Consumer<HttpReply> reply) {
+      SimNode node, String method, String path, String body, Consumer<HttpResponse> reply) {
     network.deliver(
         "users",
         node.label(),
@@ -672,7 +672,7 @@
   private final class Wires implements SimNode.Outside {
     @Override
     public void call(
-        SimNode from, InetSocketAddress target, HttpRequest request, Consumer<HttpReply> reply) {
+        SimNode from, InetSocketAddress target, HttpRequest request, Consumer<HttpResponse> reply) {
       String host = hostName(target);
       network.deliver(
           from.label(),
@@ -698,7 +698,7 @@
         String host,
         InetSocketAddress target,
         HttpRequest request,
-        Consumer<HttpReply> reply) {
+        Consumer<HttpResponse> reply) {
       if (host.equals("state")) {
         state.handle(from, request, reply);
       } else if (host.equals("cloud")) {
@@ -740,7 +740,7 @@
     }
 
     @Override
-    public void checkin(SimWorker worker, int node, String body, Consumer<HttpReply> reply) {
+    public void checkin(SimWorker worker, int node, String body, Consumer<HttpResponse> reply) {
       keptCopies.report(worker.name(), body);
       if (world.seconds() < copiesUntil) {
         // A copy that comes late, to any controller; nobody hears what is answered.
@@ -760,7 +760,8 @@
           target.label(),
           () -> {
             if (!target.alive()) {
-              network.deliver(target.label(), "worker", () -> reply.accept(new HttpReply(0, "")));
+              network.deliver(
+                  target.label(), "worker", () -> reply.accept(new HttpResponse(0, "")));
               return;
             }
             target.request(
--- a/src/test/java/org/mulleinshift/sim/SimCloud.java
+++ b/src/test/java/org/mulleinshift/sim/SimCloud.java
@@ -13,8 +13,8 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 import java.util.function.IntFunction;
-import org.mulleinshift.transport.HttpReply;
 import org.mulleinshift.transport.HttpRequest;
+import org.mulleinshift.transport.HttpResponse;
 
 /** A stand-in for the cloud. */
 final class SimCloud {
@@ -58,7 +58,7 @@
   private final Map<String, Type> types = new LinkedHashMap<>();
   private final Map<String, Integer> capacity = new HashMap<>();
   private final NavigableMap<String, Machine> machines = new TreeMap<>();
-  private final Map<String, HttpReply> answered = new HashMap<>();
+  private final Map<String, HttpResponse> answered = new HashMap<>();
   private IntFunction<String> addresses = SimCloud::privateAddress;
   private double outageUntil;
   private double stuckUntil;
@@ -132,19 +132,19 @@
     return refusals;
   }
 
-  void handle(HttpRequest request, java.util.function.Consumer<HttpReply> reply) {
+  void handle(HttpRequest request, java.util.function.Consumer<HttpResponse> reply) {
     if (world.seconds() < outageUntil) {
-      reply.accept(new HttpReply(503, "{\"error\":\"trouble\"}"));
+      reply.accept(new HttpResponse(503, "{\"error\":\"trouble\"}"));
       return;
     }
     try {
       reply.accept(answer(request));
     } catch (IOException e) {
-      reply.accept(new HttpReply(400, "{}"));
+      reply.accept(new HttpResponse(400, "{}"));
     }
   }
 
-  private HttpReply answer(HttpRequest request) throws IOException {
+  private HttpResponse answer(HttpRequest request) throws IOException {
     if (request.path().equals("/catalog")) {
       return catalog();
     }
@@ -154,12 +154,12 @@
     JsonNode body = json.readTree(request.body().orElse("{}"));
     if (request.path().equals("/rentals/delete")) {
       body.path("hosts").forEach(host -> remove(machines.get(host.asText())));
-      return new HttpReply(200, "{}");
+      return new HttpResponse(200, "{}");
     }
     return rent(body);
   }
 
-  private HttpReply catalog() {
+  private HttpResponse catalog() {
     ObjectNode node = json.createObjectNode();
     var list = node.putArray("builds");
     for (Type type : types.values()) {
@@ -176,10 +176,10 @@
           .sorted()
           .forEach(zones::add);
     }
-    return new HttpReply(200, node.toString());
+    return new HttpResponse(200, node.toString());
   }
 
-  private HttpReply rent(JsonNode body) {
+  private HttpResponse rent(JsonNode body) {
     String hire = body.path("hire").asText();
     if (answered.containsKey(hire)) {
       return answered.get(hire);
@@ -194,14 +194,14 @@
     int count = Math.min(free, body.path("how_many").asInt());
     if (count <= 0) {
       refusals++;
-      return new HttpReply(503, "{\"error\":\"no capacity\"}");
+      return new HttpResponse(503, "{\"error\":\"no capacity\"}");
     }
     ObjectNode node = json.createObjectNode();
     var hosts = node.putArray("hosts");
     for (int i = 0; i < count; i++) {
       hosts.add(boot(type, zone, spot, bootSeconds(type)).name);
     }
-    HttpReply reply = new HttpReply(200, node.toString());
+    HttpResponse reply = new HttpResponse(200, node.toString());
     answered.put(hire, reply);
     return reply;
   }
@@ -244,7 +244,7 @@
     }
   }
 
-  private HttpReply list(String path) {
+  private HttpResponse list(String path) {
     Map<String, String> query = Query.of(path);
     int limit = Integer.parseInt(query.getOrDefault("limit", Integer.toString(LONGEST_PAGE)));
     String from = query.getOrDefault("from", "");
@@ -267,6 +267,6 @@
       item.put("held_s", moment - machine.createdAt);
     }
     node.put("more", more);
-    return new HttpReply(200, node.toString());
+    return new HttpResponse(200, node.toString());
   }
 }
--- a/src/test/java/org/mulleinshift/sim/SimNode.java
+++ b/src/test/java/org/mulleinshift/sim/SimNode.java
@@ -3,24 +3,24 @@
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.function.Consumer;
-import org.mulleinshift.coordination.Controller;
-import org.mulleinshift.margin.Heap;
-import org.mulleinshift.margin.HeapMargin;
+import org.mulleinshift.controller.Controller;
+import org.mulleinshift.memory.Heap;
+import org.mulleinshift.memory.HeapMonitor;
 import org.mulleinshift.settings.PlatformSettings;
 import org.mulleinshift.settings.Tunables;
+import org.mulleinshift.transport.AsyncHttpClient;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.HttpCaller;
-import org.mulleinshift.transport.HttpReply;
 import org.mulleinshift.transport.HttpRequest;
+import org.mulleinshift.transport.HttpResponse;
+import org.mulleinshift.transport.MonotonicTime;
 import org.mulleinshift.transport.Responder;
-import org.mulleinshift.transport.SteadyTime;
 
 /** A controller in the simulated world: the real one, with its ways out replaced. */
 final class SimNode {
   /** Where a call of the node goes. */
   interface Outside {
     void call(
-        SimNode from, InetSocketAddress target, HttpRequest request, Consumer<HttpReply> reply);
+        SimNode from, InetSocketAddress target, HttpRequest request, Consumer<HttpResponse> reply);
 
     void peer(SimNode from, String label, byte[] frame);
   }
@@ -68,12 +68,12 @@
   void start() {
     life++;
     Loop loop = new Loop(life);
-    HttpCaller caller =
+    AsyncHttpClient caller =
         (target, request, reply) -> {
           observeCall(target, request);
           int mine = life;
           boolean[] answered = new boolean[1];
-          Consumer<HttpReply> once =
+          Consumer<HttpResponse> once =
               value -> {
                 if (!answered[0]) {
                   answered[0] = true;
@@ -85,7 +85,7 @@
               request.deadline().toNanos() / 1e9,
               () -> {
                 if (mine == life) {
-                  once.accept(HttpReply.NONE);
+                  once.accept(HttpResponse.NONE);
                 }
               });
         };
@@ -103,7 +103,7 @@
                   sent.frame(world.nanos(), label(), label, frame);
                   outside.peer(this, label, frame);
                 },
-                new HeapMargin(loop, new SimHeap(), HEAP_BYTES)));
+                new HeapMonitor(loop, new SimHeap(), HEAP_BYTES)));
     loop.post(controller::start);
   }
 
@@ -161,7 +161,7 @@
     inside(() -> controller.onFrame(frame));
   }
 
-  void request(String method, String path, String body, Consumer<HttpReply> reply) {
+  void request(String method, String path, String body, Consumer<HttpResponse> reply) {
     int mine = life;
     waiting++;
     mostWaiting = Math.max(mostWaiting, waiting);
@@ -186,7 +186,7 @@
                     String asked = method + " " + path;
                     sent.answer(world.nanos(), label(), asked, status, text, retryAfter);
                     waiting -= mine == life ? 1 : 0;
-                    reply.accept(new HttpReply(status, text));
+                    reply.accept(new HttpResponse(status, text));
                   }
                 }));
   }
@@ -248,8 +248,8 @@
     }
 
     @Override
-    public SteadyTime now() {
-      return new SteadyTime((long) (world.nanos() * (1 + drift)));
+    public MonotonicTime now() {
+      return new MonotonicTime((long) (world.nanos() * (1 + drift)));
     }
 
     @Override
--- a/src/test/java/org/mulleinshift/sim/SimState.java
+++ b/src/test/java/org/mulleinshift/sim/SimState.java
@@ -14,8 +14,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.mulleinshift.transport.HttpReply;
 import org.mulleinshift.transport.HttpRequest;
+import org.mulleinshift.transport.HttpResponse;
 
 /** A stand-in for the state service. */
 final class SimState {
@@ -37,7 +37,7 @@
       long from,
       double end,
       boolean waits,
-      Consumer<HttpReply> reply) {}
+      Consumer<HttpResponse> reply) {}
 
   private static final int KEPT_CHANGES = 10_000;
 
@@ -302,24 +302,24 @@
     return world.seconds() < outageUntil || world.seconds() < refusedUntil.getOrDefault(node, 0.0);
   }
 
-  void handle(String node, HttpRequest request, Consumer<HttpReply> answer) {
-    Consumer<HttpReply> reply =
+  void handle(String node, HttpRequest request, Consumer<HttpResponse> answer) {
+    Consumer<HttpResponse> reply =
         world.seconds() < lateUntil
             ? value -> world.after(lateBy, () -> answer.accept(value))
             : answer;
     if (unavailable(node)) {
-      reply.accept(new HttpReply(503, "{}"));
+      reply.accept(new HttpResponse(503, "{}"));
       return;
     }
     if (!requestBudget.take(1)) {
-      reply.accept(new HttpReply(429, "{}"));
+      reply.accept(new HttpResponse(429, "{}"));
       return;
     }
     if (request.path().startsWith("/changes")) {
       watch(node, request.path(), reply);
       return;
     }
-    HttpReply found;
+    HttpResponse found;
     boolean lost = false;
     try {
       if (request.path().equals("/commit")) {
@@ -332,7 +332,7 @@
       }
       found = answer(request);
     } catch (IOException e) {
-      found = new HttpReply(400, "{}");
+      found = new HttpResponse(400, "{}");
     }
     boolean muted =
         world.seconds() < mutedUntil.getOrDefault(node, 0.0) && request.path().equals("/commit");
@@ -341,7 +341,7 @@
     }
   }
 
-  private HttpReply answer(HttpRequest request) throws IOException {
+  private HttpResponse answer(HttpRequest request) throws IOException {
     String path = request.path();
     if (path.startsWith("/keys/")) {
       return get(path.substring("/keys/".length()));
@@ -355,20 +355,20 @@
     if (path.equals("/holds")) {
       double ttl = json.readTree(request.body().orElse("{}")).path("ttl_ms").asDouble() / 1000;
       holds.put(nextHold, new Hold(ttl, world.seconds() + ttl));
-      return new HttpReply(200, "{\"hold\":" + nextHold++ + "}");
+      return new HttpResponse(200, "{\"hold\":" + nextHold++ + "}");
     }
     if (path.startsWith("/holds/")) {
       return hold(request.method(), path.substring("/holds/".length()));
     }
-    return new HttpReply(404, "{}");
+    return new HttpResponse(404, "{}");
   }
 
-  private HttpReply get(String key) {
+  private HttpResponse get(String key) {
     Entry entry = keys.get(key);
     if (entry == null) {
-      return new HttpReply(404, "{\"epoch\":" + epoch + "}");
+      return new HttpResponse(404, "{\"epoch\":" + epoch + "}");
     }
-    return new HttpReply(200, item(key, entry).toString());
+    return new HttpResponse(200, item(key, entry).toString());
   }
 
   private ObjectNode item(String key, Entry entry) {
@@ -379,7 +379,7 @@
     return node;
   }
 
-  private HttpReply range(Map<String, String> query) {
+  private HttpResponse range(Map<String, String> query) {
     String prefix = query.getOrDefault("starts", "");
     String from = query.getOrDefault("from", "");
     int limit = Integer.parseInt(query.getOrDefault("limit", "1000"));
@@ -402,31 +402,31 @@
     node.put("epoch", epoch);
     String text = node.toString();
     longestAnswer = Math.max(longestAnswer, text.length());
-    return new HttpReply(200, text);
+    return new HttpResponse(200, text);
   }
 
-  private HttpReply commit(JsonNode body) {
+  private HttpResponse commit(JsonNode body) {
     JsonNode wanted = body.path("writes");
     if (wanted.size() > txnOps || body.path("guards").size() > 4 * txnOps) {
       unfit++;
-      return new HttpReply(400, "{\"error\":\"too many operations\"}");
+      return new HttpResponse(400, "{\"error\":\"too many operations\"}");
     }
     for (JsonNode write : wanted) {
       if (write.path("value").toString().length() > valueBytes) {
         unfit++;
-        return new HttpReply(400, "{\"error\":\"value too long\"}");
+        return new HttpResponse(400, "{\"error\":\"value too long\"}");
       }
       if (write.has("hold") && !holds.containsKey(write.get("hold").asLong())) {
-        return new HttpReply(400, "{\"error\":\"no such lease\"}");
+        return new HttpResponse(400, "{\"error\":\"no such lease\"}");
       }
     }
     if (!writeBudget.take(wanted.size())) {
-      return new HttpReply(429, "{}");
+      return new HttpResponse(429, "{}");
     }
     for (JsonNode guard : body.path("guards")) {
       Entry entry = keys.get(guard.path("k").asText());
       if ((entry == null ? 0 : entry.stamp()) != guard.path("stamp").asLong()) {
-        return new HttpReply(409, "{\"failed\":[],\"epoch\":" + epoch + "}");
+        return new HttpResponse(409, "{\"failed\":[],\"epoch\":" + epoch + "}");
       }
     }
     if (wanted.size() > 0) {
@@ -434,7 +434,7 @@
       wanted.forEach(this::apply);
       wakeWatches();
     }
-    return new HttpReply(200, "{\"epoch\":" + epoch + "}");
+    return new HttpResponse(200, "{\"epoch\":" + epoch + "}");
   }
 
   private void apply(JsonNode write) {
@@ -496,18 +496,18 @@
     }
   }
 
-  private HttpReply hold(String method, String rest) {
+  private HttpResponse hold(String method, String rest) {
     long id = Long.parseLong(rest.split("/", 0)[0]);
     Hold hold = holds.get(id);
     if (hold == null) {
-      return new HttpReply(404, "{}");
+      return new HttpResponse(404, "{}");
     }
     if (method.equals("DELETE")) {
       end(id);
     } else {
       hold.end = world.seconds() + hold.ttl;
     }
-    return new HttpReply(200, "{}");
+    return new HttpResponse(200, "{}");
   }
 
   private void end(long id) {
@@ -542,11 +542,11 @@
     wakeWatches();
   }
 
-  private void watch(String node, String path, Consumer<HttpReply> reply) {
+  private void watch(String node, String path, Consumer<HttpResponse> reply) {
     Map<String, String> query = Query.of(path);
     long from = Long.parseLong(query.get("from"));
     if (from < forgottenChanges) {
-      reply.accept(new HttpReply(410, "{}"));
+      reply.accept(new HttpResponse(410, "{}"));
       return;
     }
     double wait = Double.parseDouble(query.getOrDefault("hold_ms", "0")) / 1000;
@@ -570,7 +570,7 @@
       ObjectNode node = json.createObjectNode();
       node.put("epoch", epoch);
       node.putArray("news").addAll(news(watch));
-      watch.reply().accept(HttpReply.bounded(200, node.toString()));
+      watch.reply().accept(HttpResponse.bounded(200, node.toString()));
     }
   }
 
--- a/src/test/java/org/mulleinshift/sim/SimUser.java
+++ b/src/test/java/org/mulleinshift/sim/SimUser.java
@@ -8,18 +8,19 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import org.mulleinshift.transport.HttpReply;
+import org.mulleinshift.transport.HttpResponse;
 
 /** Submits one job, repeats what failed, polls until it is over, and may cancel it. */
 final class SimUser {
   /** The way to some healthy node. */
   interface Nodes {
-    void request(String method, String path, String body, Consumer<HttpReply> reply);
+    void request(String method, String path, String body, Consumer<HttpResponse> reply);
   }
 
   /** The way to one node. */
   interface Way {
-    void request(SimNode node, String method, String path, String body, Consumer<HttpReply> reply);
+    void request(
+        SimNode node, String method, String path, String body, Consumer<HttpResponse> reply);
   }
 
   private static final double POLL_SECONDS = 5;
@@ -94,7 +95,7 @@
   }
 
   /** An answer to a repeated submission of the job, which was accepted. */
-  void hearAgain(HttpReply reply, double asked) {
+  void hearAgain(HttpResponse reply, double asked) {
     statuses.add(reply.status());
     if (reply.status() == 400 || reply.status() == 422) {
       rules.refused(job.id, reply.status());
@@ -199,7 +200,7 @@
    *
    * @param asked when the question was sent
    */
-  void hear(HttpReply reply, double asked) {
+  void hear(HttpResponse reply, double asked) {
     String phase = "";
     try {
       JsonNode node = json.readTree(reply.body().isEmpty() ? "{}" : reply.body());
--- a/src/test/java/org/mulleinshift/sim/SimWorker.java
+++ b/src/test/java/org/mulleinshift/sim/SimWorker.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.mulleinshift.transport.HttpReply;
 import org.mulleinshift.transport.HttpRequest;
+import org.mulleinshift.transport.HttpResponse;
 
 /** A stand-in for a machine's worker. */
 final class SimWorker {
@@ -22,7 +22,7 @@
 
     int indexOf(String label);
 
-    void checkin(SimWorker worker, int node, String body, Consumer<HttpReply> reply);
+    void checkin(SimWorker worker, int node, String body, Consumer<HttpResponse> reply);
   }
 
   private static final class Piece {
@@ -263,7 +263,7 @@
                 }));
   }
 
-  private void hear(HttpReply reply, long mine, double sent, long sentSession) {
+  private void hear(HttpResponse reply, long mine, double sent, long sentSession) {
     boolean deaf = world.seconds() < deafUntil;
     if (mine == reportNumber && inFlight && !(deaf && !dropsAnswers)) {
       inFlight = false;
@@ -278,7 +278,7 @@
     world.after(1, () -> awake(this::report));
   }
 
-  private void answered(HttpReply reply, double sent, long sentSession) {
+  private void answered(HttpResponse reply, double sent, long sentSession) {
     JsonNode body = parse(reply.body());
     if (reply.status() == 421 && body.hasNonNull("foreman")) {
       int named = nodes.indexOf(body.get("foreman").asText());
@@ -314,12 +314,12 @@
   }
 
   /** Direct commands; they come late if the machine hangs. */
-  void direct(HttpRequest request, Consumer<HttpReply> reply) {
+  void direct(HttpRequest request, Consumer<HttpResponse> reply) {
     if (world.seconds() < deafUntil) {
       return;
     }
     if (request.path().equals("/status")) {
-      awake(() -> reply.accept(new HttpReply(200, body())));
+      awake(() -> reply.accept(new HttpResponse(200, body())));
       return;
     }
     awake(
@@ -331,7 +331,7 @@
             token = body.path("baton").asLong();
             obey(body.path("orders"));
           }
-          reply.accept(new HttpReply(stale ? 409 : 200, body()));
+          reply.accept(new HttpResponse(stale ? 409 : 200, body()));
         });
   }
 
--- a/src/test/java/org/mulleinshift/PeerLinkTest.java
+++ b/src/test/java/org/mulleinshift/transport/TcpPeerTransportTest.java
@@ -1,4 +1,4 @@
-package org.mulleinshift;
+package org.mulleinshift.transport;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 
@@ -12,11 +12,9 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import org.mulleinshift.transport.TcpPeerLink;
-import org.mulleinshift.transport.ThreadEventLoop;
 
 /** The peer link over real loopback sockets. */
-final class PeerLinkTest {
+final class TcpPeerTransportTest {
   private static byte[] readFrame(Socket socket) throws IOException {
     DataInputStream in = new DataInputStream(socket.getInputStream());
     return in.readNBytes(in.readInt());
@@ -32,8 +30,8 @@
     try (ServerSocket server = new ServerSocket(0, 4, InetAddress.getLoopbackAddress())) {
       InetSocketAddress address =
           new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
-      TcpPeerLink link =
-          new TcpPeerLink(
+      TcpPeerTransport link =
+          new TcpPeerTransport(
               new ThreadEventLoop(),
               Map.of("peer", address),
               frame -> {},
@@ -53,7 +51,7 @@
   }
 
   /** Frames queued before a connection stands are dropped, so one is sent until one arrives. */
-  private static byte[] sendUntilRead(TcpPeerLink link, Socket socket) throws IOException {
+  private static byte[] sendUntilRead(TcpPeerTransport link, Socket socket) throws IOException {
     socket.setSoTimeout(100);
     while (true) {
       link.send("peer", new byte[] {1, 2});
