--- a/src/main/java/org/mulleinshift/api/JobApi.java
+++ b/src/main/java/org/mulleinshift/api/JobApi.java
@@ -99,10 +99,10 @@
     this.loop = loop;
     this.store = store;
     this.catalog = catalog;
-    this.valueBytes = cluster.state().leastValueBytes();
+    this.valueBytes = cluster.state().minValueBytes();
     this.accepted =
         new DependencyValidator(store, job -> active.containsKey(job) || ended.containsKey(job));
-    this.lists = new DependencyListWriter(loop, store, valueBytes, cluster.state().leastTxnOps());
+    this.lists = new DependencyListWriter(loop, store, valueBytes, cluster.state().minTxnOps());
     this.retryAfter = retryAfter;
     this.prover = prover;
     this.pressure = pressure;
@@ -302,7 +302,7 @@
   /** How the job stands at a moment after the question. */
   private void ask(JobId id, Consumer<Standing> then, Responder responder) {
     // Some always get through, however short memory is: a job's users must hear of it in the end.
-    if (pollsWaiting >= mostPolls()) {
+    if (pollsWaiting >= maxPolls()) {
       unavailable(responder);
       return;
     }
@@ -329,7 +329,7 @@
   }
 
   /** How many polls may wait for a proof at a time. */
-  private int mostPolls() {
+  private int maxPolls() {
     return switch (pressure.get()) {
       case EASE -> POLLS_AT_EASE;
       case TIGHT -> POLLS_WHEN_TIGHT;
--- a/src/main/java/org/mulleinshift/api/ReadinessProbe.java
+++ b/src/main/java/org/mulleinshift/api/ReadinessProbe.java
@@ -15,7 +15,7 @@
   private static final Duration STEP = Duration.ofMillis(50);
 
   private static final int STEPS = 14;
-  private static final int MOST_WAITING = 8;
+  private static final int MAX_WAITING = 8;
   private static final int READY = 200;
   private static final int NOT_READY = 503;
 
@@ -35,7 +35,7 @@
   }
 
   public void answer(Responder responder) {
-    if (!ready.getAsBoolean() && !hasBeenReady && waiting < MOST_WAITING) {
+    if (!ready.getAsBoolean() && !hasBeenReady && waiting < MAX_WAITING) {
       waiting++;
       loop.after(STEP, () -> await(responder, STEPS - 1));
     } else {
--- a/src/main/java/org/mulleinshift/autoscaling/Autoscaler.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Autoscaler.java
@@ -59,7 +59,7 @@
   public record Cloud(AsyncHttpClient calls, InetSocketAddress address, RateLimiter budget) {}
 
   private final Leader leader;
-  private final Leader.Surroundings around;
+  private final Leader.Surroundings context;
   private final EventLoop loop;
   private final Cloud cloud;
   private final Map<MachineId, Machine> tracked = new HashMap<>();
@@ -76,26 +76,26 @@
   private Optional<MonotonicTime> lastResize = Optional.empty();
   private boolean deleteInFlight;
 
-  public Autoscaler(Leader leader, Leader.Surroundings around, Cloud cloud, Revision term) {
+  public Autoscaler(Leader leader, Leader.Surroundings context, Cloud cloud, Revision term) {
     this.leader = leader;
-    this.around = around;
-    this.loop = around.loop();
+    this.context = context;
+    this.loop = context.loop();
     this.cloud = cloud;
     this.market =
         new OfferSelector(
             loop,
-            around.catalog(),
-            leader.blocks(),
-            around.tunables().seconds(Tunables.Key.REFUSED_PAUSE_S),
+            context.catalog(),
+            leader.shards(),
+            context.tunables().seconds(Tunables.Key.REFUSED_PAUSE_S),
             offer -> rentals().unanswered(offer));
-    this.rentals = new Provisioner(leader, around, cloud, term, this);
-    this.plan = new CapacityPlanner(this, leader, around);
-    this.draining = new ScaleIn(this, plan, leader, around);
-    this.list = new CloudInventory(leader, around, cloud, this::listed);
+    this.rentals = new Provisioner(leader, context, cloud, term, this);
+    this.plan = new CapacityPlanner(this, leader, context);
+    this.draining = new ScaleIn(this, plan, leader, context);
+    this.list = new CloudInventory(leader, context, cloud, this::listed);
     this.boots =
         new BootTimeEstimator(
-            around.tunables().number(Tunables.Key.BOOT_DEFAULT_S),
-            around.tunables().number(Tunables.Key.BOOT_OVERDUE_FACTOR));
+            context.tunables().number(Tunables.Key.BOOT_DEFAULT_S),
+            context.tunables().number(Tunables.Key.BOOT_OVERDUE_FACTOR));
   }
 
   public Provisioner rentals() {
@@ -114,8 +114,8 @@
 
   private void walkRegularly() {
     if (leader.leading()) {
-      loop.after(around.tunables().seconds(Tunables.Key.WALK_S), this::walkRegularly);
-      if (around.certain().getAsBoolean()) {
+      loop.after(context.tunables().seconds(Tunables.Key.WALK_S), this::walkRegularly);
+      if (context.certain().getAsBoolean()) {
         inspectMachines();
         walk();
         deleteSome();
@@ -130,8 +130,8 @@
   }
 
   private boolean recordedUp(MachineId machine) {
-    return leader.blocks().values().stream()
-        .map(block -> block.machines().get(machine))
+    return leader.shards().values().stream()
+        .map(shard -> shard.machines().get(machine))
         .anyMatch(record -> record != null && record.up());
   }
 
@@ -139,10 +139,10 @@
     return tracked.computeIfAbsent(machine, key -> Machine.found(loop.now(), recordedUp(key)));
   }
 
-  /** A holder told something new of a machine. */
-  public void onReport(ShardView block, MachineId id) {
-    MachineRecord record = block.machines().get(id);
-    MachineStatus report = block.reportOf(id).orElse(null);
+  /** An owner told something new of a machine. */
+  public void onReport(ShardView shard, MachineId id) {
+    MachineRecord record = shard.machines().get(id);
+    MachineStatus report = shard.reportOf(id).orElse(null);
     if (record == null
         || report == null
         || record.up()
@@ -150,45 +150,45 @@
       return;
     }
     Machine known = track(id);
-    block.machines().put(id, new MachineRecord(record.type(), record.spot(), true));
+    shard.machines().put(id, new MachineRecord(record.type(), record.spot(), true));
     // Only a rental seen from its start tells a boot time. Machines that were up before, or
     // that an earlier leader rented, would seem to boot in no time: then there is no horizon
     // and no spacing, and every booting machine seems overdue.
     boots.cameUp(record.type(), known.rentedAt(), known.cameUp(loop.now()));
     LOG.info("{} is up after {} s", id, Math.round(known.heldSeconds(loop.now())));
-    store(block);
+    store(shard);
   }
 
-  private void store(ShardView block) {
-    leader.journal().submit(StoreKeys.block(block.id()), new BlockUnit(block));
+  private void store(ShardView shard) {
+    leader.batcher().submit(StoreKeys.shard(shard.id()), new ShardUnit(shard));
   }
 
-  public void storeWhenIdle(ShardView block) {
-    leader.journal().submitIdle(StoreKeys.block(block.id()), new BlockUnit(block));
+  public void storeWhenIdle(ShardView shard) {
+    leader.batcher().submitIdle(StoreKeys.shard(shard.id()), new ShardUnit(shard));
   }
 
   /** Gives up machines that do not come up, are silent beyond their lease, or fail everything. */
   private void inspectMachines() {
     doubtful.clear();
-    for (ShardView block : leader.blocks().values()) {
-      for (Map.Entry<MachineId, MachineRecord> entry : block.machines().entrySet()) {
+    for (ShardView shard : leader.shards().values()) {
+      for (Map.Entry<MachineId, MachineRecord> entry : shard.machines().entrySet()) {
         MachineId id = entry.getKey();
         Machine known = track(id);
-        Optional<MachineType> type = around.catalog().type(entry.getValue().type());
-        Optional<MachineStatus> report = block.reportOf(id);
+        Optional<MachineType> type = context.catalog().type(entry.getValue().type());
+        Optional<MachineStatus> report = shard.reportOf(id);
         Optional<BootTimeEstimator.Outlook> outlook =
             type.filter(t -> !entry.getValue().up()).map(t -> outlook(t, known));
         boolean overdue = outlook.equals(Optional.of(BootTimeEstimator.Outlook.HOPELESS));
         if (outlook.equals(Optional.of(BootTimeEstimator.Outlook.DOUBTFUL))) {
           doubtful.merge(entry.getValue().type(), 1, Integer::sum);
         }
-        if (leader.busy(id, block.id())) {
+        if (leader.busy(id, shard.id())) {
           known.busy(loop.now());
         }
         boolean silent =
             entry.getValue().up()
                 && report.isPresent()
-                && report.get().getSilence().equals(OwnedMachine.Silence.GONE.wireName());
+                && report.get().getLiveness().equals(OwnedMachine.Silence.GONE.wireName());
         if (overdue || silent || leader.blame().faulty(id)) {
           giveUp(id, overdue ? "does not come up" : silent ? "is silent" : "fails its tasks");
         }
@@ -204,25 +204,25 @@
     if (track(machine).giveBack()) {
       deleting.add(machine);
       LOG.info("{} {}: returning it", machine, why);
-      touchBlockOf(machine);
+      touchShardOf(machine);
     }
   }
 
-  /** The block's holder hears which machines take no new task. */
-  void touchBlockOf(MachineId machine) {
-    leader.blocks().values().stream()
-        .filter(block -> block.machines().containsKey(machine))
-        .forEach(block -> leader.touch(block.id()));
+  /** The shard's owner hears which machines take no new task. */
+  void touchShardOf(MachineId machine) {
+    leader.shards().values().stream()
+        .filter(shard -> shard.machines().containsKey(machine))
+        .forEach(shard -> leader.touch(shard.id()));
   }
 
   private void deleteSome() {
     if (deleting.isEmpty() || deleteInFlight || !cloud.budget().take(1, 0)) {
       return;
     }
-    List<MachineId> batch = deleting.stream().limit(CloudCodec.MOST_DELETED).toList();
+    List<MachineId> batch = deleting.stream().limit(CloudCodec.MAX_DELETED).toList();
     deleteInFlight = true;
     // A deposed leader's picture is old: a machine that it drained may have tasks by now.
-    leader.journal().ifTermStands(() -> delete(batch), () -> deleteInFlight = false);
+    leader.batcher().ifTermStands(() -> delete(batch), () -> deleteInFlight = false);
   }
 
   private void delete(List<MachineId> batch) {
@@ -245,9 +245,9 @@
     deleted.addAll(machines);
     machines.forEach(tracked::remove);
     leader.blame().gone(machines);
-    for (ShardView block : leader.blocks().values()) {
-      if (block.machines().keySet().removeAll(machines)) {
-        store(block);
+    for (ShardView shard : leader.shards().values()) {
+      if (shard.machines().keySet().removeAll(machines)) {
+        store(shard);
       }
     }
   }
@@ -291,7 +291,7 @@
             .mapToDouble(group -> group.count() * group.need().perTask().cpus())
             .sum();
     boolean large =
-        missing > around.tunables().number(Tunables.Key.RESIZE_AT_ONCE) * plan.fleetCpus();
+        missing > context.tunables().number(Tunables.Key.RESIZE_AT_ONCE) * plan.fleetCpus();
     return large || lastResize.isEmpty() || loop.now().secondsSince(lastResize.get()) >= horizon;
   }
 
@@ -300,7 +300,7 @@
     Set<MachineTypeId> scarce = new HashSet<>();
     for (QueueSimulation.Waiting group : shortage) {
       if (!market.offers(group.need())) {
-        for (MachineType type : around.catalog().types().values()) {
+        for (MachineType type : context.catalog().types().values()) {
           if (group.need().mayUse(type)) {
             scarce.add(type.id());
           }
@@ -313,7 +313,7 @@
   private List<QueueSimulation.Waiting> awayFrom(
       Set<MachineTypeId> scarce, List<QueueSimulation.Waiting> waiting) {
     List<MachineTypeId> others =
-        around.catalog().types().keySet().stream().filter(id -> !scarce.contains(id)).toList();
+        context.catalog().types().keySet().stream().filter(id -> !scarce.contains(id)).toList();
     List<QueueSimulation.Waiting> groups = new ArrayList<>();
     for (QueueSimulation.Waiting group : waiting) {
       ResourceRequest elsewhere = group.need().onlyOn(others);
@@ -325,7 +325,7 @@
 
   private double horizon() {
     double least = Double.MAX_VALUE;
-    for (MachineType type : around.catalog().types().values()) {
+    for (MachineType type : context.catalog().types().values()) {
       least = Math.min(least, boots.expected(type));
     }
     return least;
@@ -335,7 +335,7 @@
     Map<OfferSelector.Offer, Integer> wanted = new LinkedHashMap<>();
     // Only machines that have room left for some group: a long queue rents for many.
     List<MachineCapacity> open = new ArrayList<>();
-    Resources least = UnschedulableRequests.leastOf(shortage, QueueSimulation.Waiting::need);
+    Resources least = UnschedulableRequests.minOf(shortage, QueueSimulation.Waiting::need);
     for (QueueSimulation.Waiting group : shortage) {
       int left = group.count() - BinPacker.fill(group.need(), group.count(), open);
       while (left > 0) {
@@ -346,11 +346,11 @@
           break;
         }
         int number = wanted.merge(offer.get(), 1, Integer::sum);
-        MachineCapacity room = freshRoom(offer.get(), number);
-        left -= BinPacker.fill(group.need(), left, List.of(room));
-        open.add(room);
+        MachineCapacity capacity = freshCapacity(offer.get(), number);
+        left -= BinPacker.fill(group.need(), left, List.of(capacity));
+        open.add(capacity);
       }
-      open.removeIf(room -> !least.fitsInto(room.free()));
+      open.removeIf(capacity -> !least.fitsInto(capacity.free()));
     }
     wanted.keySet().removeIf(offer -> doubted(offer.type()));
     wanted.forEach(rentals::rent);
@@ -386,11 +386,11 @@
     }
   }
 
-  private MachineCapacity freshRoom(OfferSelector.Offer offer, int number) {
-    MachineType type = around.catalog().type(offer.type()).get();
+  private MachineCapacity freshCapacity(OfferSelector.Offer offer, int number) {
+    MachineType type = context.catalog().type(offer.type()).get();
     return new MachineCapacity(
         new MachineId("new-" + number),
-        MachineCapacity.NO_BLOCK,
+        MachineCapacity.NO_SHARD,
         offer.zone(),
         type,
         offer.spot(),
@@ -399,57 +399,57 @@
   }
 
   @Override
-  public void refused(ProvisioningRequest rental, boolean some) {
-    market.refused(OfferSelector.Offer.of(rental), some);
+  public void refused(ProvisioningRequest request, boolean some) {
+    market.refused(OfferSelector.Offer.of(request), some);
     // What was not given is no room: the next walk may look elsewhere at once.
     lastResize = Optional.empty();
   }
 
   @Override
-  public void rented(ProvisioningRequest rental, List<MachineId> machines) {
-    if (machines.size() >= rental.count()) {
-      market.given(OfferSelector.Offer.of(rental));
+  public void rented(ProvisioningRequest request, List<MachineId> machines) {
+    if (machines.size() >= request.count()) {
+      market.given(OfferSelector.Offer.of(request));
     }
     Set<ShardView> touched = new LinkedHashSet<>();
     for (MachineId machine : machines) {
       if (!deleted.contains(machine) && !known(machine)) {
-        ShardView block = blockWithRoom(rental.zone());
-        block.machines().put(machine, new MachineRecord(rental.type(), rental.spot(), false));
-        tracked.put(machine, Machine.rented(rental.plannedAt()));
-        touched.add(block);
+        ShardView shard = shardWithCapacity(request.zone());
+        shard.machines().put(machine, new MachineRecord(request.type(), request.spot(), false));
+        tracked.put(machine, Machine.rented(request.plannedAt()));
+        touched.add(shard);
       }
     }
     touched.forEach(this::store);
   }
 
   private boolean known(MachineId machine) {
-    return leader.blocks().values().stream()
-        .anyMatch(block -> block.machines().containsKey(machine));
+    return leader.shards().values().stream()
+        .anyMatch(shard -> shard.machines().containsKey(machine));
   }
 
-  private ShardView blockWithRoom(ZoneId zone) {
-    // A block's record must stay below the store's limit for a value.
+  private ShardView shardWithCapacity(ZoneId zone) {
+    // A shard's record must stay below the store's limit for a value.
     int most =
         Math.min(
-            around.tunables().count(Tunables.Key.BLOCK_MACHINES),
-            around.settings().cluster().state().leastValueBytes() / MACHINE_BYTES);
+            context.tunables().count(Tunables.Key.SHARD_MACHINES),
+            context.settings().cluster().state().minValueBytes() / MACHINE_BYTES);
     int number = 0;
-    for (ShardView block : leader.blocks().values()) {
-      if (block.zone().equals(zone)) {
-        if (block.machines().size() < most) {
-          return block;
+    for (ShardView shard : leader.shards().values()) {
+      if (shard.zone().equals(zone)) {
+        if (shard.machines().size() < most) {
+          return shard;
         }
         number++;
       }
     }
     ShardId id = new ShardId(zone + "-" + number);
-    while (around.view().unreadableBlocks().contains(id)) {
+    while (context.view().unreadableShards().contains(id)) {
       number++;
       id = new ShardId(zone + "-" + number);
     }
-    ShardView block = new ShardView(id, zone, loop.now());
-    leader.blocks().put(id, block);
-    return block;
+    ShardView shard = new ShardView(id, zone, loop.now());
+    leader.shards().put(id, shard);
+    return shard;
   }
 
   private void listed(CloudMachine machine) {
@@ -480,33 +480,33 @@
 
   /** Machines that nobody expected are used: a late rental, or one whose answer was lost. */
   private void adopt(MachineId id, MachineTypeId type, ZoneId zone, boolean spot) {
-    // It may belong to a block that this build can't read, and then has a holder already.
-    if (around.catalog().type(type).isEmpty() || !around.view().unreadableBlocks().isEmpty()) {
+    // It may belong to a shard that this build can't read, and then has an owner already.
+    if (context.catalog().type(type).isEmpty() || !context.view().unreadableShards().isEmpty()) {
       return;
     }
     LOG.info("adopting {}", id);
-    ShardView block = blockWithRoom(zone);
-    block.machines().put(id, new MachineRecord(type, spot, false));
+    ShardView shard = shardWithCapacity(zone);
+    shard.machines().put(id, new MachineRecord(type, spot, false));
     track(id);
-    store(block);
+    store(shard);
   }
 
-  /** A block's machines. */
-  private final class BlockUnit implements TransactionBatcher.Unit {
-    private final ShardView block;
+  /** A shard's machines. */
+  private final class ShardUnit implements TransactionBatcher.Unit {
+    private final ShardView shard;
 
-    BlockUnit(ShardView block) {
-      this.block = block;
+    ShardUnit(ShardView shard) {
+      this.shard = shard;
     }
 
     @Override
     public List<Write> writes() {
-      return List.of(Write.put(StoreKeys.block(block.id()), block.stored()));
+      return List.of(Write.put(StoreKeys.shard(shard.id()), shard.stored()));
     }
 
     @Override
     public void committed(Revision revision) {
-      leader.touch(block.id());
+      leader.touch(shard.id());
       leader.cycleSoon();
     }
   }
--- a/src/main/java/org/mulleinshift/autoscaling/BootTimeEstimator.java
+++ b/src/main/java/org/mulleinshift/autoscaling/BootTimeEstimator.java
@@ -20,7 +20,7 @@
   private static final int REMEMBERED = 12;
 
   /** Boots are usually between this share of the listed time and the next one. */
-  private static final double LEAST_SHARE = 0.6;
+  private static final double MIN_SHARE = 0.6;
 
   private static final double ORDINARY_SHARE = 1.5;
   private static final double EXCUSED_FACTOR = 8;
@@ -93,7 +93,7 @@
       return listed(type);
     }
     double[] sorted = seen.seconds.stream().mapToDouble(Double::doubleValue).sorted().toArray();
-    return Math.max(LEAST_SHARE * listed(type), sorted[sorted.length / 2]);
+    return Math.max(MIN_SHARE * listed(type), sorted[sorted.length / 2]);
   }
 
   Outlook outlook(MachineType type, MonotonicTime rentedAt, MonotonicTime now) {
--- a/src/main/java/org/mulleinshift/autoscaling/CapacityPlanner.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CapacityPlanner.java
@@ -34,48 +34,49 @@
 final class CapacityPlanner {
   private final Autoscaler fleet;
   private final Leader leader;
-  private final Leader.Surroundings around;
+  private final Leader.Surroundings context;
   private final EventLoop loop;
 
-  CapacityPlanner(Autoscaler fleet, Leader leader, Leader.Surroundings around) {
+  CapacityPlanner(Autoscaler fleet, Leader leader, Leader.Surroundings context) {
     this.fleet = fleet;
     this.leader = leader;
-    this.around = around;
-    this.loop = around.loop();
+    this.context = context;
+    this.loop = context.loop();
   }
 
   /** What a walk found: the shortage, the machines that it used, and the fleet's processors. */
   record Plan(QueueSimulation.Result result, double fleetCpus) {}
 
   Plan plan(List<QueueSimulation.Waiting> waiting, double horizon) {
-    List<MachineCapacity> rooms = new ArrayList<>();
+    List<MachineCapacity> capacities = new ArrayList<>();
     List<QueueSimulation.Release> releases = new ArrayList<>();
     Map<MachineId, MachineCapacity> byMachine = new HashMap<>();
-    collectMachines(rooms, releases, byMachine, horizon);
-    collectRentals(rooms, releases, horizon);
-    double cpus = rooms.stream().mapToDouble(room -> room.size().cpus()).sum();
+    collectMachines(capacities, releases, byMachine, horizon);
+    collectRentals(capacities, releases, horizon);
+    double cpus = capacities.stream().mapToDouble(capacity -> capacity.size().cpus()).sum();
     collectRunning(byMachine, releases, horizon);
-    int steps = around.tunables().count(Tunables.Key.WALK_STEPS);
-    return new Plan(QueueSimulation.run(rooms, releases, waiting, horizon, steps), cpus);
+    int steps = context.tunables().count(Tunables.Key.WALK_STEPS);
+    return new Plan(QueueSimulation.run(capacities, releases, waiting, horizon, steps), cpus);
   }
 
   void collectMachines(
-      List<MachineCapacity> rooms,
+      List<MachineCapacity> capacities,
       List<QueueSimulation.Release> releases,
       Map<MachineId, MachineCapacity> byMachine,
       double horizon) {
-    for (ShardView block : leader.blocks().values()) {
-      block
+    for (ShardView shard : leader.shards().values()) {
+      shard
           .machines()
           .forEach(
               (id, record) -> {
-                Optional<MachineType> type = around.catalog().type(record.type());
+                Optional<MachineType> type = context.catalog().type(record.type());
                 if (type.isEmpty()
                     || fleet.closed(id)
-                    || block.reportOf(id).filter(OwnedMachine::occupied).isPresent()) {
+                    || shard.reportOf(id).filter(OwnedMachine::occupied).isPresent()) {
                   return;
                 }
-                boolean leaving = block.reportOf(id).filter(MachineStatus::getRecalled).isPresent();
+                boolean leaving =
+                    shard.reportOf(id).filter(MachineStatus::getInterrupted).isPresent();
                 if (leaving) {
                   return;
                 }
@@ -85,23 +86,23 @@
                   // It may never come, so it is no room.
                   return;
                 }
-                MachineCapacity room =
+                MachineCapacity capacity =
                     MachineCapacity.on(
-                        block,
+                        shard,
                         id,
                         record,
                         type.get(),
                         record.up() ? size : Resources.ZERO,
                         Set.of());
-                rooms.add(room);
-                byMachine.put(id, room);
+                capacities.add(capacity);
+                byMachine.put(id, capacity);
                 if (!record.up()) {
                   // Within the horizon even if its type boots slower than that: a machine on its
                   // way that is no room is rented for again with every resize.
                   double bootLeft =
                       fleet.boots().expected(type.get()) - known.heldSeconds(loop.now());
                   double at = Math.min(horizon, Math.max(0, bootLeft));
-                  releases.add(new QueueSimulation.Release(at, room, size));
+                  releases.add(new QueueSimulation.Release(at, capacity, size));
                 }
               });
     }
@@ -114,29 +115,29 @@
   }
 
   private void collectRentals(
-      List<MachineCapacity> rooms, List<QueueSimulation.Release> releases, double horizon) {
-    for (ProvisioningRequest rental : fleet.rentals().expected()) {
-      MachineType type = around.catalog().type(rental.type()).orElse(null);
+      List<MachineCapacity> capacities, List<QueueSimulation.Release> releases, double horizon) {
+    for (ProvisioningRequest request : fleet.rentals().expected()) {
+      MachineType type = context.catalog().type(request.type()).orElse(null);
       if (type == null) {
         continue;
       }
-      for (int i = 0; i < rental.count(); i++) {
-        MachineCapacity room =
+      for (int i = 0; i < request.count(); i++) {
+        MachineCapacity capacity =
             new MachineCapacity(
-                new MachineId(rental.name() + "#" + i),
-                MachineCapacity.NO_BLOCK,
-                rental.zone(),
+                new MachineId(request.name() + "#" + i),
+                MachineCapacity.NO_SHARD,
+                request.zone(),
                 type,
-                rental.spot(),
+                request.spot(),
                 Resources.ZERO,
                 Set.of());
-        rooms.add(room);
-        releases.add(new QueueSimulation.Release(horizon, room, type.size()));
+        capacities.add(capacity);
+        releases.add(new QueueSimulation.Release(horizon, capacity, type.size()));
       }
     }
   }
 
-  /** Tasks that are told to a block and on no machine yet. */
+  /** Tasks that are told to a shard and on no machine yet. */
   private record Unplaced(ResourceRequest need, double expected, int count) {}
 
   void collectRunning(
@@ -145,17 +146,17 @@
       double horizon) {
     List<Unplaced> unplaced = new ArrayList<>();
     for (Job job : leader.jobs().values()) {
-      if (!job.delegations().isEmpty()) {
+      if (!job.assignments().isEmpty()) {
         collectRunning(job, byMachine, releases, horizon, unplaced);
       }
     }
     // All that is placed takes its room first: then most machines of a busy fleet are full, and
     // need not be looked at again for each job.
-    Resources least = UnschedulableRequests.leastOf(unplaced, Unplaced::need);
+    Resources least = UnschedulableRequests.minOf(unplaced, Unplaced::need);
     List<MachineCapacity> open = new ArrayList<>();
-    for (MachineCapacity room : byMachine.values()) {
-      if (least.fitsInto(room.free())) {
-        open.add(room);
+    for (MachineCapacity capacity : byMachine.values()) {
+      if (least.fitsInto(capacity.free())) {
+        open.add(capacity);
       }
     }
     UnschedulableRequests unplaceable = new UnschedulableRequests();
@@ -168,10 +169,10 @@
               group.need,
               group.count,
               open,
-              (room, count) -> {
+              (capacity, count) -> {
                 if (group.expected <= horizon) {
                   Resources freed = group.need.perTask().times(count);
-                  releases.add(new QueueSimulation.Release(group.expected, room, freed));
+                  releases.add(new QueueSimulation.Release(group.expected, capacity, freed));
                 }
               });
       if (placed < group.count) {
@@ -186,25 +187,25 @@
       List<QueueSimulation.Release> releases,
       double horizon,
       List<Unplaced> unplaced) {
-    double expected = around.runTimes().expectedSeconds(job);
+    double expected = context.runTimes().expectedSeconds(job);
     ResourceRequest need = ResourceRequest.of(job.spec());
     int waiting = 0;
-    for (TaskAssignment delegation : job.delegations()) {
-      if (delegation.state() == TaskAssignment.State.ENDED) {
+    for (TaskAssignment assignment : job.assignments()) {
+      if (assignment.state() == TaskAssignment.State.ENDED) {
         continue;
       }
-      if (delegation.machine().isEmpty()) {
+      if (assignment.machine().isEmpty()) {
         waiting++;
         continue;
       }
-      MachineCapacity room = byMachine.get(delegation.machine().get());
-      if (room != null) {
-        room.take(need);
+      MachineCapacity capacity = byMachine.get(assignment.machine().get());
+      if (capacity != null) {
+        capacity.take(need);
         double ran =
-            delegation.runningSince().map(since -> loop.now().secondsSince(since)).orElse(0.0);
+            assignment.runningSince().map(since -> loop.now().secondsSince(since)).orElse(0.0);
         double left = RunTimeEstimator.left(expected, ran);
         if (left <= horizon) {
-          releases.add(new QueueSimulation.Release(left, room, need.perTask()));
+          releases.add(new QueueSimulation.Release(left, capacity, need.perTask()));
         }
       }
     }
@@ -250,7 +251,7 @@
         groups.add(
             new QueueSimulation.Waiting(
                 ResourceRequest.of(job.spec()),
-                around.runTimes().expectedSeconds(job),
+                context.runTimes().expectedSeconds(job),
                 patient(job),
                 count,
                 queued.fromSeconds()));
@@ -264,8 +265,8 @@
     if (job.priority() != Priority.LOW || !job.spec().spotAllowed()) {
       return false;
     }
-    double patience = around.tunables().number(Tunables.Key.PATIENT_S);
-    double latest = job.dueMillis() - 2000 * around.runTimes().expectedSeconds(job);
+    double patience = context.tunables().number(Tunables.Key.PATIENT_S);
+    double latest = job.dueMillis() - 2000 * context.runTimes().expectedSeconds(job);
     double until = Math.min(latest, job.readyMillis() + 1000 * patience);
     return loop.wallMillis() < until;
   }
@@ -274,7 +275,7 @@
   Set<MachineTypeId> typesFor(List<QueueSimulation.Waiting> waiting) {
     Set<MachineTypeId> types = new HashSet<>();
     for (QueueSimulation.Waiting group : waiting) {
-      around.catalog().types().values().stream()
+      context.catalog().types().values().stream()
           .filter(type -> group.need().mayUse(type))
           .forEach(type -> types.add(type.id()));
     }
--- a/src/main/java/org/mulleinshift/autoscaling/CloudInventory.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CloudInventory.java
@@ -20,19 +20,19 @@
   private static final Duration LIST_EVERY = Duration.ofSeconds(10);
 
   private final Leader leader;
-  private final Leader.Surroundings around;
+  private final Leader.Surroundings context;
   private final EventLoop loop;
   private final Autoscaler.Cloud cloud;
   private final Consumer<CloudMachine> listed;
 
   CloudInventory(
       Leader leader,
-      Leader.Surroundings around,
+      Leader.Surroundings context,
       Autoscaler.Cloud cloud,
       Consumer<CloudMachine> listed) {
     this.leader = leader;
-    this.around = around;
-    this.loop = around.loop();
+    this.context = context;
+    this.loop = context.loop();
     this.cloud = cloud;
     this.listed = listed;
   }
@@ -42,7 +42,7 @@
       return;
     }
     loop.after(LIST_EVERY, this::listRegularly);
-    if (around.certain().getAsBoolean()) {
+    if (context.certain().getAsBoolean()) {
       list(Optional.empty());
     }
   }
--- a/src/main/java/org/mulleinshift/autoscaling/OfferSelector.java
+++ b/src/main/java/org/mulleinshift/autoscaling/OfferSelector.java
@@ -20,21 +20,21 @@
 /** What the cloud offers, as far as it was not refused lately, and which offer is the cheapest. */
 final class OfferSelector {
   /** So many requests for an offer wait for their answers at a time. */
-  private static final int MOST_REQUESTS = 8;
+  private static final int MAX_REQUESTS = 8;
 
   /** The longest pause, in first ones: room that comes back is found within that. */
-  private static final int MOST_PAUSES = 3;
+  private static final int MAX_PAUSES = 3;
 
   /** A kind of machine in a zone, which the cloud may run out of. */
   record Offer(MachineTypeId type, ZoneId zone, boolean spot) {
-    static Offer of(ProvisioningRequest rental) {
-      return new Offer(rental.type(), rental.zone(), rental.spot());
+    static Offer of(ProvisioningRequest request) {
+      return new Offer(request.type(), request.zone(), request.spot());
     }
   }
 
   private final EventLoop loop;
   private final MachineTypeCatalog catalog;
-  private final Map<ShardId, ShardView> blocks;
+  private final Map<ShardId, ShardView> shards;
   private final Duration pause;
   private final ToIntFunction<Offer> asked;
   private final Map<Offer, Refusals> refusals = new HashMap<>();
@@ -49,12 +49,12 @@
   OfferSelector(
       EventLoop loop,
       MachineTypeCatalog catalog,
-      Map<ShardId, ShardView> blocks,
+      Map<ShardId, ShardView> shards,
       Duration pause,
       ToIntFunction<Offer> asked) {
     this.loop = loop;
     this.catalog = catalog;
-    this.blocks = blocks;
+    this.shards = shards;
     this.pause = pause;
     this.asked = asked;
   }
@@ -69,7 +69,7 @@
       // Asked for together with what was refused before: no further news.
       return;
     }
-    int count = known == null || some ? 1 : Math.min(MOST_PAUSES, known.count + 1);
+    int count = known == null || some ? 1 : Math.min(MAX_PAUSES, known.count + 1);
     refusals.put(offer, new Refusals(count, loop.now().plus(pause.multipliedBy(count))));
   }
 
@@ -84,7 +84,7 @@
    * became hundreds of stored names, each to be written, asked, refused and removed.
    */
   boolean enough(Offer offer, Map<Offer, Integer> wanted) {
-    int most = (refusals.containsKey(offer) ? 1 : MOST_REQUESTS) * CloudCodec.MOST_RENTED;
+    int most = (refusals.containsKey(offer) ? 1 : MAX_REQUESTS) * CloudCodec.MAX_RENTED;
     return wanted.getOrDefault(offer, 0) + asked.applyAsInt(offer) >= most;
   }
 
@@ -145,7 +145,7 @@
 
   private Map<ZoneId, Integer> machinesByZone(Map<Offer, Integer> wanted) {
     Map<ZoneId, Integer> counts = new HashMap<>();
-    blocks.values().forEach(b -> counts.merge(b.zone(), b.machines().size(), Integer::sum));
+    shards.values().forEach(b -> counts.merge(b.zone(), b.machines().size(), Integer::sum));
     wanted.forEach((offer, count) -> counts.merge(offer.zone(), count, Integer::sum));
     return counts;
   }
--- a/src/main/java/org/mulleinshift/autoscaling/Provisioner.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Provisioner.java
@@ -31,14 +31,14 @@
 
   /** Hears what came of rentals. */
   interface Listener {
-    void rented(ProvisioningRequest rental, List<MachineId> machines);
+    void rented(ProvisioningRequest request, List<MachineId> machines);
 
     /** Some, but not all, or none of the machines are to be had. */
-    void refused(ProvisioningRequest rental, boolean some);
+    void refused(ProvisioningRequest request, boolean some);
   }
 
   private final Leader leader;
-  private final Leader.Surroundings around;
+  private final Leader.Surroundings context;
   private final EventLoop loop;
   private final Autoscaler.Cloud cloud;
   private final Revision term;
@@ -48,13 +48,13 @@
 
   Provisioner(
       Leader leader,
-      Leader.Surroundings around,
+      Leader.Surroundings context,
       Autoscaler.Cloud cloud,
       Revision term,
       Listener listener) {
     this.leader = leader;
-    this.around = around;
-    this.loop = around.loop();
+    this.context = context;
+    this.loop = context.loop();
     this.cloud = cloud;
     this.term = term;
     this.listener = listener;
@@ -67,28 +67,28 @@
   /** Rentals whose machines may still be counted on. */
   List<ProvisioningRequest> expected() {
     return rentals.values().stream()
-        .filter(rental -> rental.state() != ProvisioningRequest.State.ANSWERED)
-        .filter(rental -> loop.now().secondsSince(rental.plannedAt()) <= DEADLINE.toSeconds() * 2)
+        .filter(request -> request.state() != ProvisioningRequest.State.ANSWERED)
+        .filter(request -> loop.now().secondsSince(request.plannedAt()) <= DEADLINE.toSeconds() * 2)
         .toList();
   }
 
   /** Machines of an offer that were planned or asked for and not answered. */
   int unanswered(OfferSelector.Offer offer) {
     int count = 0;
-    for (ProvisioningRequest rental : rentals.values()) {
-      boolean open = rental.state() != ProvisioningRequest.State.ANSWERED;
-      count += open && OfferSelector.Offer.of(rental).equals(offer) ? rental.count() : 0;
+    for (ProvisioningRequest request : rentals.values()) {
+      boolean open = request.state() != ProvisioningRequest.State.ANSWERED;
+      count += open && OfferSelector.Offer.of(request).equals(offer) ? request.count() : 0;
     }
     return count;
   }
 
   /** A new leader asks again under the stored names: the same name never rents twice. */
-  public void load(List<Item> items, TransactionBatcher journal) {
+  public void load(List<Item> items, TransactionBatcher batcher) {
     for (Item item : items) {
       String name = item.key().substring(StoreKeys.RENTALS.length());
       try {
         rentals.put(name, ProvisioningRequest.read(name, item.value(), loop.now()));
-        journal.known(item.key(), item.version());
+        batcher.known(item.key(), item.version());
       } catch (MalformedMessageException e) {
         // Not ours to ask again or to end. Its machines, if any come, are adopted as unexpected.
         LOG.warn("{}: this build can't read it: {}", item.key(), e.getMessage());
@@ -97,14 +97,14 @@
   }
 
   void rent(OfferSelector.Offer offer, int count) {
-    for (int left = count; left > 0; left -= CloudCodec.MOST_RENTED) {
-      rentAtOnce(offer, Math.min(left, CloudCodec.MOST_RENTED));
+    for (int left = count; left > 0; left -= CloudCodec.MAX_RENTED) {
+      rentAtOnce(offer, Math.min(left, CloudCodec.MAX_RENTED));
     }
   }
 
   private void rentAtOnce(OfferSelector.Offer offer, int count) {
     String name = "r-" + term + "-" + ++names;
-    ProvisioningRequest rental =
+    ProvisioningRequest request =
         new ProvisioningRequest(
             name,
             offer.type(),
@@ -113,16 +113,16 @@
             count,
             loop.now(),
             ProvisioningRequest.State.PLANNED);
-    rentals.put(name, rental);
-    leader.journal().submit(StoreKeys.rental(name), new RentalUnit(rental));
+    rentals.put(name, request);
+    leader.batcher().submit(StoreKeys.rental(name), new RentalUnit(request));
   }
 
-  private void ask(ProvisioningRequest rental) {
-    if (!leader.leading() || rental.state() != ProvisioningRequest.State.ASKED) {
+  private void ask(ProvisioningRequest request) {
+    if (!leader.leading() || request.state() != ProvisioningRequest.State.ASKED) {
       return;
     }
-    if (!around.certain().getAsBoolean() || !cloud.budget().take(1, 0)) {
-      loop.after(RETRY, () -> ask(rental));
+    if (!context.certain().getAsBoolean() || !cloud.budget().take(1, 0)) {
+      loop.after(RETRY, () -> ask(request));
       return;
     }
     cloud
@@ -132,87 +132,91 @@
             HttpRequest.post(
                 CloudCodec.RENTALS,
                 CloudCodec.rent(
-                    rental.name(), rental.type(), rental.zone(), rental.spot(), rental.count()),
+                    request.name(),
+                    request.type(),
+                    request.zone(),
+                    request.spot(),
+                    request.count()),
                 DEADLINE),
-            reply -> answered(rental, reply));
+            reply -> answered(request, reply));
   }
 
-  private void answered(ProvisioningRequest rental, HttpResponse reply) {
+  private void answered(ProvisioningRequest request, HttpResponse reply) {
     if (!leader.leading()) {
       return;
     }
     if (reply.ok()) {
       try {
-        rented(rental, CloudCodec.parseRented(reply.body()));
+        rented(request, CloudCodec.parseRented(reply.body()));
         return;
       } catch (MalformedMessageException e) {
-        LOG.warn("answer to rental {}: {}", rental.name(), e.getMessage());
+        LOG.warn("answer to rental {}: {}", request.name(), e.getMessage());
       }
     }
     if (reply.status() == 400 || (reply.status() == 503 && reply.body().contains("no capacity"))) {
-      LOG.info("rental {} of {} in {} refused", rental.name(), rental.type(), rental.zone());
-      listener.refused(rental, false);
-      end(rental);
+      LOG.info("rental {} of {} in {} refused", request.name(), request.type(), request.zone());
+      listener.refused(request, false);
+      end(request);
       return;
     }
     // No clear answer: the cloud may have rented. The same name asks again.
-    loop.after(RETRY, () -> ask(rental));
+    loop.after(RETRY, () -> ask(request));
   }
 
-  private void rented(ProvisioningRequest rental, List<MachineId> machines) {
+  private void rented(ProvisioningRequest request, List<MachineId> machines) {
     LOG.info(
         "rental {}: {} of {} {} in {}",
-        rental.name(),
+        request.name(),
         machines.size(),
-        rental.count(),
-        rental.type(),
-        rental.zone());
-    if (machines.size() < rental.count()) {
-      listener.refused(rental, !machines.isEmpty());
+        request.count(),
+        request.type(),
+        request.zone());
+    if (machines.size() < request.count()) {
+      listener.refused(request, !machines.isEmpty());
     }
-    listener.rented(rental, machines);
-    end(rental);
+    listener.rented(request, machines);
+    end(request);
   }
 
   /** The rental's key goes only after its machines are stored. */
-  private void end(ProvisioningRequest rental) {
-    rental.moveTo(ProvisioningRequest.State.ANSWERED);
+  private void end(ProvisioningRequest request) {
+    request.transitionTo(ProvisioningRequest.State.ANSWERED);
     leader
-        .journal()
+        .batcher()
         .submit(
-            StoreKeys.rental(rental.name()),
+            StoreKeys.rental(request.name()),
             new TransactionBatcher.Unit() {
               @Override
               public List<Write> writes() {
-                return List.of(Write.delete(StoreKeys.rental(rental.name())));
+                return List.of(Write.delete(StoreKeys.rental(request.name())));
               }
 
               @Override
               public void committed(Revision revision) {
-                rentals.remove(rental.name());
+                rentals.remove(request.name());
               }
             });
   }
 
   /** A rental's name, stored before the cloud hears it. */
   private final class RentalUnit implements TransactionBatcher.Unit {
-    private final ProvisioningRequest rental;
+    private final ProvisioningRequest request;
 
-    RentalUnit(ProvisioningRequest rental) {
-      this.rental = rental;
+    RentalUnit(ProvisioningRequest request) {
+      this.request = request;
     }
 
     @Override
     public List<Write> writes() {
-      return rental.state() == ProvisioningRequest.State.PLANNED
-          ? List.of(Write.put(StoreKeys.rental(rental.name()), rental.write()))
+      return request.state() == ProvisioningRequest.State.PLANNED
+          ? List.of(Write.put(StoreKeys.rental(request.name()), request.write()))
           : List.of();
     }
 
     @Override
     public void committed(Revision revision) {
-      rental.moveTo(ProvisioningRequest.State.ASKED);
-      ask(rental);
+      request.transitionTo(ProvisioningRequest.State.ASKED);
+      ask(request);
     }
   }
 }
--- a/src/main/java/org/mulleinshift/autoscaling/QueueSimulation.java
+++ b/src/main/java/org/mulleinshift/autoscaling/QueueSimulation.java
@@ -18,7 +18,7 @@
  */
 final class QueueSimulation {
   /** Room that becomes free later. */
-  record Release(double atSeconds, MachineCapacity room, Resources amount) {}
+  record Release(double atSeconds, MachineCapacity capacity, Resources amount) {}
 
   /**
    * Waiting tasks of one job that may start.
@@ -52,7 +52,7 @@
   private QueueSimulation() {}
 
   static Result run(
-      List<MachineCapacity> rooms,
+      List<MachineCapacity> capacities,
       List<Release> releases,
       List<Waiting> waiting,
       double horizon,
@@ -64,7 +64,7 @@
     for (Release release : releases) {
       put(release, due, horizon, 0);
     }
-    Resources least = UnschedulableRequests.leastOf(waiting, Waiting::need);
+    Resources least = UnschedulableRequests.minOf(waiting, Waiting::need);
     int[] left = waiting.stream().mapToInt(Waiting::count).toArray();
     Set<MachineId> used = new HashSet<>();
     for (int step = 0; step <= steps; step++) {
@@ -72,16 +72,16 @@
       // What found no room before can only find it where some became free since.
       Set<MachineCapacity> grown = new LinkedHashSet<>();
       for (Release release : due.get(step)) {
-        release.room().give(release.amount());
-        grown.add(release.room());
+        release.capacity().give(release.amount());
+        grown.add(release.capacity());
       }
       double before = horizon * (step - 1) / steps;
       // Who joins the queue only now has looked at no room yet.
       boolean joined = waiting.stream().anyMatch(group -> group.joins(before, time));
       List<MachineCapacity> open = new ArrayList<>();
-      for (MachineCapacity room : step == 0 || joined ? rooms : grown) {
-        if (least.fitsInto(room.free())) {
-          open.add(room);
+      for (MachineCapacity capacity : step == 0 || joined ? capacities : grown) {
+        if (least.fitsInto(capacity.free())) {
+          open.add(capacity);
         }
       }
       UnschedulableRequests unplaceable = new UnschedulableRequests();
@@ -94,10 +94,10 @@
                   group.need,
                   left[i],
                   open,
-                  (room, count) -> {
-                    used.add(room.machine());
+                  (capacity, count) -> {
+                    used.add(capacity.machine());
                     Resources freed = group.need.perTask().times(count);
-                    put(new Release(time + group.runSeconds, room, freed), due, horizon, next);
+                    put(new Release(time + group.runSeconds, capacity, freed), due, horizon, next);
                   });
           if (left[i] > 0) {
             unplaceable.add(group.need);
--- a/src/main/java/org/mulleinshift/autoscaling/ScaleIn.java
+++ b/src/main/java/org/mulleinshift/autoscaling/ScaleIn.java
@@ -30,28 +30,28 @@
 final class ScaleIn {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
   private static final int DRAINED_OF = 24;
-  private static final int MOST_TRIALS = 16;
+  private static final int MAX_TRIALS = 16;
 
   private final Autoscaler fleet;
   private final CapacityPlanner plan;
   private final Leader leader;
-  private final Leader.Surroundings around;
+  private final Leader.Surroundings context;
   private final EventLoop loop;
 
-  ScaleIn(Autoscaler fleet, CapacityPlanner plan, Leader leader, Leader.Surroundings around) {
+  ScaleIn(Autoscaler fleet, CapacityPlanner plan, Leader leader, Leader.Surroundings context) {
     this.fleet = fleet;
     this.plan = plan;
     this.leader = leader;
-    this.around = around;
-    this.loop = around.loop();
+    this.context = context;
+    this.loop = context.loop();
   }
 
   /** Returns machines that are idle, paid for their least time, and of no use to the walk. */
   void drain(Set<MachineId> used) {
-    double idle = around.tunables().number(Tunables.Key.IDLE_RETURN_S);
-    double held = around.tunables().number(Tunables.Key.MINIMUM_HELD_S);
-    for (ShardView block : leader.blocks().values()) {
-      for (Map.Entry<MachineId, MachineRecord> entry : block.machines().entrySet()) {
+    double idle = context.tunables().number(Tunables.Key.IDLE_RETURN_S);
+    double held = context.tunables().number(Tunables.Key.MINIMUM_HELD_S);
+    for (ShardView shard : leader.shards().values()) {
+      for (Map.Entry<MachineId, MachineRecord> entry : shard.machines().entrySet()) {
         MachineId id = entry.getKey();
         Machine known = fleet.track(id);
         boolean unused =
@@ -62,7 +62,7 @@
             && !fleet.doubted(entry.getValue().type())
             && known.state() != Machine.State.RETURNING
             && known.heldSeconds(loop.now()) >= held
-            && !leader.busy(id, block.id())) {
+            && !leader.busy(id, shard.id())) {
           fleet.giveUp(id, "is idle");
         }
       }
@@ -71,8 +71,8 @@
 
   /** Room ran short: machines that were to go stay. */
   void reopen(Set<MachineTypeId> wanted) {
-    for (ShardView block : leader.blocks().values()) {
-      for (Map.Entry<MachineId, MachineRecord> entry : block.machines().entrySet()) {
+    for (ShardView shard : leader.shards().values()) {
+      for (Map.Entry<MachineId, MachineRecord> entry : shard.machines().entrySet()) {
         if (!wanted.contains(entry.getValue().type())) {
           continue;
         }
@@ -82,7 +82,7 @@
         if (known.state() == Machine.State.DRAINING) {
           LOG.info("{} stays", id);
           known.reopen();
-          leader.touch(block.id());
+          leader.touch(shard.id());
         }
       }
     }
@@ -94,54 +94,55 @@
    * tasks that only fit a large type, of which there are no more, do not keep the small ones up.
    */
   void consolidate(Set<MachineTypeId> wanted) {
-    if (wanted.containsAll(around.catalog().types().keySet())) {
+    if (wanted.containsAll(context.catalog().types().keySet())) {
       return;
     }
-    double held = around.tunables().number(Tunables.Key.MINIMUM_HELD_S);
-    double patience = around.tunables().number(Tunables.Key.SPARE_S);
-    Map<MachineId, MachineCapacity> rooms = new HashMap<>();
-    plan.collectMachines(new ArrayList<>(), new ArrayList<>(), rooms, 0);
-    plan.collectRunning(rooms, new ArrayList<>(), 0);
+    double held = context.tunables().number(Tunables.Key.MINIMUM_HELD_S);
+    double patience = context.tunables().number(Tunables.Key.SPARE_S);
+    Map<MachineId, MachineCapacity> capacities = new HashMap<>();
+    plan.collectMachines(new ArrayList<>(), new ArrayList<>(), capacities, 0);
+    plan.collectRunning(capacities, new ArrayList<>(), 0);
     for (CapacityReservation.Kept kept : leader.headroom().kept(loop.now())) {
-      if (BinPacker.fill(kept.need(), 2 * kept.count(), rooms.values()) < 2 * kept.count()) {
+      if (BinPacker.fill(kept.need(), 2 * kept.count(), capacities.values()) < 2 * kept.count()) {
         return;
       }
     }
-    List<MachineCapacity> candidates = new ArrayList<>(rooms.values());
-    candidates.removeIf(room -> wanted.contains(room.type()));
+    List<MachineCapacity> candidates = new ArrayList<>(capacities.values());
+    candidates.removeIf(capacity -> wanted.contains(capacity.type()));
     candidates.sort(
         Comparator.comparingDouble(MachineCapacity::drainWeight)
             .reversed()
-            .thenComparingDouble(room -> -room.free().cpus())
+            .thenComparingDouble(capacity -> -capacity.free().cpus())
             .thenComparing(MachineCapacity::machine));
     // A few at a time: each trial costs as much as the fleet is large.
-    int trials = MOST_TRIALS;
+    int trials = MAX_TRIALS;
     int most = 1 + candidates.size() / DRAINED_OF;
     for (MachineCapacity candidate : candidates) {
       Machine known = fleet.track(candidate.machine());
       boolean old = known.state() == Machine.State.UP && known.heldSeconds(loop.now()) >= held;
-      boolean spare = old && most > 0 && trials-- > 0 && movesElsewhere(candidate, rooms);
+      boolean spare = old && most > 0 && trials-- > 0 && movesElsewhere(candidate, capacities);
       most -= spare ? 1 : 0;
       if (known.spare(spare, loop.now()) >= patience && spare) {
         LOG.info("{} is spare: it takes no new tasks", candidate.machine());
         known.drain();
-        fleet.touchBlockOf(candidate.machine());
+        fleet.touchShardOf(candidate.machine());
       }
     }
   }
 
   /** Whether the others have room for its tasks; if so, that room is taken and it is left out. */
-  private boolean movesElsewhere(MachineCapacity candidate, Map<MachineId, MachineCapacity> rooms) {
+  private boolean movesElsewhere(
+      MachineCapacity candidate, Map<MachineId, MachineCapacity> capacities) {
     Map<MachineId, MachineCapacity> trial = new HashMap<>();
     Map<ResourceRequest, Integer> needs = new LinkedHashMap<>();
-    for (TaskAssignment delegation : leader.occupancy().on(candidate.machine())) {
-      Job job = leader.jobs().get(delegation.task().job());
+    for (TaskAssignment assignment : leader.occupancy().on(candidate.machine())) {
+      Job job = leader.jobs().get(assignment.task().job());
       needs.merge(ResourceRequest.of(job.spec()), 1, Integer::sum);
     }
-    Resources least = UnschedulableRequests.leastOf(needs.keySet(), need -> need);
-    for (MachineCapacity room : rooms.values()) {
-      if (room != candidate && least.fitsInto(room.free())) {
-        trial.put(room.machine(), room.copy());
+    Resources least = UnschedulableRequests.minOf(needs.keySet(), need -> need);
+    for (MachineCapacity capacity : capacities.values()) {
+      if (capacity != candidate && least.fitsInto(capacity.free())) {
+        trial.put(capacity.machine(), capacity.copy());
       }
     }
     for (Map.Entry<ResourceRequest, Integer> need : needs.entrySet()) {
@@ -149,8 +150,8 @@
         return false;
       }
     }
-    rooms.remove(candidate.machine());
-    rooms.putAll(trial);
+    capacities.remove(candidate.machine());
+    capacities.putAll(trial);
     return true;
   }
 }
--- a/src/main/java/org/mulleinshift/compatibility/UnreadableJobs.java
+++ b/src/main/java/org/mulleinshift/compatibility/UnreadableJobs.java
@@ -25,7 +25,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(UnreadableJobs.class);
 
   private final Map<JobId, Footprint> jobs = new LinkedHashMap<>();
-  private final Set<ShardId> blocks = new HashSet<>();
+  private final Set<ShardId> shards = new HashSet<>();
   private boolean anywhere;
 
   /** Sets a job aside; one log line for each. */
@@ -51,8 +51,8 @@
     }
   }
 
-  public void mayBeAt(ShardId block) {
-    blocks.add(block);
+  public void mayBeAt(ShardId shard) {
+    shards.add(shard);
   }
 
   public boolean has(JobId job) {
@@ -63,9 +63,9 @@
     return Collections.unmodifiableSet(jobs.keySet());
   }
 
-  /** Whether tasks that nobody may stop may be on the block's machines. */
-  public boolean mayBeIn(ShardId block) {
-    return !jobs.isEmpty() && (anywhere || blocks.contains(block));
+  /** Whether tasks that nobody may stop may be on the shard's machines. */
+  public boolean mayBeIn(ShardId shard) {
+    return !jobs.isEmpty() && (anywhere || shards.contains(shard));
   }
 
   /** Adds what the jobs may have out to what their teams have. */
--- a/src/main/java/org/mulleinshift/controller/Controller.java
+++ b/src/main/java/org/mulleinshift/controller/Controller.java
@@ -77,7 +77,7 @@
   private static final Duration LEADER_HEARTBEAT = Duration.ofMillis(300);
 
   /** Larger frames are left to the way that heals: what they say is said again in parts. */
-  private static final int LONGEST_RELAYED = 1 << 18;
+  private static final int MAX_RELAYED = 1 << 18;
 
   /** The ways out of the process. */
   public record Outside(
@@ -111,7 +111,7 @@
   private final LeaderElection election;
   private final FeatureGates builds;
   private final MachineTypeCatalog catalog;
-  private final OwnedShards heldBlocks;
+  private final OwnedShards heldShards;
   private final JobApi frontend;
   private final RunTimeEstimator runTimes = new RunTimeEstimator();
   private final EstimateReplicator advice;
@@ -122,24 +122,24 @@
   private boolean jobsKnown;
   private long badFrames;
 
-  public Controller(PlatformSettings settings, Tunables tunables, Outside outside) {
-    this.loop = outside.loop();
+  public Controller(PlatformSettings settings, Tunables tunables, Outside ports) {
+    this.loop = ports.loop();
     this.settings = settings;
     this.tunables = tunables;
     this.self = new NodeId(settings.label());
     this.advice = new EstimateReplicator(loop, runTimes);
-    this.peers = outside.peers();
+    this.peers = ports.peers();
     settings.members().stream()
         .sorted(Comparator.comparing(member -> member.zone().equals(settings.zone())))
         .forEach(member -> otherZoneFirst.add(new NodeId(member.label())));
-    this.margin = outside.margin();
+    this.margin = ports.margin();
     PlatformSettings.Cluster cluster = settings.cluster();
     this.rates = new StoreRateLimits(cluster);
     this.store =
         new KeyValueStore(
             loop,
-            outside.state(),
-            outside.watches(),
+            ports.state(),
+            ports.watches(),
             settings.state(),
             new KeyValueStore.Rates(
                 rates.requests(),
@@ -159,14 +159,14 @@
             this::probe,
             new StateLinkListener());
     store.tell(stateLink);
-    Duration blockLease = Leases.block(cluster.workers(), tunables);
+    Duration shardLease = Leases.shard(cluster.workers(), tunables);
     this.session =
         new ControllerSession(
             loop,
             store,
             self,
-            blockLease,
-            shorter(tunables.seconds(Tunables.Key.RENEW_S), blockLease.dividedBy(5)),
+            shardLease,
+            shorter(tunables.seconds(Tunables.Key.RENEW_S), shardLease.dividedBy(5)),
             jobs::provePromptly,
             this::onSessionChange);
     this.election =
@@ -192,20 +192,20 @@
             new IndirectLeaseRenewal.Parts(store, stateLink, links, session, view, control, jobs),
             this::send);
     this.catalog =
-        new MachineTypeCatalog(loop, outside.cloud(), settings.cloud(), this::onSessionChange);
-    this.heldBlocks =
+        new MachineTypeCatalog(loop, ports.cloud(), settings.cloud(), this::onSessionChange);
+    this.heldShards =
         new OwnedShards(
             self,
             view,
             session,
             new ShardOwner.Surroundings(
                 loop,
-                outside.workers(),
+                ports.workers(),
                 catalog,
                 cluster.workers(),
-                blockLease,
+                shardLease,
                 cancelled::contains,
-                this::onBlockNews),
+                this::onShardNews),
             new OwnedShards.Peers(
                 settings.members().stream().map(m -> new NodeId(m.label())).toList(),
                 this::answersWorkers,
@@ -222,11 +222,11 @@
             cluster,
             tunables.count(Tunables.Key.RETRY_AFTER_S),
             jobs::prove,
-            outside.margin()::pressure,
+            ports.margin()::pressure,
             this::onCancelled);
     this.cloud =
         new Autoscaler.Cloud(
-            outside.cloud(),
+            ports.cloud(),
             settings.cloud(),
             new RateLimiter(loop, cluster.cloudLimits().requestsPerSecond() * 0.6));
   }
@@ -243,7 +243,7 @@
     control.start();
     jobs.start();
     catalog.start();
-    heldBlocks.start();
+    heldShards.start();
     succession.start();
     loop.onStandstill(this::stoodStill);
     beatRegularly();
@@ -253,7 +253,7 @@
   public void handle(String method, String path, String body, Responder responder) {
     if (path.equals(WorkerCodec.CHECKIN)) {
       if (only("POST", method, responder)) {
-        heldBlocks.checkin(body, responder);
+        heldShards.checkin(body, responder);
       }
     } else if (path.equals(JobCodec.RUNS)) {
       if (only("POST", method, responder)) {
@@ -304,7 +304,7 @@
   /** How a controller stands to its workers, by its own word. */
   private WorkerReachability.State hearing(NodeId node) {
     if (node.equals(self)) {
-      return heldBlocks.hearing();
+      return heldShards.hearing();
     }
     return links.word(node).map(PeerFailureDetector::workers).orElse(WorkerReachability.State.WELL);
   }
@@ -343,7 +343,7 @@
             session.hold().map(hold -> hold.value()).orElse(0L),
             stateLink.silence().toMillis(),
             stateLink.state() == StoreHealth.State.LOST,
-            heldBlocks.hearing().wireName(),
+            heldShards.hearing().wireName(),
             seen.map(record -> record.node().value()).orElse(""),
             seen.map(record -> record.term().value()).orElse(0L),
             election.leading() ? succession.choose(otherZoneFirst) : "",
@@ -354,7 +354,7 @@
 
   private boolean linksWell() {
     return stateLink.state() == StoreHealth.State.SERVED
-        && heldBlocks.hearing() == WorkerReachability.State.WELL
+        && heldShards.hearing() == WorkerReachability.State.WELL
         && control.state() == WatchCache.State.WATCHING;
   }
 
@@ -374,7 +374,7 @@
 
   private void onBeat(NodeId sender, Heartbeat beat) {
     links.beat(sender, beat);
-    if (beat.getAnswerSoon()) {
+    if (beat.getReplyImmediately()) {
       // What the sender asks is whether the service answers anybody just now.
       store.get(StoreKeys.LEADER, KeyValueStore.Urgency.URGENT, answer -> beat());
     }
@@ -409,7 +409,7 @@
   private void stoodStill(Duration gap) {
     LOG.warn("stood still for {} ms", gap.toMillis());
     links.stoodStill();
-    heldBlocks.stoodStill();
+    heldShards.stoodStill();
   }
 
   private void send(NodeId node, Object body) {
@@ -430,7 +430,7 @@
     peers.send(node.value(), frame);
     // Where the two don't hear each other a third that hears both brings it, at worst a second
     // time: every message can be repeated.
-    if (frame.length <= LONGEST_RELAYED) {
+    if (frame.length <= MAX_RELAYED) {
       links
           .relayTo(node)
           .ifPresent(
@@ -492,15 +492,15 @@
     if (body instanceof Heartbeat beat) {
       onBeat(sender, beat);
     } else if (body instanceof ShardAssignment assignment) {
-      heldBlocks.onAssignment(assignment);
+      heldShards.onAssignment(assignment);
     } else if (body instanceof ShardStatus report) {
-      leader.ifPresent(term -> term.onBlockReport(report));
+      leader.ifPresent(term -> term.onShardReport(report));
     } else if (body instanceof ShardStatusAck seen) {
-      heldBlocks.onReportsSeen(seen);
+      heldShards.onReportsSeen(seen);
     } else if (body instanceof UnknownWorkerReport report) {
       leader.ifPresent(term -> term.onStranger(report));
-    } else if (body instanceof OwnerSuspicion knock) {
-      leader.ifPresent(term -> term.onKnock(knock));
+    } else if (body instanceof OwnerSuspicion suspicion) {
+      leader.ifPresent(term -> term.onSuspicion(suspicion));
     } else if (body instanceof JobSummary digest) {
       frontend.onDigest(digest);
     } else if (body instanceof RelayedFrame relay) {
@@ -535,15 +535,15 @@
     if (stateLink.state() == StoreHealth.State.SERVED) {
       election.onResignation(
           new LeaderElection.Standing(
-              new Revision(resignation.getTerm()), new LeaseId(resignation.getHold())),
+              new Revision(resignation.getTerm()), new LeaseId(resignation.getLease())),
           resignation.getSuccessor().equals(self.value()),
           view);
     }
   }
 
   private void onSessionChange() {
-    if (heldBlocks != null) {
-      heldBlocks.onControlChange();
+    if (heldShards != null) {
+      heldShards.onControlChange();
       observeElection();
     }
   }
@@ -558,13 +558,13 @@
     election.observe(view, ready);
   }
 
-  private void onBlockNews() {
-    heldBlocks.reportSoon();
+  private void onShardNews() {
+    heldShards.reportSoon();
   }
 
   private void onCancelled(JobId job) {
     if (cancelled.add(job)) {
-      heldBlocks.onCancelled(job);
+      heldShards.onCancelled(job);
     }
   }
 
@@ -606,7 +606,7 @@
         grantsChanged = false;
         session.verifySoon();
       }
-      heldBlocks.onControlChange();
+      heldShards.onControlChange();
       leader.ifPresent(Leader::onControlChange);
       observeElection();
     }
--- a/src/main/java/org/mulleinshift/controller/StoreRateLimits.java
+++ b/src/main/java/org/mulleinshift/controller/StoreRateLimits.java
@@ -9,7 +9,7 @@
   private static final double OTHER_WRITES = 0.4;
 
   /** Users come in bursts: a share of a few writes a second would refuse them all the time. */
-  private static final double LEAST_WRITES = 0.2;
+  private static final double MIN_WRITES = 0.2;
 
   /** Each may use more than its even share, since not all do at the same time. */
   private static final double ABOVE_EVEN_SHARE = 1.4;
@@ -22,7 +22,7 @@
   /** Calls of its own by which a node learns of its link: this share of the state's requests. */
   private static final double PROBE_SHARE = 0.05;
 
-  private static final Duration LEAST_PROBE = Duration.ofMillis(500);
+  private static final Duration MIN_PROBE = Duration.ofMillis(500);
 
   private final PlatformSettings.Cluster cluster;
 
@@ -45,7 +45,7 @@
     double share =
         leading || cluster.size() == 1
             ? LEADER_WRITES
-            : Math.max(LEAST_WRITES, OTHER_WRITES / others);
+            : Math.max(MIN_WRITES, OTHER_WRITES / others);
     return cluster.state().writesPerSecond() * share;
   }
 
@@ -61,6 +61,6 @@
   Duration probeSpacing() {
     double probes = PROBE_SHARE * cluster.state().requestsPerSecond() / cluster.size();
     Duration spacing = Duration.ofMillis((long) (1000 / probes));
-    return spacing.compareTo(LEAST_PROBE) < 0 ? LEAST_PROBE : spacing;
+    return spacing.compareTo(MIN_PROBE) < 0 ? MIN_PROBE : spacing;
   }
 }
--- a/src/main/java/org/mulleinshift/dependencies/DependencyListWriter.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyListWriter.java
@@ -37,13 +37,13 @@
   private final KeyValueStore store;
   private final Map<String, Integer> begun = new BoundedMap<>(REMEMBERED);
   private final int valueBytes;
-  private final int mostOps;
+  private final int maxOps;
 
-  public DependencyListWriter(EventLoop loop, KeyValueStore store, int valueBytes, int mostOps) {
+  public DependencyListWriter(EventLoop loop, KeyValueStore store, int valueBytes, int maxOps) {
     this.loop = loop;
     this.store = store;
     this.valueBytes = valueBytes;
-    this.mostOps = mostOps;
+    this.maxOps = maxOps;
   }
 
   /** Tells what the record is to hold, or a failure: then nothing was accepted. */
@@ -72,7 +72,7 @@
       attempt.written().run();
       return;
     }
-    List<Write> batch = left.subList(0, Math.min(mostOps, left.size()));
+    List<Write> batch = left.subList(0, Math.min(maxOps, left.size()));
     store.commit(
         List.of(
             new Guard(StoreKeys.active(job), new Revision(0)),
--- a/src/main/java/org/mulleinshift/dependencies/DependencyTracker.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyTracker.java
@@ -23,19 +23,19 @@
   private static final double INHERIT_SECONDS = 2;
 
   private final Leader leader;
-  private final Leader.Surroundings around;
+  private final Leader.Surroundings context;
   private final DependencyResolver chains;
   private final DependencyLoader reader;
   private final Map<JobId, DependencyResolver.End> ends = new BoundedMap<>(REMEMBERED_ENDS);
   private MonotonicTime inheritedAt;
 
-  public DependencyTracker(Leader leader, Leader.Surroundings around) {
+  public DependencyTracker(Leader leader, Leader.Surroundings context) {
     this.leader = leader;
-    this.around = around;
-    this.chains = new DependencyResolver(this, around.loop()::wallMillis);
-    this.inheritedAt = around.loop().now();
+    this.context = context;
+    this.chains = new DependencyResolver(this, context.loop()::wallMillis);
+    this.inheritedAt = context.loop().now();
     this.reader =
-        new DependencyLoader(around.loop(), around.store(), leader::serving, chains::ended);
+        new DependencyLoader(context.loop(), context.store(), leader::serving, chains::ended);
   }
 
   public Optional<Job> held(JobId job) {
@@ -75,7 +75,7 @@
           job.spec().id(),
           job.awaits(),
           awaited -> await(job, awaited),
-          item -> leader.journal().known(item.key(), item.version()));
+          item -> leader.batcher().known(item.key(), item.version()));
     }
   }
 
@@ -137,10 +137,10 @@
 
   /** Before jobs are ranked. */
   public void inherit() {
-    MonotonicTime now = around.loop().now();
+    MonotonicTime now = context.loop().now();
     if (chains.changed() || now.secondsSince(inheritedAt) >= INHERIT_SECONDS) {
       inheritedAt = now;
-      chains.inherit(this::open, around.runTimes()::expectedSeconds);
+      chains.inherit(this::open, context.runTimes()::expectedSeconds);
     }
   }
 
@@ -150,7 +150,7 @@
 
   /** Held jobs that should be let go within the horizon. */
   public List<DependencyResolver.Soon> soon(double horizon) {
-    return chains.soon(horizon, this::open, this::endsIn, around.runTimes()::expectedSeconds);
+    return chains.soon(horizon, this::open, this::endsIn, context.runTimes()::expectedSeconds);
   }
 
   /** The longest that any of the job's tasks should still take, if those that wait start now. */
@@ -158,11 +158,11 @@
     if (job.state() != Job.State.ACTIVE) {
       return Double.MAX_VALUE;
     }
-    double expected = around.runTimes().expectedSeconds(job);
+    double expected = context.runTimes().expectedSeconds(job);
     double left = job.waitingCount() > 0 ? expected : 0;
-    MonotonicTime now = around.loop().now();
-    for (TaskAssignment delegation : job.delegations()) {
-      double ran = delegation.runningSince().map(now::secondsSince).orElse(0.0);
+    MonotonicTime now = context.loop().now();
+    for (TaskAssignment assignment : job.assignments()) {
+      double ran = assignment.runningSince().map(now::secondsSince).orElse(0.0);
       left = Math.max(left, RunTimeEstimator.left(expected, ran));
     }
     return left;
--- a/src/main/java/org/mulleinshift/leader/EstimateReplicator.java
+++ b/src/main/java/org/mulleinshift/leader/EstimateReplicator.java
@@ -23,8 +23,8 @@
  */
 public final class EstimateReplicator {
   private static final Logger LOG = LoggerFactory.getLogger(EstimateReplicator.class);
-  private static final int MOST_CLASSES = 256;
-  private static final int MOST_TYPES = 64;
+  private static final int MAX_CLASSES = 256;
+  private static final int MAX_TYPES = 64;
   private static final Duration USELESS = Duration.ofMinutes(2);
   private static final Duration AGAIN = Duration.ofSeconds(10);
 
@@ -59,25 +59,25 @@
       return;
     }
     LearnedEstimates advice = heard.get();
-    advice.getClasses().forEach(item -> runTimes.advise(item.getName(), item.getRatio()));
+    advice.getRunTimeRatios().forEach(item -> runTimes.advise(item.getName(), item.getRatio()));
     advice
-        .getBoots()
+        .getBootTimes()
         .forEach(item -> boots.advise(new MachineTypeId(item.getMachineType()), item.getSeconds()));
     LOG.info(
         "advice of term {}, {} ms old: {} classes, {} types",
         advice.getTerm(),
         age.toMillis(),
-        advice.getClasses().size(),
-        advice.getBoots().size());
+        advice.getRunTimeRatios().size(),
+        advice.getBootTimes().size());
   }
 
   /** What the standby should hear now; none if it knows. */
   Optional<LearnedEstimates> next(long term, BootTimeEstimator boots, NodeId standby) {
     List<RunTimeRatio> classes = new ArrayList<>();
-    runTimes.ratios(MOST_CLASSES).forEach((name, r) -> classes.add(new RunTimeRatio(name, r)));
+    runTimes.ratios(MAX_CLASSES).forEach((name, r) -> classes.add(new RunTimeRatio(name, r)));
     List<BootTimeSamples> seen = new ArrayList<>();
     boots.latest().entrySet().stream()
-        .limit(MOST_TYPES)
+        .limit(MAX_TYPES)
         .forEach(e -> seen.add(new BootTimeSamples(e.getKey().value(), e.getValue())));
     Optional<LearnedEstimates> advice = Optional.of(new LearnedEstimates(term, classes, seen));
     boolean known =
--- a/src/main/java/org/mulleinshift/leader/Leader.java
+++ b/src/main/java/org/mulleinshift/leader/Leader.java
@@ -65,7 +65,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One term of leadership: decides which tasks go to which block, within quotas, zones and spread,
+ * One term of leadership: decides which tasks go to which shard, within quotas, zones and spread,
  * and stores that before anybody acts on it. A new leader starts from what is stored.
  */
 public final class Leader {
@@ -80,7 +80,7 @@
   private static final double JOURNAL_REQUESTS = 0.2;
 
   /** What ends a job is stored as one. */
-  private static final int LEAST_BATCH = 2;
+  private static final int MIN_BATCH = 2;
 
   /** States of a term. */
   enum State {
@@ -109,16 +109,16 @@
       BooleanSupplier certain,
       Runnable resign) {}
 
-  private final Surroundings around;
+  private final Surroundings context;
   private final EventLoop loop;
   private final Revision term;
-  private final TransactionBatcher journal;
+  private final TransactionBatcher batcher;
   private final ProgressPersister progress;
   private final DependencyTracker chains;
   private final Map<JobId, Job> jobs = new TreeMap<>();
-  private final Map<ShardId, ShardView> blocks = new TreeMap<>();
+  private final Map<ShardId, ShardView> shards = new TreeMap<>();
   private final TeamQuotas quota;
-  private final AvailableCapacity freeRoom;
+  private final AvailableCapacity freeCapacity;
   private final AssignmentWriter assignments;
   private final FailureAttribution blame;
   private final AllocationIndex occupancy = new AllocationIndex();
@@ -135,43 +135,43 @@
   private boolean cyclePlanned;
   private boolean sendPlanned;
 
-  public Leader(Surroundings around, Autoscaler.Cloud cloud, Revision term) {
-    this.around = around;
-    this.loop = around.loop();
+  public Leader(Surroundings context, Autoscaler.Cloud cloud, Revision term) {
+    this.context = context;
+    this.loop = context.loop();
     this.term = term;
     this.lastCycle = loop.now();
-    this.journal =
+    this.batcher =
         new TransactionBatcher(
             loop,
-            around.store(),
+            context.store(),
             term,
-            batch(around.settings().cluster().state()),
-            spacing(around.settings().cluster().state()),
-            around.resign());
+            batch(context.settings().cluster().state()),
+            spacing(context.settings().cluster().state()),
+            context.resign());
     this.progress =
-        new ProgressPersister(this, around, journal, batch(around.settings().cluster().state()));
-    this.chains = new DependencyTracker(this, around);
-    this.quota = new TeamQuotas(around.settings().cluster().teams());
-    this.freeRoom = new AvailableCapacity(this, around.catalog());
+        new ProgressPersister(this, context, batcher, batch(context.settings().cluster().state()));
+    this.chains = new DependencyTracker(this, context);
+    this.quota = new TeamQuotas(context.settings().cluster().teams());
+    this.freeCapacity = new AvailableCapacity(this, context.catalog());
     this.assignments = new AssignmentWriter(this, loop, term);
     this.blame =
         new FailureAttribution(
-            around.tunables().count(Tunables.Key.FAULTY_AFTER),
-            around.tunables().seconds(Tunables.Key.ERROR_PAUSE_S));
+            context.tunables().count(Tunables.Key.FAULTY_AFTER),
+            context.tunables().seconds(Tunables.Key.ERROR_PAUSE_S));
     this.headroom =
         new CapacityReservation(
-            around.settings().cluster().objectives(),
-            around.tunables().number(Tunables.Key.HEADROOM_JOBS),
-            around.tunables().seconds(Tunables.Key.HEADROOM_LASTS_S));
-    this.scheduling = new SchedulingCycle(this, around, term, freeRoom);
-    this.fleet = new Autoscaler(this, around, cloud, term);
-    this.grants = new ShardGrants(this, around, journal);
+            context.settings().cluster().objectives(),
+            context.tunables().number(Tunables.Key.HEADROOM_JOBS),
+            context.tunables().seconds(Tunables.Key.HEADROOM_LASTS_S));
+    this.scheduling = new SchedulingCycle(this, context, term, freeCapacity);
+    this.fleet = new Autoscaler(this, context, cloud, term);
+    this.grants = new ShardGrants(this, context, batcher);
   }
 
   /** A batch above what the service lets through at once would be refused for ever. */
   private static int batch(PlatformSettings.State limits) {
     int burst = (int) (limits.writesPerSecond() * limits.writesLeft() / 2);
-    return Math.min(limits.leastTxnOps(), Math.max(LEAST_BATCH, burst));
+    return Math.min(limits.minTxnOps(), Math.max(MIN_BATCH, burst));
   }
 
   /** Transactions follow each other so that the other requests find room. */
@@ -181,7 +181,7 @@
   }
 
   /** The only place where the state changes. */
-  private void moveTo(State next) {
+  private void transitionTo(State next) {
     LOG.info("term {}: {} -> {}", term, state, next);
     state = next;
   }
@@ -191,18 +191,18 @@
   }
 
   public void retire() {
-    moveTo(State.RETIRED);
-    journal.close();
+    transitionTo(State.RETIRED);
+    batcher.close();
   }
 
   /** Page by page, and no page is kept: after a fall of all controllers there are many. */
-  private void load(String prefix, Consumer<StoreCodec.Range> taker, Runnable then) {
-    load(prefix, Optional.empty(), taker, then);
+  private void load(String prefix, Consumer<StoreCodec.Range> consumer, Runnable then) {
+    load(prefix, Optional.empty(), consumer, then);
   }
 
   private void load(
-      String prefix, Optional<String> after, Consumer<StoreCodec.Range> taker, Runnable then) {
-    around
+      String prefix, Optional<String> after, Consumer<StoreCodec.Range> consumer, Runnable then) {
+    context
         .store()
         .page(
             prefix,
@@ -212,13 +212,13 @@
                 return;
               }
               if (!(answer instanceof Answer.Found<StoreCodec.Range> found)) {
-                loop.after(RETRY, () -> load(prefix, after, taker, then));
+                loop.after(RETRY, () -> load(prefix, after, consumer, then));
                 return;
               }
               StoreCodec.Range page = found.value();
-              taker.accept(page);
+              consumer.accept(page);
               if (page.next().isPresent()) {
-                load(prefix, page.next(), taker, then);
+                load(prefix, page.next(), consumer, then);
               } else {
                 then.run();
               }
@@ -246,21 +246,21 @@
       return;
     }
     putAside(id, record, "its record");
-    blocks.values().forEach(ShardView::changed);
+    shards.values().forEach(ShardView::changed);
     sendSoon();
   }
 
-  /** Holders hear no more of the job's tasks, and leave alone what runs of them. */
+  /** Owners hear no more of the job's tasks, and leave alone what runs of them. */
   public void putAside(JobId id, JsonNode record, String why) {
     unreadable.add(id, record, why);
     Job job = jobs.remove(id);
     chains.drop(id);
     if (job != null) {
-      for (TaskAssignment delegation : job.delegations()) {
-        unreadable.mayBeAt(delegation.block());
+      for (TaskAssignment assignment : job.assignments()) {
+        unreadable.mayBeAt(assignment.shard());
         if (state == State.LEADING) {
-          occupancy.leave(delegation);
-          untell(delegation);
+          occupancy.leave(assignment);
+          untell(assignment);
         }
       }
     }
@@ -272,12 +272,12 @@
       return;
     }
     boolean current =
-        around.view().leader().filter(leader -> leader.term().equals(term)).isPresent();
-    if (!current || !around.catalog().known()) {
+        context.view().leader().filter(leader -> leader.term().equals(term)).isPresent();
+    if (!current || !context.catalog().known()) {
       loop.after(Duration.ofMillis(50), this::awaitControlView);
       return;
     }
-    around.view().blocks().forEach(this::adoptBlock);
+    context.view().shards().forEach(this::adoptShard);
     load(StoreKeys.LOG, progress.loader()::loadSegments, this::loadParts);
   }
 
@@ -288,44 +288,44 @@
         () -> load(StoreKeys.RENTALS, this::loadRentals, this::begin));
   }
 
-  private void adoptBlock(ShardId id, ClusterView.BlockRecord record) {
-    ShardView block = new ShardView(id, record.zone(), loop.now());
-    block.machines().putAll(record.machines());
-    block.beyond(record.beyond());
-    block.lastHolder(record.lastHolder());
-    blocks.put(id, block);
-    journal.known(StoreKeys.block(id), record.version());
+  private void adoptShard(ShardId id, ClusterView.ShardRecord record) {
+    ShardView shard = new ShardView(id, record.zone(), loop.now());
+    shard.machines().putAll(record.machines());
+    shard.beyond(record.beyond());
+    shard.lastOwner(record.lastOwner());
+    shards.put(id, shard);
+    batcher.known(StoreKeys.shard(id), record.version());
   }
 
   private void loadRentals(StoreCodec.Range page) {
-    fleet.rentals().load(page.items(), journal);
+    fleet.rentals().load(page.items(), batcher);
   }
 
-  public void tell(TaskAssignment delegation) {
-    ShardView block = blocks.get(delegation.block());
-    if (block != null) {
-      block.tell(delegation);
+  public void tell(TaskAssignment assignment) {
+    ShardView shard = shards.get(assignment.shard());
+    if (shard != null) {
+      shard.tell(assignment);
       sendSoon();
     }
   }
 
-  public void untell(TaskAssignment delegation) {
-    ShardView block = blocks.get(delegation.block());
-    if (block != null) {
-      block.untell(delegation);
+  public void untell(TaskAssignment assignment) {
+    ShardView shard = shards.get(assignment.shard());
+    if (shard != null) {
+      shard.untell(assignment);
       sendSoon();
     }
   }
 
-  public ZoneId zoneOf(ShardId block) {
-    ShardView found = blocks.get(block);
-    return found != null ? found.zone() : new ZoneId(block.value());
+  public ZoneId zoneOf(ShardId shard) {
+    ShardView found = shards.get(shard);
+    return found != null ? found.zone() : new ZoneId(shard.value());
   }
 
   private void begin() {
     progress.loader().finish();
-    moveTo(State.LEADING);
-    around.advice().apply(fleet.boots());
+    transitionTo(State.LEADING);
+    context.advice().apply(fleet.boots());
     jobs.values().forEach(this::enter);
     chains.begin();
     onControlChange();
@@ -340,8 +340,8 @@
 
   /** Takes up what the store says of a job's tasks. */
   private void enter(Job job) {
-    job.delegations().forEach(occupancy::enter);
-    job.delegations().forEach(this::tell);
+    job.assignments().forEach(occupancy::enter);
+    job.assignments().forEach(this::tell);
   }
 
   /** A job that may run, or is to end; one that was held comes here once it is not any more. */
@@ -372,16 +372,16 @@
     return chains;
   }
 
-  public TransactionBatcher journal() {
-    return journal;
+  public TransactionBatcher batcher() {
+    return batcher;
   }
 
   public CapacityReservation headroom() {
     return headroom;
   }
 
-  public Map<ShardId, ShardView> blocks() {
-    return blocks;
+  public Map<ShardId, ShardView> shards() {
+    return shards;
   }
 
   public Map<JobId, Job> jobs() {
@@ -426,66 +426,66 @@
     if (state != State.LEADING) {
       return;
     }
-    for (ShardView block : blocks.values()) {
-      ClusterView.GrantRecord seen = around.view().grants().get(block.id());
-      block.grant(
+    for (ShardView shard : shards.values()) {
+      ClusterView.GrantRecord seen = context.view().grants().get(shard.id());
+      shard.grant(
           Optional.ofNullable(seen)
-              .map(grant -> new ShardView.Grant(grant.holder(), grant.revision())),
+              .map(grant -> new ShardView.Grant(grant.owner(), grant.revision())),
           loop.now());
       if (seen == null) {
-        journal.forgotten(StoreKeys.grant(block.id()));
+        batcher.forgotten(StoreKeys.grant(shard.id()));
       } else {
-        journal.known(StoreKeys.grant(block.id()), seen.revision());
+        batcher.known(StoreKeys.grant(shard.id()), seen.revision());
       }
     }
     grants.assign();
     sendSoon();
   }
 
-  public void onBlockReport(ShardStatus report) {
+  public void onShardReport(ShardStatus report) {
     if (state != State.LEADING) {
       return;
     }
-    ShardView block = blocks.get(new ShardId(report.getBlock()));
-    if (block == null
-        || block.grant().filter(g -> g.revision().value() == report.getGrant()).isEmpty()) {
+    ShardView shard = shards.get(new ShardId(report.getShard()));
+    if (shard == null
+        || shard.grant().filter(g -> g.revision().value() == report.getGrant()).isEmpty()) {
       return;
     }
     if (report.getSeenTerm() == term.value()) {
-      block.confirmed(report.getSeenVersion(), loop.now());
+      shard.confirmed(report.getSeenVersion(), loop.now());
     }
-    if (!block.continues(report)) {
-      // A report went missing, or this leader is new: the holder tells again from what is known.
-      confirmReports(block);
+    if (!shard.continues(report)) {
+      // A report went missing, or this leader is new: the owner tells again from what is known.
+      confirmReports(shard);
       return;
     }
-    if (report.getSequence() <= block.lastSequence()) {
+    if (report.getSequence() <= shard.lastSequence()) {
       return;
     }
-    List<MachineId> named = block.reported(report, loop.now());
+    List<MachineId> named = shard.reported(report, loop.now());
     for (TaskStatus task : report.getTasks()) {
       onTask(task);
     }
-    named.forEach(machine -> fleet.onReport(block, machine));
+    named.forEach(machine -> fleet.onReport(shard, machine));
     if (!named.isEmpty() || !report.getTasks().isEmpty()) {
       cycleSoon();
     }
   }
 
-  private void confirmReports(ShardView block) {
-    block
+  private void confirmReports(ShardView shard) {
+    shard
         .grant()
         .ifPresent(
             grant ->
-                around
+                context
                     .send()
                     .accept(
-                        grant.holder(),
+                        grant.owner(),
                         new ShardStatusAck(
                             term.value(),
-                            block.id().value(),
+                            shard.id().value(),
                             grant.revision().value(),
-                            block.lastSequence())));
+                            shard.lastSequence())));
   }
 
   public void onStranger(UnknownWorkerReport report) {
@@ -496,52 +496,52 @@
 
   private void onTask(TaskStatus report) {
     Job job = jobs.get(new JobId(report.getJob()));
-    TaskAssignment delegation = job == null ? null : job.delegation(report.getIndex()).orElse(null);
-    if (delegation == null
-        || delegation.attempt().value() != report.getAttempt()
-        || delegation.state() == TaskAssignment.State.ENDED) {
+    TaskAssignment assignment = job == null ? null : job.assignment(report.getIndex()).orElse(null);
+    if (assignment == null
+        || assignment.attempt().value() != report.getAttempt()
+        || assignment.state() == TaskAssignment.State.ENDED) {
       return;
     }
-    occupancy.leave(delegation);
-    onTask(report, job, delegation);
-    occupancy.enter(delegation);
+    occupancy.leave(assignment);
+    onTask(report, job, assignment);
+    occupancy.enter(assignment);
   }
 
-  private void onTask(TaskStatus report, Job job, TaskAssignment delegation) {
+  private void onTask(TaskStatus report, Job job, TaskAssignment assignment) {
     MachineId machine = new MachineId(report.getMachine());
     MonotonicTime since = loop.now().minus(Duration.ofMillis(report.getRanMs()));
     switch (TaskPhase.fromWireName(report.getPhase())) {
-      case NEW -> delegation.unplaced();
-      case STARTING, FETCHING -> delegation.placed(machine);
+      case NEW -> assignment.unplaced();
+      case STARTING, FETCHING -> assignment.placed(machine);
       case RUNNING, SAVING -> {
-        delegation.running(machine, since);
+        assignment.running(machine, since);
         job.begun(loop.wallMillis());
       }
       case DONE -> {
         blame.succeeded(job, machine);
         double seconds = report.getRanMs() / 1000.0;
-        around.runTimes().finished(job.spec(), seconds);
-        job.taskDone(delegation, seconds);
+        context.runTimes().finished(job.spec(), seconds);
+        job.taskDone(assignment, seconds);
         changed(job, report.getIndex());
       }
       case FAILED -> {
         blame.failed(job, machine, loop.now());
-        touch(delegation.block());
+        touch(assignment.shard());
         job.countFailure();
         // Spaced out, so that a job that fails everywhere does not keep the fleet busy.
         double pause =
-            around.tunables().number(Tunables.Key.ERROR_PAUSE_S)
+            context.tunables().number(Tunables.Key.ERROR_PAUSE_S)
                 * Math.min(12, Math.max(1, job.failures() / (double) job.spec().tasks()));
-        returned(job, delegation, Optional.of(loop.now().plusMillis((long) (pause * 1000))));
+        returned(job, assignment, Optional.of(loop.now().plusMillis((long) (pause * 1000))));
       }
-      case REJECTED -> returned(job, delegation, Optional.of(loop.now().plusMillis(500)));
-      case STOPPED, LOST -> returned(job, delegation, Optional.empty());
+      case REJECTED -> returned(job, assignment, Optional.of(loop.now().plusMillis(500)));
+      case STOPPED, LOST -> returned(job, assignment, Optional.empty());
     }
   }
 
-  private void returned(Job job, TaskAssignment delegation, Optional<MonotonicTime> notBefore) {
-    job.taskReturned(delegation, notBefore);
-    changed(job, delegation.task().index());
+  private void returned(Job job, TaskAssignment assignment, Optional<MonotonicTime> notBefore) {
+    job.taskReturned(assignment, notBefore);
+    changed(job, assignment.task().index());
   }
 
   public TeamQuotas quota() {
@@ -566,8 +566,8 @@
   }
 
   /** Whether a task is, may be about to be, or may unknown to this build be on the machine. */
-  public boolean busy(MachineId machine, ShardId block) {
-    return occupancy.busy(machine, block) || unreadable.mayBeIn(block);
+  public boolean busy(MachineId machine, ShardId shard) {
+    return occupancy.busy(machine, shard) || unreadable.mayBeIn(shard);
   }
 
   public FailureAttribution blame() {
@@ -583,9 +583,9 @@
   public void settle(Job job) {
     if (job.state() == Job.State.CANCELLING) {
       chains.cancelledWith(job.spec().id());
-      for (TaskAssignment delegation : job.delegations()) {
-        if (!delegation.stopRequested()) {
-          requestStop(delegation);
+      for (TaskAssignment assignment : job.assignments()) {
+        if (!assignment.stopRequested()) {
+          requestStop(assignment);
         }
       }
     }
@@ -606,15 +606,15 @@
     cycleSoon();
   }
 
-  public void requestStop(TaskAssignment delegation) {
-    delegation.requestStop();
-    if (delegation.told()) {
-      tell(delegation);
+  public void requestStop(TaskAssignment assignment) {
+    assignment.requestStop();
+    if (assignment.told()) {
+      tell(assignment);
     }
   }
 
-  public void touch(ShardId block) {
-    ShardView found = blocks.get(block);
+  public void touch(ShardId shard) {
+    ShardView found = shards.get(shard);
     if (found != null) {
       found.changed();
       sendSoon();
@@ -626,41 +626,41 @@
       return;
     }
     loop.after(UPKEEP, this::upkeep);
-    describeBlocks();
+    describeShards();
     progress.upkeep();
     grants.assign();
-    for (ShardView block : blocks.values()) {
-      if (block.sequenceToConfirm()) {
-        confirmReports(block);
+    for (ShardView shard : shards.values()) {
+      if (shard.sequenceToConfirm()) {
+        confirmReports(shard);
       }
     }
     sendAssignments();
     cycleSoon();
   }
 
-  private void describeBlocks() {
+  private void describeShards() {
     if (!LOG.isDebugEnabled()) {
       return;
     }
-    for (ShardView block : blocks.values()) {
+    for (ShardView shard : shards.values()) {
       LOG.debug(
           "{}: {}, reported {} ms ago, {} of {} machines usable, {}",
-          block.id(),
-          block.grant().map(Object::toString).orElse("not held"),
-          loop.now().since(block.reportedAt()).toMillis(),
-          freeRoom.roomsOf(block, Resources.ZERO).size(),
-          block.machines().size(),
-          block.told().size() + " tasks");
+          shard.id(),
+          shard.grant().map(Object::toString).orElse("not held"),
+          loop.now().since(shard.reportedAt()).toMillis(),
+          freeCapacity.capacitiesOf(shard, Resources.ZERO).size(),
+          shard.machines().size(),
+          shard.told().size() + " tasks");
     }
   }
 
-  public void onKnock(OwnerSuspicion knock) {
-    ShardView block = blocks.get(new ShardId(knock.getBlock()));
+  public void onSuspicion(OwnerSuspicion suspicion) {
+    ShardView shard = shards.get(new ShardId(suspicion.getShard()));
     boolean current =
-        block != null
-            && block.grant().filter(g -> g.revision().value() == knock.getGrant()).isPresent();
+        shard != null
+            && shard.grant().filter(g -> g.revision().value() == suspicion.getGrant()).isPresent();
     if (state == State.LEADING && current) {
-      knock.getMachines().forEach(machine -> block.knocked(new MachineId(machine), loop.now()));
+      suspicion.getMachines().forEach(machine -> shard.knocked(new MachineId(machine), loop.now()));
     }
   }
 
@@ -676,12 +676,12 @@
   }
 
   private void sendAssignments() {
-    if (state != State.LEADING || !around.certain().getAsBoolean()) {
+    if (state != State.LEADING || !context.certain().getAsBoolean()) {
       return;
     }
-    for (ShardView block : blocks.values()) {
-      if (block.grant().isPresent() && (block.lost(loop.now(), RESEND) || block.dirty())) {
-        around.send().accept(block.grant().get().holder(), assignments.of(block));
+    for (ShardView shard : shards.values()) {
+      if (shard.grant().isPresent() && (shard.lost(loop.now(), RESEND) || shard.dirty())) {
+        context.send().accept(shard.grant().get().owner(), assignments.of(shard));
       }
     }
   }
@@ -693,7 +693,7 @@
     cyclePlanned = true;
     // A cycle that takes long on a busy processor comes less often: reports, renewals and
     // acceptance share the loop with it.
-    Duration spacing = around.tunables().millis(Tunables.Key.CYCLE_MS);
+    Duration spacing = context.tunables().millis(Tunables.Key.CYCLE_MS);
     Duration rest = cycleTook.multipliedBy(CYCLE_SHARE);
     spacing = rest.compareTo(spacing) > 0 ? rest : spacing;
     Duration since = loop.now().since(lastCycle);
@@ -707,7 +707,7 @@
   }
 
   private void cycle() {
-    if (state != State.LEADING || !around.certain().getAsBoolean()) {
+    if (state != State.LEADING || !context.certain().getAsBoolean()) {
       return;
     }
     lastCycle = loop.now();
@@ -729,15 +729,15 @@
       return;
     }
     loop.after(DIGEST, this::sendDigest);
-    around
+    context
         .standby()
         .get()
         .ifPresent(
             node ->
-                around
+                context
                     .advice()
                     .next(term.value(), fleet.boots(), node)
-                    .ifPresent(advice -> around.send().accept(node, advice)));
+                    .ifPresent(advice -> context.send().accept(node, advice)));
     List<JobTaskCounts> counts = new ArrayList<>();
     for (Job job : jobs.values()) {
       // A job that waits is known to have none done and none running without being named.
@@ -748,10 +748,10 @@
       }
     }
     JobSummary digest = new JobSummary(counts);
-    around.send().accept(around.self(), digest);
-    around
+    context.send().accept(context.self(), digest);
+    context
         .settings()
         .members()
-        .forEach(member -> around.send().accept(new NodeId(member.label()), digest));
+        .forEach(member -> context.send().accept(new NodeId(member.label()), digest));
   }
 }
--- a/src/main/java/org/mulleinshift/membership/AssignableShard.java
+++ b/src/main/java/org/mulleinshift/membership/AssignableShard.java
@@ -7,7 +7,7 @@
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** A block as far as it matters for who holds it. */
+/** A shard as far as it matters for who holds it. */
 public interface AssignableShard {
   ShardId id();
 
@@ -16,17 +16,17 @@
   /** How many machines it has. */
   int size();
 
-  Optional<NodeId> holder();
+  Optional<NodeId> owner();
 
   /** Who held it last by its record: its machines report there. Advice only. */
-  Optional<NodeId> lastHolder();
+  Optional<NodeId> lastOwner();
 
   /** For how long it has had no grant at all. */
   Duration without(MonotonicTime now);
 
-  /** The next holder, while the grant is being stored. */
+  /** The next owner, while the grant is being stored. */
   Optional<NodeId> granting();
 
-  /** For how long the holder has shown no sign of anything new that was sent to it. */
+  /** For how long the owner has shown no sign of anything new that was sent to it. */
   Duration unheard(MonotonicTime now);
 }
--- a/src/main/java/org/mulleinshift/membership/ControllerSession.java
+++ b/src/main/java/org/mulleinshift/membership/ControllerSession.java
@@ -24,7 +24,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This process's lease at the state service, to which its block grants are bound, and the proof
+ * This process's lease at the state service, to which its shard grants are bound, and the proof
  * that the grants still stand. How long this node may act by them is its {@link OwnershipLease}.
  */
 public final class ControllerSession {
@@ -82,7 +82,7 @@
     clearLeaderKey();
   }
 
-  private void moveTo(State next) {
+  private void transitionTo(State next) {
     LOG.info("session {} -> {}", state, next);
     state = next;
     onChange.run();
@@ -134,7 +134,7 @@
   }
 
   private void acquire() {
-    moveTo(State.ACQUIRING);
+    transitionTo(State.ACQUIRING);
     MonotonicTime sent = loop.now();
     store.grantHold(
         ttl,
@@ -150,14 +150,14 @@
   }
 
   private void register(LeaseId mine) {
-    moveTo(State.REGISTERING);
+    transitionTo(State.REGISTERING);
     store.commit(
         List.of(new Guard(StoreKeys.node(self), new Revision(0))),
         List.of(Write.put(StoreKeys.node(self), ClusterView.nodeValue(mine), mine)),
         KeyValueStore.Urgency.URGENT,
         outcome -> {
           if (outcome instanceof KeyValueStore.Outcome.Committed) {
-            moveTo(State.HELD);
+            transitionTo(State.HELD);
             renew(mine);
           } else {
             // Silence may mean that our own key is there already: start over, which finds it.
@@ -279,16 +279,16 @@
   }
 
   /** Checked whenever this node acts, not only by a timer: timers may go off late. */
-  public boolean entitled(ShardId block, Revision grant) {
-    return mayAct() && grant.equals(verified.get(block));
+  public boolean entitled(ShardId shard, Revision grant) {
+    return mayAct() && grant.equals(verified.get(shard));
   }
 
-  /** Whether this node may act at all, for the blocks that are its own. */
+  /** Whether this node may act at all, for the shards that are its own. */
   boolean mayAct() {
     return state == State.HELD && right.stands(loop.now());
   }
 
-  /** For the log; called a few times a second while blocks are held. */
+  /** For the log; called a few times a second while shards are held. */
   public void tellRight() {
     boolean stands = mayAct();
     if (stood && !stands) {
--- a/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
+++ b/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
@@ -32,7 +32,7 @@
 /**
  * A controller that lost the state service asks a served peer to renew its session lease, to tell
  * what has changed among the control keys, and what among the active jobs, where cancellations are;
- * so it goes on holding its blocks. What the peer does comes after the question: each ground of the
+ * so it goes on holding its shards. What the peer does comes after the question: each ground of the
  * {@link OwnershipLease} counts from when it was asked for.
  *
  * <p>The question for the active jobs names no lease. A peer of an earlier build finds that lease
@@ -43,7 +43,7 @@
   private static final Duration EVERY = Duration.ofSeconds(1);
 
   /** Longer answers are left out; the asker then runs to the end of its lease. */
-  private static final int MOST_CHARACTERS = 1 << 19;
+  private static final int MAX_CHARACTERS = 1 << 19;
 
   private static final LeaseId NO_LEASE = new LeaseId(0);
   private static final Duration BAD_LOGGED = Duration.ofMinutes(1);
@@ -134,7 +134,7 @@
     if (link.state() != StoreHealth.State.SERVED) {
       return;
     }
-    LeaseId hold = new LeaseId(request.getHold());
+    LeaseId hold = new LeaseId(request.getLease());
     if (hold.equals(NO_LEASE)) {
       readChanges(sender, request, StoreKeys.ACTIVE);
       return;
@@ -153,7 +153,7 @@
   private void readChanges(NodeId sender, LeaseRenewalRequest request, String prefix) {
     store.changes(
         prefix,
-        new Revision(request.getSince()),
+        new Revision(request.getSinceRevision()),
         KeyValueStore.Urgency.URGENT,
         answer -> {
           if (answer instanceof Answer.Found<Changes> found) {
@@ -171,10 +171,10 @@
       characters += value.length();
       list.add(new KeyChange(change.key(), value, change.version().value()));
     }
-    boolean fits = characters <= MOST_CHARACTERS;
+    boolean fits = characters <= MAX_CHARACTERS;
     return new LeaseRenewalResponse(
         request.getId(),
-        request.getHold(),
+        request.getLease(),
         over,
         fits,
         changes.revision().value(),
@@ -187,9 +187,9 @@
     if (question == null) {
       return;
     }
-    if (question.hold.value() != answer.getHold()) {
+    if (question.hold.value() != answer.getLease()) {
       provesNothing(sender, "of another lease");
-    } else if (answer.getOver()) {
+    } else if (answer.getExpired()) {
       if (!question.hold.equals(NO_LEASE)) {
         session.provenOver(question.hold);
       }
@@ -215,9 +215,9 @@
       Map<ShardId, Revision> mine = new HashMap<>();
       view.grants()
           .forEach(
-              (block, grant) -> {
-                if (grant.holder().equals(self)) {
-                  mine.put(block, grant.revision());
+              (shard, grant) -> {
+                if (grant.owner().equals(self)) {
+                  mine.put(shard, grant.revision());
                 }
               });
       session.proven(question.hold, question.askedAt, mine);
--- a/src/main/java/org/mulleinshift/membership/LeaderElection.java
+++ b/src/main/java/org/mulleinshift/membership/LeaderElection.java
@@ -73,7 +73,7 @@
   }
 
   /** The only place where the state changes. */
-  private void moveTo(State next) {
+  private void transitionTo(State next) {
     State old = state;
     state = next;
     if (old != next) {
@@ -96,7 +96,7 @@
         resign("another leader");
       }
     } else if (state == State.FOLLOWING && ready && view.leader().isEmpty()) {
-      moveTo(State.STANDING);
+      transitionTo(State.STANDING);
       // Spread, so that not all nodes try at the same moment; one that was chosen need not wait.
       Duration spread = Duration.ofMillis((long) (50 + 250 * loop.random()));
       Duration wait = notBefore.isAfter(loop.now()) ? notBefore.since(loop.now()) : Duration.ZERO;
@@ -108,7 +108,7 @@
 
   private void stand(ClusterView view) {
     if (view.leader().isPresent()) {
-      moveTo(State.FOLLOWING);
+      transitionTo(State.FOLLOWING);
       return;
     }
     MonotonicTime sent = loop.now();
@@ -133,7 +133,7 @@
         outcome -> {
           if (outcome instanceof KeyValueStore.Outcome.Committed committed) {
             term = committed.revision();
-            moveTo(State.LEADING);
+            transitionTo(State.LEADING);
             renew(held);
           } else {
             // A win whose answer was lost ends with this lease.
@@ -145,7 +145,7 @@
   }
 
   private void giveUp(ClusterView view) {
-    moveTo(State.FOLLOWING);
+    transitionTo(State.FOLLOWING);
     loop.after(Duration.ofMillis((long) (300 + 400 * loop.random())), () -> observe(view, true));
   }
 
@@ -175,7 +175,7 @@
   public void resign(String why) {
     if (state == State.LEADING) {
       LOG.warn("leadership lost: {}", why);
-      moveTo(State.FOLLOWING);
+      transitionTo(State.FOLLOWING);
     }
   }
 
--- a/src/main/java/org/mulleinshift/membership/OwnerEligibility.java
+++ b/src/main/java/org/mulleinshift/membership/OwnerEligibility.java
@@ -13,17 +13,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which controllers can hold blocks. One that is cut off from its workers alone looks well to its
+ * Which controllers can hold shards. One that is cut off from its workers alone looks well to its
  * peers and to the state service. It says itself that its machines have stopped reporting, and
  * either the machines knock at others, or all have stopped while other controllers hear theirs:
- * both together show that it is the controller, not a zone or the machines. It gets no blocks until
+ * both together show that it is the controller, not a zone or the machines. It gets no shards until
  * it hears its workers again and for a while after, each time for longer.
  */
 public final class OwnerEligibility {
   private static final Logger LOG = LoggerFactory.getLogger(OwnerEligibility.class);
   private static final Duration FIRST = Duration.ofSeconds(5);
   private static final Duration FORGIVEN = Duration.ofMinutes(3);
-  private static final int MOST_DOUBLINGS = 4;
+  private static final int MAX_DOUBLINGS = 4;
 
   private static final class Strikes {
     private int count;
@@ -40,13 +40,13 @@
   }
 
   /**
-   * The controllers that can not hold blocks now; all are judged in one go, before any block moves.
+   * The controllers that can not hold shards now; all are judged in one go, before any shard moves.
    *
-   * @param knocks how many machines of each holder reported elsewhere lately
-   * @param live the controllers that could hold blocks
+   * @param knocks how many machines of each owner reported elsewhere lately
+   * @param live the controllers that could hold shards
    */
   public Set<NodeId> unfit(
-      Map<NodeId, Integer> knocks, Collection<NodeId> live, MonotonicTime now) {
+      Map<NodeId, Integer> suspicions, Collection<NodeId> live, MonotonicTime now) {
     boolean othersHear =
         live.stream().anyMatch(node -> hearing.apply(node) == WorkerReachability.State.WELL);
     for (NodeId node : live) {
@@ -60,7 +60,7 @@
         if (!most) {
           hearsAgain(node, known, now);
         }
-      } else if (proven || (most && knocks.getOrDefault(node, 0) > 0)) {
+      } else if (proven || (most && suspicions.getOrDefault(node, 0) > 0)) {
         strike(node, now);
       }
     }
@@ -86,7 +86,7 @@
 
   /** Its word is a sign of its workers; what comes and goes is trusted later each time. */
   private static void hearsAgain(NodeId node, Strikes known, MonotonicTime now) {
-    Duration trial = FIRST.multipliedBy(1L << Math.min(known.count - 1, MOST_DOUBLINGS));
+    Duration trial = FIRST.multipliedBy(1L << Math.min(known.count - 1, MAX_DOUBLINGS));
     known.deaf = false;
     known.until = now.plus(trial);
     LOG.info("{} hears its workers again: it may hold blocks in {} s", node, trial.toSeconds());
--- a/src/main/java/org/mulleinshift/membership/OwnershipLease.java
+++ b/src/main/java/org/mulleinshift/membership/OwnershipLease.java
@@ -7,8 +7,8 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Until when a holder may answer workers, start tasks and let them run, by its own steady clock: a
- * block lease after the oldest of three moments. Each is the one at which a question was sent whose
+ * Until when an owner may answer workers, start tasks and let them run, by its own steady clock: a
+ * shard lease after the oldest of three moments. Each is the one at which a question was sent whose
  * answer showed its ground, whoever carried it: what the answer tells is true of that moment or a
  * later one. The store can't have ended the session by then, no grant can have been withdrawn, and
  * every cancellation that was confirmed before was known; one that was not is followed by the end
--- a/src/main/java/org/mulleinshift/membership/PeerFailureDetector.java
+++ b/src/main/java/org/mulleinshift/membership/PeerFailureDetector.java
@@ -107,7 +107,7 @@
   public boolean anyServedSince(MonotonicTime moment) {
     for (Map.Entry<NodeId, Said> known : said.entrySet()) {
       Said last = known.getValue();
-      MonotonicTime answered = last.at.minus(Duration.ofMillis(last.beat.getStoreSilentMs()));
+      MonotonicTime answered = last.at.minus(Duration.ofMillis(last.beat.getStoreSilenceMs()));
       if (served(known.getKey()) && answered.isAfter(moment)) {
         return true;
       }
@@ -159,9 +159,9 @@
   /** How long ago a peer last heard another controller, by its fresh word; none if never. */
   public Optional<Duration> heardBy(NodeId peer, NodeId other) {
     return word(peer).stream()
-        .flatMap(beat -> beat.getHeard().stream())
+        .flatMap(beat -> beat.getLastHeard().stream())
         .filter(heard -> heard.getNode().equals(other.value()))
-        .map(heard -> Duration.ofMillis(heard.getSilentMs()).plus(age(peer)))
+        .map(heard -> Duration.ofMillis(heard.getSilenceMs()).plus(age(peer)))
         .findFirst();
   }
 
@@ -182,7 +182,7 @@
           .append(
               heardBy(entry.getKey(), self).map(ago -> ago.toMillis() + " ms ago").orElse("not"))
           .append(", state service ")
-          .append(beat.getStoreLost() ? "lost" : beat.getStoreSilentMs() + " ms ago")
+          .append(beat.getStoreLost() ? "lost" : beat.getStoreSilenceMs() + " ms ago")
           .append(", workers ")
           .append(beat.getWorkers());
     }
--- a/src/main/java/org/mulleinshift/membership/StandbyFailover.java
+++ b/src/main/java/org/mulleinshift/membership/StandbyFailover.java
@@ -54,7 +54,7 @@
   private final EventLoop loop;
   private final NodeId self;
   private final Duration patience;
-  private final Duration mostPatience;
+  private final Duration maxPatience;
   private final Parts parts;
   private State state = State.NONE;
   private Duration silent = Duration.ZERO;
@@ -72,11 +72,11 @@
    * @param mostPatience the leader's lease, beyond which nothing is gained
    */
   public StandbyFailover(
-      EventLoop loop, NodeId self, Duration patience, Duration mostPatience, Parts parts) {
+      EventLoop loop, NodeId self, Duration patience, Duration maxPatience, Parts parts) {
     this.loop = loop;
     this.self = self;
     this.patience = patience;
-    this.mostPatience = mostPatience;
+    this.maxPatience = maxPatience;
     this.parts = parts;
     this.tickedAt = loop.now();
     this.deposedAt = tickedAt.minus(FORGIVEN);
@@ -88,7 +88,7 @@
   }
 
   /** The only place where the state changes. */
-  private void moveTo(State next, String why) {
+  private void transitionTo(State next, String why) {
     if (next == State.DEPOSED || (next == State.STANDBY) != (state == State.STANDBY)) {
       LOG.info("standby {} -> {}: {}", state, next, why);
     }
@@ -163,12 +163,13 @@
     if (!standby) {
       silent = Duration.ZERO;
       if (state != State.NONE) {
-        moveTo(State.NONE, leader.isEmpty() ? "no leader" : "not named, or own links not well");
+        transitionTo(
+            State.NONE, leader.isEmpty() ? "no leader" : "not named, or own links not well");
       }
       return;
     }
     if (state == State.NONE) {
-      moveTo(State.STANDBY, "named by " + leader.get().node());
+      transitionTo(State.STANDBY, "named by " + leader.get().node());
     }
     boolean heard = parts.links.silence(leader.get().node()).compareTo(gap) <= 0;
     silent = heard || late ? Duration.ZERO : silent.plus(gap);
@@ -180,16 +181,16 @@
     if (state == State.DEPOSED) {
       if (silent.isZero()) {
         // The word that was to end its lease was lost.
-        moveTo(State.STANDBY, leader.node() + " still leads");
+        transitionTo(State.STANDBY, leader.node() + " still leads");
       }
       return;
     }
     if (silent.compareTo(limit.dividedBy(2)) < 0) {
-      moveTo(State.STANDBY, "the leader is heard");
+      transitionTo(State.STANDBY, "the leader is heard");
       return;
     }
     if (state == State.STANDBY) {
-      moveTo(State.SUSPECTING, "the leader is silent");
+      transitionTo(State.SUSPECTING, "the leader is silent");
       parts.askPeers.run();
       return;
     }
@@ -218,10 +219,10 @@
   }
 
   private void depose(LeaderRecord leader) {
-    moveTo(
+    transitionTo(
         State.DEPOSED, leader.node() + " silent for " + silent.toMillis() + " ms, another agrees");
     deposed = Optional.of(leader.node());
-    deposedSession = parts.links.lastWord(leader.node()).map(Heartbeat::getSessionHold).orElse(0L);
+    deposedSession = parts.links.lastWord(leader.node()).map(Heartbeat::getSessionLease).orElse(0L);
     falseAlarms = loop.now().since(deposedAt).compareTo(FORGIVEN) > 0 ? 0 : falseAlarms;
     deposedAt = loop.now();
     parts.depose.accept(new LeaderElection.Standing(leader.term(), leader.hold()));
@@ -233,7 +234,7 @@
         deposed
             .filter(node -> parts.links.silence(node).compareTo(loop.now().since(deposedAt)) < 0)
             .flatMap(parts.links::lastWord)
-            .filter(beat -> beat.getSessionHold() == deposedSession)
+            .filter(beat -> beat.getSessionLease() == deposedSession)
             .isPresent();
     if (alive) {
       LOG.info("{} was alive", deposed.get());
@@ -244,6 +245,6 @@
 
   private Duration limit() {
     Duration longer = patience.multipliedBy(1L << Math.min(falseAlarms, 10));
-    return longer.compareTo(mostPatience) < 0 ? longer : mostPatience;
+    return longer.compareTo(maxPatience) < 0 ? longer : maxPatience;
   }
 }
--- a/src/main/java/org/mulleinshift/membership/StoreHealth.java
+++ b/src/main/java/org/mulleinshift/membership/StoreHealth.java
@@ -26,7 +26,7 @@
   private static final Duration ALONE = Duration.ofSeconds(3);
   private static final Duration FIRST_TRIAL = Duration.ofMillis(500);
   private static final Duration FORGIVEN = Duration.ofMinutes(3);
-  private static final int MOST_DOUBLINGS = 5;
+  private static final int MAX_DOUBLINGS = 5;
 
   /** States of the link. */
   public enum State {
@@ -93,7 +93,7 @@
   }
 
   /** The only place where the state changes. */
-  private void moveTo(State next, String why) {
+  private void transitionTo(State next, String why) {
     LOG.info("state service {} -> {}: {}", state, next, why);
     state = next;
     listener.changed(next);
@@ -142,14 +142,14 @@
     switch (state) {
       case SERVED -> {
         if (silent.compareTo(lostAfter.dividedBy(2)) >= 0) {
-          moveTo(State.DOUBTED, "no answer for " + silent.toMillis() + " ms");
+          transitionTo(State.DOUBTED, "no answer for " + silent.toMillis() + " ms");
           listener.doubted();
         }
       }
       case DOUBTED -> {
         if (silent.isZero()) {
           aheadSince = Optional.empty();
-          moveTo(State.SERVED, "answered");
+          transitionTo(State.SERVED, "answered");
           return;
         }
         watchPeers(now);
@@ -167,9 +167,9 @@
           peerServedAt = now;
         }
         if (now.since(wellSince).compareTo(trial()) >= 0) {
-          moveTo(State.SERVED, "answered for " + trial().toMillis() + " ms");
+          transitionTo(State.SERVED, "answered for " + trial().toMillis() + " ms");
         } else if (now.since(peerServedAt).compareTo(ALONE) > 0) {
-          moveTo(State.DOUBTED, "no peer is served either");
+          transitionTo(State.DOUBTED, "no peer is served either");
         }
       }
     }
@@ -194,11 +194,11 @@
   }
 
   private void lose(MonotonicTime now) {
-    losses = now.since(lostAt).compareTo(FORGIVEN) > 0 ? 0 : Math.min(MOST_DOUBLINGS, losses + 1);
+    losses = now.since(lostAt).compareTo(FORGIVEN) > 0 ? 0 : Math.min(MAX_DOUBLINGS, losses + 1);
     lostAt = now;
     peerServedAt = now;
     wellSince = now;
-    moveTo(State.LOST, "no answer for " + silent.toMillis() + " ms while peers are served");
+    transitionTo(State.LOST, "no answer for " + silent.toMillis() + " ms while peers are served");
   }
 
   /** What comes and goes must answer for longer before it is trusted again. */
--- a/src/main/java/org/mulleinshift/membership/WorkerReachability.java
+++ b/src/main/java/org/mulleinshift/membership/WorkerReachability.java
@@ -15,7 +15,7 @@
 /**
  * Whether this controller is reached by its workers. Told by the reports that should have come:
  * their rate, the number of machines and the jitter say how long a silence can be chance. Once in
- * doubt it is trusted again on a sign only, a report or a worker that answers; that its blocks went
+ * doubt it is trusted again on a sign only, a report or a worker that answers; that its shards went
  * to others, and nobody is expected any more, is none.
  */
 public final class WorkerReachability {
@@ -34,12 +34,12 @@
   /** So many reports that should have come and did not are no chance. */
   private static final int MISSED = 25;
 
-  private static final Duration LEAST_SILENCE = Duration.ofMillis(1500);
+  private static final Duration MIN_SILENCE = Duration.ofMillis(1500);
 
   /** States of the link. */
   public enum State {
     WELL("WELL"),
-    /** A third of what proves it: nothing follows but that no block is given to this node. */
+    /** A third of what proves it: nothing follows but that no shard is given to this node. */
     DOUBTED("DOUBTED"),
     /** Most machines have stopped reporting here. */
     MOST_SILENT("MOST_SILENT"),
@@ -105,7 +105,7 @@
     loop.after(TICK, this::tick);
   }
 
-  /** A worker's report came, of whatever block. */
+  /** A worker's report came, of whatever shard. */
   public void reported() {
     reported = true;
     sign = true;
@@ -126,7 +126,7 @@
     reported = false;
     State next = judge(parts.count().get());
     if (next != state) {
-      moveTo(next);
+      transitionTo(next);
     }
     if (state != State.WELL && loop.now().since(pingedAt).compareTo(PING_EVERY) >= 0) {
       ping();
@@ -156,11 +156,11 @@
   /** So long that {@link #MISSED} reports should have come, jitter included. */
   private Duration provenAfter(int machines) {
     Duration expected = reportEvery.multipliedBy(5 * MISSED).dividedBy(4L * Math.max(1, machines));
-    return expected.compareTo(LEAST_SILENCE) > 0 ? expected : LEAST_SILENCE;
+    return expected.compareTo(MIN_SILENCE) > 0 ? expected : MIN_SILENCE;
   }
 
   /** The only place where the state changes. */
-  private void moveTo(State next) {
+  private void transitionTo(State next) {
     boolean sure = next != State.DOUBTED && state != State.DOUBTED;
     if (sure || next.compareTo(State.DOUBTED) > 0) {
       LOG.info("workers {} -> {}: no report for {} ms", state, next, noReport.toMillis());
--- a/src/main/java/org/mulleinshift/memory/HeapMonitor.java
+++ b/src/main/java/org/mulleinshift/memory/HeapMonitor.java
@@ -14,7 +14,7 @@
 public final class HeapMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(HeapMonitor.class);
   private static final Duration EVERY = Duration.ofMillis(250);
-  private static final Duration LEAST_PAUSE = Duration.ofSeconds(2);
+  private static final Duration MIN_PAUSE = Duration.ofSeconds(2);
   private static final Duration PRESSING_PAUSE = Duration.ofMillis(500);
 
   /** A collection takes at most this part of the time: one in so many. */
@@ -37,7 +37,7 @@
     this.heap = heap;
     this.limit = limitBytes;
     this.mayCollectAt = loop.now();
-    this.collectedAt = loop.now().minus(LEAST_PAUSE);
+    this.collectedAt = loop.now().minus(MIN_PAUSE);
   }
 
   /** Looks at the heap from now on, a few times a second. */
@@ -53,7 +53,7 @@
   private void check() {
     long used = heap.used();
     if (used < TIGHT * limit) {
-      moveTo(MemoryPressure.EASE, used);
+      transitionTo(MemoryPressure.EASE, used);
       return;
     }
     MonotonicTime now = loop.now();
@@ -66,9 +66,9 @@
     heap.collect();
     collectedAt = loop.now();
     Duration rest = collectedAt.since(now).multipliedBy(TIME_SHARE);
-    mayCollectAt = collectedAt.plus(rest.compareTo(LEAST_PAUSE) > 0 ? rest : LEAST_PAUSE);
+    mayCollectAt = collectedAt.plus(rest.compareTo(MIN_PAUSE) > 0 ? rest : MIN_PAUSE);
     long left = heap.used();
-    moveTo(
+    transitionTo(
         left >= SCARCE * limit
             ? MemoryPressure.SCARCE
             : left >= TIGHT * limit ? MemoryPressure.TIGHT : MemoryPressure.EASE,
@@ -76,7 +76,7 @@
   }
 
   /** The only place where the pressure changes. */
-  private void moveTo(MemoryPressure next, long used) {
+  private void transitionTo(MemoryPressure next, long used) {
     if (next != pressure) {
       LOG.warn("memory {} -> {}: {} of {} MiB in use", pressure, next, used >> 20, limit >> 20);
       pressure = next;
--- a/src/main/java/org/mulleinshift/memory/MemoryPlan.java
+++ b/src/main/java/org/mulleinshift/memory/MemoryPlan.java
@@ -27,7 +27,7 @@
   /** Measured: code, classes, thread stacks, buffers outside the heap, the collector's tables. */
   private static final long OUTSIDE_HEAP = 64 * MIB;
 
-  private static final long LEAST_HEAP = 40 * MIB;
+  private static final long MIN_HEAP = 40 * MIB;
 
   /** Measured: what the server keeps of an open connection in buffers and bookkeeping. */
   private static final long CONNECTION_BYTES = 24 * 1024;
@@ -36,9 +36,9 @@
   private static final double SOCKET_SHARE = 0.8;
 
   /** For a node of so much memory and so many sockets, under a heap limit of the process. */
-  public static MemoryPlan of(double memoryMb, int sockets, long mostHeapBytes) {
+  public static MemoryPlan of(double memoryMb, int sockets, long maxHeapBytes) {
     long wanted = (long) (USABLE * memoryMb * MIB) - OUTSIDE_HEAP;
-    long heap = Math.min(mostHeapBytes, Math.max(LEAST_HEAP, wanted));
+    long heap = Math.min(maxHeapBytes, Math.max(MIN_HEAP, wanted));
     int idle = (int) Math.min(SOCKET_SHARE * sockets, CONNECTION_SHARE * heap / CONNECTION_BYTES);
     return new MemoryPlan(
         heap,
--- a/src/main/java/org/mulleinshift/model/ClusterView.java
+++ b/src/main/java/org/mulleinshift/model/ClusterView.java
@@ -23,7 +23,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Who leads, who holds which block, and which machines belong to it, as last seen. */
+/** Who leads, who holds which shard, and which machines belong to it, as last seen. */
 public final class ClusterView {
   private static final Logger LOG = LoggerFactory.getLogger(ClusterView.class);
 
@@ -32,31 +32,31 @@
 
   public record NodeRecord(LeaseId hold, Revision version) {}
 
-  /** A block's holder; the revision of the grant is what its fencing tokens start from. */
-  public record GrantRecord(NodeId holder, Revision revision) {}
+  /** A shard's owner; the revision of the grant is what its fencing tokens start from. */
+  public record GrantRecord(NodeId owner, Revision revision) {}
 
-  /** A machine of a block. Until it is up nobody has placed anything on it. */
+  /** A machine of a shard. Until it is up nobody has placed anything on it. */
   public record MachineRecord(MachineTypeId type, boolean spot, boolean up) {}
 
   /**
-   * A block.
+   * A shard.
    *
    * @param lastHolder who held it when it was written; advice, which older builds leave out
    * @param beyond fields that this build doesn't know, kept when it is rewritten
    */
-  public record BlockRecord(
+  public record ShardRecord(
       ZoneId zone,
       Map<MachineId, MachineRecord> machines,
       Revision version,
-      Optional<NodeId> lastHolder,
+      Optional<NodeId> lastOwner,
       Optional<UnknownFields> beyond) {
-    private static final String LAST_HOLDER = "last";
+    private static final String LAST_OWNER = "last";
 
     public static JsonNode write(
-        ZoneId zone, Map<MachineId, MachineRecord> machines, Optional<NodeId> lastHolder) {
+        ZoneId zone, Map<MachineId, MachineRecord> machines, Optional<NodeId> lastOwner) {
       ObjectNode node = Json.object();
       node.put("zone", zone.value());
-      lastHolder.ifPresent(last -> node.put(LAST_HOLDER, last.value()));
+      lastOwner.ifPresent(last -> node.put(LAST_OWNER, last.value()));
       ObjectNode list = node.putObject("machines");
       machines.forEach(
           (id, machine) -> {
@@ -68,7 +68,7 @@
       return node;
     }
 
-    static BlockRecord read(Item item) throws MalformedMessageException {
+    static ShardRecord read(Item item) throws MalformedMessageException {
       JsonNode list = item.value().path("machines");
       if (!list.isObject()) {
         throw new MalformedMessageException("no machines");
@@ -84,10 +84,10 @@
       }
       ZoneId zone = new ZoneId(Json.text(item.value(), "zone"));
       Optional<NodeId> last =
-          Optional.of(item.value().path(LAST_HOLDER))
+          Optional.of(item.value().path(LAST_OWNER))
               .filter(JsonNode::isTextual)
               .map(node -> new NodeId(node.asText()));
-      return new BlockRecord(
+      return new ShardRecord(
           zone,
           machines,
           item.version(),
@@ -101,10 +101,10 @@
   private Optional<LeaderRecord> leader = Optional.empty();
   private final Map<NodeId, NodeRecord> nodes = new HashMap<>();
   private final Map<ShardId, GrantRecord> grants = new HashMap<>();
-  private final Map<ShardId, BlockRecord> blocks = new LinkedHashMap<>();
-  private final Map<MachineId, ShardId> blockOf = new HashMap<>();
+  private final Map<ShardId, ShardRecord> shards = new LinkedHashMap<>();
+  private final Map<MachineId, ShardId> shardOf = new HashMap<>();
   private final Map<NodeId, Integer> builds = new HashMap<>();
-  private final Set<ShardId> unreadableBlocks = new HashSet<>();
+  private final Set<ShardId> unreadableShards = new HashSet<>();
   private final Set<ShardId> unreadableGrants = new HashSet<>();
 
   public static JsonNode leaderValue(NodeId node, LeaseId hold) {
@@ -119,8 +119,8 @@
     return Json.object().put("hold", hold.value());
   }
 
-  public static JsonNode grantValue(NodeId holder) {
-    return Json.object().put("holder", holder.value());
+  public static JsonNode grantValue(NodeId owner) {
+    return Json.object().put("holder", owner.value());
   }
 
   public void apply(String key, Optional<Item> item) {
@@ -134,7 +134,7 @@
                       new LeaseId(found.value().path("hold").asLong())));
     } else if (key.startsWith(StoreKeys.NODES)) {
       NodeId node = new NodeId(key.substring(StoreKeys.NODES.length()));
-      // One without a hold that can be read gets no block: it would hang on nothing.
+      // One without a hold that can be read gets no shard: it would hang on nothing.
       set(nodes, node, item.filter(ClusterView::hasHold).map(ClusterView::nodeRecord));
     } else if (key.startsWith(StoreKeys.BUILDS)) {
       set(
@@ -143,8 +143,8 @@
           item.map(found -> found.value().path(BUILD).asInt()));
     } else if (key.startsWith(StoreKeys.GRANTS)) {
       applyGrant(new ShardId(key.substring(StoreKeys.GRANTS.length())), item);
-    } else if (key.startsWith(StoreKeys.BLOCKS)) {
-      applyBlock(new ShardId(key.substring(StoreKeys.BLOCKS.length())), item);
+    } else if (key.startsWith(StoreKeys.SHARDS)) {
+      applyShard(new ShardId(key.substring(StoreKeys.SHARDS.length())), item);
     }
   }
 
@@ -156,43 +156,43 @@
     return item.value().path("hold").canConvertToLong();
   }
 
-  private void applyGrant(ShardId block, Optional<Item> item) {
-    unreadableGrants.remove(block);
+  private void applyGrant(ShardId shard, Optional<Item> item) {
+    unreadableGrants.remove(shard);
     Optional<Item> readable = item.filter(found -> found.value().path("holder").isTextual());
     if (item.isPresent() && readable.isEmpty()) {
       LOG.warn("{}: this build can't read who holds it", item.get().key());
-      unreadableGrants.add(block);
+      unreadableGrants.add(shard);
     }
     set(
         grants,
-        block,
+        shard,
         readable.map(
             found ->
                 new GrantRecord(
                     new NodeId(found.value().path("holder").asText()), found.version())));
   }
 
-  private void applyBlock(ShardId block, Optional<Item> item) {
-    BlockRecord old = blocks.get(block);
-    Optional<BlockRecord> record = Optional.empty();
-    unreadableBlocks.remove(block);
+  private void applyShard(ShardId shard, Optional<Item> item) {
+    ShardRecord old = shards.get(shard);
+    Optional<ShardRecord> record = Optional.empty();
+    unreadableShards.remove(shard);
     if (item.isPresent()) {
       try {
-        record = Optional.of(BlockRecord.read(item.get()));
+        record = Optional.of(ShardRecord.read(item.get()));
       } catch (MalformedMessageException e) {
         LOG.warn("{}: this build can't read it: {}", item.get().key(), e.getMessage());
-        unreadableBlocks.add(block);
+        unreadableShards.add(shard);
         // Whose machines they were is better than nothing for a worker that asks where to go.
-        blocks.remove(block);
+        shards.remove(shard);
         return;
       }
     }
     if (old != null) {
-      old.machines().keySet().forEach(machine -> blockOf.remove(machine, block));
+      old.machines().keySet().forEach(machine -> shardOf.remove(machine, shard));
     }
-    set(blocks, block, record);
+    set(shards, shard, record);
     record.ifPresent(
-        found -> found.machines().keySet().forEach(machine -> blockOf.put(machine, block)));
+        found -> found.machines().keySet().forEach(machine -> shardOf.put(machine, shard)));
   }
 
   private static <K, V> void set(Map<K, V> map, K key, Optional<V> value) {
@@ -215,8 +215,8 @@
     return grants;
   }
 
-  public Map<ShardId, BlockRecord> blocks() {
-    return blocks;
+  public Map<ShardId, ShardRecord> shards() {
+    return shards;
   }
 
   /** Which build each controller has shown; those before this was kept have shown none. */
@@ -224,17 +224,17 @@
     return builds;
   }
 
-  /** Blocks that stand in the store in a form that this build can't read; not its to judge. */
-  public Set<ShardId> unreadableBlocks() {
-    return unreadableBlocks;
+  /** Shards that stand in the store in a form that this build can't read; not its to judge. */
+  public Set<ShardId> unreadableShards() {
+    return unreadableShards;
   }
 
-  /** Blocks that somebody holds, but this build can't read who. */
+  /** Shards that somebody holds, but this build can't read who. */
   public Set<ShardId> unreadableGrants() {
     return unreadableGrants;
   }
 
-  public Optional<ShardId> blockOf(MachineId machine) {
-    return Optional.ofNullable(blockOf.get(machine));
+  public Optional<ShardId> shardOf(MachineId machine) {
+    return Optional.ofNullable(shardOf.get(machine));
   }
 }
--- a/src/main/java/org/mulleinshift/model/Job.java
+++ b/src/main/java/org/mulleinshift/model/Job.java
@@ -29,13 +29,13 @@
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** An accepted job in the leader's memory: which tasks are done, delegated, waiting. */
+/** An accepted job in the leader's memory: which tasks are done, assigned, waiting. */
 public final class Job {
   /** States of a job. */
   public enum State {
-    /** Jobs that it awaits are not all over: no task may be delegated. */
+    /** Jobs that it awaits are not all over: no task may be assigned. */
     HELD,
-    /** Tasks may be delegated. */
+    /** Tasks may be assigned. */
     ACTIVE,
     /** Cancelled: no task may start, all must go. */
     CANCELLING,
@@ -48,7 +48,7 @@
   /** Tasks whose progress shares a key; keeps values far below the store's limit. */
   public static final int CHUNK = 500;
 
-  /** Of an entry of tasks at a block: block, attempt, tasks. */
+  /** Of an entry of tasks at a shard: shard, attempt, tasks. */
   private static final int AT_FIELDS = 3;
 
   private static final double NO_DEADLINE_SECONDS = 86_400;
@@ -67,7 +67,7 @@
   private final BitSet done = new BitSet();
   private final BitSet delegated = new BitSet();
   private final BitSet unavailable = new BitSet();
-  private final NavigableMap<Integer, TaskAssignment> delegations = new TreeMap<>();
+  private final NavigableMap<Integer, TaskAssignment> assignments = new TreeMap<>();
   private final Map<Integer, Integer> tries = new HashMap<>();
   private final Map<Integer, MonotonicTime> pausedUntil = new HashMap<>();
   private final Map<ZoneId, Integer> perZone = new HashMap<>();
@@ -100,7 +100,7 @@
   }
 
   /** The only place where a job's state changes. */
-  private void moveTo(State next) {
+  private void transitionTo(State next) {
     if (next.compareTo(state) < 0) {
       throw new IllegalStateException(spec.id() + ": " + state + " to " + next);
     }
@@ -121,7 +121,7 @@
   public void cancel() {
     cancelled = true;
     if (state == State.HELD || state == State.ACTIVE) {
-      moveTo(State.CANCELLING);
+      transitionTo(State.CANCELLING);
     }
   }
 
@@ -134,7 +134,7 @@
   private void release(long atMillis) {
     readyMillis = OptionalLong.of(Math.max(acceptedMillis, atMillis));
     if (state == State.HELD) {
-      moveTo(State.ACTIVE);
+      transitionTo(State.ACTIVE);
     }
   }
 
@@ -145,7 +145,7 @@
   /**
    * Reads one part of stored progress; nothing of it is taken over if any of it can't be read. It
    * takes the place of what was read of the part that it was cut from. Of a job that awaits others
-   * it proves that they are over: no task is delegated before.
+   * it proves that they are over: no task is assigned before.
    */
   public void load(Chunk part, JsonNode value, Function<ShardId, ZoneId> zones)
       throws MalformedMessageException {
@@ -164,7 +164,7 @@
         // What else it says would be lost when the list is written again.
         throw new MalformedMessageException("progress with unknown fields of tasks at a block");
       }
-      ShardId block = new ShardId(Json.text(item, "b"));
+      ShardId shard = new ShardId(Json.text(item, "b"));
       Attempt attempt = new Attempt(Json.count(item, "n", 0, Long.MAX_VALUE));
       TaskIndexRanges.read(item.path("r"), most).stream()
           .forEach(
@@ -173,8 +173,8 @@
                       new TaskAssignment(
                           new TaskId(spec.id(), base + index),
                           spec.perTask(),
-                          block,
-                          zones.apply(block),
+                          shard,
+                          zones.apply(shard),
                           attempt,
                           TaskAssignment.State.LIVE)));
     }
@@ -191,8 +191,8 @@
   }
 
   private void clear(int from, int to) {
-    for (TaskAssignment old : List.copyOf(delegations.subMap(from, to).values())) {
-      delegations.remove(old.task().index());
+    for (TaskAssignment old : List.copyOf(assignments.subMap(from, to).values())) {
+      assignments.remove(old.task().index());
       perZone.merge(old.zone(), -1, (a, b) -> a + b == 0 ? null : a + b);
     }
     done.clear(from, to);
@@ -209,11 +209,11 @@
       node.put(READY, readyMillis());
     }
     Map<String, BitSet> groups = new LinkedHashMap<>();
-    for (TaskAssignment delegation : delegations(part)) {
-      int index = delegation.task().index() - base;
-      if (delegation.state() != TaskAssignment.State.ENDED) {
+    for (TaskAssignment assignment : assignments(part)) {
+      int index = assignment.task().index() - base;
+      if (assignment.state() != TaskAssignment.State.ENDED) {
         groups
-            .computeIfAbsent(delegation.attempt() + " " + delegation.block(), key -> new BitSet())
+            .computeIfAbsent(assignment.attempt() + " " + assignment.shard(), key -> new BitSet())
             .set(index);
       }
     }
@@ -247,37 +247,37 @@
   }
 
   /**
-   * Entrusts a task to a block. The attempt counts the task's own tries within the term, so that
-   * tasks of a block share it and the stored form stays short however slowly a job gets its room.
+   * Entrusts a task to a shard. The attempt counts the task's own tries within the term, so that
+   * tasks of a shard share it and the stored form stays short however slowly a job gets its room.
    */
-  public TaskAssignment delegate(int index, ShardId block, ZoneId zone, Attempt firstOfTerm) {
+  public TaskAssignment delegate(int index, ShardId shard, ZoneId zone, Attempt firstOfTerm) {
     int earlier = tries.merge(index, 1, Integer::sum) - 1;
     Attempt attempt = new Attempt(firstOfTerm.value() + earlier);
-    TaskAssignment delegation =
+    TaskAssignment assignment =
         new TaskAssignment(
             new TaskId(spec.id(), index),
             spec.perTask(),
-            block,
+            shard,
             zone,
             attempt,
             TaskAssignment.State.WRITING);
-    add(delegation);
+    add(assignment);
     pausedUntil.remove(index);
-    return delegation;
+    return assignment;
   }
 
-  private void add(TaskAssignment delegation) {
-    if (delegations.put(delegation.task().index(), delegation) == null) {
-      delegated.set(delegation.task().index());
-      unavailable.set(delegation.task().index());
-      perZone.merge(delegation.zone(), 1, Integer::sum);
+  private void add(TaskAssignment assignment) {
+    if (assignments.put(assignment.task().index(), assignment) == null) {
+      delegated.set(assignment.task().index());
+      unavailable.set(assignment.task().index());
+      perZone.merge(assignment.zone(), 1, Integer::sum);
     }
   }
 
-  public void taskDone(TaskAssignment delegation, double runSeconds) {
-    delegation.ended();
-    markDone(delegation.task().index());
-    tries.remove(delegation.task().index());
+  public void taskDone(TaskAssignment assignment, double runSeconds) {
+    assignment.ended();
+    markDone(assignment.task().index());
+    tries.remove(assignment.task().index());
     if (runSeconds > 0) {
       runSecondsTotal += runSeconds;
       runCount++;
@@ -290,9 +290,9 @@
   }
 
   /** The task is provably nowhere; it may be tried again after the pause. */
-  public void taskReturned(TaskAssignment delegation, Optional<MonotonicTime> notBefore) {
-    delegation.ended();
-    notBefore.ifPresent(time -> pausedUntil.put(delegation.task().index(), time));
+  public void taskReturned(TaskAssignment assignment, Optional<MonotonicTime> notBefore) {
+    assignment.ended();
+    notBefore.ifPresent(time -> pausedUntil.put(assignment.task().index(), time));
   }
 
   /** A task of it runs. */
@@ -302,7 +302,7 @@
     }
   }
 
-  /** A first task of it was stored as delegated, and its holder hears of it. */
+  /** A first task of it was stored as assigned, and its owner hears of it. */
   public void told(long atMillis) {
     if (toldMillis.isEmpty()) {
       toldMillis = OptionalLong.of(atMillis);
@@ -351,24 +351,24 @@
   /** What was decided for the chunk is stored: the new may be told, the ended forgotten. */
   public void stored(
       Collection<TaskAssignment> written, Collection<TaskAssignment> ended, Revision revision) {
-    written.forEach(delegation -> delegation.stored(revision));
-    for (TaskAssignment delegation : ended) {
-      int index = delegation.task().index();
-      if (delegations.remove(index, delegation)) {
+    written.forEach(assignment -> assignment.stored(revision));
+    for (TaskAssignment assignment : ended) {
+      int index = assignment.task().index();
+      if (assignments.remove(index, assignment)) {
         delegated.clear(index);
         unavailable.set(index, done.get(index));
-        perZone.merge(delegation.zone(), -1, (a, b) -> a + b == 0 ? null : a + b);
+        perZone.merge(assignment.zone(), -1, (a, b) -> a + b == 0 ? null : a + b);
       }
     }
   }
 
   public void beginEnd() {
-    moveTo(State.ENDING);
+    transitionTo(State.ENDING);
   }
 
   public void finishEnd() {
-    moveTo(State.ENDED);
-    delegations.clear();
+    transitionTo(State.ENDED);
+    assignments.clear();
     delegated.clear();
     perZone.clear();
   }
@@ -380,7 +380,7 @@
   /** Cancelled, and provably no task of it is anywhere. */
   public boolean gone() {
     return state == State.CANCELLING
-        && delegations.values().stream().allMatch(d -> d.state() == TaskAssignment.State.ENDED);
+        && assignments.values().stream().allMatch(d -> d.state() == TaskAssignment.State.ENDED);
   }
 
   public boolean cancelled() {
@@ -438,17 +438,17 @@
     return failures;
   }
 
-  public Collection<TaskAssignment> delegations() {
-    return delegations.values();
+  public Collection<TaskAssignment> assignments() {
+    return assignments.values();
   }
 
-  /** The delegations of a part of the job. */
-  public Collection<TaskAssignment> delegations(Chunk part) {
-    return delegations.subMap(part.from(), part.from() + part.size()).values();
+  /** The assignments of a part of the job. */
+  public Collection<TaskAssignment> assignments(Chunk part) {
+    return assignments.subMap(part.from(), part.from() + part.size()).values();
   }
 
-  public Optional<TaskAssignment> delegation(int index) {
-    return Optional.ofNullable(delegations.get(index));
+  public Optional<TaskAssignment> assignment(int index) {
+    return Optional.ofNullable(assignments.get(index));
   }
 
   public int delegatedIn(ZoneId zone) {
@@ -465,8 +465,8 @@
 
   public int runningCount() {
     int count = 0;
-    for (TaskAssignment delegation : delegations.values()) {
-      count += delegation.state() == TaskAssignment.State.RUNNING ? 1 : 0;
+    for (TaskAssignment assignment : assignments.values()) {
+      count += assignment.state() == TaskAssignment.State.RUNNING ? 1 : 0;
     }
     return count;
   }
@@ -500,6 +500,6 @@
   }
 
   public Resources delegatedResources() {
-    return spec.perTask().times(delegations.size());
+    return spec.perTask().times(assignments.size());
   }
 }
--- a/src/main/java/org/mulleinshift/model/JobDependencies.java
+++ b/src/main/java/org/mulleinshift/model/JobDependencies.java
@@ -23,7 +23,7 @@
   private static final String NAMED = "awaits";
   private static final String LISTS = "lists";
   private static final String DIGEST = "digest";
-  private static final int MOST_LISTS = 10_000;
+  private static final int MAX_LISTS = 10_000;
 
   public static JobDependencies of(List<JobId> named) {
     return named.isEmpty() ? NOTHING : new JobDependencies(List.copyOf(named), 0, "");
@@ -45,7 +45,7 @@
   static JobDependencies read(JsonNode chain) throws MalformedMessageException {
     if (chain.has(LISTS)) {
       return new JobDependencies(
-          List.of(), (int) Json.count(chain, LISTS, 1, MOST_LISTS), Json.text(chain, DIGEST));
+          List.of(), (int) Json.count(chain, LISTS, 1, MAX_LISTS), Json.text(chain, DIGEST));
     }
     List<JobId> named = JobCodec.jobIds(chain.path(NAMED));
     if (named.isEmpty()) {
--- a/src/main/java/org/mulleinshift/model/Machine.java
+++ b/src/main/java/org/mulleinshift/model/Machine.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** A rented machine in the leader's memory. What is stored of it is its block's record. */
+/** A rented machine in the leader's memory. What is stored of it is its shard's record. */
 public final class Machine {
   /** States of a machine. */
   public enum State {
@@ -44,7 +44,7 @@
   }
 
   /** The only place where a machine's state changes. */
-  private void moveTo(State next) {
+  private void transitionTo(State next) {
     boolean allowed =
         switch (state) {
           case BOOTING -> next == State.UP || next == State.RETURNING;
@@ -62,17 +62,17 @@
   public Optional<Double> cameUp(MonotonicTime now) {
     idleSince = now;
     if (state == State.BOOTING) {
-      moveTo(State.UP);
+      transitionTo(State.UP);
     }
     return rentSeen ? Optional.of(now.secondsSince(rentedAt)) : Optional.empty();
   }
 
   public void drain() {
-    moveTo(State.DRAINING);
+    transitionTo(State.DRAINING);
   }
 
   public void reopen() {
-    moveTo(State.UP);
+    transitionTo(State.UP);
     spareSince = Optional.empty();
   }
 
@@ -81,7 +81,7 @@
     if (state == State.RETURNING) {
       return false;
     }
-    moveTo(State.RETURNING);
+    transitionTo(State.RETURNING);
     return true;
   }
 
--- a/src/main/java/org/mulleinshift/model/ProvisioningRequest.java
+++ b/src/main/java/org/mulleinshift/model/ProvisioningRequest.java
@@ -46,7 +46,7 @@
   }
 
   /** The only place where a rental's state changes. */
-  public void moveTo(State next) {
+  public void transitionTo(State next) {
     if (next.compareTo(state) < 0) {
       throw new IllegalStateException(name + ": " + state + " to " + next);
     }
--- a/src/main/java/org/mulleinshift/model/TaskAssignment.java
+++ b/src/main/java/org/mulleinshift/model/TaskAssignment.java
@@ -11,27 +11,27 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * One try of one task, entrusted to a block. It counts against its team from the moment it is
+ * One try of one task, entrusted to a shard. It counts against its team from the moment it is
  * decided until its end is stored.
  */
 public final class TaskAssignment {
-  /** Steps of a delegation. */
+  /** Steps of a assignment. */
   public enum State {
-    /** Decided, not stored; the holder must not hear of it yet. */
+    /** Decided, not stored; the owner must not hear of it yet. */
     WRITING,
-    /** Stored; the holder may place it. */
+    /** Stored; the owner may place it. */
     LIVE,
-    /** The holder named its machine. */
+    /** The owner named its machine. */
     PLACED,
     /** It runs. */
     RUNNING,
-    /** It is over at the holder; the end is not stored yet. */
+    /** It is over at the owner; the end is not stored yet. */
     ENDED
   }
 
   private final TaskId task;
   private final Resources perTask;
-  private final ShardId block;
+  private final ShardId shard;
   private final ZoneId zone;
   private final Attempt attempt;
   private State state;
@@ -41,17 +41,17 @@
   private Revision storedAt = new Revision(0);
 
   TaskAssignment(
-      TaskId task, Resources perTask, ShardId block, ZoneId zone, Attempt attempt, State state) {
+      TaskId task, Resources perTask, ShardId shard, ZoneId zone, Attempt attempt, State state) {
     this.task = task;
     this.perTask = perTask;
-    this.block = block;
+    this.shard = shard;
     this.zone = zone;
     this.attempt = attempt;
     this.state = state;
   }
 
-  /** The only place where the state changes; an ended delegation stays ended. */
-  private void moveTo(State next) {
+  /** The only place where the state changes; an ended assignment stays ended. */
+  private void transitionTo(State next) {
     if (state != State.ENDED) {
       state = next;
     }
@@ -60,14 +60,14 @@
   void stored(Revision revision) {
     if (state == State.WRITING) {
       storedAt = revision;
-      moveTo(State.LIVE);
+      transitionTo(State.LIVE);
     }
   }
 
   public void placed(MachineId where) {
     machine = Optional.of(where);
     if (state == State.LIVE) {
-      moveTo(State.PLACED);
+      transitionTo(State.PLACED);
     }
   }
 
@@ -76,18 +76,18 @@
     if (runningSince.isEmpty()) {
       runningSince = Optional.of(since);
     }
-    moveTo(State.RUNNING);
+    transitionTo(State.RUNNING);
   }
 
   void ended() {
-    moveTo(State.ENDED);
+    transitionTo(State.ENDED);
   }
 
-  /** A new holder found nothing yet: the place is unknown again. */
+  /** A new owner found nothing yet: the place is unknown again. */
   public void unplaced() {
     machine = Optional.empty();
     if (state == State.PLACED || state == State.RUNNING) {
-      moveTo(State.LIVE);
+      transitionTo(State.LIVE);
     }
   }
 
@@ -104,8 +104,8 @@
     return perTask;
   }
 
-  public ShardId block() {
-    return block;
+  public ShardId shard() {
+    return shard;
   }
 
   public ZoneId zone() {
@@ -137,7 +137,7 @@
     return storedAt;
   }
 
-  /** Known to the holder, or about to be. */
+  /** Known to the owner, or about to be. */
   public boolean told() {
     return state != State.WRITING;
   }
--- a/src/main/java/org/mulleinshift/placement/BinPacker.java
+++ b/src/main/java/org/mulleinshift/placement/BinPacker.java
@@ -6,17 +6,17 @@
 import java.util.Optional;
 import java.util.PriorityQueue;
 
-/** Chooses a machine for a task; the leader's plans and the holders' placements share it. */
+/** Chooses a machine for a task; the leader's plans and the owners' placements share it. */
 public final class BinPacker {
   private BinPacker() {}
 
   /** Takes room for some of several equal tasks on a machine. */
   public interface Taker {
-    void take(MachineCapacity room, int count);
+    void take(MachineCapacity capacity, int count);
   }
 
   /** A room that takes the tasks; of equal ones the first is chosen. */
-  private record Scored(MachineCapacity room, double score, int place)
+  private record Scored(MachineCapacity capacity, double score, int place)
       implements Comparable<Scored> {
     @Override
     public int compareTo(Scored other) {
@@ -31,51 +31,52 @@
    * the others stay as they are. So each room is looked at once, however many tasks there are.
    */
   public static int fill(
-      ResourceRequest need, int count, Collection<MachineCapacity> rooms, Taker taker) {
-    MachineCapacity best = choose(need, rooms).orElse(null);
+      ResourceRequest need, int count, Collection<MachineCapacity> capacities, Taker consumer) {
+    MachineCapacity best = choose(need, capacities).orElse(null);
     if (best == null || count <= 0) {
       return 0;
     }
-    int left = count - take(need, count, best, taker);
+    int left = count - take(need, count, best, consumer);
     if (left == 0) {
       return count;
     }
     List<Scored> others = new ArrayList<>();
-    for (MachineCapacity room : rooms) {
-      if (room != best && room.takes(need)) {
-        others.add(new Scored(room, room.score(need), others.size()));
+    for (MachineCapacity capacity : capacities) {
+      if (capacity != best && capacity.takes(need)) {
+        others.add(new Scored(capacity, capacity.score(need), others.size()));
       }
     }
     PriorityQueue<Scored> next = new PriorityQueue<>(others);
     while (left > 0 && !next.isEmpty()) {
-      left -= take(need, left, next.poll().room(), taker);
+      left -= take(need, left, next.poll().capacity(), consumer);
     }
     return count - left;
   }
 
-  private static int take(ResourceRequest need, int most, MachineCapacity room, Taker taker) {
-    int taken = Math.min(most, room.countOf(need));
-    room.take(need, taken);
-    taker.take(room, taken);
+  private static int take(
+      ResourceRequest need, int most, MachineCapacity capacity, Taker consumer) {
+    int taken = Math.min(most, capacity.countOf(need));
+    capacity.take(need, taken);
+    consumer.take(capacity, taken);
     return taken;
   }
 
   /** The same where it does not matter on which machines. */
-  public static int fill(ResourceRequest need, int count, Collection<MachineCapacity> rooms) {
-    return fill(need, count, rooms, (room, taken) -> {});
+  public static int fill(ResourceRequest need, int count, Collection<MachineCapacity> capacities) {
+    return fill(need, count, capacities, (capacity, taken) -> {});
   }
 
   public static Optional<MachineCapacity> choose(
-      ResourceRequest need, Collection<MachineCapacity> rooms) {
+      ResourceRequest need, Collection<MachineCapacity> capacities) {
     MachineCapacity best = null;
     double bestScore = 0;
-    for (MachineCapacity room : rooms) {
-      if (!room.takes(need)) {
+    for (MachineCapacity capacity : capacities) {
+      if (!capacity.takes(need)) {
         continue;
       }
-      double score = room.score(need);
+      double score = capacity.score(need);
       if (best == null || score < bestScore) {
-        best = room;
+        best = capacity;
         bestScore = score;
       }
     }
--- a/src/main/java/org/mulleinshift/placement/MachineCapacity.java
+++ b/src/main/java/org/mulleinshift/placement/MachineCapacity.java
@@ -14,19 +14,19 @@
 
 /** Free room on one machine while a plan is made. */
 public final class MachineCapacity {
-  /** Of a machine that is in no block yet. */
-  public static final ShardId NO_BLOCK = new ShardId("-");
+  /** Of a machine that is in no shard yet. */
+  public static final ShardId NO_SHARD = new ShardId("-");
 
   private static final double SIZE_WEIGHT = 3000;
 
   /** For each second of a fetch, and at most: a fetch is no reason to keep a dear machine up. */
   private static final double FETCH_WEIGHT = 50;
 
-  private static final double MOST_FETCH_WEIGHT = 1000;
+  private static final double MAX_FETCH_WEIGHT = 1000;
   private static final double PRICE_WEIGHT = 300;
 
   private final MachineId machine;
-  private final ShardId block;
+  private final ShardId shard;
   private final ZoneId zone;
   private final MachineType type;
   private final boolean spot;
@@ -38,14 +38,14 @@
 
   public MachineCapacity(
       MachineId machine,
-      ShardId block,
+      ShardId shard,
       ZoneId zone,
       MachineType type,
       boolean spot,
       Resources free,
       Collection<String> images) {
     this.machine = machine;
-    this.block = block;
+    this.shard = shard;
     this.zone = zone;
     this.type = type;
     this.spot = spot;
@@ -55,16 +55,16 @@
     this.known = images;
   }
 
-  /** Room on a machine of a block. */
+  /** Room on a machine of a shard. */
   public static MachineCapacity on(
-      ShardView block,
+      ShardView shard,
       MachineId machine,
       MachineRecord record,
       MachineType type,
       Resources free,
       Collection<String> images) {
     return new MachineCapacity(
-        machine, block.id(), block.zone(), type, record.spot(), free, images);
+        machine, shard.id(), shard.zone(), type, record.spot(), free, images);
   }
 
   boolean takes(ResourceRequest need) {
@@ -115,8 +115,8 @@
     }
     double rate = type.fetchGbPerSecond();
     return rate <= 0
-        ? MOST_FETCH_WEIGHT
-        : Math.min(MOST_FETCH_WEIGHT, FETCH_WEIGHT * need.imageGb() / rate);
+        ? MAX_FETCH_WEIGHT
+        : Math.min(MAX_FETCH_WEIGHT, FETCH_WEIGHT * need.imageGb() / rate);
   }
 
   /** A measure for choosing what to drain first. */
@@ -128,8 +128,8 @@
     return machine;
   }
 
-  public ShardId block() {
-    return block;
+  public ShardId shard() {
+    return shard;
   }
 
   public ZoneId zone() {
@@ -142,7 +142,7 @@
 
   /** The same room, to be taken from in a trial. */
   public MachineCapacity copy() {
-    MachineCapacity copy = new MachineCapacity(machine, block, zone, type, spot, free, known);
+    MachineCapacity copy = new MachineCapacity(machine, shard, zone, type, spot, free, known);
     copy.coming = coming.isEmpty() ? coming : new HashSet<>(coming);
     return copy;
   }
--- a/src/main/java/org/mulleinshift/placement/PlacementConstraints.java
+++ b/src/main/java/org/mulleinshift/placement/PlacementConstraints.java
@@ -25,16 +25,20 @@
 
   /** A gang starts as a whole: none of its tasks is out, and there is room for all of them. */
   public static boolean gangFits(
-      Job job, ResourceRequest need, List<MachineCapacity> rooms, int allowed, MonotonicTime now) {
+      Job job,
+      ResourceRequest need,
+      List<MachineCapacity> capacities,
+      int allowed,
+      MonotonicTime now) {
     int tasks = job.spec().tasks() - job.doneCount();
     if (job.delegatedCount() > 0 || allowed < tasks || job.waiting(tasks, now).length < tasks) {
       return false;
     }
     Map<ZoneId, Integer> perZone = new HashMap<>();
-    for (MachineCapacity room : rooms) {
-      ZoneId zone = room.zone();
+    for (MachineCapacity capacity : capacities) {
+      ZoneId zone = capacity.zone();
       if (job.spec().allowsZone(zone)) {
-        perZone.merge(zone, room.countOf(need), Integer::sum);
+        perZone.merge(zone, capacity.countOf(need), Integer::sum);
       }
     }
     if (job.spec().oneZone()) {
--- a/src/main/java/org/mulleinshift/placement/ResourceRequest.java
+++ b/src/main/java/org/mulleinshift/placement/ResourceRequest.java
@@ -27,7 +27,7 @@
         spec.spotAllowed());
   }
 
-  /** What a delegated job's tasks ask, as the leader told it; zones were decided there. */
+  /** What a assigned job's tasks ask, as the leader told it; zones were decided there. */
   public static ResourceRequest of(AssignedJob job) {
     return new ResourceRequest(
         new Resources(job.getCpus(), job.getGpus(), job.getMemoryGb()),
--- a/src/main/java/org/mulleinshift/placement/UnschedulableRequests.java
+++ b/src/main/java/org/mulleinshift/placement/UnschedulableRequests.java
@@ -31,7 +31,7 @@
   }
 
   /** The least that any of these asks for, of each kind; endless if there are none. */
-  public static <T> Resources leastOf(Collection<T> all, Function<T, ResourceRequest> need) {
+  public static <T> Resources minOf(Collection<T> all, Function<T, ResourceRequest> need) {
     Resources least = Resources.ENDLESS;
     for (T one : all) {
       least = least(least, need.apply(one).perTask());
--- a/src/main/java/org/mulleinshift/progress/ChunkUpdate.java
+++ b/src/main/java/org/mulleinshift/progress/ChunkUpdate.java
@@ -96,8 +96,8 @@
 
   private List<TaskAssignment> select(TaskAssignment.State wanted) {
     return parts.stream()
-        .flatMap(part -> job.delegations(part).stream())
-        .filter(delegation -> delegation.state() == wanted)
+        .flatMap(part -> job.assignments(part).stream())
+        .filter(assignment -> assignment.state() == wanted)
         .toList();
   }
 
@@ -106,14 +106,14 @@
     return parts;
   }
 
-  /** What was sent last is stored: holders may hear of it. */
+  /** What was sent last is stored: owners may hear of it. */
   void stored(Revision revision) {
     job.parts().stored(parts);
     job.stored(written, ended, revision);
     if (!written.isEmpty()) {
       job.told(loop.wallMillis());
     }
-    // Ends first: a task that comes back to the same block is told as a new one.
+    // Ends first: a task that comes back to the same shard is told as a new one.
     ended.forEach(leader::untell);
     written.forEach(leader::tell);
   }
--- a/src/main/java/org/mulleinshift/progress/LogSegment.java
+++ b/src/main/java/org/mulleinshift/progress/LogSegment.java
@@ -53,7 +53,7 @@
   }
 
   /** Bytes for entries in a value of that length. */
-  public static int room(int valueBytes) {
+  public static int capacity(int valueBytes) {
     return valueBytes - EMPTY_BYTES;
   }
 
--- a/src/main/java/org/mulleinshift/progress/ProgressLoader.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressLoader.java
@@ -38,15 +38,15 @@
       Comparator.<Chunk>comparingInt(Chunk::chunk).thenComparing(Chunk::path);
 
   private final Leader leader;
-  private final TransactionBatcher journal;
+  private final TransactionBatcher batcher;
   private final ProgressLog log;
 
   /** Of jobs that the log has images of; those of the others are taken up page by page. */
   private final Map<JobId, Map<Chunk, Found>> logged = new HashMap<>();
 
-  ProgressLoader(Leader leader, TransactionBatcher journal, ProgressLog log) {
+  ProgressLoader(Leader leader, TransactionBatcher batcher, ProgressLog log) {
     this.leader = leader;
-    this.journal = journal;
+    this.batcher = batcher;
     this.log = log;
   }
 
@@ -58,7 +58,7 @@
         LOG.warn("{}: not a key of this build, left alone", item.key());
         continue;
       }
-      journal.known(item.key(), item.version());
+      batcher.known(item.key(), item.version());
       log.found(number.getAsInt());
       try {
         LogSegment.read(item.value()).forEach(entry -> found(entry, item, number.getAsInt()));
@@ -124,7 +124,7 @@
         leader.unreadable().progress(item.value());
         continue;
       }
-      journal.known(item.key(), item.version());
+      batcher.known(item.key(), item.version());
       Job job = leader.known(id).orElse(null);
       if (job == null) {
         // Of a job that is over. Nobody waits for it.
--- a/src/main/java/org/mulleinshift/progress/ProgressLog.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressLog.java
@@ -27,16 +27,16 @@
  */
 public final class ProgressLog {
   /** Bounds what a new leader reads: so many values at most. */
-  public static final int MOST_SLOTS = 256;
+  public static final int MAX_SLOTS = 256;
 
   /** So few slots are never compacted. */
-  private static final int LEAST_SLOTS = 8;
+  private static final int MIN_SLOTS = 8;
 
   /** Slots in use are kept below this many times what the live images need. */
   private static final int SLACK = 3;
 
   /** Above this share of all slots live images are moved to keys of their own. */
-  private static final double MOST_LIVE = 0.5;
+  private static final double MAX_LIVE = 0.5;
 
   /** Of an entry, for the names of its job and part. */
   private static final int NAMES_BYTES = 160;
@@ -86,7 +86,7 @@
    * @param valueBytes longest value that may be written
    */
   public ProgressLog(int valueBytes) {
-    this.slotBytes = LogSegment.room(valueBytes);
+    this.slotBytes = LogSegment.capacity(valueBytes);
   }
 
   /** What one transaction writes to the log. */
@@ -94,10 +94,10 @@
     private final List<Slot> taken = new ArrayList<>();
     private final Map<Slot, List<LogSegment.Entry>> entries = new LinkedHashMap<>();
     private final Map<Slot, Integer> bytes = new HashMap<>();
-    private final int mostSlots;
+    private final int maxSlots;
 
-    private Batch(int mostSlots) {
-      this.mostSlots = mostSlots;
+    private Batch(int maxSlots) {
+      this.maxSlots = maxSlots;
       inDoubt.forEach(number -> take(slots.get(number)));
     }
 
@@ -110,7 +110,7 @@
     /** Takes up an entry; false if nothing of the batch has room for it. */
     public boolean add(LogSegment.Entry entry) {
       int size = entry.bytes();
-      Optional<Slot> slot = roomFor(size);
+      Optional<Slot> slot = capacityFor(size);
       slot.ifPresent(
           found -> {
             entries.get(found).add(entry);
@@ -119,14 +119,14 @@
       return slot.isPresent();
     }
 
-    private Optional<Slot> roomFor(int size) {
+    private Optional<Slot> capacityFor(int size) {
       for (Slot slot : taken) {
         if (bytes.get(slot) + size <= slotBytes) {
           return Optional.of(slot);
         }
       }
       Optional<Slot> free =
-          size <= slotBytes && taken.size() < mostSlots ? freeSlot(taken) : Optional.empty();
+          size <= slotBytes && taken.size() < maxSlots ? freeSlot(taken) : Optional.empty();
       free.ifPresent(this::take);
       return free;
     }
@@ -148,7 +148,7 @@
   }
 
   private Optional<Slot> freeSlot(List<Slot> taken) {
-    for (int number = 0; number < MOST_SLOTS; number++) {
+    for (int number = 0; number < MAX_SLOTS; number++) {
       Slot slot = slots.computeIfAbsent(number, Slot::new);
       if (slot.free() && !taken.contains(slot)) {
         return Optional.of(slot);
@@ -158,8 +158,8 @@
   }
 
   /** Begins a write; slots whose last write is in doubt are part of it. */
-  public Batch begin(int mostSlots) {
-    return new Batch(mostSlots);
+  public Batch begin(int maxSlots) {
+    return new Batch(maxSlots);
   }
 
   /** Values are at most half as long from now on. */
@@ -242,7 +242,7 @@
    */
   public List<Image> toCompact() {
     int needed = liveBytes / Math.max(1, slotBytes) + 1;
-    if (inUse() <= Math.max(LEAST_SLOTS, SLACK * needed) || crowded()) {
+    if (inUse() <= Math.max(MIN_SLOTS, SLACK * needed) || crowded()) {
       return List.of();
     }
     List<Image> images = new ArrayList<>();
@@ -269,7 +269,7 @@
   }
 
   private boolean crowded() {
-    return liveBytes > MOST_LIVE * MOST_SLOTS * slotBytes;
+    return liveBytes > MAX_LIVE * MAX_SLOTS * slotBytes;
   }
 
   private List<Slot> occupied(Comparator<Slot> order) {
--- a/src/main/java/org/mulleinshift/progress/ProgressLogWriter.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressLogWriter.java
@@ -34,9 +34,9 @@
   }
 
   private final EventLoop loop;
-  private final TransactionBatcher journal;
+  private final TransactionBatcher batcher;
   private final ProgressLog log;
-  private final int mostSlots;
+  private final int maxSlots;
   private final Listener listener;
   private final Map<String, ChunkUpdate> pending = new LinkedHashMap<>();
   private final Set<String> inDoubt = new HashSet<>();
@@ -51,14 +51,14 @@
    */
   ProgressLogWriter(
       EventLoop loop,
-      TransactionBatcher journal,
+      TransactionBatcher batcher,
       ProgressLog log,
-      int mostSlots,
+      int maxSlots,
       Listener listener) {
     this.loop = loop;
-    this.journal = journal;
+    this.batcher = batcher;
     this.log = log;
-    this.mostSlots = mostSlots;
+    this.maxSlots = maxSlots;
     this.listener = listener;
   }
 
@@ -70,7 +70,7 @@
 
   private void plan() {
     if (pressing()) {
-      journal.submit(StoreKeys.LOG, this);
+      batcher.submit(StoreKeys.LOG, this);
     } else if (!planned && !pending.isEmpty()) {
       planned = true;
       loop.after(
@@ -78,7 +78,7 @@
           () -> {
             planned = false;
             if (!pending.isEmpty()) {
-              journal.submit(StoreKeys.LOG, this);
+              batcher.submit(StoreKeys.LOG, this);
             }
           });
     }
@@ -101,7 +101,7 @@
 
   @Override
   public List<Write> writes() {
-    batch = log.begin(mostSlots);
+    batch = log.begin(maxSlots);
     sent = new ArrayList<>();
     for (ChunkUpdate progress : inTurn()) {
       if (listener.needsKeys(progress.name())) {
@@ -163,7 +163,7 @@
   @Override
   public void unfit() {
     log.shorten();
-    journal.submit(StoreKeys.LOG, this);
+    batcher.submit(StoreKeys.LOG, this);
   }
 
   @Override
--- a/src/main/java/org/mulleinshift/progress/ProgressPersister.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressPersister.java
@@ -43,11 +43,11 @@
   private static final int LOG_BYTES = 44_000;
 
   private final Leader leader;
-  private final Leader.Surroundings around;
-  private final TransactionBatcher journal;
+  private final Leader.Surroundings context;
+  private final TransactionBatcher batcher;
   private final int valueBytes;
   private final boolean limitsFall;
-  private final int mostOps;
+  private final int maxOps;
   private final ProgressLog log;
   private final ProgressLogWriter logWriter;
   private final ProgressLoader loader;
@@ -59,19 +59,19 @@
   private boolean logging;
 
   public ProgressPersister(
-      Leader leader, Leader.Surroundings around, TransactionBatcher journal, int mostOps) {
+      Leader leader, Leader.Surroundings context, TransactionBatcher batcher, int maxOps) {
     this.leader = leader;
-    this.around = around;
-    this.journal = journal;
-    this.mostOps = mostOps;
-    PlatformSettings.State limits = around.settings().cluster().state();
+    this.context = context;
+    this.batcher = batcher;
+    this.maxOps = maxOps;
+    PlatformSettings.State limits = context.settings().cluster().state();
     // Else no build has stored anything longer than what fits.
-    this.limitsFall = limits.leastValueBytes() < limits.valueBytes();
-    this.valueBytes = (int) (USED_OF_VALUE * limits.leastValueBytes());
+    this.limitsFall = limits.minValueBytes() < limits.valueBytes();
+    this.valueBytes = (int) (USED_OF_VALUE * limits.minValueBytes());
     this.log = new ProgressLog(valueBytes);
-    int slots = Math.max(1, Math.min(mostOps / 2, LOG_BYTES / valueBytes));
-    this.logWriter = new ProgressLogWriter(around.loop(), journal, log, slots, this);
-    this.loader = new ProgressLoader(leader, journal, log);
+    int slots = Math.max(1, Math.min(maxOps / 2, LOG_BYTES / valueBytes));
+    this.logWriter = new ProgressLogWriter(context.loop(), batcher, log, slots, this);
+    this.loader = new ProgressLoader(leader, batcher, log);
   }
 
   /** Reads what is stored, before anything is written. */
@@ -86,12 +86,12 @@
    * step may be the last.
    */
   public void upkeep() {
-    if (!partsAllowed && around.builds().all(FeatureGates.PARTS)) {
+    if (!partsAllowed && context.builds().all(FeatureGates.PARTS)) {
       partsAllowed = true;
       leader.jobs().values().forEach(this::convert);
     }
-    boolean wanted = around.tunables().number(Tunables.Key.PROGRESS_LOG) > 0;
-    if (!logging && wanted && around.builds().all(FeatureGates.PROGRESS_LOG)) {
+    boolean wanted = context.tunables().number(Tunables.Key.PROGRESS_LOG) > 0;
+    if (!logging && wanted && context.builds().all(FeatureGates.PROGRESS_LOG)) {
       logging = true;
     }
     if (!wanted) {
@@ -103,7 +103,7 @@
   private void leaveLog() {
     moveToKeys(log.live());
     if (log.idle()) {
-      List<String> left = log.keys().stream().filter(journal::knows).toList();
+      List<String> left = log.keys().stream().filter(batcher::knows).toList();
       left.forEach(this::removeKey);
       if (!left.isEmpty()) {
         LOG.info("the progress log is not needed any more: {} slots are removed", left.size());
@@ -116,11 +116,11 @@
     for (Chunk part : List.copyOf(job.parts().live())) {
       // Also what could not be stored before.
       boolean waits =
-          job.delegations(part).stream()
+          job.assignments(part).stream()
               .anyMatch(
-                  delegation ->
-                      delegation.state() == TaskAssignment.State.WRITING
-                          || delegation.state() == TaskAssignment.State.ENDED);
+                  assignment ->
+                      assignment.state() == TaskAssignment.State.WRITING
+                          || assignment.state() == TaskAssignment.State.ENDED);
       if (waits || (limitsFall && StoreCodec.bytes(job.progress(part)) > valueBytes)) {
         open.add(part);
       }
@@ -131,11 +131,11 @@
   private void writeWhenIdle(Job job, Chunk part) {
     job.parts().changed(part, false);
     KeyedUnit unit = new KeyedUnit(chunkOf(job, part));
-    journal.submitIdle(unit.progress.name(), unit);
+    batcher.submitIdle(unit.progress.name(), unit);
   }
 
   private ChunkUpdate chunkOf(Job job, Chunk part) {
-    return new ChunkUpdate(leader, around.loop(), job, part.chunk());
+    return new ChunkUpdate(leader, context.loop(), job, part.chunk());
   }
 
   /** Has the progress of a task stored; pressing if its start waits for that. */
@@ -160,7 +160,7 @@
 
   @Override
   public void writeByKeys(ChunkUpdate progress) {
-    journal.submit(progress.name(), new KeyedUnit(progress));
+    batcher.submit(progress.name(), new KeyedUnit(progress));
   }
 
   @Override
@@ -201,8 +201,8 @@
 
   /** Has the end of a job stored, whose state allows it. */
   public void end(Job job) {
-    journal.known(StoreKeys.active(job.spec().id()), job.version());
-    journal.submit(StoreKeys.ended(job.spec().id()), new EndUnit(job));
+    batcher.known(StoreKeys.active(job.spec().id()), job.version());
+    batcher.submit(StoreKeys.ended(job.spec().id()), new EndUnit(job));
     job.beginEnd();
   }
 
@@ -226,7 +226,7 @@
         return List.of();
       }
       List<ChunkUpdate.Form> chosen =
-          progress.forms(valueBytes, partsAllowed).stream().limit(mostOps).toList();
+          progress.forms(valueBytes, partsAllowed).stream().limit(maxOps).toList();
       progress.sent(chosen);
       List<Write> writes = new ArrayList<>();
       for (ChunkUpdate.Form form : chosen) {
@@ -267,9 +267,9 @@
   private void remove(Job job, Chunk part) {
     log.release(new ProgressLog.Image(job.spec().id(), part));
     String key = StoreKeys.progress(job.spec().id(), part);
-    if (journal.knows(key)) {
+    if (batcher.knows(key)) {
       // Nobody reads it any more: it need not compete with what tasks wait for.
-      journal.submitIdle(key, new DeleteUnit(key, () -> job.parts().gone(part)));
+      batcher.submitIdle(key, new DeleteUnit(key, () -> job.parts().gone(part)));
     } else {
       job.parts().gone(part);
     }
@@ -277,7 +277,7 @@
 
   /** Has a key deleted that nobody reads any more. */
   void removeKey(String key) {
-    journal.submitIdle(key, new DeleteUnit(key));
+    batcher.submitIdle(key, new DeleteUnit(key));
   }
 
   /** The end of a job: from here on users hear done or cancelled, and jobs that await it may go. */
@@ -296,11 +296,11 @@
       if (leader.unreadable().has(id)) {
         return List.of();
       }
-      atMillis = around.loop().wallMillis();
+      atMillis = context.loop().wallMillis();
       List<Write> writes = new ArrayList<>();
       writes.add(Write.delete(StoreKeys.active(id)));
       writes.add(Write.put(StoreKeys.ended(id), JobRecord.endedValue(job.endPhase(), atMillis)));
-      left = List.copyOf(job.delegations());
+      left = List.copyOf(job.assignments());
       return writes;
     }
 
@@ -318,14 +318,14 @@
       List.copyOf(job.parts().inStore()).forEach(part -> remove(job, part));
       for (int list = 0; list < job.awaits().lists(); list++) {
         String key = StoreKeys.awaited(id, job.awaits().digest(), list);
-        if (journal.knows(key)) {
+        if (batcher.knows(key)) {
           removeKey(key);
         }
       }
       log.release(id);
       forgetDoubts(job);
       job.finishEnd();
-      journal.forgotten(StoreKeys.ended(id));
+      batcher.forgotten(StoreKeys.ended(id));
       leader.ended(job, left, atMillis);
     }
   }
--- a/src/main/java/org/mulleinshift/protocol/CloudCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/CloudCodec.java
@@ -16,8 +16,8 @@
   public static final String CATALOG = "/catalog";
   public static final String RENTALS = "/rentals";
   public static final String DELETE = "/rentals/delete";
-  public static final int MOST_RENTED = 50;
-  public static final int MOST_DELETED = 100;
+  public static final int MAX_RENTED = 50;
+  public static final int MAX_DELETED = 100;
   public static final int LIST_LIMIT = 500;
 
   /** One page of the machine list. */
--- a/src/main/java/org/mulleinshift/protocol/HeartbeatParser.java
+++ b/src/main/java/org/mulleinshift/protocol/HeartbeatParser.java
@@ -15,7 +15,7 @@
  * built of them. Fields it does not know are skipped; a field named twice is an error.
  */
 final class HeartbeatParser {
-  private static final double LONGEST_RECALL_SECONDS = 1e9;
+  private static final double MAX_RECALL_SECONDS = 1e9;
 
   private final JsonParser in;
   private final Set<String> seen = new HashSet<>();
@@ -149,7 +149,7 @@
       return Optional.empty();
     }
     double seconds = in.currentToken().isNumeric() ? in.getDoubleValue() : Double.NaN;
-    if (!(seconds >= 0 && seconds <= LONGEST_RECALL_SECONDS)) {
+    if (!(seconds >= 0 && seconds <= MAX_RECALL_SECONDS)) {
       throw new MalformedMessageException(key + " is missing or not an amount");
     }
     return Optional.of(Duration.ofMillis((long) (seconds * 1000)));
@@ -157,7 +157,7 @@
 
   private String text(String key) throws IOException, MalformedMessageException {
     String value = in.hasToken(JsonToken.VALUE_STRING) ? in.getText() : "";
-    if (value.isEmpty() || value.length() > Json.LONGEST_NAME) {
+    if (value.isEmpty() || value.length() > Json.MAX_NAME) {
       throw new MalformedMessageException(key + " is missing or not a short text");
     }
     return value;
--- a/src/main/java/org/mulleinshift/protocol/JobCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/JobCodec.java
@@ -18,8 +18,8 @@
 public final class JobCodec {
   public static final String RUNS = "/v2/runs";
   private static final Pattern ID = Pattern.compile("run-[0-9A-Za-z_.-]{1,64}");
-  private static final int MOST_TASKS = 100_000;
-  private static final int MOST_TYPES = 64;
+  private static final int MAX_TASKS = 100_000;
+  private static final int MAX_TYPES = 64;
 
   private JobCodec() {}
 
@@ -41,7 +41,7 @@
         new TeamId(Json.text(node, "crew")),
         oneOf(node, "shape", JobKind.values(), JobKind::wire),
         oneOf(node, "urgency", Priority.values(), Priority::wire),
-        (int) Json.count(node, "pieces", 1, MOST_TASKS),
+        (int) Json.count(node, "pieces", 1, MAX_TASKS),
         perTask,
         Json.text(node, "bundle"),
         Json.amount(node, "pull_gb"),
@@ -99,12 +99,12 @@
       return Optional.empty();
     }
     JsonNode list = node.get("builds");
-    if (!list.isArray() || list.size() > MOST_TYPES) {
+    if (!list.isArray() || list.size() > MAX_TYPES) {
       throw new MalformedMessageException("builds is not a short list");
     }
     List<MachineTypeId> types = new ArrayList<>();
     for (JsonNode type : list) {
-      if (!type.isTextual() || type.asText().length() > Json.LONGEST_NAME) {
+      if (!type.isTextual() || type.asText().length() > Json.MAX_NAME) {
         throw new MalformedMessageException("builds holds something else than names");
       }
       types.add(new MachineTypeId(type.asText()));
--- a/src/main/java/org/mulleinshift/protocol/Json.java
+++ b/src/main/java/org/mulleinshift/protocol/Json.java
@@ -21,7 +21,7 @@
                   .build())
           .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
           .enable(DeserializationFeature.FAIL_ON_READING_DUP_TREE_KEY);
-  static final int LONGEST_NAME = 200;
+  static final int MAX_NAME = 200;
 
   private Json() {}
 
@@ -58,7 +58,7 @@
 
   public static String text(JsonNode parent, String key) throws MalformedMessageException {
     JsonNode node = parent.path(key);
-    if (!node.isTextual() || node.asText().isEmpty() || node.asText().length() > LONGEST_NAME) {
+    if (!node.isTextual() || node.asText().isEmpty() || node.asText().length() > MAX_NAME) {
       throw new MalformedMessageException(key + " is missing or not a short text");
     }
     return node.asText();
--- a/src/main/java/org/mulleinshift/protocol/Resources.java
+++ b/src/main/java/org/mulleinshift/protocol/Resources.java
@@ -19,10 +19,10 @@
     return new Resources(cpus * count, gpus * count, memoryGb * count);
   }
 
-  public boolean fitsInto(Resources room) {
-    return cpus <= room.cpus + SLACK
-        && gpus <= room.gpus + SLACK
-        && memoryGb <= room.memoryGb + SLACK;
+  public boolean fitsInto(Resources capacity) {
+    return cpus <= capacity.cpus + SLACK
+        && gpus <= capacity.gpus + SLACK
+        && memoryGb <= capacity.memoryGb + SLACK;
   }
 
   /** No more of anything than the other; exact, unlike {@link #fitsInto}. */
@@ -40,11 +40,11 @@
   }
 
   /** How many of these fit into the room. */
-  public int countIn(Resources room) {
+  public int countIn(Resources capacity) {
     double count = 1e6;
-    count = cpus > 0 ? Math.min(count, (room.cpus + SLACK) / cpus) : count;
-    count = gpus > 0 ? Math.min(count, (room.gpus + SLACK) / gpus) : count;
-    count = memoryGb > 0 ? Math.min(count, (room.memoryGb + SLACK) / memoryGb) : count;
+    count = cpus > 0 ? Math.min(count, (capacity.cpus + SLACK) / cpus) : count;
+    count = gpus > 0 ? Math.min(count, (capacity.gpus + SLACK) / gpus) : count;
+    count = memoryGb > 0 ? Math.min(count, (capacity.memoryGb + SLACK) / memoryGb) : count;
     return (int) Math.max(0, Math.floor(count));
   }
 }
--- a/src/main/java/org/mulleinshift/protocol/ShardId.java
+++ b/src/main/java/org/mulleinshift/protocol/ShardId.java
@@ -1,6 +1,6 @@
 package org.mulleinshift.protocol;
 
-/** A block of machines in one zone. */
+/** A shard of machines in one zone. */
 public record ShardId(String value) implements Comparable<ShardId> {
   @Override
   public int compareTo(ShardId other) {
--- a/src/main/java/org/mulleinshift/protocol/WorkerCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/WorkerCodec.java
@@ -33,7 +33,7 @@
     return switch (wire) {
       case "done" -> WorkerHeartbeat.Cause.DONE;
       case "halted" -> WorkerHeartbeat.Cause.STOPPED;
-      case "full" -> WorkerHeartbeat.Cause.NO_ROOM;
+      case "full" -> WorkerHeartbeat.Cause.NO_CAPACITY;
       case "in_use" -> WorkerHeartbeat.Cause.BUSY;
       case "peers", "incomplete" -> WorkerHeartbeat.Cause.GANG_BROKEN;
       case "no_such" -> WorkerHeartbeat.Cause.UNKNOWN;
--- a/src/main/java/org/mulleinshift/protocol/WorkerHeartbeat.java
+++ b/src/main/java/org/mulleinshift/protocol/WorkerHeartbeat.java
@@ -30,7 +30,7 @@
     DONE,
     STOPPED,
     ERROR,
-    NO_ROOM,
+    NO_CAPACITY,
     BUSY,
     /** A gang that did not come together, or lost one of its tasks. */
     GANG_BROKEN,
--- a/src/main/java/org/mulleinshift/scheduling/AllocationIndex.java
+++ b/src/main/java/org/mulleinshift/scheduling/AllocationIndex.java
@@ -12,8 +12,8 @@
 import org.mulleinshift.protocol.TaskId;
 
 /**
- * Where the delegated tasks are: what they take of each machine, and which of a block are not
- * placed yet. Kept in step with every change, so that a cycle need not look at every task.
+ * Where the assigned tasks are: what they take of each machine, and which of a shard are not placed
+ * yet. Kept in step with every change, so that a cycle need not look at every task.
  */
 public final class AllocationIndex {
   private static final class Load {
@@ -24,44 +24,44 @@
   private final Map<MachineId, Load> machines = new HashMap<>();
   private final Map<ShardId, Map<TaskId, TaskAssignment>> unplaced = new HashMap<>();
 
-  /** Called before a delegation changes. */
-  public void leave(TaskAssignment delegation) {
-    if (delegation.state() == TaskAssignment.State.ENDED) {
+  /** Called before a assignment changes. */
+  public void leave(TaskAssignment assignment) {
+    if (assignment.state() == TaskAssignment.State.ENDED) {
       return;
     }
-    TaskId task = delegation.task();
-    if (delegation.machine().isEmpty()) {
-      Map<TaskId, TaskAssignment> waiting = unplaced.get(delegation.block());
+    TaskId task = assignment.task();
+    if (assignment.machine().isEmpty()) {
+      Map<TaskId, TaskAssignment> waiting = unplaced.get(assignment.shard());
       if (waiting != null) {
-        waiting.remove(task, delegation);
+        waiting.remove(task, assignment);
       }
       return;
     }
-    MachineId machine = delegation.machine().get();
+    MachineId machine = assignment.machine().get();
     Load load = machines.get(machine);
-    if (load != null && load.tasks.remove(task, delegation)) {
-      load.used = load.used.minus(delegation.perTask());
+    if (load != null && load.tasks.remove(task, assignment)) {
+      load.used = load.used.minus(assignment.perTask());
       if (load.tasks.isEmpty()) {
         machines.remove(machine);
       }
     }
   }
 
-  /** Called after a delegation has changed. */
-  public void enter(TaskAssignment delegation) {
-    if (delegation.state() == TaskAssignment.State.ENDED) {
+  /** Called after a assignment has changed. */
+  public void enter(TaskAssignment assignment) {
+    if (assignment.state() == TaskAssignment.State.ENDED) {
       return;
     }
-    TaskId task = delegation.task();
-    if (delegation.machine().isEmpty()) {
+    TaskId task = assignment.task();
+    if (assignment.machine().isEmpty()) {
       unplaced
-          .computeIfAbsent(delegation.block(), key -> new LinkedHashMap<>())
-          .put(task, delegation);
+          .computeIfAbsent(assignment.shard(), key -> new LinkedHashMap<>())
+          .put(task, assignment);
       return;
     }
-    Load load = machines.computeIfAbsent(delegation.machine().get(), key -> new Load());
-    if (load.tasks.put(task, delegation) == null) {
-      load.used = load.used.plus(delegation.perTask());
+    Load load = machines.computeIfAbsent(assignment.machine().get(), key -> new Load());
+    if (load.tasks.put(task, assignment) == null) {
+      load.used = load.used.plus(assignment.perTask());
     }
   }
 
@@ -75,12 +75,12 @@
     return load == null ? List.of() : load.tasks.values();
   }
 
-  Collection<TaskAssignment> unplaced(ShardId block) {
-    return unplaced.getOrDefault(block, Map.of()).values();
+  Collection<TaskAssignment> unplaced(ShardId shard) {
+    return unplaced.getOrDefault(shard, Map.of()).values();
   }
 
   /** Whether a task is, or may be about to be, on the machine. */
-  public boolean busy(MachineId machine, ShardId block) {
-    return machines.containsKey(machine) || !unplaced(block).isEmpty();
+  public boolean busy(MachineId machine, ShardId shard) {
+    return machines.containsKey(machine) || !unplaced(shard).isEmpty();
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/AvailableCapacity.java
+++ b/src/main/java/org/mulleinshift/scheduling/AvailableCapacity.java
@@ -26,10 +26,10 @@
 import org.mulleinshift.sharding.OwnedMachine;
 import org.mulleinshift.sharding.ShardView;
 
-/** The room that a cycle gives out, and the tasks that wait at holders for more of it. */
+/** The room that a cycle gives out, and the tasks that wait at owners for more of it. */
 public final class AvailableCapacity {
-  /** Tasks that wait at a holder for room. */
-  record Ahead(ShardId block, ResourceRequest need, int count) {}
+  /** Tasks that wait at an owner for room. */
+  record Ahead(ShardId shard, ResourceRequest need, int count) {}
 
   private final Leader leader;
   private final MachineTypeCatalog catalog;
@@ -40,57 +40,57 @@
     this.catalog = catalog;
   }
 
-  /** What was delegated and found no room when the rooms were last asked for. */
+  /** What was assigned and found no room when the rooms were last asked for. */
   List<Ahead> ahead() {
     return ahead;
   }
 
   /**
-   * Free room as the holders report it, less what is delegated and not yet placed. Machines that
-   * have less left than the least that anybody asks for are left out.
+   * Free room as the owners report it, less what is assigned and not yet placed. Machines that have
+   * less left than the least that anybody asks for are left out.
    */
-  List<MachineCapacity> rooms(Resources leastAsked) {
-    List<MachineCapacity> rooms = new ArrayList<>();
+  List<MachineCapacity> capacities(Resources minAsked) {
+    List<MachineCapacity> capacities = new ArrayList<>();
     ahead.clear();
-    for (ShardView block : leader.blocks().values()) {
+    for (ShardView shard : leader.shards().values()) {
       Map<JobId, Integer> unplaced = new LinkedHashMap<>();
-      for (TaskAssignment delegation : leader.occupancy().unplaced(block.id())) {
-        unplaced.merge(delegation.task().job(), 1, Integer::sum);
+      for (TaskAssignment assignment : leader.occupancy().unplaced(shard.id())) {
+        unplaced.merge(assignment.task().job(), 1, Integer::sum);
       }
-      Resources least = leastAsked;
+      Resources least = minAsked;
       for (JobId job : unplaced.keySet()) {
         least = UnschedulableRequests.least(least, leader.jobs().get(job).spec().perTask());
       }
-      List<MachineCapacity> found = roomsOf(block, least);
+      List<MachineCapacity> found = capacitiesOf(shard, least);
       unplaced.forEach(
           (job, count) -> {
             ResourceRequest need = ResourceRequest.of(leader.jobs().get(job).spec());
             int left = count - BinPacker.fill(need, count, found);
             if (left > 0) {
-              ahead.add(new Ahead(block.id(), need, left));
+              ahead.add(new Ahead(shard.id(), need, left));
             }
           });
-      rooms.addAll(found);
+      capacities.addAll(found);
     }
-    return rooms;
+    return capacities;
   }
 
-  /** The rooms of a block's machines that have at least so much left. */
-  public List<MachineCapacity> roomsOf(ShardView block, Resources least) {
+  /** The rooms of a shard's machines that have at least so much left. */
+  public List<MachineCapacity> capacitiesOf(ShardView shard, Resources least) {
     List<MachineCapacity> found = new ArrayList<>();
-    if (block.hasReported()) {
-      for (MachineId id : block.machines().keySet()) {
-        roomOf(block, id, least).ifPresent(found::add);
+    if (shard.hasReported()) {
+      for (MachineId id : shard.machines().keySet()) {
+        capacityOf(shard, id, least).ifPresent(found::add);
       }
     }
     return found;
   }
 
   /** What is left of a machine, if it may take tasks and has at least so much. */
-  Optional<MachineCapacity> roomOf(ShardView block, MachineId id, Resources least) {
-    MachineRecord record = block.machines().get(id);
+  Optional<MachineCapacity> capacityOf(ShardView shard, MachineId id, Resources least) {
+    MachineRecord record = shard.machines().get(id);
     MachineType type = record == null ? null : catalog.type(record.type()).orElse(null);
-    if (type == null || !record.up() || !block.hasReported()) {
+    if (type == null || !record.up() || !shard.hasReported()) {
       return Optional.empty();
     }
     // Most machines of a busy fleet are full: what else it takes to know them is asked later.
@@ -98,17 +98,17 @@
     if (!least.fitsInto(free)) {
       return Optional.empty();
     }
-    return block
+    return shard
         .reportOf(id)
         .filter(report -> usable(id, report))
-        .map(report -> MachineCapacity.on(block, id, record, type, free, images(id, report)));
+        .map(report -> MachineCapacity.on(shard, id, record, type, free, images(id, report)));
   }
 
   /** What the machine has, and what its tasks fetch: like tasks then share the fetch. */
   private Set<String> images(MachineId machine, MachineStatus report) {
     Set<String> images = new HashSet<>(report.getImages());
-    for (TaskAssignment delegation : leader.occupancy().on(machine)) {
-      Job job = leader.jobs().get(delegation.task().job());
+    for (TaskAssignment assignment : leader.occupancy().on(machine)) {
+      Job job = leader.jobs().get(assignment.task().job());
       if (job != null) {
         images.add(job.spec().image());
       }
@@ -118,8 +118,8 @@
 
   private boolean usable(MachineId machine, MachineStatus report) {
     return report.getPhase().equals(MachinePhase.CONFIRMED.wireName())
-        && !report.getRecalled()
-        && report.getSilence().equals(OwnedMachine.Silence.HEARD.wireName())
+        && !report.getInterrupted()
+        && report.getLiveness().equals(OwnedMachine.Silence.HEARD.wireName())
         && !leader.closed(machine);
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/FailureAttribution.java
+++ b/src/main/java/org/mulleinshift/scheduling/FailureAttribution.java
@@ -30,7 +30,7 @@
   /** The same where there are too few machines to tell. */
   private static final int JOB_FAILURES = 10;
 
-  private static final int MOST_DOUBLINGS = 4;
+  private static final int MAX_DOUBLINGS = 4;
   private static final Duration SUSPECT_FOR = Duration.ofSeconds(10);
 
   private static final class JobFailures {
@@ -62,7 +62,7 @@
     known.failures++;
     if (known.blamed) {
       known.tries++;
-      known.notBefore = now.plus(pause.multipliedBy(1L << Math.min(known.tries, MOST_DOUBLINGS)));
+      known.notBefore = now.plus(pause.multipliedBy(1L << Math.min(known.tries, MAX_DOUBLINGS)));
       return;
     }
     MachineFailures there = machines.computeIfAbsent(machine, key -> new MachineFailures());
--- a/src/main/java/org/mulleinshift/scheduling/MinimumShares.java
+++ b/src/main/java/org/mulleinshift/scheduling/MinimumShares.java
@@ -226,11 +226,11 @@
     looked = true;
     byType.clear();
     fleet = Resources.ZERO;
-    for (ShardView block : leader.blocks().values()) {
-      for (Map.Entry<MachineId, MachineRecord> entry : block.machines().entrySet()) {
-        MachineStatus report = block.reportOf(entry.getKey()).orElse(null);
+    for (ShardView shard : leader.shards().values()) {
+      for (Map.Entry<MachineId, MachineRecord> entry : shard.machines().entrySet()) {
+        MachineStatus report = shard.reportOf(entry.getKey()).orElse(null);
         boolean silent =
-            report != null && !report.getSilence().equals(OwnedMachine.Silence.HEARD.wireName());
+            report != null && !report.getLiveness().equals(OwnedMachine.Silence.HEARD.wireName());
         MachineType type = catalog.type(entry.getValue().type()).orElse(null);
         if (type != null && !silent && !leader.closed(entry.getKey())) {
           byType.merge(type.id(), type.size(), Resources::plus);
--- a/src/main/java/org/mulleinshift/scheduling/Preemption.java
+++ b/src/main/java/org/mulleinshift/scheduling/Preemption.java
@@ -24,20 +24,20 @@
  * the shortest first, so that little work is lost.
  */
 final class Preemption {
-  private static final int MOST_ROOM = 2;
+  private static final int MAX_CAPACITY = 2;
 
   /** So many jobs of a cycle ask for a reason. */
-  private static final int MOST_ASKING = 24;
+  private static final int MAX_ASKING = 24;
 
   /** Where a task is. */
   record Where(ZoneId zone, MachineTypeId type, boolean spot) {}
 
-  /** Tells where a told task is, if it is on a machine of a known block. */
+  /** Tells where a told task is, if it is on a machine of a known shard. */
   interface Placed {
-    Optional<Where> of(TaskAssignment delegation);
+    Optional<Where> of(TaskAssignment assignment);
   }
 
-  private record Candidate(TaskAssignment delegation, double ranSeconds) {}
+  private record Candidate(TaskAssignment assignment, double ranSeconds) {}
 
   /** A job's tasks on machines that are alike: for whoever asks, one may give way as the other. */
   private static final class Group {
@@ -52,28 +52,28 @@
       this.where = where;
     }
 
-    void add(TaskAssignment delegation, double ranSeconds) {
-      if (delegation.stopRequested()) {
+    void add(TaskAssignment assignment, double ranSeconds) {
+      if (assignment.stopRequested()) {
         leaving++;
       } else {
-        candidates.add(new Candidate(delegation, ranSeconds));
+        candidates.add(new Candidate(assignment, ranSeconds));
       }
     }
   }
 
   /** A group as one asker sees it, by the task that would lose least. */
-  private record Open(Group group, int room, double ranSeconds) implements Comparable<Open> {
+  private record Open(Group group, int capacity, double ranSeconds) implements Comparable<Open> {
     @Override
     public int compareTo(Open other) {
       return Double.compare(ranSeconds, other.ranSeconds);
     }
   }
 
-  private final double mostSeconds;
+  private final double maxSeconds;
   private final double slackSeconds;
 
-  Preemption(double mostSeconds, double slackSeconds) {
-    this.mostSeconds = mostSeconds;
+  Preemption(double maxSeconds, double slackSeconds) {
+    this.maxSeconds = maxSeconds;
     this.slackSeconds = slackSeconds;
   }
 
@@ -102,15 +102,15 @@
     int missing = wanted;
     PriorityQueue<Open> open = new PriorityQueue<>();
     for (Group group : round.groups()) {
-      int room = need.perTask().countIn(group.job.spec().perTask());
-      if (room == 0 || !rule.mayStop(group.job) || !usable.test(group.where)) {
+      int capacity = need.perTask().countIn(group.job.spec().perTask());
+      if (capacity == 0 || !rule.mayStop(group.job) || !usable.test(group.where)) {
         continue;
       }
       // Already giving way: its room is on the way.
-      missing -= group.leaving * room;
+      missing -= group.leaving * capacity;
       // A large task that gives way to a few small ones loses more than they win.
-      if (room <= MOST_ROOM && !group.candidates.isEmpty()) {
-        open.add(new Open(group, room, group.candidates.peek().ranSeconds));
+      if (capacity <= MAX_CAPACITY && !group.candidates.isEmpty()) {
+        open.add(new Open(group, capacity, group.candidates.peek().ranSeconds));
       }
     }
     List<TaskAssignment> chosen = new ArrayList<>();
@@ -121,11 +121,11 @@
         continue;
       }
       rule.stopped(group.job);
-      chosen.add(group.candidates.poll().delegation);
+      chosen.add(group.candidates.poll().assignment);
       group.leaving++;
-      missing -= next.room;
+      missing -= next.capacity;
       if (!group.candidates.isEmpty()) {
-        open.add(new Open(group, next.room, group.candidates.peek().ranSeconds));
+        open.add(new Open(group, next.capacity, group.candidates.peek().ranSeconds));
       }
     }
     return chosen;
@@ -150,7 +150,7 @@
 
     /** Whether one more job may ask for this reason; counts it. */
     boolean mayAsk(String reason) {
-      return asked.merge(reason, 1, Integer::sum) <= MOST_ASKING;
+      return asked.merge(reason, 1, Integer::sum) <= MAX_ASKING;
     }
 
     private List<Group> groups() {
@@ -163,21 +163,21 @@
 
     private void look(Job other) {
       Map<Where, Group> byPlace = new LinkedHashMap<>();
-      for (TaskAssignment delegation : other.delegations()) {
-        double ran = delegation.runningSince().map(now::secondsSince).orElse(0.0);
-        if (delegation.stopRequested() || ran <= mostSeconds) {
+      for (TaskAssignment assignment : other.assignments()) {
+        double ran = assignment.runningSince().map(now::secondsSince).orElse(0.0);
+        if (assignment.stopRequested() || ran <= maxSeconds) {
           placed
-              .of(delegation)
+              .of(assignment)
               .map(where -> byPlace.computeIfAbsent(where, key -> new Group(other, key)))
-              .ifPresent(group -> group.add(delegation, ran));
+              .ifPresent(group -> group.add(assignment, ran));
         }
       }
       groups.addAll(byPlace.values());
     }
 
     /** How many tasks of each job are giving way. */
-    void eachLeaving(BiConsumer<Job, Integer> taker) {
-      groups().forEach(group -> taker.accept(group.job, group.leaving));
+    void eachLeaving(BiConsumer<Job, Integer> consumer) {
+      groups().forEach(group -> consumer.accept(group.job, group.leaving));
     }
   }
 
