--- a/src/main/java/org/mulleinshift/scheduling/RunTimeEstimator.java
+++ b/src/main/java/org/mulleinshift/scheduling/RunTimeEstimator.java
@@ -12,15 +12,15 @@
  */
 public final class RunTimeEstimator {
   private static final double WEIGHT = 0.1;
-  private static final double LEAST_RATIO = 0.2;
-  private static final double MOST_RATIO = 5;
+  private static final double MIN_RATIO = 0.2;
+  private static final double MAX_RATIO = 5;
   private static final double UNKNOWN_SECONDS = 60;
 
   private final Map<String, Double> ratios = new HashMap<>();
 
   public void finished(JobSpec spec, double seconds) {
     if (spec.estimateSeconds() > 0 && seconds > 0) {
-      double ratio = Math.min(MOST_RATIO, Math.max(LEAST_RATIO, seconds / spec.estimateSeconds()));
+      double ratio = Math.min(MAX_RATIO, Math.max(MIN_RATIO, seconds / spec.estimateSeconds()));
       ratios.merge(spec.jobClass(), ratio, (old, seen) -> old * (1 - WEIGHT) + seen * WEIGHT);
     }
   }
@@ -34,7 +34,7 @@
 
   /** What another leader learned. */
   public void advise(String jobClass, double ratio) {
-    if (ratio >= LEAST_RATIO && ratio <= MOST_RATIO) {
+    if (ratio >= MIN_RATIO && ratio <= MAX_RATIO) {
       ratios.put(jobClass, ratio);
     }
   }
--- a/src/main/java/org/mulleinshift/scheduling/SchedulingCycle.java
+++ b/src/main/java/org/mulleinshift/scheduling/SchedulingCycle.java
@@ -37,10 +37,10 @@
   private static final int FIRST_PART = 16;
 
   private final Leader leader;
-  private final Leader.Surroundings around;
+  private final Leader.Surroundings context;
   private final EventLoop loop;
   private final Revision term;
-  private final AvailableCapacity freeRoom;
+  private final AvailableCapacity freeCapacity;
   private final CapacityReservation headroom;
   private final Preemption preemption;
   private final Optional<Double> guaranteeWithin;
@@ -53,30 +53,31 @@
   private UnschedulableRequests unplaceable = new UnschedulableRequests();
 
   public SchedulingCycle(
-      Leader leader, Leader.Surroundings around, Revision term, AvailableCapacity freeRoom) {
+      Leader leader, Leader.Surroundings context, Revision term, AvailableCapacity freeCapacity) {
     this.leader = leader;
-    this.around = around;
-    this.loop = around.loop();
+    this.context = context;
+    this.loop = context.loop();
     this.term = term;
-    this.freeRoom = freeRoom;
+    this.freeCapacity = freeCapacity;
     this.headroom = leader.headroom();
     this.preemption =
         new Preemption(
-            around.tunables().number(Tunables.Key.PREEMPT_RAN_S),
-            around.tunables().number(Tunables.Key.PREEMPT_SLACK_S));
+            context.tunables().number(Tunables.Key.PREEMPT_RAN_S),
+            context.tunables().number(Tunables.Key.PREEMPT_SLACK_S));
     // Room that frees first refills what is kept for classes with a start aim; tasks that wait at
-    // holders would take it before.
-    this.aheadSeconds = headroom.protectsAny() ? 0 : around.tunables().number(Tunables.Key.AHEAD_S);
+    // owners would take it before.
+    this.aheadSeconds =
+        headroom.protectsAny() ? 0 : context.tunables().number(Tunables.Key.AHEAD_S);
     this.largest =
-        new StarvationPrevention(around.tunables().number(Tunables.Key.BEGIN_S), loop.now());
-    this.floors = new MinimumShares(leader, around.catalog(), around.tunables(), loop.now());
+        new StarvationPrevention(context.tunables().number(Tunables.Key.BEGIN_S), loop.now());
+    this.floors = new MinimumShares(leader, context.catalog(), context.tunables(), loop.now());
     this.lateness =
         new Tardiness(
-            around.runTimes(),
-            around.settings().cluster().objectives(),
-            around.tunables().number(Tunables.Key.OVERDUE_S));
+            context.runTimes(),
+            context.settings().cluster().objectives(),
+            context.tunables().number(Tunables.Key.OVERDUE_S));
     this.guaranteeWithin =
-        around.settings().cluster().objectives().stream()
+        context.settings().cluster().objectives().stream()
             .filter(objective -> objective.kind().equals("guarantee"))
             .map(PlatformSettings.Objective::withinSeconds)
             .findFirst();
@@ -86,30 +87,30 @@
     ranking = Optional.empty();
     picture = Optional.empty();
     List<Job> order = ranking().order();
-    List<MachineCapacity> rooms = freeRoom.rooms(leastAsked(order));
+    List<MachineCapacity> capacities = freeCapacity.capacities(minAsked(order));
     Map<TeamId, Resources> inUse = leader.use();
     Attempt attempt = new Attempt((term.value() << ATTEMPT_BITS) + 1);
     unplaceable = new UnschedulableRequests();
-    beginLargest(rooms, inUse, attempt);
-    claim(order, job -> job.state() == Job.State.ACTIVE, rooms, inUse, attempt);
+    beginLargest(capacities, inUse, attempt);
+    claim(order, job -> job.state() == Job.State.ACTIVE, capacities, inUse, attempt);
     for (Job job : order) {
       if (job.state() == Job.State.ACTIVE && headroom.protects(job.spec())) {
-        delegate(job, rooms, inUse, attempt);
+        delegate(job, capacities, inUse, attempt);
       }
     }
-    keepHeadroom(rooms);
+    keepHeadroom(capacities);
     for (Job job : order) {
       if (job.state() == Job.State.ACTIVE && !headroom.protects(job.spec())) {
-        delegate(job, rooms, inUse, attempt);
+        delegate(job, capacities, inUse, attempt);
       }
     }
     // After all room is given: what still waits may ask for more.
     preempt(order, inUse);
-    delegateAhead(order, rooms, inUse, attempt);
+    delegateAhead(order, capacities, inUse, attempt);
   }
 
   /** Of each kind the least that a waiting task, or one that room is kept for, takes. */
-  private Resources leastAsked(List<Job> order) {
+  private Resources minAsked(List<Job> order) {
     Resources least = Resources.ENDLESS;
     for (Job job : order) {
       if (job.state() == Job.State.ACTIVE && job.waitingCount() > 0) {
@@ -124,9 +125,9 @@
 
   /** A part of each of the largest jobs that waited too long, whatever the order says. */
   private void beginLargest(
-      List<MachineCapacity> rooms, Map<TeamId, Resources> inUse, Attempt attempt) {
+      List<MachineCapacity> capacities, Map<TeamId, Resources> inUse, Attempt attempt) {
     for (Job job : largest.toBegin(leader.jobs().values(), loop.now(), loop.wallMillis())) {
-      delegate(job, rooms, inUse, attempt, (job.spec().tasks() + FIRST_PART - 1) / FIRST_PART);
+      delegate(job, capacities, inUse, attempt, (job.spec().tasks() + FIRST_PART - 1) / FIRST_PART);
     }
   }
 
@@ -134,28 +135,28 @@
   private void claim(
       List<Job> order,
       Predicate<Job> open,
-      List<MachineCapacity> rooms,
+      List<MachineCapacity> capacities,
       Map<TeamId, Resources> inUse,
       Attempt attempt) {
     for (MinimumShares.Side side : picture().sides()) {
       for (Job job : side.claimsAny() ? order : List.<Job>of()) {
         int most = side.mayClaim(job, picture().share(job));
         if (most > 0 && job.waitingCount() > 0 && open.test(job)) {
-          side.claimed(job, picture().share(job) * delegate(job, rooms, inUse, attempt, most));
+          side.claimed(job, picture().share(job) * delegate(job, capacities, inUse, attempt, most));
         }
       }
     }
   }
 
   private void delegate(
-      Job job, List<MachineCapacity> rooms, Map<TeamId, Resources> inUse, Attempt attempt) {
-    delegate(job, rooms, inUse, attempt, Integer.MAX_VALUE);
+      Job job, List<MachineCapacity> capacities, Map<TeamId, Resources> inUse, Attempt attempt) {
+    delegate(job, capacities, inUse, attempt, Integer.MAX_VALUE);
   }
 
   /** Gives room to up to so many of the job's tasks; tells to how many. */
   private int delegate(
       Job job,
-      List<MachineCapacity> rooms,
+      List<MachineCapacity> capacities,
       Map<TeamId, Resources> inUse,
       Attempt attempt,
       int most) {
@@ -170,7 +171,7 @@
     }
     ResourceRequest need = ResourceRequest.of(job.spec());
     if (job.spec().kind() == JobKind.GANG
-        && !PlacementConstraints.gangFits(job, need, rooms, allowed, loop.now())) {
+        && !PlacementConstraints.gangFits(job, need, capacities, allowed, loop.now())) {
       return 0;
     }
     // Where each task changes which zones are left, they are placed one by one.
@@ -180,22 +181,24 @@
     }
     int[] waiting = job.waiting(allowed, loop.now());
     int[] next = {0};
-    BinPacker.Taker taker =
-        (room, count) -> {
+    BinPacker.Taker consumer =
+        (capacity, count) -> {
           for (int i = 0; i < count; i++) {
             int index = waiting[next[0]++];
-            leader.occupancy().enter(job.delegate(index, room.block(), room.zone(), attempt));
+            leader
+                .occupancy()
+                .enter(job.delegate(index, capacity.shard(), capacity.zone(), attempt));
             leader.progress().store(job, index, true);
           }
         };
     int placed = 0;
     if (oneByOne) {
       while (placed < waiting.length
-          && BinPacker.fill(need, 1, allowedRooms(job, rooms), taker) == 1) {
+          && BinPacker.fill(need, 1, allowedCapacities(job, capacities), consumer) == 1) {
         placed++;
       }
     } else {
-      placed = BinPacker.fill(need, waiting.length, allowedRooms(job, rooms), taker);
+      placed = BinPacker.fill(need, waiting.length, allowedCapacities(job, capacities), consumer);
       if (placed < waiting.length) {
         unplaceable.add(need);
       }
@@ -205,54 +208,57 @@
   }
 
   /**
-   * Tasks for the room that should become free until a delegation would have arrived. Storing and
-   * sending it takes longer than a machine should stand idle; the holder starts the task when the
+   * Tasks for the room that should become free until a assignment would have arrived. Storing and
+   * sending it takes longer than a machine should stand idle; the owner starts the task when the
    * room is there.
    */
   private void delegateAhead(
-      List<Job> order, List<MachineCapacity> rooms, Map<TeamId, Resources> inUse, Attempt attempt) {
+      List<Job> order,
+      List<MachineCapacity> capacities,
+      Map<TeamId, Resources> inUse,
+      Attempt attempt) {
     if (aheadSeconds == 0
-        || order.stream().noneMatch(job -> mayWaitAtHolder(job) && job.waitingCount() > 0)) {
+        || order.stream().noneMatch(job -> mayWaitAtOwner(job) && job.waitingCount() > 0)) {
       return;
     }
     Map<MachineId, MachineCapacity> byMachine = new HashMap<>();
-    rooms.forEach(room -> byMachine.put(room.machine(), room));
+    capacities.forEach(capacity -> byMachine.put(capacity.machine(), capacity));
     for (Job job : order) {
-      for (TaskAssignment delegation : freeSoon(job)) {
-        MachineId machine = delegation.machine().get();
-        MachineCapacity room = byMachine.get(machine);
-        if (room == null) {
-          room = fullRoom(delegation.block(), machine);
-          byMachine.put(machine, room);
-          Optional.ofNullable(room).ifPresent(rooms::add);
+      for (TaskAssignment assignment : freeSoon(job)) {
+        MachineId machine = assignment.machine().get();
+        MachineCapacity capacity = byMachine.get(machine);
+        if (capacity == null) {
+          capacity = fullCapacity(assignment.shard(), machine);
+          byMachine.put(machine, capacity);
+          Optional.ofNullable(capacity).ifPresent(capacities::add);
         }
-        Optional.ofNullable(room).ifPresent(found -> found.give(delegation.perTask()));
+        Optional.ofNullable(capacity).ifPresent(found -> found.give(assignment.perTask()));
       }
     }
     // Rooms have grown.
     unplaceable = new UnschedulableRequests();
-    for (AvailableCapacity.Ahead known : freeRoom.ahead()) {
+    for (AvailableCapacity.Ahead known : freeCapacity.ahead()) {
       List<MachineCapacity> own =
-          rooms.stream().filter(room -> room.block().equals(known.block())).toList();
+          capacities.stream().filter(capacity -> capacity.shard().equals(known.shard())).toList();
       BinPacker.fill(known.need(), known.count(), own);
     }
-    claim(order, SchedulingCycle::mayWaitAtHolder, rooms, inUse, attempt);
+    claim(order, SchedulingCycle::mayWaitAtOwner, capacities, inUse, attempt);
     for (Job job : order) {
-      if (mayWaitAtHolder(job)) {
-        delegate(job, rooms, inUse, attempt);
+      if (mayWaitAtOwner(job)) {
+        delegate(job, capacities, inUse, attempt);
       }
     }
   }
 
   /** A machine's room that was left out since too little of it is left; none if it is unusable. */
-  private MachineCapacity fullRoom(ShardId block, MachineId machine) {
-    return Optional.ofNullable(leader.blocks().get(block))
-        .flatMap(found -> freeRoom.roomOf(found, machine, Resources.ZERO))
+  private MachineCapacity fullCapacity(ShardId shard, MachineId machine) {
+    return Optional.ofNullable(leader.shards().get(shard))
+        .flatMap(found -> freeCapacity.capacityOf(found, machine, Resources.ZERO))
         .orElse(null);
   }
 
   /** Where the other tasks are decides where a task may go: then it is not sent ahead. */
-  private static boolean mayWaitAtHolder(Job job) {
+  private static boolean mayWaitAtOwner(Job job) {
     return job.state() == Job.State.ACTIVE
         && job.spec().kind() == JobKind.ARRAY
         && !job.spec().oneZone()
@@ -262,24 +268,26 @@
   /** As many of the job's running tasks as should end soon, the longest running first. */
   private List<TaskAssignment> freeSoon(Job job) {
     List<TaskAssignment> running =
-        job.delegations().stream()
-            .filter(delegation -> delegation.state() == TaskAssignment.State.RUNNING)
-            .sorted(Comparator.comparing(delegation -> delegation.runningSince().get()))
+        job.assignments().stream()
+            .filter(assignment -> assignment.state() == TaskAssignment.State.RUNNING)
+            .sorted(Comparator.comparing(assignment -> assignment.runningSince().get()))
             .toList();
     double ends =
-        running.size() * aheadSeconds / Math.max(1, around.runTimes().expectedSeconds(job));
+        running.size() * aheadSeconds / Math.max(1, context.runTimes().expectedSeconds(job));
     return running.subList(0, (int) Math.min(running.size(), Math.round(ends)));
   }
 
-  private List<MachineCapacity> allowedRooms(Job job, List<MachineCapacity> rooms) {
+  private List<MachineCapacity> allowedCapacities(Job job, List<MachineCapacity> capacities) {
     boolean anywhere = job.spec().zone().isEmpty() && !job.spec().oneZone() && !job.spec().spread();
     return anywhere
-        ? rooms
-        : rooms.stream().filter(room -> PlacementConstraints.allowed(job, room.zone())).toList();
+        ? capacities
+        : capacities.stream()
+            .filter(capacity -> PlacementConstraints.allowed(job, capacity.zone()))
+            .toList();
   }
 
   private void preempt(List<Job> order, Map<TeamId, Resources> inUse) {
-    Preemption.Round round = preemption.new Round(order, this::whereCanMakeRoom, loop.now());
+    Preemption.Round round = preemption.new Round(order, this::whereCanMakeCapacity, loop.now());
     for (Job job : order) {
       if (job.state() != Job.State.ACTIVE
           || job.waitingCount() == 0
@@ -310,7 +318,7 @@
     Resources used = inUse.getOrDefault(job.spec().team(), Resources.ZERO);
     int wanted = job.waiting(leader.quota().withinLimit(job, used), loop.now()).length;
     preemption
-        .victims(job, wanted, round, rule, where -> canMakeRoom(job, where))
+        .victims(job, wanted, round, rule, where -> canMakeCapacity(job, where))
         .forEach(leader::requestStop);
   }
 
@@ -325,7 +333,7 @@
   }
 
   private boolean pressing(Job job) {
-    double expected = around.runTimes().expectedSeconds(job);
+    double expected = context.runTimes().expectedSeconds(job);
     return headroom.protects(job.spec()) || preemption.pressing(job, expected, loop.wallMillis());
   }
 
@@ -339,25 +347,25 @@
             <= leader.quota().guaranteed(job.spec().team()) + 1e-6;
   }
 
-  private static boolean canMakeRoom(Job job, Preemption.Where where) {
+  private static boolean canMakeCapacity(Job job, Preemption.Where where) {
     return PlacementConstraints.allowed(job, where.zone())
         && Preemption.onUsableMachine(job, where);
   }
 
-  private Optional<Preemption.Where> whereCanMakeRoom(TaskAssignment delegation) {
-    ShardView block = leader.blocks().get(delegation.block());
-    if (block == null || delegation.state() == TaskAssignment.State.ENDED || !delegation.told()) {
+  private Optional<Preemption.Where> whereCanMakeCapacity(TaskAssignment assignment) {
+    ShardView shard = leader.shards().get(assignment.shard());
+    if (shard == null || assignment.state() == TaskAssignment.State.ENDED || !assignment.told()) {
       return Optional.empty();
     }
-    return delegation
+    return assignment
         .machine()
-        .map(machine -> block.machines().get(machine))
-        .map(record -> new Preemption.Where(block.zone(), record.type(), record.spot()));
+        .map(machine -> shard.machines().get(machine))
+        .map(record -> new Preemption.Where(shard.zone(), record.type(), record.spot()));
   }
 
-  private void keepHeadroom(List<MachineCapacity> rooms) {
+  private void keepHeadroom(List<MachineCapacity> capacities) {
     for (CapacityReservation.Kept kept : headroom.kept(loop.now())) {
-      BinPacker.fill(kept.need(), kept.count(), rooms);
+      BinPacker.fill(kept.need(), kept.count(), capacities);
     }
   }
 
--- a/src/main/java/org/mulleinshift/scheduling/TeamQuotas.java
+++ b/src/main/java/org/mulleinshift/scheduling/TeamQuotas.java
@@ -9,9 +9,7 @@
 import org.mulleinshift.protocol.TeamId;
 import org.mulleinshift.settings.PlatformSettings;
 
-/**
- * The teams' limits and guarantees. What is delegated counts as running until its end is stored.
- */
+/** The teams' limits and guarantees. What is assigned counts as running until its end is stored. */
 public final class TeamQuotas {
   private static final double NO_LIMIT = 1e12;
 
@@ -29,7 +27,7 @@
   public static Map<TeamId, Resources> use(Collection<Job> jobs) {
     Map<TeamId, Resources> use = new HashMap<>();
     for (Job job : jobs) {
-      if (!job.delegations().isEmpty()) {
+      if (!job.assignments().isEmpty()) {
         use.merge(job.spec().team(), job.delegatedResources(), Resources::plus);
       }
     }
--- a/src/main/java/org/mulleinshift/settings/Leases.java
+++ b/src/main/java/org/mulleinshift/settings/Leases.java
@@ -11,10 +11,10 @@
   private Leases() {}
 
   /**
-   * The longest block lease with which a cancelled job's tasks are surely gone in time: a holder
+   * The longest shard lease with which a cancelled job's tasks are surely gone in time: an owner
    * that hears nothing acts until its lease is over, and its workers run on for a worker lease.
    */
-  public static Duration block(PlatformSettings.Workers workers, Tunables tunables) {
+  public static Duration shard(PlatformSettings.Workers workers, Tunables tunables) {
     return workers
         .cancel()
         .minus(workers.lease())
@@ -24,7 +24,7 @@
   /** Leases that do not fit would break a rule on the first bad day; better not to start. */
   public static void check(String file, PlatformSettings.Workers workers, Tunables tunables)
       throws SettingsException {
-    if (block(workers, tunables).compareTo(LEAST) < 0) {
+    if (shard(workers, tunables).compareTo(LEAST) < 0) {
       throw new SettingsException(
           file
               + ": cluster.workers.cancel_s: leaves less than "
--- a/src/main/java/org/mulleinshift/settings/PlatformSettings.java
+++ b/src/main/java/org/mulleinshift/settings/PlatformSettings.java
@@ -58,11 +58,11 @@
     }
 
     /** What is written must fit before and after that moment. */
-    public int leastValueBytes() {
+    public int minValueBytes() {
       return Math.min(valueBytes, next.map(State::valueBytes).orElse(valueBytes));
     }
 
-    public int leastTxnOps() {
+    public int minTxnOps() {
       return Math.min(txnOps, next.map(State::txnOps).orElse(txnOps));
     }
 
--- a/src/main/java/org/mulleinshift/settings/Tunables.java
+++ b/src/main/java/org/mulleinshift/settings/Tunables.java
@@ -24,7 +24,7 @@
     IDLE_RETURN_S("idle_return_s", 20, 0, 3600, "how long a machine stays idle before its return"),
     MINIMUM_HELD_S("minimum_held_s", 60, 0, 3600, "a machine younger than this is not returned"),
     REFUSED_PAUSE_S("refused_pause_s", 10, 1, 600, "pause after the cloud refused a rental"),
-    BLOCK_MACHINES("block_machines", 24, 1, 1000, "most machines of one block"),
+    SHARD_MACHINES("block_machines", 24, 1, 1000, "most machines of one block"),
     PEER_SILENT_S("peer_silent_s", 4, 1, 60, "a controller silent for this long loses its blocks"),
     STATE_LOST_S(
         "state_lost_s",
--- a/src/main/java/org/mulleinshift/sharding/AssignmentWriter.java
+++ b/src/main/java/org/mulleinshift/sharding/AssignmentWriter.java
@@ -17,7 +17,7 @@
 import org.mulleinshift.protocol.peer.ShardAssignment;
 import org.mulleinshift.transport.EventLoop;
 
-/** Writes what the holder of a block is to hear. */
+/** Writes what the owner of a shard is to hear. */
 public final class AssignmentWriter {
   private final Leader leader;
   private final EventLoop loop;
@@ -29,15 +29,15 @@
     this.term = term;
   }
 
-  /** Marks the block's changes as sent. */
-  public ShardAssignment of(ShardView block) {
-    Revision grant = block.grant().get().revision();
-    long base = block.base();
+  /** Marks the shard's changes as sent. */
+  public ShardAssignment of(ShardView shard) {
+    Revision grant = shard.grant().get().revision();
+    long base = shard.base();
     Map<JobId, List<AssignedTask>> byJob = new LinkedHashMap<>();
     List<RemovedTask> removed = new ArrayList<>();
-    for (TaskId task : block.changesSince(base)) {
-      TaskAssignment delegation = block.told(task).orElse(null);
-      if (delegation == null) {
+    for (TaskId task : shard.changesSince(base)) {
+      TaskAssignment assignment = shard.told(task).orElse(null);
+      if (assignment == null) {
         removed.add(new RemovedTask(task.job().value(), task.index()));
       } else {
         byJob
@@ -45,9 +45,9 @@
             .add(
                 new AssignedTask(
                     task.index(),
-                    delegation.attempt().value(),
-                    delegation.storedAt().compareTo(grant) > 0,
-                    mustNotStart(delegation)));
+                    assignment.attempt().value(),
+                    assignment.storedAt().compareTo(grant) > 0,
+                    mustNotStart(assignment)));
       }
     }
     List<AssignedJob> assigned = new ArrayList<>();
@@ -55,26 +55,26 @@
     // A job without tasks: what runs of it is left alone. All of them, with each message.
     leader.unreadable().jobs().forEach(id -> assigned.add(leftAlone(id)));
     List<String> closed = new ArrayList<>();
-    block.machines().keySet().stream()
+    shard.machines().keySet().stream()
         .filter(machine -> leader.closed(machine))
         .forEach(machine -> closed.add(machine.value()));
     return new ShardAssignment(
         term.value(),
-        block.id().value(),
+        shard.id().value(),
         grant.value(),
         base,
-        block.send(loop.now()),
+        shard.send(loop.now()),
         removed,
         assigned,
         closed);
   }
 
   /**
-   * Also a task whose end is not stored yet: a holder that is new to the block must not start what
+   * Also a task whose end is not stored yet: an owner that is new to the shard must not start what
    * an earlier one has reported as ended, since it may be started elsewhere once that is stored.
    */
-  private static boolean mustNotStart(TaskAssignment delegation) {
-    return delegation.stopRequested() || delegation.state() == TaskAssignment.State.ENDED;
+  private static boolean mustNotStart(TaskAssignment assignment) {
+    return assignment.stopRequested() || assignment.state() == TaskAssignment.State.ENDED;
   }
 
   private static AssignedJob leftAlone(JobId id) {
--- a/src/main/java/org/mulleinshift/sharding/MachinePhase.java
+++ b/src/main/java/org/mulleinshift/sharding/MachinePhase.java
@@ -1,6 +1,6 @@
 package org.mulleinshift.sharding;
 
-/** How a holder stands with a machine of its block. */
+/** How an owner stands with a machine of its shard. */
 public enum MachinePhase {
   /** No report under this grant yet. */
   UNSEEN("UNSEEN"),
--- a/src/main/java/org/mulleinshift/sharding/OwnedMachine.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedMachine.java
@@ -20,7 +20,7 @@
 import org.mulleinshift.protocol.peer.MachineStatus;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** A machine of a held block. */
+/** A machine of a held shard. */
 public final class OwnedMachine {
   /** Low bits of a token, for raising it on one machine without a new grant. */
   static final int BUMP_BITS = 20;
@@ -42,7 +42,7 @@
   private static final String OCCUPIED = "OCCUPIED";
 
   private boolean occupied;
-  private List<WorkerHeartbeat.Entry> strays = new ArrayList<>();
+  private List<WorkerHeartbeat.Entry> unassignedTasks = new ArrayList<>();
   private final Map<String, Double> images = new LinkedHashMap<>();
   private final Map<TaskId, OwnedTask> bound = new LinkedHashMap<>();
   private Resources used = Resources.ZERO;
@@ -90,7 +90,7 @@
   }
 
   /** The only place where the phase changes. */
-  void moveTo(MachinePhase next) {
+  void transitionTo(MachinePhase next) {
     phase = next;
   }
 
@@ -148,7 +148,7 @@
     return bindings == absorbedBindings
         && phase == MachinePhase.CONFIRMED
         && echoAwaited.isEmpty()
-        && strays.isEmpty()
+        && unassignedTasks.isEmpty()
         && report.moment().session() == moment.session()
         && report.recall().isPresent() == recall.isPresent()
         && report.highestToken().compareTo(token) >= 0
@@ -254,16 +254,16 @@
   }
 
   /** The cloud takes it away soon. */
-  boolean recalled() {
+  boolean interrupted() {
     return recall.isPresent();
   }
 
-  List<WorkerHeartbeat.Entry> strays() {
-    return strays;
+  List<WorkerHeartbeat.Entry> unassignedTasks() {
+    return unassignedTasks;
   }
 
-  void strays(List<WorkerHeartbeat.Entry> found) {
-    strays = found;
+  void unassignedTasks(List<WorkerHeartbeat.Entry> found) {
+    unassignedTasks = found;
   }
 
   /**
@@ -273,13 +273,13 @@
   boolean occupiedBy(Set<JobId> leftAlone) {
     boolean before = occupied;
     occupied =
-        strays.stream()
+        unassignedTasks.stream()
             .filter(entry -> entry.state() != WorkerHeartbeat.State.EXITED)
             .anyMatch(entry -> leftAlone.contains(entry.task().job()));
     return before != occupied;
   }
 
-  /** Whether such tasks run on it, as its holder told. */
+  /** Whether such tasks run on it, as its owner told. */
   public static boolean occupied(MachineStatus report) {
     return report.getPhase().equals(OCCUPIED);
   }
--- a/src/main/java/org/mulleinshift/sharding/OwnedShards.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedShards.java
@@ -36,16 +36,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The blocks that this node holds; sends workers of other blocks to their holders. */
+/** The shards that this node holds; sends workers of other shards to their owners. */
 public final class OwnedShards {
   private static final Logger LOG = LoggerFactory.getLogger(OwnedShards.class);
   private static final Duration TICK = Duration.ofMillis(250);
   private static final Duration REPORT_SPACING = Duration.ofMillis(80);
   private static final Duration REPORT_AT_LEAST = Duration.ofSeconds(1);
 
-  private static final Duration KNOCKS = Duration.ofMillis(400);
+  private static final Duration SUSPICIONS = Duration.ofMillis(400);
   private static final Duration ASK_DEADLINE = Duration.ofMillis(1200);
-  private static final int MOST_ASKED = 64;
+  private static final int MAX_ASKED = 64;
 
   /** What the desk asks of the other controllers. */
   public record Peers(List<NodeId> nodes, Predicate<NodeId> answersWorkers, Runnable beat) {}
@@ -54,7 +54,7 @@
   private final NodeId self;
   private final ClusterView view;
   private final ControllerSession session;
-  private final ShardOwner.Surroundings around;
+  private final ShardOwner.Surroundings context;
   private final Peers peers;
   private final Consumer<Object> toLeader;
   private final Map<ShardId, ShardOwner> held = new HashMap<>();
@@ -68,22 +68,22 @@
       NodeId self,
       ClusterView view,
       ControllerSession session,
-      ShardOwner.Surroundings around,
+      ShardOwner.Surroundings context,
       Peers peers,
       Consumer<Object> toLeader) {
-    this.loop = around.loop();
+    this.loop = context.loop();
     this.self = self;
     this.view = view;
     this.session = session;
-    this.around = around;
+    this.context = context;
     this.peers = peers;
     this.toLeader = toLeader;
     this.workers =
         new WorkerReachability(
             loop,
-            around.timing().report(),
+            context.timing().report(),
             new WorkerReachability.Parts(
-                around.workers(), this::count, this::addresses, peers.beat()));
+                context.workers(), this::count, this::addresses, peers.beat()));
   }
 
   public void start() {
@@ -101,23 +101,23 @@
   }
 
   /**
-   * Blocks that this node may no longer act for say nothing: their machines may have gone to
+   * Shards that this node may no longer act for say nothing: their machines may have gone to
    * others.
    */
   private WorkerReachability.Count count() {
     int known = 0;
     int silent = 0;
-    for (ShardOwner holder : held.values()) {
-      if (holder.entitled()) {
-        known += holder.knownMachines();
-        silent += holder.silentMachines();
+    for (ShardOwner owner : held.values()) {
+      if (owner.entitled()) {
+        known += owner.knownMachines();
+        silent += owner.silentMachines();
       }
     }
     return new WorkerReachability.Count(known, silent);
   }
 
   private List<InetSocketAddress> addresses() {
-    return held.values().stream().flatMap(holder -> holder.addresses().stream()).toList();
+    return held.values().stream().flatMap(owner -> owner.addresses().stream()).toList();
   }
 
   public WorkerReachability.State hearing() {
@@ -126,7 +126,7 @@
 
   private void reportRegularly() {
     loop.after(REPORT_AT_LEAST, this::reportRegularly);
-    held.values().forEach(holder -> toLeader.accept(holder.reports().regularReport()));
+    held.values().forEach(owner -> toLeader.accept(owner.reports().regularReport()));
   }
 
   /** Something that the leader should know; several changes share a report. */
@@ -143,14 +143,14 @@
   }
 
   private void sendReports() {
-    for (ShardOwner holder : held.values()) {
-      if (holder.reports().hasNews()) {
-        toLeader.accept(holder.reports().newsReport());
+    for (ShardOwner owner : held.values()) {
+      if (owner.reports().hasNews()) {
+        toLeader.accept(owner.reports().newsReport());
       }
     }
   }
 
-  /** Takes up and gives up blocks as the store says. */
+  /** Takes up and gives up shards as the store says. */
   public void onControlChange() {
     Map<ShardId, Revision> verified = session.grants();
     held.entrySet()
@@ -163,36 +163,35 @@
               return lost;
             });
     for (Map.Entry<ShardId, GrantRecord> entry : view.grants().entrySet()) {
-      ShardId block = entry.getKey();
+      ShardId shard = entry.getKey();
       GrantRecord grant = entry.getValue();
-      // Both the reading and the watch must show the grant: the watch then also shows the block's
+      // Both the reading and the watch must show the grant: the watch then also shows the shard's
       // machines as of the grant or later.
-      if (grant.holder().equals(self)
-          && grant.revision().equals(verified.get(block))
-          && !held.containsKey(block)) {
-        LOG.info("block {} taken, grant {}", block, grant.revision());
+      if (grant.owner().equals(self)
+          && grant.revision().equals(verified.get(shard))
+          && !held.containsKey(shard)) {
+        LOG.info("block {} taken, grant {}", shard, grant.revision());
         Revision revision = grant.revision();
         held.put(
-            block,
-            new ShardOwner(around, block, revision, () -> session.entitled(block, revision)));
+            shard,
+            new ShardOwner(context, shard, revision, () -> session.entitled(shard, revision)));
       }
     }
     held.forEach(
-        (block, holder) ->
-            Optional.ofNullable(view.blocks().get(block)).ifPresent(holder::onRecord));
+        (shard, owner) -> Optional.ofNullable(view.shards().get(shard)).ifPresent(owner::onRecord));
   }
 
   public void onAssignment(ShardAssignment assignment) {
-    ShardOwner holder = held.get(new ShardId(assignment.getBlock()));
-    if (holder != null) {
-      holder.onAssignment(assignment);
+    ShardOwner owner = held.get(new ShardId(assignment.getShard()));
+    if (owner != null) {
+      owner.onAssignment(assignment);
     }
   }
 
   public void onReportsSeen(ShardStatusAck seen) {
-    ShardOwner holder = held.get(new ShardId(seen.getBlock()));
-    if (holder != null) {
-      holder.onReportsSeen(seen);
+    ShardOwner owner = held.get(new ShardId(seen.getShard()));
+    if (owner != null) {
+      owner.onReportsSeen(seen);
     }
   }
 
@@ -202,7 +201,7 @@
   }
 
   public void onCancelled(JobId job) {
-    held.values().forEach(holder -> holder.onCancelled(job));
+    held.values().forEach(owner -> owner.onCancelled(job));
   }
 
   public void checkin(String body, Responder responder) {
@@ -217,8 +216,8 @@
       return;
     }
     workers.reported();
-    Optional<ShardId> block = view.blockOf(report.machine());
-    if (block.isEmpty()) {
+    Optional<ShardId> shard = view.shardOf(report.machine());
+    if (shard.isEmpty()) {
       ask(
           report,
           () ->
@@ -232,9 +231,9 @@
       responder.respond(421, "{}");
       return;
     }
-    ShardOwner holder = held.get(block.get());
-    if (holder != null) {
-      Optional<String> answer = holder.onReport(report);
+    ShardOwner owner = held.get(shard.get());
+    if (owner != null) {
+      Optional<String> answer = owner.onReport(report);
       if (answer.isPresent()) {
         responder.respond(200, answer.get());
       } else {
@@ -242,14 +241,14 @@
       }
       return;
     }
-    GrantRecord grant = view.grants().get(block.get());
+    GrantRecord grant = view.grants().get(shard.get());
     Optional<NodeId> next = Optional.empty();
-    if (grant != null && !grant.holder().equals(self)) {
-      if (peers.answersWorkers().test(grant.holder())) {
-        next = Optional.of(grant.holder());
+    if (grant != null && !grant.owner().equals(self)) {
+      if (peers.answersWorkers().test(grant.owner())) {
+        next = Optional.of(grant.owner());
       } else {
-        ask(report, () -> knocked(block.get(), report.machine()));
-        next = detour(grant.holder());
+        ask(report, () -> knocked(shard.get(), report.machine()));
+        next = detour(grant.owner());
       }
     }
     responder.respond(421, next.map(WorkerCodec::redirect).orElse("{}"));
@@ -273,15 +272,15 @@
   }
 
   /**
-   * The report of a machine that nobody knows, or that its holder does not answer, may be a late
+   * The report of a machine that nobody knows, or that its owner does not answer, may be a late
    * copy, and the machine long gone: only one that can be asked is there.
    */
   private void ask(WorkerHeartbeat report, Runnable ifThere) {
     Optional<InetSocketAddress> address = WorkerAddress.parse(report.address());
-    if (address.isEmpty() || asked.size() >= MOST_ASKED || !asked.add(report.machine())) {
+    if (address.isEmpty() || asked.size() >= MAX_ASKED || !asked.add(report.machine())) {
       return;
     }
-    around
+    context
         .workers()
         .call(
             address.get(),
@@ -294,22 +293,22 @@
             });
   }
 
-  /** The leader hears of machines whose holder does not answer them; several share a message. */
-  private void knocked(ShardId block, MachineId machine) {
+  /** The leader hears of machines whose owner does not answer them; several share a message. */
+  private void knocked(ShardId shard, MachineId machine) {
     if (knocked.isEmpty()) {
-      loop.after(KNOCKS, this::sendKnocks);
+      loop.after(SUSPICIONS, this::sendSuspicions);
     }
-    knocked.computeIfAbsent(block, key -> new TreeSet<>()).add(machine);
+    knocked.computeIfAbsent(shard, key -> new TreeSet<>()).add(machine);
   }
 
-  private void sendKnocks() {
+  private void sendSuspicions() {
     knocked.forEach(
-        (block, machines) -> {
-          GrantRecord grant = view.grants().get(block);
+        (shard, machines) -> {
+          GrantRecord grant = view.grants().get(shard);
           if (grant != null) {
             toLeader.accept(
                 new OwnerSuspicion(
-                    block.value(),
+                    shard.value(),
                     grant.revision().value(),
                     machines.stream().map(MachineId::value).toList()));
           }
--- a/src/main/java/org/mulleinshift/sharding/OwnedTask.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedTask.java
@@ -7,7 +7,7 @@
 import org.mulleinshift.protocol.TaskId;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** A task that the leader delegated to a block, at the block's holder. */
+/** A task that the leader assigned to a shard, at the shard's owner. */
 final class OwnedTask {
   private final TaskId task;
   private final Attempt attempt;
@@ -40,7 +40,7 @@
   }
 
   /** The only place where the phase changes; a final phase stays. */
-  void moveTo(TaskPhase next, MachineId where, MonotonicTime now) {
+  void transitionTo(TaskPhase next, MachineId where, MonotonicTime now) {
     if (phase.isFinal()) {
       return;
     }
@@ -98,7 +98,7 @@
     return rank;
   }
 
-  /** Delegated under this very grant: no earlier holder can have placed it. */
+  /** Assigned under this very grant: no earlier owner can have placed it. */
   boolean fresh() {
     return fresh;
   }
--- a/src/main/java/org/mulleinshift/sharding/ShardGrants.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardGrants.java
@@ -23,25 +23,25 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Grants blocks of machines to controllers, and has the grants stored. */
+/** Grants shards of machines to controllers, and has the grants stored. */
 public final class ShardGrants {
   private static final Logger LOG = LoggerFactory.getLogger(ShardGrants.class);
   private static final Duration KNOCKED = Duration.ofSeconds(5);
 
   private final Leader leader;
-  private final Leader.Surroundings around;
-  private final TransactionBatcher journal;
+  private final Leader.Surroundings context;
+  private final TransactionBatcher batcher;
   private final ShardAssigner sharing;
   private final OwnerEligibility fitness;
 
-  public ShardGrants(Leader leader, Leader.Surroundings around, TransactionBatcher journal) {
+  public ShardGrants(Leader leader, Leader.Surroundings context, TransactionBatcher batcher) {
     this.leader = leader;
-    this.around = around;
-    this.journal = journal;
-    this.fitness = new OwnerEligibility(around.hearing());
+    this.context = context;
+    this.batcher = batcher;
+    this.fitness = new OwnerEligibility(context.hearing());
     this.sharing =
         new ShardAssigner(
-            around.self(), zonesOf(around.self(), around.settings()), around.loop().now());
+            context.self(), zonesOf(context.self(), context.settings()), context.loop().now());
   }
 
   /**
@@ -50,43 +50,43 @@
    * more: it could not take it up.
    */
   public void assign() {
-    if (!around.certain().getAsBoolean()) {
+    if (!context.certain().getAsBoolean()) {
       // Whoever leads by now would have to undo it.
       return;
     }
-    Duration limit = around.tunables().seconds(Tunables.Key.PEER_SILENT_S);
-    List<NodeId> live = new ArrayList<>(around.view().nodes().keySet());
-    live.removeIf(node -> around.peerSilence().apply(node).compareTo(limit) > 0);
-    Set<NodeId> unfit = fitness.unfit(knocks(), live, around.loop().now());
+    Duration limit = context.tunables().seconds(Tunables.Key.PEER_SILENT_S);
+    List<NodeId> live = new ArrayList<>(context.view().nodes().keySet());
+    live.removeIf(node -> context.peerSilence().apply(node).compareTo(limit) > 0);
+    Set<NodeId> unfit = fitness.unfit(suspicions(), live, context.loop().now());
     if (!unfit.containsAll(live)) {
       live.removeAll(unfit);
     }
     List<NodeId> takers = new ArrayList<>(live);
     takers.removeIf(
         node ->
-            around.storeLost().test(node)
-                || around.hearing().apply(node) != WorkerReachability.State.WELL);
+            context.storeLost().test(node)
+                || context.hearing().apply(node) != WorkerReachability.State.WELL);
     takers = takers.isEmpty() ? live : takers;
     // Held by somebody that this build can't read: not its to give to others.
-    List<ShardView> known = new ArrayList<>(leader.blocks().values());
-    known.removeIf(block -> around.view().unreadableGrants().contains(block.id()));
+    List<ShardView> known = new ArrayList<>(leader.shards().values());
+    known.removeIf(shard -> context.view().unreadableGrants().contains(shard.id()));
     for (ShardAssigner.Move move :
-        sharing.moves(known, live, takers, limit.multipliedBy(2), around.loop().now())) {
-      ShardView block = leader.blocks().get(move.block().id());
-      LOG.info("granting {} to {}", block.id(), move.holder());
-      block.granting(Optional.of(move.holder()));
-      journal.submit(StoreKeys.grant(block.id()), new GrantUnit(block, move.holder()));
+        sharing.moves(known, live, takers, limit.multipliedBy(2), context.loop().now())) {
+      ShardView shard = leader.shards().get(move.shard().id());
+      LOG.info("granting {} to {}", shard.id(), move.owner());
+      shard.granting(Optional.of(move.owner()));
+      batcher.submit(StoreKeys.grant(shard.id()), new GrantUnit(shard, move.owner()));
     }
   }
 
-  /** How many machines of each holder reported elsewhere lately. */
-  private Map<NodeId, Integer> knocks() {
-    Map<NodeId, Integer> knocks = new HashMap<>();
-    for (ShardView block : leader.blocks().values()) {
-      int count = block.knocks(KNOCKED, around.loop().now());
-      block.holder().ifPresent(node -> knocks.merge(node, count, Integer::sum));
+  /** How many machines of each owner reported elsewhere lately. */
+  private Map<NodeId, Integer> suspicions() {
+    Map<NodeId, Integer> suspicions = new HashMap<>();
+    for (ShardView shard : leader.shards().values()) {
+      int count = shard.suspicions(KNOCKED, context.loop().now());
+      shard.owner().ifPresent(node -> suspicions.merge(node, count, Integer::sum));
     }
-    return knocks;
+    return suspicions;
   }
 
   private static Map<NodeId, ZoneId> zonesOf(NodeId self, PlatformSettings settings) {
@@ -98,35 +98,35 @@
     return zones;
   }
 
-  /** A block's new holder, bound to the holder's session lease. */
+  /** A shard's new owner, bound to the owner's session lease. */
   private final class GrantUnit implements TransactionBatcher.Unit {
-    private final ShardView block;
-    private final NodeId holder;
+    private final ShardView shard;
+    private final NodeId owner;
 
-    GrantUnit(ShardView block, NodeId holder) {
-      this.block = block;
-      this.holder = holder;
+    GrantUnit(ShardView shard, NodeId owner) {
+      this.shard = shard;
+      this.owner = owner;
     }
 
     @Override
     public List<Write> writes() {
-      ClusterView.NodeRecord node = around.view().nodes().get(holder);
+      ClusterView.NodeRecord node = context.view().nodes().get(owner);
       if (node == null) {
-        block.granting(Optional.empty());
+        shard.granting(Optional.empty());
       }
       return node == null
           ? List.of()
           : List.of(
-              Write.put(StoreKeys.grant(block.id()), ClusterView.grantValue(holder), node.hold()));
+              Write.put(StoreKeys.grant(shard.id()), ClusterView.grantValue(owner), node.hold()));
     }
 
     @Override
     public void committed(Revision revision) {
-      block.granting(Optional.empty());
-      block.grant(Optional.of(new ShardView.Grant(holder, revision)), around.loop().now());
-      if (block.lastHolder(Optional.of(holder)) && journal.knows(StoreKeys.block(block.id()))) {
+      shard.granting(Optional.empty());
+      shard.grant(Optional.of(new ShardView.Grant(owner, revision)), context.loop().now());
+      if (shard.lastOwner(Optional.of(owner)) && batcher.knows(StoreKeys.shard(shard.id()))) {
         // Only the next fall of many asks for it.
-        leader.fleet().storeWhenIdle(block);
+        leader.fleet().storeWhenIdle(shard);
       }
       leader.sendSoon();
     }
--- a/src/main/java/org/mulleinshift/sharding/ShardOwner.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardOwner.java
@@ -15,8 +15,8 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Predicate;
 import java.util.stream.Stream;
-import org.mulleinshift.model.ClusterView.BlockRecord;
 import org.mulleinshift.model.ClusterView.MachineRecord;
+import org.mulleinshift.model.ClusterView.ShardRecord;
 import org.mulleinshift.placement.BinPacker;
 import org.mulleinshift.placement.MachineCapacity;
 import org.mulleinshift.placement.MachineTypeCatalog;
@@ -50,7 +50,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A block under one grant: takes its machines' reports, places the tasks delegated to it, and tells
+ * A shard under one grant: takes its machines' reports, places the tasks assigned to it, and tells
  * the leader what became of them. A task counts as absent from a machine only on proof.
  */
 public final class ShardOwner {
@@ -58,22 +58,22 @@
   private static final Duration ORDERS_DEADLINE = Duration.ofMillis(1200);
   private static final Duration UNPLACEABLE = Duration.ofSeconds(4);
 
-  /** A block lies in one zone, and the leader chose it. */
+  /** A shard lies in one zone, and the leader chose it. */
   private static final ZoneId ANY_ZONE = new ZoneId("");
 
-  private static final int MOST_ORDERS = 200;
+  private static final int MAX_ORDERS = 200;
 
-  /** What a holder needs of its node. */
+  /** What an owner needs of its node. */
   public record Surroundings(
       EventLoop loop,
       AsyncHttpClient workers,
       MachineTypeCatalog catalog,
       PlatformSettings.Workers timing,
-      Duration blockLease,
+      Duration shardLease,
       Predicate<JobId> cancelled,
       Runnable onNews) {}
 
-  private final Surroundings around;
+  private final Surroundings context;
   private final EventLoop loop;
   private final ShardId id;
   private final Revision grant;
@@ -90,28 +90,28 @@
   private long seenVersion;
   private Revision recordSeen = new Revision(0);
 
-  ShardOwner(Surroundings around, ShardId id, Revision grant, BooleanSupplier entitled) {
-    this.around = around;
-    this.loop = around.loop();
+  ShardOwner(Surroundings context, ShardId id, Revision grant, BooleanSupplier entitled) {
+    this.context = context;
+    this.loop = context.loop();
     this.id = id;
     this.grant = grant;
     this.entitled = entitled;
     this.startedAt = loop.now();
     this.listeningSince = startedAt;
-    this.reports = new ShardStatusReporter(loop, id, grant, machines, tasks, around.onNews());
+    this.reports = new ShardStatusReporter(loop, id, grant, machines, tasks, context.onNews());
   }
 
   Revision grant() {
     return grant;
   }
 
-  /** Whether this node may still act for the block. */
+  /** Whether this node may still act for the shard. */
   boolean entitled() {
     return entitled.getAsBoolean();
   }
 
-  /** The block's machines as stored. A machine that is no longer there was deleted for certain. */
-  void onRecord(BlockRecord record) {
+  /** The shard's machines as stored. A machine that is no longer there was deleted for certain. */
+  void onRecord(ShardRecord record) {
     if (record.version().equals(recordSeen)) {
       return;
     }
@@ -144,7 +144,7 @@
   /** All changes of a task's phase pass here, so that what is indexed by it stays in step. */
   private void move(OwnedTask task, TaskPhase next, MachineId where) {
     OwnedMachine before = task.place().map(machines::get).orElse(null);
-    task.moveTo(next, where, loop.now());
+    task.transitionTo(next, where, loop.now());
     OwnedMachine after = task.place().map(machines::get).orElse(null);
     if (before != null && before != after) {
       before.release(task);
@@ -156,7 +156,7 @@
       unplaced.remove(task);
     }
     reports.changed(task.task());
-    around.onNews().run();
+    context.onNews().run();
   }
 
   private void drop(OwnedTask task) {
@@ -166,7 +166,7 @@
 
   private void news(MachineId machine) {
     reports.changed(machine);
-    around.onNews().run();
+    context.onNews().run();
   }
 
   /**
@@ -186,14 +186,14 @@
       return;
     }
     if (term != seenTerm) {
-      // A new leader knows nothing of this block yet.
+      // A new leader knows nothing of this shard yet.
       reports.unknownToLeader();
     }
     seenTerm = term;
     seenVersion = assignment.getVersion();
     reports.sawAssignment(seenTerm, seenVersion);
     closed = new HashSet<>();
-    assignment.getClosed().forEach(machine -> closed.add(new MachineId(machine)));
+    assignment.getCordoned().forEach(machine -> closed.add(new MachineId(machine)));
     Set<TaskId> named = new HashSet<>();
     leftAlone.clear();
     for (AssignedJob job : assignment.getJobs()) {
@@ -218,11 +218,11 @@
       unnamed.forEach(task -> drop(tasks.remove(task)));
     }
     adoptFromStrays();
-    around.onNews().run();
+    context.onNews().run();
     placeAndSend();
   }
 
-  /** Up to where the leader knows this block. */
+  /** Up to where the leader knows this shard. */
   void onReportsSeen(ShardStatusAck seen) {
     if (seen.getGrant() == grant.value() && seen.getLeaderTerm() >= seenTerm) {
       reports.seen(seen.getSequence());
@@ -244,7 +244,7 @@
       reports.changed(id);
     }
     // The leader may not know yet what this node does.
-    if (item.getStop() || around.cancelled().test(id.job())) {
+    if (item.getStop() || context.cancelled().test(id.job())) {
       requestStop(known);
     }
   }
@@ -253,7 +253,7 @@
   private void adoptFromStrays() {
     for (OwnedMachine machine : machines.values()) {
       List<WorkerHeartbeat.Entry> left = new ArrayList<>();
-      for (WorkerHeartbeat.Entry entry : machine.strays()) {
+      for (WorkerHeartbeat.Entry entry : machine.unassignedTasks()) {
         OwnedTask task = matching(entry);
         if (task == null) {
           left.add(entry);
@@ -261,7 +261,7 @@
           observe(machine, task, entry);
         }
       }
-      machine.strays(left);
+      machine.unassignedTasks(left);
       tellIfOccupied(machine);
     }
   }
@@ -349,22 +349,22 @@
       machine.raiseToken(loop.now());
     }
     Set<TaskId> listed = new HashSet<>();
-    List<WorkerHeartbeat.Entry> strays = new ArrayList<>();
-    boolean recalled = machine.recalled();
+    List<WorkerHeartbeat.Entry> unassignedTasks = new ArrayList<>();
+    boolean interrupted = machine.interrupted();
     machine.heard(report, loop.now());
-    if (recalled != machine.recalled()) {
+    if (interrupted != machine.interrupted()) {
       news(machine.id());
     }
     for (WorkerHeartbeat.Entry entry : report.tasks()) {
       OwnedTask task = matching(entry);
       if (task == null) {
-        strays.add(entry);
+        unassignedTasks.add(entry);
       } else {
         listed.add(entry.task());
         observe(machine, task, entry);
       }
     }
-    machine.strays(strays);
+    machine.unassignedTasks(unassignedTasks);
     tellIfOccupied(machine);
     boolean knowsToken = report.highestToken().compareTo(machine.token()) >= 0;
     moveMachine(machine, knowsToken ? MachinePhase.CONFIRMED : MachinePhase.HEARD);
@@ -394,7 +394,7 @@
       return;
     }
     if (machine.phase() != next) {
-      machine.moveTo(next);
+      machine.transitionTo(next);
       news(machine.id());
     }
   }
@@ -407,7 +407,7 @@
     TaskPhase phase = TaskPhase.of(entry);
     if (phase == TaskPhase.RUNNING) {
       double cache =
-          around.catalog().type(machine.record().type()).map(MachineType::cacheGb).orElse(0.0);
+          context.catalog().type(machine.record().type()).map(MachineType::cacheGb).orElse(0.0);
       if (machine.addImage(task.need().image(), task.need().imageGb(), cache)) {
         news(machine.id());
       }
@@ -424,13 +424,14 @@
   private List<WorkerCommand> ordersFor(OwnedMachine machine) {
     List<WorkerCommand> halts = new ArrayList<>();
     List<WorkerCommand> others = new ArrayList<>();
-    for (WorkerHeartbeat.Entry stray : machine.strays()) {
-      boolean exited = stray.state() == WorkerHeartbeat.State.EXITED;
-      if (!exited && mustStop(stray.task().job())) {
-        halts.add(new WorkerCommand.Halt(stray.task(), stray.attempt(), Duration.ZERO));
-      } else if (exited && mayJudge(stray.task().job()) && !machine.directInFlight()) {
+    for (WorkerHeartbeat.Entry unassignedTask : machine.unassignedTasks()) {
+      boolean exited = unassignedTask.state() == WorkerHeartbeat.State.EXITED;
+      if (!exited && mustStop(unassignedTask.task().job())) {
+        halts.add(
+            new WorkerCommand.Halt(unassignedTask.task(), unassignedTask.attempt(), Duration.ZERO));
+      } else if (exited && mayJudge(unassignedTask.task().job()) && !machine.directInFlight()) {
         // An order that is still on its way would start a forgotten attempt again.
-        others.add(new WorkerCommand.Forget(stray.task(), stray.attempt()));
+        others.add(new WorkerCommand.Forget(unassignedTask.task(), unassignedTask.attempt()));
       }
     }
     for (OwnedTask task : machine.tasks()) {
@@ -442,7 +443,7 @@
     }
     halts.addAll(others);
     // The rest comes with the next report; a machine may know thousands of ended tasks.
-    return halts.subList(0, Math.min(MOST_ORDERS, halts.size()));
+    return halts.subList(0, Math.min(MAX_ORDERS, halts.size()));
   }
 
   /**
@@ -453,14 +454,14 @@
     return seenTerm > 0 && !leftAlone.contains(job);
   }
 
-  /** Of a task that nobody delegated here. A cancelled job's are to stop, whoever leads. */
+  /** Of a task that nobody assigned here. A cancelled job's are to stop, whoever leads. */
   private boolean mustStop(JobId job) {
-    return mayJudge(job) || around.cancelled().test(job);
+    return mayJudge(job) || context.cancelled().test(job);
   }
 
   private Duration graceOf(OwnedTask task) {
     // Nobody has any use for the progress of a cancelled job.
-    return around.cancelled().test(task.task().job())
+    return context.cancelled().test(task.task().job())
         ? Duration.ZERO
         : Duration.ofMillis((long) (task.saveSeconds() * 1000));
   }
@@ -482,7 +483,7 @@
           && now.isAfter(workerLeaseOver(machine))) {
         LOG.info("{} is silent: its lease is over", machine.id());
         moveMachine(machine, MachinePhase.SILENT);
-        machine.strays(List.of());
+        machine.unassignedTasks(List.of());
         tellIfOccupied(machine);
         loseTasksOf(machine);
       }
@@ -498,20 +499,20 @@
     return machine.silence() == OwnedMachine.Silence.HEARD
         && machine.phase() == MachinePhase.CONFIRMED
         && machine.answeredAt().isPresent()
-        && now.since(machine.answeredAt().get()).compareTo(around.timing().report()) < 0;
+        && now.since(machine.answeredAt().get()).compareTo(context.timing().report()) < 0;
   }
 
   /**
    * When the worker has surely ended its session. Until it has shown that it knows our token, the
-   * block's earlier holder may have answered it, for as long as a block lease lasts.
+   * shard's earlier owner may have answered it, for as long as a shard lease lasts.
    */
   private MonotonicTime workerLeaseOver(OwnedMachine machine) {
     MonotonicTime last = machine.answeredAt().orElse(startedAt);
     if (machine.phase() != MachinePhase.CONFIRMED) {
-      MonotonicTime others = startedAt.plus(around.blockLease());
+      MonotonicTime others = startedAt.plus(context.shardLease());
       last = others.isAfter(last) ? others : last;
     }
-    Duration lease = around.timing().lease();
+    Duration lease = context.timing().lease();
     return last.plus(lease).plus(lease.dividedBy(500)).plusMillis(500);
   }
 
@@ -524,7 +525,7 @@
   private Stream<OwnedMachine> expected() {
     Duration since = loop.now().since(startedAt);
     boolean settled =
-        since.compareTo(around.timing().lease()) > 0 && since.compareTo(around.blockLease()) > 0;
+        since.compareTo(context.timing().lease()) > 0 && since.compareTo(context.shardLease()) > 0;
     return machines.values().stream()
         .filter(m -> m.record().up() && (settled || m.reachedAt().isPresent()));
   }
@@ -555,23 +556,25 @@
     }
     waiting.sort(Comparator.comparingInt(OwnedTask::rank));
     Set<TaskId> straying = new HashSet<>();
-    machines.values().forEach(m -> m.strays().forEach(entry -> straying.add(entry.task())));
-    Resources least = UnschedulableRequests.leastOf(waiting, OwnedTask::need);
-    List<MachineCapacity> rooms = rooms(least);
+    machines
+        .values()
+        .forEach(m -> m.unassignedTasks().forEach(entry -> straying.add(entry.task())));
+    Resources least = UnschedulableRequests.minOf(waiting, OwnedTask::need);
+    List<MachineCapacity> capacities = capacities(least);
     UnschedulableRequests unplaceable = new UnschedulableRequests();
     MonotonicTime now = loop.now();
     for (OwnedTask task : waiting) {
-      if (task.stopRequested() || around.cancelled().test(task.task().job())) {
+      if (task.stopRequested() || context.cancelled().test(task.task().job())) {
         finish(task, TaskPhase.STOPPED);
       } else if (!straying.contains(task.task())) {
-        Optional<MachineCapacity> room =
+        Optional<MachineCapacity> capacity =
             unplaceable.covers(task.need())
                 ? Optional.empty()
-                : BinPacker.choose(task.need(), rooms);
-        if (room.isPresent()) {
-          room.get().take(task.need());
-          move(task, TaskPhase.STARTING, room.get().machine());
-          machines.get(room.get().machine()).ordersWaiting(true);
+                : BinPacker.choose(task.need(), capacities);
+        if (capacity.isPresent()) {
+          capacity.get().take(task.need());
+          move(task, TaskPhase.STARTING, capacity.get().machine());
+          machines.get(capacity.get().machine()).ordersWaiting(true);
         } else {
           unplaceable.add(task.need());
           if (now.isAfter(task.takenAt().plus(UNPLACEABLE))) {
@@ -582,7 +585,7 @@
     }
   }
 
-  /** A fresh holder knows where inherited tasks are not only once each machine is accounted for. */
+  /** A fresh owner knows where inherited tasks are not only once each machine is accounted for. */
   private boolean accounted() {
     for (OwnedMachine machine : machines.values()) {
       boolean known =
@@ -595,11 +598,11 @@
   }
 
   /** Where the tasks may go: machines that have at least so much left. */
-  private List<MachineCapacity> rooms(Resources least) {
-    List<MachineCapacity> rooms = new ArrayList<>();
+  private List<MachineCapacity> capacities(Resources least) {
+    List<MachineCapacity> capacities = new ArrayList<>();
     MonotonicTime now = loop.now();
     for (OwnedMachine machine : machines.values()) {
-      Optional<MachineType> type = around.catalog().type(machine.record().type());
+      Optional<MachineType> type = context.catalog().type(machine.record().type());
       if (type.isEmpty()) {
         continue;
       }
@@ -609,36 +612,37 @@
       }
       Set<String> images = new HashSet<>(machine.images());
       machine.tasks().forEach(task -> images.add(task.need().image()));
-      rooms.add(
+      capacities.add(
           new MachineCapacity(
               machine.id(), id, ANY_ZONE, type.get(), machine.record().spot(), free, images));
     }
-    return rooms;
+    return capacities;
   }
 
   private boolean usable(OwnedMachine machine, MonotonicTime now) {
     return machine.phase() == MachinePhase.CONFIRMED
         && machine.record().up()
         && !closed.contains(machine.id())
-        && !machine.recalled()
+        && !machine.interrupted()
         && silenceOf(machine, now) == OwnedMachine.Silence.HEARD
-        && machine.strays().stream()
+        && machine.unassignedTasks().stream()
             .allMatch(entry -> entry.state() == WorkerHeartbeat.State.EXITED);
   }
 
   private OwnedMachine.Silence silenceOf(OwnedMachine machine, MonotonicTime now) {
     MonotonicTime last = machine.reachedAt().orElse(startedAt);
     Duration silent = now.since(listeningSince.isAfter(last) ? listeningSince : last);
-    Duration quiet = around.timing().report().multipliedBy(5).dividedBy(2);
-    Duration gone = around.timing().lease().plusSeconds(1);
+    Duration quiet = context.timing().report().multipliedBy(5).dividedBy(2);
+    Duration gone = context.timing().lease().plusSeconds(1);
     if (machine.reachedAt().isEmpty()) {
-      // The block's earlier holder may answer it for a block lease; then it must find this node.
+      // The shard's earlier owner may answer it for a shard lease; then it must find this node.
       // No longer than that: a dark zone's machines are replaced while it is dark.
-      Duration answered = around.blockLease().plus(quiet);
+      Duration answered = context.shardLease().plus(quiet);
       gone = answered.compareTo(gone) > 0 ? answered : gone;
     }
     Duration deaf = machine.deafSince().map(now::since).orElse(Duration.ZERO);
-    if (silent.compareTo(gone) > 0 || deaf.compareTo(around.timing().lease().multipliedBy(2)) > 0) {
+    if (silent.compareTo(gone) > 0
+        || deaf.compareTo(context.timing().lease().multipliedBy(2)) > 0) {
       return OwnedMachine.Silence.GONE;
     }
     boolean quietOrDeaf = silent.compareTo(quiet) >= 0 || machine.deafSince().isPresent();
@@ -677,7 +681,7 @@
       OwnedMachine machine, InetSocketAddress address, List<WorkerCommand> orders) {
     machine.directInFlight(true);
     String body = WorkerCodec.direct(machine.token(), machine.moment().session(), orders);
-    around
+    context
         .workers()
         .call(
             address,
--- a/src/main/java/org/mulleinshift/sharding/ShardStatusReporter.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardStatusReporter.java
@@ -13,7 +13,7 @@
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** What a holder tells the leader of its block: each report holds what is new since another one. */
+/** What an owner tells the leader of its shard: each report holds what is new since another one. */
 final class ShardStatusReporter {
   private final EventLoop loop;
   private final ShardId id;
@@ -54,7 +54,7 @@
     machineNews.changed(machine, sequence + 1);
   }
 
-  /** A new leader knows nothing of this block yet. */
+  /** A new leader knows nothing of this shard yet. */
   void unknownToLeader() {
     confirmedSequence = 0;
   }
@@ -65,7 +65,7 @@
     seenVersion = version;
   }
 
-  /** The leader knows the block up to this report. */
+  /** The leader knows the shard up to this report. */
   void seen(long upTo) {
     boolean behind = upTo < confirmedSequence;
     confirmedSequence = upTo;
@@ -114,7 +114,7 @@
                 id.value(),
                 machine.toldPhase(),
                 machine.silence().wireName(),
-                machine.recalled(),
+                machine.interrupted(),
                 new ArrayList<>(machine.images())));
       }
     }
--- a/src/main/java/org/mulleinshift/sharding/ShardView.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardView.java
@@ -11,8 +11,8 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import org.mulleinshift.membership.AssignableShard;
-import org.mulleinshift.model.ClusterView.BlockRecord;
 import org.mulleinshift.model.ClusterView.MachineRecord;
+import org.mulleinshift.model.ClusterView.ShardRecord;
 import org.mulleinshift.model.TaskAssignment;
 import org.mulleinshift.model.UnknownFields;
 import org.mulleinshift.protocol.MachineId;
@@ -26,13 +26,13 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * A block as the leader knows it: its machines, what its holder reported, and which tasks the
- * holder was or will be told of. Both directions carry only what has changed since a version that
- * the other side confirmed, so that a message costs what changed and not the size of the block.
+ * A shard as the leader knows it: its machines, what its owner reported, and which tasks the owner
+ * was or will be told of. Both directions carry only what has changed since a version that the
+ * other side confirmed, so that a message costs what changed and not the size of the shard.
  */
 public final class ShardView implements AssignableShard {
-  /** A block's standing grant. */
-  public record Grant(NodeId holder, Revision revision) {}
+  /** A shard's standing grant. */
+  public record Grant(NodeId owner, Revision revision) {}
 
   private final ShardId id;
   private final ZoneId zone;
@@ -54,9 +54,9 @@
   private long base;
   private boolean dirty = true;
   private Optional<UnknownFields> beyond = Optional.empty();
-  private Optional<NodeId> lastHolder = Optional.empty();
+  private Optional<NodeId> lastOwner = Optional.empty();
   private MonotonicTime grantedAt;
-  private final Map<MachineId, MonotonicTime> knocks = new HashMap<>();
+  private final Map<MachineId, MonotonicTime> suspicions = new HashMap<>();
 
   public ShardView(ShardId id, ZoneId zone, MonotonicTime now) {
     this.id = id;
@@ -67,16 +67,16 @@
     this.grantedAt = now;
   }
 
-  /** Who held the block last, by its record or by its grants since; tells whether that is new. */
-  public boolean lastHolder(Optional<NodeId> holder) {
-    boolean news = holder.isPresent() && !holder.equals(lastHolder);
-    lastHolder = news ? holder : lastHolder;
+  /** Who held the shard last, by its record or by its grants since; tells whether that is new. */
+  public boolean lastOwner(Optional<NodeId> owner) {
+    boolean news = owner.isPresent() && !owner.equals(lastOwner);
+    lastOwner = news ? owner : lastOwner;
     return news;
   }
 
   @Override
-  public Optional<NodeId> lastHolder() {
-    return lastHolder;
+  public Optional<NodeId> lastOwner() {
+    return lastOwner;
   }
 
   @Override
@@ -91,7 +91,7 @@
 
   /** Its record as it is to be stored. */
   public JsonNode stored() {
-    JsonNode node = BlockRecord.write(zone, machines, lastHolder);
+    JsonNode node = ShardRecord.write(zone, machines, lastOwner);
     beyond.ifPresent(fields -> fields.restore(node));
     return node;
   }
@@ -106,8 +106,8 @@
       lastSequence = 0;
       seenSequence = 0;
       reports.clear();
-      knocks.clear();
-      // A new holder is sent the full set, under a higher version.
+      suspicions.clear();
+      // A new owner is sent the full set, under a higher version.
       confirmedVersion = 0;
       changes.clear();
       dirty = true;
@@ -115,7 +115,7 @@
     }
   }
 
-  /** Whether the report continues what is known; if not, the holder must tell again. */
+  /** Whether the report continues what is known; if not, the owner must tell again. */
   public boolean continues(ShardStatus report) {
     return report.getBase() <= lastSequence;
   }
@@ -137,7 +137,7 @@
     return named;
   }
 
-  /** The version up to which the holder knows the set of this term. */
+  /** The version up to which the owner knows the set of this term. */
   public void confirmed(long version, MonotonicTime now) {
     if (version > confirmedVersion) {
       confirmedVersion = version;
@@ -154,7 +154,7 @@
     return lastSequence;
   }
 
-  /** Whether the holder should hear up to where it is known; asked once for each report. */
+  /** Whether the owner should hear up to where it is known; asked once for each report. */
   public boolean sequenceToConfirm() {
     boolean news = seenSequence != lastSequence;
     seenSequence = lastSequence;
@@ -165,16 +165,16 @@
     return Optional.ofNullable(reports.get(machine));
   }
 
-  /** A stored delegation that the holder is to hear of, or hear of again. */
-  public void tell(TaskAssignment delegation) {
-    told.put(delegation.task(), delegation);
-    changes.changed(delegation.task(), sentVersion + 1);
+  /** A stored assignment that the owner is to hear of, or hear of again. */
+  public void tell(TaskAssignment assignment) {
+    told.put(assignment.task(), assignment);
+    changes.changed(assignment.task(), sentVersion + 1);
     dirty = true;
   }
 
-  public void untell(TaskAssignment delegation) {
-    if (told.remove(delegation.task(), delegation)) {
-      changes.changed(delegation.task(), sentVersion + 1);
+  public void untell(TaskAssignment assignment) {
+    if (told.remove(assignment.task(), assignment)) {
+      changes.changed(assignment.task(), sentVersion + 1);
       dirty = true;
     }
   }
@@ -196,7 +196,7 @@
     return dirty;
   }
 
-  /** Whether the holder has long not confirmed what was sent: it is sent from there again. */
+  /** Whether the owner has long not confirmed what was sent: it is sent from there again. */
   public boolean lost(MonotonicTime now, Duration patience) {
     boolean lost =
         confirmedVersion < sentVersion && now.since(waitingSince).compareTo(patience) >= 0;
@@ -238,25 +238,25 @@
     return now.since(heardAt);
   }
 
-  /** A machine reported elsewhere, since its holder does not answer it. */
+  /** A machine reported elsewhere, since its owner does not answer it. */
   public void knocked(MachineId machine, MonotonicTime now) {
     if (machines.containsKey(machine)) {
-      knocks.put(machine, now);
+      suspicions.put(machine, now);
     }
   }
 
   /**
-   * How many machines knocked elsewhere within that time, of those that their holder does not say
-   * it hears: copies of reports come late, also of machines that are well.
+   * How many machines knocked elsewhere within that time, of those that their owner does not say it
+   * hears: copies of reports come late, also of machines that are well.
    */
-  int knocks(Duration within, MonotonicTime now) {
-    knocks.values().removeIf(at -> now.since(at).compareTo(within) > 0);
-    return (int) knocks.keySet().stream().filter(machine -> !heard(machine)).count();
+  int suspicions(Duration within, MonotonicTime now) {
+    suspicions.values().removeIf(at -> now.since(at).compareTo(within) > 0);
+    return (int) suspicions.keySet().stream().filter(machine -> !heard(machine)).count();
   }
 
   private boolean heard(MachineId machine) {
     return reportOf(machine)
-        .filter(report -> report.getSilence().equals(OwnedMachine.Silence.HEARD.wireName()))
+        .filter(report -> report.getLiveness().equals(OwnedMachine.Silence.HEARD.wireName()))
         .isPresent();
   }
 
@@ -284,8 +284,8 @@
   }
 
   @Override
-  public Optional<NodeId> holder() {
-    return grant.map(Grant::holder);
+  public Optional<NodeId> owner() {
+    return grant.map(Grant::owner);
   }
 
   @Override
--- a/src/main/java/org/mulleinshift/sharding/TaskPhase.java
+++ b/src/main/java/org/mulleinshift/sharding/TaskPhase.java
@@ -6,7 +6,7 @@
 import java.util.stream.Collectors;
 import org.mulleinshift.protocol.WorkerHeartbeat;
 
-/** The phases in which a holder reports a task. The last five are final for the attempt. */
+/** The phases in which an owner reports a task. The last five are final for the attempt. */
 public enum TaskPhase {
   NEW("NEW"),
   STARTING("STARTING"),
@@ -61,7 +61,7 @@
           switch (entry.cause()) {
             case DONE -> DONE;
             case STOPPED -> STOPPED;
-            case NO_ROOM, BUSY, GANG_BROKEN, UNKNOWN -> REJECTED;
+            case NO_CAPACITY, BUSY, GANG_BROKEN, UNKNOWN -> REJECTED;
             case NONE, ERROR -> FAILED;
           };
     };
--- a/src/main/java/org/mulleinshift/store/StoreKeys.java
+++ b/src/main/java/org/mulleinshift/store/StoreKeys.java
@@ -13,11 +13,11 @@
  * <ul>
  *   <li>{@code c/leader} the leading controller, bound to its lease
  *   <li>{@code c/n/NODE} a controller's session lease
- *   <li>{@code c/g/BLOCK} who holds a block, bound to the holder's session lease
- *   <li>{@code c/b/BLOCK} a block's zone and machines
+ *   <li>{@code c/g/SHARD} who holds a shard, bound to the owner's session lease
+ *   <li>{@code c/b/SHARD} a shard's zone and machines
  *   <li>{@code a/JOB} an accepted job that is not over, or is cancelled but not yet gone
  *   <li>{@code t/JOB} how a job ended; never removed
- *   <li>{@code p/JOB/CHUNK} done and delegated tasks of a part of a job
+ *   <li>{@code p/JOB/CHUNK} done and assigned tasks of a part of a job
  *   <li>{@code p/JOB/CHUNK/PATH} the same of a part of a chunk that was too long for a value
  *   <li>{@code l/NUMBER} a slot of the progress log: progress of parts of several jobs
  *   <li>{@code w/JOB/DIGEST/N} a list of jobs that a job awaits, where its record could not hold it
@@ -30,7 +30,7 @@
   public static final String LEADER = "c/leader";
   public static final String NODES = "c/n/";
   public static final String GRANTS = "c/g/";
-  public static final String BLOCKS = "c/b/";
+  public static final String SHARDS = "c/b/";
   public static final String ACTIVE = "a/";
   public static final String ENDED = "t/";
   public static final String PROGRESS = "p/";
@@ -58,12 +58,12 @@
     return NODES + node;
   }
 
-  public static String grant(ShardId block) {
-    return GRANTS + block;
+  public static String grant(ShardId shard) {
+    return GRANTS + shard;
   }
 
-  public static String block(ShardId block) {
-    return BLOCKS + block;
+  public static String shard(ShardId shard) {
+    return SHARDS + shard;
   }
 
   public static String active(JobId job) {
--- a/src/main/java/org/mulleinshift/store/TransactionBatcher.java
+++ b/src/main/java/org/mulleinshift/store/TransactionBatcher.java
@@ -30,7 +30,7 @@
   /** What need not be stored at once goes before what came after it, once it waited this long. */
   private static final Duration PATIENCE = Duration.ofSeconds(2);
 
-  private static final int MOST_NAMED = 1000;
+  private static final int MAX_NAMED = 1000;
 
   /** States of the journal. */
   public enum State {
@@ -69,7 +69,7 @@
   private final EventLoop loop;
   private final KeyValueStore store;
   private final Revision term;
-  private final int mostOps;
+  private final int maxOps;
   private final Duration spacing;
   private final Runnable onLost;
   private final Map<String, Revision> versions = new HashMap<>();
@@ -94,13 +94,13 @@
       EventLoop loop,
       KeyValueStore store,
       Revision term,
-      int mostOps,
+      int maxOps,
       Duration spacing,
       Runnable onLost) {
     this.loop = loop;
     this.store = store;
     this.term = term;
-    this.mostOps = mostOps;
+    this.maxOps = maxOps;
     this.spacing = spacing;
     this.sentAt = loop.now().minus(spacing);
     this.onLost = onLost;
@@ -155,14 +155,14 @@
   }
 
   public void close() {
-    moveTo(State.CLOSED);
+    transitionTo(State.CLOSED);
     dirty.clear();
     idle.clear();
     askedAt.clear();
   }
 
   /** The only place where the journal's state changes; closed is final. */
-  private void moveTo(State next) {
+  private void transitionTo(State next) {
     if (state != State.CLOSED) {
       state = next;
     }
@@ -212,7 +212,7 @@
       }
       int size = unitWrites.stream().mapToInt(TransactionBatcher::roughSize).sum();
       boolean full =
-          alone > 0 || writes.size() + unitWrites.size() > mostOps || bytes + size > 48_000;
+          alone > 0 || writes.size() + unitWrites.size() > maxOps || bytes + size > 48_000;
       if (!writes.isEmpty() && full) {
         break;
       }
@@ -226,7 +226,7 @@
     }
     alone = Math.max(0, alone - 1);
     sentAt = loop.now();
-    moveTo(State.COMMITTING);
+    transitionTo(State.COMMITTING);
     Map<String, Unit> from = source;
     store.commit(
         guards(writes), writes, urgency, outcome -> finished(from, taken, writes, outcome));
@@ -255,14 +255,14 @@
    * alone; what is refused alone holds up only itself, until it is asked for anew.
    */
   private void refusedForGood(Map<String, Unit> from, Map<String, Unit> taken, String why) {
-    moveTo(State.IDLE);
+    transitionTo(State.IDLE);
     if (taken.size() > 1) {
       alone = taken.size();
       restore(from, taken);
     } else {
       String name = taken.keySet().iterator().next();
       askedAt.remove(name);
-      if (unfit.size() < MOST_NAMED && unfit.add(name)) {
+      if (unfit.size() < MAX_NAMED && unfit.add(name)) {
         LOG.error("{} can't be stored: {}", name, why);
       }
       taken.get(name).unfit();
@@ -307,7 +307,7 @@
           versions.remove(write.key());
         }
       }
-      moveTo(State.IDLE);
+      transitionTo(State.IDLE);
       taken.keySet().stream().filter(name -> !dirty.containsKey(name)).forEach(askedAt::remove);
       taken.values().forEach(unit -> unit.committed(committed.revision()));
       planFlush(Duration.ZERO);
@@ -320,12 +320,12 @@
     restore(from, taken);
     if (outcome instanceof KeyValueStore.Outcome.Refused
         || outcome instanceof KeyValueStore.Outcome.Busy) {
-      moveTo(State.IDLE);
+      transitionTo(State.IDLE);
       planFlush(RETRY);
       return;
     }
     LOG.info("transaction of {} writes: {}", writes.size(), outcome.getClass().getSimpleName());
-    moveTo(State.REREADING);
+    transitionTo(State.REREADING);
     Set<String> keys = new LinkedHashSet<>();
     keys.add(StoreKeys.LEADER);
     writes.forEach(write -> keys.add(write.key()));
@@ -338,7 +338,7 @@
       return;
     }
     if (keys.isEmpty()) {
-      moveTo(State.IDLE);
+      transitionTo(State.IDLE);
       planFlush(Duration.ZERO);
       return;
     }
--- a/src/main/java/org/mulleinshift/transport/FrameQueue.java
+++ b/src/main/java/org/mulleinshift/transport/FrameQueue.java
@@ -9,18 +9,18 @@
  */
 final class FrameQueue {
   private final ArrayDeque<byte[]> frames = new ArrayDeque<>();
-  private final int mostFrames;
-  private final long mostBytes;
+  private final int maxFrames;
+  private final long maxBytes;
   private long bytes;
 
-  FrameQueue(int mostFrames, long mostBytes) {
-    this.mostFrames = mostFrames;
-    this.mostBytes = mostBytes;
+  FrameQueue(int maxFrames, long maxBytes) {
+    this.maxFrames = maxFrames;
+    this.maxBytes = maxBytes;
   }
 
   /** The newest frame is always taken, whatever its size. */
   synchronized void put(byte[] frame) {
-    while (!frames.isEmpty() && (frames.size() >= mostFrames || bytes + frame.length > mostBytes)) {
+    while (!frames.isEmpty() && (frames.size() >= maxFrames || bytes + frame.length > maxBytes)) {
       bytes -= frames.poll().length;
     }
     frames.add(frame);
--- a/src/main/java/org/mulleinshift/transport/HttpResponse.java
+++ b/src/main/java/org/mulleinshift/transport/HttpResponse.java
@@ -4,15 +4,15 @@
 public record HttpResponse(int status, String body) {
   public static final HttpResponse NONE = new HttpResponse(0, "");
 
-  /** Stands for the status of an answer that was longer than {@link #LONGEST_BODY}. */
+  /** Stands for the status of an answer that was longer than {@link #MAX_BODY}. */
   public static final int TOO_LONG = -1;
 
   /** Twice what a page of the state service holds; what is longer is not kept in memory. */
-  public static final int LONGEST_BODY = 1 << 20;
+  public static final int MAX_BODY = 1 << 20;
 
   /** An answer as far as this node takes it. */
   public static HttpResponse bounded(int status, String body) {
-    return body.length() > LONGEST_BODY
+    return body.length() > MAX_BODY
         ? new HttpResponse(TOO_LONG, "")
         : new HttpResponse(status, body);
   }
--- a/src/main/java/org/mulleinshift/transport/JdkAsyncHttpClient.java
+++ b/src/main/java/org/mulleinshift/transport/JdkAsyncHttpClient.java
@@ -83,7 +83,7 @@
         return HttpResponse.NONE;
       }
       String body = readBody(connection, status);
-      if (body.length() > HttpResponse.LONGEST_BODY) {
+      if (body.length() > HttpResponse.MAX_BODY) {
         // The rest is still to come on this connection.
         connection.disconnect();
       }
@@ -102,7 +102,7 @@
         status >= 400 ? connection.getErrorStream() : connection.getInputStream()) {
       return in == null
           ? ""
-          : new String(in.readNBytes(HttpResponse.LONGEST_BODY + 1), StandardCharsets.UTF_8);
+          : new String(in.readNBytes(HttpResponse.MAX_BODY + 1), StandardCharsets.UTF_8);
     }
   }
 }
--- a/src/main/java/org/mulleinshift/transport/JdkHttpServer.java
+++ b/src/main/java/org/mulleinshift/transport/JdkHttpServer.java
@@ -22,10 +22,10 @@
  */
 public final class JdkHttpServer {
   private static final Logger LOG = LoggerFactory.getLogger(JdkHttpServer.class);
-  private static final int LONGEST_BODY = 64 * 1024;
+  private static final int MAX_BODY = 64 * 1024;
 
   /** A large machine may have run thousands of tasks while no node could answer it. */
-  private static final int LONGEST_REPORT = 1024 * 1024;
+  private static final int MAX_REPORT = 1024 * 1024;
 
   private static final int STACK_BYTES = 192 * 1024;
 
@@ -98,7 +98,7 @@
     String method = exchange.getRequestMethod();
     String path = exchange.getRequestURI().getRawPath();
     boolean report = isReport.test(path);
-    int longest = report ? LONGEST_REPORT : LONGEST_BODY;
+    int longest = report ? MAX_REPORT : MAX_BODY;
     byte[] body;
     try (InputStream in = exchange.getRequestBody()) {
       body = in.readNBytes(longest + 1);
--- a/src/main/java/org/mulleinshift/transport/TcpPeerTransport.java
+++ b/src/main/java/org/mulleinshift/transport/TcpPeerTransport.java
@@ -27,10 +27,10 @@
  */
 public final class TcpPeerTransport implements PeerTransport {
   private static final Logger LOG = LoggerFactory.getLogger(TcpPeerTransport.class);
-  private static final int LONGEST_FRAME = 4 << 20;
+  private static final int MAX_FRAME = 4 << 20;
   private static final int UNIT = 1024;
   private static final int QUEUED_FRAMES = 64;
-  private static final int MOST_INCOMING = 16;
+  private static final int MAX_INCOMING = 16;
   private static final int CONNECT_MILLIS = 1000;
   private static final int SILENCE_MILLIS = 5000;
   private static final int ACK = 6;
@@ -41,7 +41,7 @@
   private final EventLoop loop;
   private final int ackMillis;
   private final Consumer<byte[]> receiver;
-  private final Semaphore incoming = new Semaphore(MOST_INCOMING);
+  private final Semaphore incoming = new Semaphore(MAX_INCOMING);
   private final int incomingUnits;
   private final Semaphore unread;
 
@@ -150,7 +150,7 @@
       socket.setTcpNoDelay(true);
       while (true) {
         int length = in.readInt();
-        if (length < 0 || length > LONGEST_FRAME) {
+        if (length < 0 || length > MAX_FRAME) {
           throw new IOException("frame of " + length + " bytes");
         }
         byte[] frame = in.readNBytes(length);
--- a/src/main/java/org/mulleinshift/transport/ThreadEventLoop.java
+++ b/src/main/java/org/mulleinshift/transport/ThreadEventLoop.java
@@ -14,7 +14,7 @@
 
 /** An event loop on the calling thread with real clocks. */
 public final class ThreadEventLoop implements EventLoop {
-  private static final long LONGEST_MICROS = 60_000_000;
+  private static final long MAX_MICROS = 60_000_000;
   private static final long DESCRIBE_NANOS = 60_000_000_000L;
   private static final Duration STANDSTILL = Duration.ofSeconds(2);
   private static final Logger LOG = LoggerFactory.getLogger(ThreadEventLoop.class);
@@ -22,7 +22,7 @@
   private final LinkedBlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
   private final PriorityQueue<Pending> timers = new PriorityQueue<>();
   private final SplittableRandom random = new SplittableRandom();
-  private final Histogram turns = new Histogram(LONGEST_MICROS, 2);
+  private final Histogram turns = new Histogram(MAX_MICROS, 2);
   private long describedAt = System.nanoTime();
   private long sequence;
   private Consumer<Duration> onStandstill = gap -> {};
@@ -114,7 +114,7 @@
       LOG.error("step failed", e);
     }
     long ended = System.nanoTime();
-    turns.recordValue(Math.min(LONGEST_MICROS, Math.max(0, (ended - began) / 1000)));
+    turns.recordValue(Math.min(MAX_MICROS, Math.max(0, (ended - began) / 1000)));
     if (ended - describedAt >= DESCRIBE_NANOS) {
       describe(ended);
     }
--- a/src/test/java/org/mulleinshift/CommandLineTest.java
+++ b/src/test/java/org/mulleinshift/CommandLineTest.java
@@ -100,12 +100,12 @@
             text.replace(
                 "txn_ops = 12", "txn_ops = 12\nnext = { value_kb = 2.0, write_rps = 25.0 }"));
     PlatformSettings.State state = PlatformSettingsReader.read(file).cluster().state();
-    assertEquals(2048, state.leastValueBytes());
-    assertEquals(12, state.leastTxnOps());
+    assertEquals(2048, state.minValueBytes());
+    assertEquals(12, state.minTxnOps());
     assertEquals(0.25, state.writesLeft());
     assertEquals(1, state.requestsLeft());
     PlatformSettings.State plain = PlatformSettingsReader.read(GOOD).cluster().state();
-    assertEquals(8192, plain.leastValueBytes());
+    assertEquals(8192, plain.minValueBytes());
     assertEquals(1, plain.writesLeft());
   }
 
--- a/src/test/java/org/mulleinshift/RandomScenarioTest.java
+++ b/src/test/java/org/mulleinshift/RandomScenarioTest.java
@@ -52,7 +52,7 @@
    * while the write that told so was late: it ran twice.
    */
   @Test
-  void anEndThatIsNotStoredYetIsNoStartForTheNextHolder() throws SettingsException {
+  void anEndThatIsNotStoredYetIsNoStartForTheNextOwner() throws SettingsException {
     play(RandomScenario.loggedLines(50), 50);
   }
 
--- a/src/test/java/org/mulleinshift/membership/IndirectLeaseRenewalTest.java
+++ b/src/test/java/org/mulleinshift/membership/IndirectLeaseRenewalTest.java
@@ -32,7 +32,7 @@
   private static final Duration LEASE = Duration.ofSeconds(10);
   private static final NodeId SELF = new NodeId("node-0");
   private static final NodeId PEER = new NodeId("node-1");
-  private static final ShardId BLOCK = new ShardId("a-0");
+  private static final ShardId SHARD = new ShardId("a-0");
   private static final Revision GRANT = new Revision(40);
 
   private final VirtualEventLoop loop = new VirtualEventLoop();
@@ -165,13 +165,13 @@
   }
 
   private static LeaseRenewalResponse nothingCancelled(LeaseRenewalRequest asked) {
-    return new LeaseRenewalResponse(asked.getId(), asked.getHold(), false, true, 50L, List.of());
+    return new LeaseRenewalResponse(asked.getId(), asked.getLease(), false, true, 50L, List.of());
   }
 
   private static LeaseRenewalResponse answerTo(LeaseRenewalRequest asked) {
     return new LeaseRenewalResponse(
         asked.getId(),
-        asked.getHold(),
+        asked.getLease(),
         false,
         true,
         50L,
@@ -185,11 +185,11 @@
     loop.runFor(0.4);
     proofs.onAnswer(PEER, answerTo(asked));
     proofs.onAnswer(PEER, nothingCancelled(second()));
-    assertTrue(session.entitled(BLOCK, GRANT));
+    assertTrue(session.entitled(SHARD, GRANT));
     loop.runFor(LEASE.toMillis() / 1000.0 - 0.4 - 0.3);
     assertTrue(loop.now().since(askedBy).compareTo(LEASE) < 0);
     loop.runFor(0.3);
-    assertFalse(session.entitled(BLOCK, GRANT), "a lease after the question, not the answer");
+    assertFalse(session.entitled(SHARD, GRANT), "a lease after the question, not the answer");
   }
 
   @Test
@@ -198,20 +198,20 @@
     loop.runFor(12);
     proofs.onAnswer(PEER, answerTo(asked));
     proofs.onAnswer(PEER, nothingCancelled(second()));
-    assertFalse(session.entitled(BLOCK, GRANT));
+    assertFalse(session.entitled(SHARD, GRANT));
   }
 
   @Test
   void leaseFoundOverEndsEverything() {
     LeaseRenewalRequest asked = cutOffAndAsked();
     proofs.onAnswer(PEER, answerTo(asked));
-    assertTrue(session.entitled(BLOCK, GRANT));
+    assertTrue(session.entitled(SHARD, GRANT));
     peerSpeaks();
     loop.runFor(1.2);
     LeaseRenewalRequest next = (LeaseRenewalRequest) sent.get(sent.size() - 2);
     proofs.onAnswer(
-        PEER, new LeaseRenewalResponse(next.getId(), next.getHold(), true, true, 0L, List.of()));
-    assertFalse(session.entitled(BLOCK, GRANT));
+        PEER, new LeaseRenewalResponse(next.getId(), next.getLease(), true, true, 0L, List.of()));
+    assertFalse(session.entitled(SHARD, GRANT));
     assertEquals(Optional.empty(), session.hold());
   }
 
@@ -231,9 +231,9 @@
   void sessionAndGrantsWithoutCancellationsEndTheRight() {
     cutOffAndAsked();
     LeaseRenewalRequest asked = renewedByPeerFor(12);
-    assertFalse(session.entitled(BLOCK, GRANT), "a lease after cancellations were last known");
+    assertFalse(session.entitled(SHARD, GRANT), "a lease after cancellations were last known");
     proofs.onAnswer(PEER, nothingCancelled(asked));
-    assertTrue(session.entitled(BLOCK, GRANT));
+    assertTrue(session.entitled(SHARD, GRANT));
   }
 
   @Test
@@ -242,8 +242,8 @@
     LeaseRenewalRequest asked = renewedByPeerFor(12);
     // It looks for a lease of that name, finds none, and says that it is over.
     proofs.onAnswer(
-        PEER, new LeaseRenewalResponse(asked.getId(), asked.getHold(), true, true, 0L, List.of()));
-    assertFalse(session.entitled(BLOCK, GRANT));
+        PEER, new LeaseRenewalResponse(asked.getId(), asked.getLease(), true, true, 0L, List.of()));
+    assertFalse(session.entitled(SHARD, GRANT));
     assertEquals(ControllerSession.State.HELD, session.state(), "the session's own lease stands");
   }
 
@@ -257,20 +257,20 @@
     KeyChange unreadable = new KeyChange("a/run-1", "[", 40L);
     List<LeaseRenewalResponse> bad =
         List.of(
-            new LeaseRenewalResponse(id, asked.getHold(), false, false, 50L, List.of()),
-            new LeaseRenewalResponse(id, asked.getHold(), false, true, 1L, List.of()),
+            new LeaseRenewalResponse(id, asked.getLease(), false, false, 50L, List.of()),
+            new LeaseRenewalResponse(id, asked.getLease(), false, true, 1L, List.of()),
             new LeaseRenewalResponse(id, 9L, false, true, 50L, List.of()),
-            new LeaseRenewalResponse(id, asked.getHold(), false, true, 50L, List.of(elsewhere)),
-            new LeaseRenewalResponse(id, asked.getHold(), false, true, 50L, List.of(later)),
-            new LeaseRenewalResponse(id, asked.getHold(), false, true, 50L, List.of(unreadable)));
+            new LeaseRenewalResponse(id, asked.getLease(), false, true, 50L, List.of(elsewhere)),
+            new LeaseRenewalResponse(id, asked.getLease(), false, true, 50L, List.of(later)),
+            new LeaseRenewalResponse(id, asked.getLease(), false, true, 50L, List.of(unreadable)));
     for (LeaseRenewalResponse answer : bad) {
       LeaseRenewalRequest open = renewedByPeerFor(1);
       answer.setId(open.getId());
       proofs.onAnswer(PEER, answer);
-      assertFalse(session.entitled(BLOCK, GRANT), answer.toString());
+      assertFalse(session.entitled(SHARD, GRANT), answer.toString());
     }
     proofs.onAnswer(PEER, nothingCancelled(renewedByPeerFor(1)));
-    assertTrue(session.entitled(BLOCK, GRANT));
+    assertTrue(session.entitled(SHARD, GRANT));
   }
 
   @Test
--- a/src/test/java/org/mulleinshift/model/ChunkLayoutTest.java
+++ b/src/test/java/org/mulleinshift/model/ChunkLayoutTest.java
@@ -42,7 +42,7 @@
     Job job = job();
     for (Map.Entry<String, JsonNode> entry : store.entrySet()) {
       Chunk part = StoreKeys.progressKey(entry.getKey()).get().part();
-      job.load(part, entry.getValue(), block -> new ZoneId("a"));
+      job.load(part, entry.getValue(), shard -> new ZoneId("a"));
     }
     return job;
   }
@@ -50,7 +50,7 @@
   private static List<String> tasks(Job job) {
     List<String> tasks = new ArrayList<>();
     tasks.add("done " + job.doneCount() + ", waiting " + job.waitingCount());
-    job.delegations().forEach(d -> tasks.add(d.task() + " " + d.block() + " " + d.attempt()));
+    job.assignments().forEach(d -> tasks.add(d.task() + " " + d.shard() + " " + d.attempt()));
     return tasks;
   }
 
@@ -63,12 +63,12 @@
     for (int index = 0; index < TASKS; index++) {
       int kind = random.nextInt(3);
       if (kind > 0) {
-        ShardId block = new ShardId("a-" + random.nextInt(40));
-        TaskAssignment delegation =
-            job.delegate(index, block, new ZoneId("a"), new Attempt(7L << 20));
+        ShardId shard = new ShardId("a-" + random.nextInt(40));
+        TaskAssignment assignment =
+            job.delegate(index, shard, new ZoneId("a"), new Attempt(7L << 20));
         if (kind == 2) {
-          job.taskDone(delegation, 1);
-          job.stored(List.of(), List.of(delegation), new Revision(4));
+          job.taskDone(assignment, 1);
+          job.stored(List.of(), List.of(assignment), new Revision(4));
         }
       }
     }
--- a/src/test/java/org/mulleinshift/model/StoredByEarlierBuildTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredByEarlierBuildTest.java
@@ -49,7 +49,7 @@
         case StoreKeys.PROGRESS -> {
           StoreKeys.ProgressKey key = StoreKeys.progressKey(item.key()).get();
           Job job = jobs.get(key.job());
-          job.load(key.part(), item.value(), block -> new ZoneId("a"));
+          job.load(key.part(), item.value(), shard -> new ZoneId("a"));
           assertEquals(Json.write(item.value()), Json.write(job.progress(key.part())));
         }
         case StoreKeys.ENDED -> {
@@ -64,8 +64,8 @@
     assertEquals(3, jobs.size());
     assertTrue(jobs.values().stream().allMatch(job -> job.state() == Job.State.ACTIVE));
     assertEquals(16, view.grants().size());
-    assertEquals(16, view.blocks().size());
-    assertTrue(view.unreadableBlocks().isEmpty() && view.unreadableGrants().isEmpty());
+    assertEquals(16, view.shards().size());
+    assertTrue(view.unreadableShards().isEmpty() && view.unreadableGrants().isEmpty());
     assertTrue(view.builds().isEmpty());
   }
 }
--- a/src/test/java/org/mulleinshift/model/StoredRecordGoldenTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordGoldenTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.mulleinshift.GoldenFile;
-import org.mulleinshift.model.ClusterView.BlockRecord;
+import org.mulleinshift.model.ClusterView.ShardRecord;
 import org.mulleinshift.progress.LogSegment;
 import org.mulleinshift.protocol.JobPhase;
 import org.mulleinshift.protocol.Json;
@@ -93,15 +93,15 @@
       NodeId node = new NodeId(key.substring(StoreKeys.NODES.length()));
       return ClusterView.nodeValue(view.nodes().get(node).hold());
     } else if (key.startsWith(StoreKeys.GRANTS)) {
-      ShardId block = new ShardId(key.substring(StoreKeys.GRANTS.length()));
-      return ClusterView.grantValue(view.grants().get(block).holder());
+      ShardId shard = new ShardId(key.substring(StoreKeys.GRANTS.length()));
+      return ClusterView.grantValue(view.grants().get(shard).owner());
     } else if (key.startsWith(StoreKeys.BUILDS)) {
       NodeId node = new NodeId(key.substring(StoreKeys.BUILDS.length()));
       return ClusterView.buildValue(view.builds().get(node));
     }
-    BlockRecord block = view.blocks().get(new ShardId(key.substring(StoreKeys.BLOCKS.length())));
-    JsonNode node = BlockRecord.write(block.zone(), block.machines(), block.lastHolder());
-    block.beyond().ifPresent(fields -> fields.restore(node));
+    ShardRecord shard = view.shards().get(new ShardId(key.substring(StoreKeys.SHARDS.length())));
+    JsonNode node = ShardRecord.write(shard.zone(), shard.machines(), shard.lastOwner());
+    shard.beyond().ifPresent(fields -> fields.restore(node));
     return node;
   }
 
@@ -128,7 +128,7 @@
         StoredRecordSamples.job(
             awaiting ? StoredRecordSamples.namedJobs() : JobDependencies.NOTHING);
     assertEquals(job.spec().id(), key.job());
-    job.load(key.part(), item.value(), block -> new ZoneId("a"));
+    job.load(key.part(), item.value(), shard -> new ZoneId("a"));
     return job.progress(key.part());
   }
 
--- a/src/test/java/org/mulleinshift/model/StoredRecordSamples.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordSamples.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import org.mulleinshift.model.ClusterView.BlockRecord;
 import org.mulleinshift.model.ClusterView.MachineRecord;
+import org.mulleinshift.model.ClusterView.ShardRecord;
 import org.mulleinshift.progress.LogSegment;
 import org.mulleinshift.protocol.Attempt;
 import org.mulleinshift.protocol.JobId;
@@ -35,7 +35,7 @@
   static final long ACCEPTED_AT = 1_700_000_003_002L;
   static final int TASKS = 730;
   private static final JobId JOB = new JobId("run-1");
-  private static final ShardId BLOCK = new ShardId("a-0");
+  private static final ShardId SHARD = new ShardId("a-0");
   private static final ZoneId ZONE = new ZoneId("a");
   private static final String DIGEST = "0f8fad5b-d9cb-369f-a165-70867728950e";
 
@@ -66,21 +66,21 @@
     LeaseId hold = new LeaseId(Long.MAX_VALUE);
     add("leader", StoreKeys.LEADER, ClusterView.leaderValue(node, hold));
     add("node", StoreKeys.node(node), ClusterView.nodeValue(new LeaseId(7)));
-    add("grant", StoreKeys.grant(BLOCK), ClusterView.grantValue(node));
+    add("grant", StoreKeys.grant(SHARD), ClusterView.grantValue(node));
     add("build", StoreKeys.build(node), ClusterView.buildValue(2));
-    JsonNode block = BlockRecord.write(ZONE, machines(), Optional.of(node));
-    add("block", StoreKeys.block(BLOCK), block);
+    JsonNode shard = ShardRecord.write(ZONE, machines(), Optional.of(node));
+    add("block", StoreKeys.shard(SHARD), shard);
     add(
         "block-without-last-holder",
-        StoreKeys.block(BLOCK),
-        BlockRecord.write(ZONE, machines(), Optional.empty()));
+        StoreKeys.shard(SHARD),
+        ShardRecord.write(ZONE, machines(), Optional.empty()));
     add(
         "block-without-machines",
-        StoreKeys.block(BLOCK),
-        BlockRecord.write(ZONE, Map.of(), Optional.of(node)));
-    ObjectNode newer = block.deepCopy();
+        StoreKeys.shard(SHARD),
+        ShardRecord.write(ZONE, Map.of(), Optional.of(node)));
+    ObjectNode newer = shard.deepCopy();
     newer.put("tier", 2);
-    add("block-with-unknown-fields", StoreKeys.block(BLOCK), newer);
+    add("block-with-unknown-fields", StoreKeys.shard(SHARD), newer);
   }
 
   private static Map<MachineId, MachineRecord> machines() {
@@ -182,14 +182,14 @@
     job.release(ACCEPTED_AT + 500, ACCEPTED_AT + 900);
     Attempt term = new Attempt(1L << 40);
     for (int index : new int[] {0, 1, 2, 9, 260, 499, 500, 729}) {
-      job.taskDone(job.delegate(index, BLOCK, ZONE, term), 5);
+      job.taskDone(job.delegate(index, SHARD, ZONE, term), 5);
     }
     for (int index : new int[] {3, 4, 10, 251, 498, 501}) {
-      job.delegate(index, BLOCK, ZONE, term);
+      job.delegate(index, SHARD, ZONE, term);
     }
     job.delegate(11, new ShardId("b-1"), new ZoneId("b"), term);
-    job.taskReturned(job.delegate(12, BLOCK, ZONE, term), Optional.<MonotonicTime>empty());
-    job.delegate(12, BLOCK, ZONE, term);
+    job.taskReturned(job.delegate(12, SHARD, ZONE, term), Optional.<MonotonicTime>empty());
+    job.delegate(12, SHARD, ZONE, term);
     return job;
   }
 
--- a/src/test/java/org/mulleinshift/model/StoredRecordsTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordsTest.java
@@ -72,7 +72,7 @@
     JsonNode stored =
         Json.parseObject(
             "{\"done\":\"0-2\",\"at\":[{\"b\":\"a-0\",\"n\":7,\"r\":\"3-4\"}],\"new\":9}");
-    job.load(Chunk.chunk(0), stored, block -> new ZoneId("a"));
+    job.load(Chunk.chunk(0), stored, shard -> new ZoneId("a"));
     assertEquals(Json.write(stored), Json.write(job.progress(Chunk.chunk(0))));
   }
 
@@ -93,7 +93,7 @@
     JsonNode value = Json.parseObject(stored);
     assertThrows(
         MalformedMessageException.class,
-        () -> job.load(Chunk.chunk(0), value, block -> new ZoneId("a")));
+        () -> job.load(Chunk.chunk(0), value, shard -> new ZoneId("a")));
     assertEquals(8, job.waitingCount());
     assertEquals(0, job.doneCount());
   }
@@ -138,26 +138,26 @@
   }
 
   @Test
-  void aBlockKeepsWhatItDoesNotKnow() throws MalformedMessageException {
+  void aShardKeepsWhatItDoesNotKnow() throws MalformedMessageException {
     ClusterView view = new ClusterView();
     JsonNode stored =
         Json.parseObject(
             "{\"zone\":\"a\",\"last\":\"n-1\",\"tier\":2,"
                 + "\"machines\":{\"i-1\":{\"type\":\"g8\",\"spot\":true,\"up\":false}}}");
     view.apply("c/b/a-0", Optional.of(new Item("c/b/a-0", stored, new Revision(4))));
-    ClusterView.BlockRecord record = view.blocks().get(new ShardId("a-0"));
+    ClusterView.ShardRecord record = view.shards().get(new ShardId("a-0"));
     JsonNode written =
-        ClusterView.BlockRecord.write(record.zone(), record.machines(), record.lastHolder());
+        ClusterView.ShardRecord.write(record.zone(), record.machines(), record.lastOwner());
     record.beyond().get().restore(written);
     assertEquals(stored.get("tier"), written.get("tier"));
     assertEquals(stored.size(), written.size());
     ObjectNode other = stored.deepCopy();
     other.put("machines", "elsewhere");
     view.apply("c/b/a-0", Optional.of(new Item("c/b/a-0", other, new Revision(5))));
-    assertTrue(view.blocks().isEmpty());
-    assertTrue(view.unreadableBlocks().contains(new ShardId("a-0")));
+    assertTrue(view.shards().isEmpty());
+    assertTrue(view.unreadableShards().contains(new ShardId("a-0")));
     view.apply("c/b/a-0", Optional.of(new Item("c/b/a-0", stored, new Revision(6))));
-    assertTrue(view.unreadableBlocks().isEmpty());
+    assertTrue(view.unreadableShards().isEmpty());
   }
 
   @Test
--- a/src/test/java/org/mulleinshift/progress/ProgressLogTest.java
+++ b/src/test/java/org/mulleinshift/progress/ProgressLogTest.java
@@ -146,7 +146,7 @@
         }
       }
     }
-    assertTrue(log.keys().size() < ProgressLog.MOST_SLOTS, "seed " + seed);
+    assertTrue(log.keys().size() < ProgressLog.MAX_SLOTS, "seed " + seed);
   }
 
   private static int number(JobId job) {
@@ -156,13 +156,13 @@
   @Test
   void liveImagesAreNotOverwritten() {
     ProgressLog log = new ProgressLog(VALUE_BYTES);
-    for (int job = 0; job < ProgressLog.MOST_SLOTS; job++) {
+    for (int job = 0; job < ProgressLog.MAX_SLOTS; job++) {
       ProgressLog.Batch batch = log.begin(1);
       assertTrue(batch.add(entry(job, "0")));
       assertEquals(List.of("l/" + job), batch.writes().stream().map(Write::key).toList());
       log.stored(batch);
     }
-    assertFalse(log.begin(1).add(entry(ProgressLog.MOST_SLOTS, "0")), "no slot is free");
+    assertFalse(log.begin(1).add(entry(ProgressLog.MAX_SLOTS, "0")), "no slot is free");
     log.release(new JobId("run-7"));
     ProgressLog.Batch batch = log.begin(1);
     assertTrue(batch.add(entry(99, "0")));
@@ -208,7 +208,7 @@
   @Test
   void aFullLogMovesImagesOut() {
     ProgressLog log = new ProgressLog(VALUE_BYTES);
-    for (int job = 0; job < ProgressLog.MOST_SLOTS; job++) {
+    for (int job = 0; job < ProgressLog.MAX_SLOTS; job++) {
       ProgressLog.Batch batch = log.begin(1);
       batch.add(entry(job, "x".repeat(400)));
       log.stored(batch);
@@ -231,7 +231,7 @@
   @Test
   void entriesAreNotLongerThanCounted() {
     List<LogSegment.Entry> entries = new ArrayList<>();
-    int counted = VALUE_BYTES - LogSegment.room(VALUE_BYTES);
+    int counted = VALUE_BYTES - LogSegment.capacity(VALUE_BYTES);
     for (int job = 0; job < 50; job++) {
       entries.add(entry(job * 7919, "0-" + job));
       counted += entries.get(job).bytes();
--- a/src/test/java/org/mulleinshift/protocol/PeerFrameSamples.java
+++ b/src/test/java/org/mulleinshift/protocol/PeerFrameSamples.java
@@ -44,35 +44,35 @@
     frames.put("proof-request", List.of(proofRequest()));
     frames.put("proof-answer", List.of(proofAnswer()));
     frames.put("assignment", List.of(assignment()));
-    frames.put("block-report", List.of(blockReport()));
+    frames.put("block-report", List.of(shardReport()));
     frames.put("reports-seen", List.of(reportsSeen()));
     frames.put("stranger-report", List.of(strangerReport()));
-    frames.put("knock", List.of(knock()));
+    frames.put("knock", List.of(suspicion()));
     frames.put("job-digest", List.of(jobDigest()));
-    frames.put("several-bodies", List.of(knock(), heartbeat(), reportsSeen()));
+    frames.put("several-bodies", List.of(suspicion(), heartbeat(), reportsSeen()));
     return frames;
   }
 
   private static Heartbeat heartbeat() {
     return Heartbeat.newBuilder()
-        .setSessionHold(Long.MAX_VALUE)
-        .setStoreSilentMs(130)
+        .setSessionLease(Long.MAX_VALUE)
+        .setStoreSilenceMs(130)
         .setStoreLost(true)
         .setWorkers("DOUBTED")
         .setLeader("n-2")
         .setLeaderTerm(412)
         .setStandby("n-3")
-        .setAnswerSoon(false)
-        .setHeard(List.of(peerHeard("n-2", 40), peerHeard("n-3", 1_900)))
+        .setReplyImmediately(false)
+        .setLastHeard(List.of(peerHeard("n-2", 40), peerHeard("n-3", 1_900)))
         .build();
   }
 
   private static PeerLastHeard peerHeard(String node, long silentMillis) {
-    return PeerLastHeard.newBuilder().setNode(node).setSilentMs(silentMillis).build();
+    return PeerLastHeard.newBuilder().setNode(node).setSilenceMs(silentMillis).build();
   }
 
   private static LeadershipTransfer resignation() {
-    return LeadershipTransfer.newBuilder().setTerm(413).setHold(7).setSuccessor("n-3").build();
+    return LeadershipTransfer.newBuilder().setTerm(413).setLease(7).setSuccessor("n-3").build();
   }
 
   private static RelayedFrame relay() {
@@ -86,20 +86,20 @@
         BootTimeSamples.newBuilder().setMachineType("g8").setSeconds(List.of(44.5, 61.0)).build();
     return LearnedEstimates.newBuilder()
         .setTerm(414)
-        .setClasses(List.of(ratio))
-        .setBoots(List.of(boots))
+        .setRunTimeRatios(List.of(ratio))
+        .setBootTimes(List.of(boots))
         .build();
   }
 
   private static LeaseRenewalRequest proofRequest() {
-    return LeaseRenewalRequest.newBuilder().setId(5).setHold(8).setSince(430).build();
+    return LeaseRenewalRequest.newBuilder().setId(5).setLease(8).setSinceRevision(430).build();
   }
 
   private static LeaseRenewalResponse proofAnswer() {
     return LeaseRenewalResponse.newBuilder()
         .setId(5)
-        .setHold(8)
-        .setOver(false)
+        .setLease(8)
+        .setExpired(false)
         .setComplete(true)
         .setRevision(433)
         .setChanges(
@@ -115,13 +115,13 @@
   private static ShardAssignment assignment() {
     return ShardAssignment.newBuilder()
         .setLeaderTerm(415)
-        .setBlock("a-0")
+        .setShard("a-0")
         .setGrant(416)
         .setBase(3)
         .setVersion(4)
         .setRemoved(List.of(RemovedTask.newBuilder().setJob("run-7").setIndex(11).build()))
         .setJobs(List.of(assignedJob()))
-        .setClosed(List.of("i-000003", "i-000004"))
+        .setCordoned(List.of("i-000003", "i-000004"))
         .build();
   }
 
@@ -151,9 +151,9 @@
         .build();
   }
 
-  private static ShardStatus blockReport() {
+  private static ShardStatus shardReport() {
     return ShardStatus.newBuilder()
-        .setBlock("a-1")
+        .setShard("a-1")
         .setGrant(417)
         .setBase(21)
         .setSequence(22)
@@ -168,8 +168,8 @@
     return MachineStatus.newBuilder()
         .setMachine("i-000005")
         .setPhase("CONFIRMED")
-        .setSilence("QUIET")
-        .setRecalled(true)
+        .setLiveness("QUIET")
+        .setInterrupted(true)
         .setImages(List.of("img-07", "img-08"))
         .build();
   }
@@ -188,7 +188,7 @@
   private static ShardStatusAck reportsSeen() {
     return ShardStatusAck.newBuilder()
         .setLeaderTerm(419)
-        .setBlock("a-2")
+        .setShard("a-2")
         .setGrant(420)
         .setSequence(23)
         .build();
@@ -204,9 +204,9 @@
         .build();
   }
 
-  private static OwnerSuspicion knock() {
+  private static OwnerSuspicion suspicion() {
     return OwnerSuspicion.newBuilder()
-        .setBlock("a-3")
+        .setShard("a-3")
         .setGrant(421)
         .setMachines(List.of("i-000008", "i-000009"))
         .build();
--- a/src/test/java/org/mulleinshift/protocol/WorkerMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/WorkerMessageGoldenTest.java
@@ -38,7 +38,7 @@
           new Reported("exited", "done", State.EXITED, Cause.DONE),
           new Reported("exited", "halted", State.EXITED, Cause.STOPPED),
           new Reported("exited", "error", State.EXITED, Cause.ERROR),
-          new Reported("exited", "full", State.EXITED, Cause.NO_ROOM),
+          new Reported("exited", "full", State.EXITED, Cause.NO_CAPACITY),
           new Reported("exited", "in_use", State.EXITED, Cause.BUSY),
           new Reported("exited", "peers", State.EXITED, Cause.GANG_BROKEN),
           new Reported("exited", "incomplete", State.EXITED, Cause.GANG_BROKEN),
--- a/src/test/java/org/mulleinshift/scheduling/LongQueueTest.java
+++ b/src/test/java/org/mulleinshift/scheduling/LongQueueTest.java
@@ -60,9 +60,9 @@
   private static Job running(int number, double sinceSeconds) {
     Job job = job(number, Priority.NORMAL, RUNNING);
     for (int index = 0; index < RUNNING; index++) {
-      TaskAssignment delegation = job.delegate(index, new ShardId("a-0"), ZONE, new Attempt(1));
+      TaskAssignment assignment = job.delegate(index, new ShardId("a-0"), ZONE, new Attempt(1));
       MonotonicTime since = new MonotonicTime(NOW.nanos() - (long) (sinceSeconds * 1e9));
-      delegation.running(new MachineId("i-" + index), since);
+      assignment.running(new MachineId("i-" + index), since);
     }
     return job;
   }
@@ -82,7 +82,7 @@
         preemption
         .new Round(
             order,
-            delegation -> {
+            assignment -> {
               looks[0]++;
               return Optional.of(new Preemption.Where(ZONE, new MachineTypeId("small"), false));
             },
@@ -121,8 +121,8 @@
         preemption
         .new Round(
             List.of(waiting, running(1, seconds)),
-            delegation -> {
-              throw new AssertionError("looked at " + delegation.task());
+            assignment -> {
+              throw new AssertionError("looked at " + assignment.task());
             },
             NOW);
     assertEquals(
--- a/src/test/java/org/mulleinshift/sharding/CommandsInFlightTest.java
+++ b/src/test/java/org/mulleinshift/sharding/CommandsInFlightTest.java
@@ -14,8 +14,8 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import org.mulleinshift.membership.VirtualEventLoop;
-import org.mulleinshift.model.ClusterView.BlockRecord;
 import org.mulleinshift.model.ClusterView.MachineRecord;
+import org.mulleinshift.model.ClusterView.ShardRecord;
 import org.mulleinshift.placement.MachineTypeCatalog;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.Json;
@@ -49,7 +49,7 @@
   private final VirtualEventLoop loop = new VirtualEventLoop();
   private final List<Direct> directs = new ArrayList<>();
   private final Set<JobId> cancelled = new HashSet<>();
-  private final ShardOwner holder;
+  private final ShardOwner owner;
 
   CommandsInFlightTest() {
     MachineTypeCatalog catalog =
@@ -59,7 +59,7 @@
             CLOUD,
             () -> {});
     catalog.start();
-    holder =
+    owner =
         new ShardOwner(
             new ShardOwner.Surroundings(
                 loop,
@@ -74,8 +74,8 @@
             GRANT,
             () -> true);
     MachineRecord machine = new MachineRecord(new MachineTypeId("small"), false, true);
-    holder.onRecord(
-        new BlockRecord(
+    owner.onRecord(
+        new ShardRecord(
             new ZoneId("a"),
             Map.of(new MachineId("i-000001"), machine),
             new Revision(8),
@@ -95,7 +95,7 @@
   }
 
   private String answerTo(int tick, long token, String tasks) throws MalformedMessageException {
-    return holder.onReport(WorkerCodec.parseReport(report(tick, token, tasks))).orElseThrow();
+    return owner.onReport(WorkerCodec.parseReport(report(tick, token, tasks))).orElseThrow();
   }
 
   private void assign(long version, int index) {
@@ -103,7 +103,7 @@
     AssignedJob job =
         new AssignedJob(
             JOB.value(), 1.0, 0.0, 1.0, "image", 1.0, 0.0, List.of(), true, 0, List.of(task));
-    holder.onAssignment(
+    owner.onAssignment(
         new ShardAssignment(
             3L, "a-0", GRANT.value(), version - 1, version, List.of(), List.of(job), List.of()));
   }
@@ -125,7 +125,7 @@
     String answer = answerTo(3, TOKEN, fetching);
     assertTrue(answer.contains("run-1/1"), "and goes by the answer to a report: " + answer);
     cancelled.add(JOB);
-    holder.onCancelled(JOB);
+    owner.onCancelled(JOB);
     // Carried out before the answer to the report is there: the worker doesn't know the second yet.
     directs.get(0).reply().accept(new HttpResponse(200, report(4, TOKEN, fetching)));
 
--- a/src/test/java/org/mulleinshift/sharding/PeerPhaseGoldenTest.java
+++ b/src/test/java/org/mulleinshift/sharding/PeerPhaseGoldenTest.java
@@ -52,19 +52,19 @@
     MachineRecord record = new MachineRecord(new MachineTypeId("g8"), false, true);
     OwnedMachine machine = new OwnedMachine(new MachineId("i-1"), record, new Revision(7), now);
     JobId job = new JobId("run-1");
-    WorkerHeartbeat.Entry stray =
+    WorkerHeartbeat.Entry unassignedTask =
         new WorkerHeartbeat.Entry(
             new TaskId(job, 0),
             new Attempt(1),
             WorkerHeartbeat.State.RUNNING,
             WorkerHeartbeat.Cause.NONE);
-    machine.strays(List.of(stray));
+    machine.unassignedTasks(List.of(unassignedTask));
     machine.occupiedBy(Set.of(job));
     return machine;
   }
 
   @Test
-  void blockReportsNamePhasesAsBefore() {
+  void shardReportsNamePhasesAsBefore() {
     List<MachineStatus> machines = new ArrayList<>();
     for (MachinePhase phase : MachinePhase.values()) {
       machines.add(machine(phase.wireName(), HEARD));
--- a/src/test/java/org/mulleinshift/sim/HttpConnection.java
+++ b/src/test/java/org/mulleinshift/sim/HttpConnection.java
@@ -29,7 +29,7 @@
  * place of an earlier one that was not answered: the client has given that up.
  */
 final class HttpConnection {
-  private static final int LONGEST_BODY = 4 << 20;
+  private static final int MAX_BODY = 4 << 20;
   private static final int CONNECT_MILLIS = 2000;
 
   private final EventLoopGroup threads;
@@ -77,7 +77,7 @@
                   @Override
                   protected void initChannel(Channel child) {
                     child.pipeline().addLast(counter, new HttpClientCodec());
-                    child.pipeline().addLast(new HttpObjectAggregator(LONGEST_BODY));
+                    child.pipeline().addLast(new HttpObjectAggregator(MAX_BODY));
                     child.pipeline().addLast(new Answers());
                   }
                 })
--- a/src/test/java/org/mulleinshift/sim/HttpListener.java
+++ b/src/test/java/org/mulleinshift/sim/HttpListener.java
@@ -33,7 +33,7 @@
     void handle(InetSocketAddress local, HttpRequest request, Consumer<HttpResponse> reply);
   }
 
-  private static final int LONGEST_BODY = 4 << 20;
+  private static final int MAX_BODY = 4 << 20;
   private static final int WAITING_CONNECTIONS = 4096;
   private static final Duration NO_DEADLINE = Duration.ofDays(1);
 
@@ -52,7 +52,7 @@
                   @Override
                   protected void initChannel(Channel child) {
                     child.pipeline().addLast(counter, new HttpServerCodec());
-                    child.pipeline().addLast(new HttpObjectAggregator(LONGEST_BODY));
+                    child.pipeline().addLast(new HttpObjectAggregator(MAX_BODY));
                     child.pipeline().addLast(new Exchange(handler));
                   }
                 })
--- a/src/test/java/org/mulleinshift/sim/KeptCopies.java
+++ b/src/test/java/org/mulleinshift/sim/KeptCopies.java
@@ -10,7 +10,7 @@
  * Copies of workers' reports that are kept until the next leader begins; then all nodes get them.
  */
 final class KeptCopies {
-  private static final int MOST_OF_ONE = 4;
+  private static final int MAX_OF_ONE = 4;
   private static final double SPREAD = 0.8;
 
   private final World world;
@@ -31,7 +31,7 @@
   void report(String machine, String body) {
     if (world.seconds() < until && world.random() < 0.3) {
       Deque<String> copies = kept.computeIfAbsent(machine, name -> new ArrayDeque<>());
-      if (copies.size() == MOST_OF_ONE) {
+      if (copies.size() == MAX_OF_ONE) {
         copies.removeLast();
       }
       copies.addLast(body);
--- a/src/test/java/org/mulleinshift/sim/LeftWaiting.java
+++ b/src/test/java/org/mulleinshift/sim/LeftWaiting.java
@@ -59,7 +59,7 @@
   }
 
   private boolean fits(RuleBook.TrueJob job, SimCloud.Machine machine) {
-    return machine.worker.hasRoom(job.number("cpus", 1))
+    return machine.worker.hasCapacity(job.number("cpus", 1))
         && job.number("ram", 1) <= cloud.type(machine.type).ram()
         && (!machine.spot || job.flag("spot", true))
         && job.fields.getOrDefault("zone", machine.zone).equals(machine.zone)
--- a/src/test/java/org/mulleinshift/sim/ScaleMeasures.java
+++ b/src/test/java/org/mulleinshift/sim/ScaleMeasures.java
@@ -7,12 +7,12 @@
 
 /** What users see, over all cells of a process; times in milliseconds. */
 final class ScaleMeasures {
-  private static final long LONGEST_MILLIS = 3_600_000;
+  private static final long MAX_MILLIS = 3_600_000;
   private static final int DIGITS = 3;
 
   private final Map<String, Histogram> starts = new ConcurrentHashMap<>();
   private final Map<String, Histogram> firstStarts = new ConcurrentHashMap<>();
-  private final Histogram accepted = new ConcurrentHistogram(LONGEST_MILLIS, DIGITS);
+  private final Histogram accepted = new ConcurrentHistogram(MAX_MILLIS, DIGITS);
   private volatile double measuredFrom = Double.MAX_VALUE;
 
   /**
@@ -41,11 +41,11 @@
   }
 
   private static Histogram histogram() {
-    return new ConcurrentHistogram(LONGEST_MILLIS, DIGITS);
+    return new ConcurrentHistogram(MAX_MILLIS, DIGITS);
   }
 
   private static void record(Histogram histogram, double seconds) {
-    histogram.recordValue(Math.min(LONGEST_MILLIS, Math.max(0, Math.round(seconds * 1000))));
+    histogram.recordValue(Math.min(MAX_MILLIS, Math.max(0, Math.round(seconds * 1000))));
   }
 
   /** A task of the job starts. */
--- a/src/test/java/org/mulleinshift/sim/ScaleReport.java
+++ b/src/test/java/org/mulleinshift/sim/ScaleReport.java
@@ -14,7 +14,7 @@
 final class ScaleReport {
   private static final double BUSY_THREAD = 0.85;
   private static final double BUSY_MACHINE = 0.9;
-  private static final int MOST_NAMED = 20;
+  private static final int MAX_NAMED = 20;
   private static final long URGENT_MILLIS = 1200;
 
   /** All counters at a moment. */
@@ -89,7 +89,7 @@
     }
     node.put("logs", folder.toString());
     report.notes.forEach(node.putArray("limits")::add);
-    broken.stream().limit(MOST_NAMED).forEach(node.putArray("broken")::add);
+    broken.stream().limit(MAX_NAMED).forEach(node.putArray("broken")::add);
     node.put("passed", report.passed());
     return report;
   }
--- a/src/test/java/org/mulleinshift/sim/Scenario.java
+++ b/src/test/java/org/mulleinshift/sim/Scenario.java
@@ -46,7 +46,7 @@
           "odd-requests",
           "cancel-at-end");
 
-  private static final int MOST_HUNG = 8;
+  private static final int MAX_HUNG = 8;
   private static final double CANCEL_NOW_WITHIN = 0.2;
   private static final double AROUND_END = 0.012;
 
@@ -504,7 +504,7 @@
       Set<String> machines = rules.machinesOf(hit);
       cloud.up().stream()
           .filter(machine -> machines.contains(machine.name))
-          .limit(MOST_HUNG)
+          .limit(MAX_HUNG)
           .forEach(machine -> machine.worker.hang(Double.parseDouble(words[2])));
     }
     hit.forEach(job -> world.after(CANCEL_NOW_WITHIN * world.random(), users.get(job.id)::cancel));
--- a/src/test/java/org/mulleinshift/sim/ScenarioExpectations.java
+++ b/src/test/java/org/mulleinshift/sim/ScenarioExpectations.java
@@ -13,7 +13,7 @@
   private final List<SimNode> nodes;
   private final double end;
   private final List<String> failures;
-  private final Map<String, String> holders = new HashMap<>();
+  private final Map<String, String> owners = new HashMap<>();
 
   /**
    * Expectations of one scenario.
@@ -38,7 +38,7 @@
 
   /** Keeps in mind who holds the blocks now. */
   void remember() {
-    holders.putAll(state.holders());
+    owners.putAll(state.owners());
   }
 
   /** Checks a line; what it does not find is added to the failures. */
@@ -105,12 +105,12 @@
       case "open" -> atMost(line, rules.open(words[2]), limit);
       case "all-done" -> atLeast(line, rules.doneShare(words[2]), 1);
       case "moved" -> {
-        Map<String, String> now = state.holders();
+        Map<String, String> now = state.owners();
         long moved =
-            holders.entrySet().stream()
+            owners.entrySet().stream()
                 .filter(entry -> !entry.getValue().equals(now.get(entry.getKey())))
                 .count();
-        atMost(line, holders.isEmpty() ? Integer.MAX_VALUE : (int) moved, limit);
+        atMost(line, owners.isEmpty() ? Integer.MAX_VALUE : (int) moved, limit);
       }
       case "stored" -> {
         JsonNode value = state.dump().get(words[2]);
@@ -123,7 +123,7 @@
       case "waiting" ->
           atMost(
               line,
-              nodes.stream().mapToInt(SimNode::mostWaiting).max().orElse(0),
+              nodes.stream().mapToInt(SimNode::maxWaiting).max().orElse(0),
               Double.parseDouble(words[2]));
       case "not-accepted" -> {
         RuleBook.TrueJob job = rules.job(words[2]);
--- a/src/test/java/org/mulleinshift/sim/SimCloud.java
+++ b/src/test/java/org/mulleinshift/sim/SimCloud.java
@@ -49,7 +49,7 @@
     }
   }
 
-  private static final int LONGEST_PAGE = 500;
+  private static final int MAX_PAGE = 500;
 
   private final World world;
   private final double lag;
@@ -246,7 +246,7 @@
 
   private HttpResponse list(String path) {
     Map<String, String> query = Query.of(path);
-    int limit = Integer.parseInt(query.getOrDefault("limit", Integer.toString(LONGEST_PAGE)));
+    int limit = Integer.parseInt(query.getOrDefault("limit", Integer.toString(MAX_PAGE)));
     String from = query.getOrDefault("from", "");
     double moment = world.seconds() - lag * (1 + world.random());
     ObjectNode node = json.createObjectNode();
@@ -256,7 +256,7 @@
       if (machine.createdAt > moment || machine.goneAt <= moment) {
         continue;
       }
-      if (hosts.size() == Math.min(limit, LONGEST_PAGE)) {
+      if (hosts.size() == Math.min(limit, MAX_PAGE)) {
         more = true;
         break;
       }
--- a/src/test/java/org/mulleinshift/sim/SimNode.java
+++ b/src/test/java/org/mulleinshift/sim/SimNode.java
@@ -39,7 +39,7 @@
   private double stalledFor;
   private double heapShare;
   private int waiting;
-  private int mostWaiting;
+  private int maxWaiting;
   private Consumer<Duration> onStandstill = gap -> {};
 
   SimNode(
@@ -129,8 +129,8 @@
   }
 
   /** The most requests that waited for an answer at a time. */
-  int mostWaiting() {
-    return mostWaiting;
+  int maxWaiting() {
+    return maxWaiting;
   }
 
   private final class SimHeap implements Heap {
@@ -164,7 +164,7 @@
   void request(String method, String path, String body, Consumer<HttpResponse> reply) {
     int mine = life;
     waiting++;
-    mostWaiting = Math.max(mostWaiting, waiting);
+    maxWaiting = Math.max(maxWaiting, waiting);
     inside(
         () ->
             controller.handle(
--- a/src/test/java/org/mulleinshift/sim/SimState.java
+++ b/src/test/java/org/mulleinshift/sim/SimState.java
@@ -287,15 +287,15 @@
   }
 
   /** Who holds each block. */
-  Map<String, String> holders() {
-    Map<String, String> holders = new LinkedHashMap<>();
+  Map<String, String> owners() {
+    Map<String, String> owners = new LinkedHashMap<>();
     keys.forEach(
         (key, entry) -> {
           if (key.startsWith("c/g/")) {
-            holders.put(key, entry.value().path("holder").asText());
+            owners.put(key, entry.value().path("holder").asText());
           }
         });
-    return holders;
+    return owners;
   }
 
   private boolean unavailable(String node) {
--- a/src/test/java/org/mulleinshift/sim/SimWorker.java
+++ b/src/test/java/org/mulleinshift/sim/SimWorker.java
@@ -119,7 +119,7 @@
   }
 
   /** Whether a task of so many processors would run here. */
-  boolean hasRoom(double cpus) {
+  boolean hasCapacity(double cpus) {
     boolean well = !gone && !sick && recallAt == null && world.seconds() >= hangUntil;
     return well && used() + cpus <= machine.cpus + 1e-6;
   }
--- a/src/test/java/org/mulleinshift/sim/World.java
+++ b/src/test/java/org/mulleinshift/sim/World.java
@@ -12,7 +12,7 @@
     }
   }
 
-  private static final long MOST_EVENTS = 3_000_000;
+  private static final long MAX_EVENTS = 3_000_000;
 
   private final PriorityQueue<Event> events = new PriorityQueue<>();
   private final SplittableRandom random;
@@ -47,7 +47,7 @@
     long end = (long) (seconds * 1e9);
     long count = 0;
     while (!events.isEmpty() && events.peek().at() <= end) {
-      if (++count > MOST_EVENTS) {
+      if (++count > MAX_EVENTS) {
         throw new IllegalStateException("no end of events at " + seconds());
       }
       Event event = events.poll();
