--- a/src/main/java/org/mulleinshift/Main.java
+++ b/src/main/java/org/mulleinshift/Main.java
@@ -146,7 +146,7 @@
         new Controller(
             settings,
             tunables,
-            new Controller.Outside(
+            new Controller.Ports(
                 loop,
                 new JdkAsyncHttpClient("state", loop, 6, 512),
                 new JdkAsyncHttpClient("watch", loop, 2, 8),
--- a/src/main/java/org/mulleinshift/Rehearsal.java
+++ b/src/main/java/org/mulleinshift/Rehearsal.java
@@ -65,7 +65,7 @@
       PeerCodec codec = new PeerCodec();
       codec.read(codec.write(new NodeId("rehearsal"), frames()));
       StoreCodec.parseRange("{\"rows\":[{\"k\":\"a\",\"value\":{},\"stamp\":1}],\"epoch\":1}");
-      WorkerCodec.parseReport("{\"host\":\"a\",\"pieces\":[]}");
+      WorkerCodec.parseHeartbeat("{\"host\":\"a\",\"pieces\":[]}");
     } catch (MalformedMessageException e) {
       log.debug("rehearsed: {}", e.getMessage());
     }
--- a/src/main/java/org/mulleinshift/api/JobApi.java
+++ b/src/main/java/org/mulleinshift/api/JobApi.java
@@ -28,15 +28,15 @@
 import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.StoreCodec;
-import org.mulleinshift.protocol.StoreCodec.Guard;
-import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.Compare;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.protocol.StoreCodec.Write;
 import org.mulleinshift.protocol.peer.JobSummary;
 import org.mulleinshift.protocol.peer.JobTaskCounts;
 import org.mulleinshift.settings.PlatformSettings;
 import org.mulleinshift.store.KeyValueStore;
-import org.mulleinshift.store.KeyValueStore.Answer;
-import org.mulleinshift.store.KeyValueStore.Outcome;
+import org.mulleinshift.store.KeyValueStore.CommitResult;
+import org.mulleinshift.store.KeyValueStore.ReadResult;
 import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.Responder;
@@ -47,24 +47,24 @@
  * answer is 503.
  */
 public final class JobApi {
-  private static final JobTaskCounts NOTHING_YET = new JobTaskCounts("", 0, 0);
-  private static final int REMEMBERED_ENDS = 20_000;
-  private static final int POLLS_AT_EASE = 2000;
-  private static final int POLLS_WHEN_TIGHT = 64;
-  private static final int POLLS_WHEN_SCARCE = 8;
+  private static final JobTaskCounts NO_TASKS = new JobTaskCounts("", 0, 0);
+  private static final int MAX_CACHED_ENDS = 20_000;
+  private static final int MAX_POLLS = 2000;
+  private static final int MAX_POLLS_HIGH_PRESSURE = 64;
+  private static final int MAX_POLLS_CRITICAL_PRESSURE = 8;
   private static final int CANCEL_TRIES = 4;
   private static final int ACCEPT_TRIES = 4;
   private static final Duration BUSY_PAUSE = Duration.ofMillis(120);
 
   /** What is certain about a job. */
-  private sealed interface Standing {
-    record Active(JobRecord job) implements Standing {}
+  private sealed interface JobStatus {
+    record Active(JobRecord job) implements JobStatus {}
 
-    record Ended(JobPhase phase) implements Standing {}
+    record Ended(JobPhase phase) implements JobStatus {}
 
-    record Never() implements Standing {}
+    record NeverAccepted() implements JobStatus {}
 
-    record Unknown() implements Standing {}
+    record Unknown() implements JobStatus {}
   }
 
   private final EventLoop loop;
@@ -72,14 +72,14 @@
   private final MachineTypeCatalog catalog;
   private final Map<String, PlatformSettings.Team> teams = new LinkedHashMap<>();
   private final int valueBytes;
-  private final DependencyValidator accepted;
-  private final DependencyListWriter lists;
+  private final DependencyValidator dependencyValidator;
+  private final DependencyListWriter dependencyLists;
   private final int retryAfter;
   private final Consumer<JobId> onCancelled;
-  private final Map<JobId, JobPhase> ended = new BoundedMap<>(REMEMBERED_ENDS);
-  private final Map<JobId, Standing> active = new HashMap<>();
-  private final CascadingCancellations orphans = new CascadingCancellations();
-  private final Consumer<Consumer<Boolean>> prover;
+  private final Map<JobId, JobPhase> ended = new BoundedMap<>(MAX_CACHED_ENDS);
+  private final Map<JobId, JobStatus> active = new HashMap<>();
+  private final CascadingCancellations cascadingCancellations = new CascadingCancellations();
+  private final Consumer<Consumer<Boolean>> currentViewCheck;
   private final Supplier<MemoryPressure> pressure;
   private int pollsWaiting;
   private Map<String, JobTaskCounts> counts = Map.of();
@@ -99,39 +99,41 @@
     this.loop = loop;
     this.store = store;
     this.catalog = catalog;
-    this.valueBytes = cluster.state().minValueBytes();
-    this.accepted =
+    this.valueBytes = cluster.store().minValueBytes();
+    this.dependencyValidator =
         new DependencyValidator(store, job -> active.containsKey(job) || ended.containsKey(job));
-    this.lists = new DependencyListWriter(loop, store, valueBytes, cluster.state().minTxnOps());
+    this.dependencyLists =
+        new DependencyListWriter(
+            loop, store, valueBytes, cluster.store().minTransactionOperations());
     this.retryAfter = retryAfter;
-    this.prover = prover;
+    this.currentViewCheck = prover;
     this.pressure = pressure;
     this.onCancelled = onCancelled;
     cluster.teams().forEach(team -> teams.put(team.name(), team));
   }
 
   /** A digest names the jobs of which anything runs or is done; of all others nothing does. */
-  public void onDigest(JobSummary digest) {
+  public void onSummary(JobSummary digest) {
     Map<String, JobTaskCounts> next = new LinkedHashMap<>();
     digest.getCounts().forEach(count -> next.put(count.getJob(), count));
     counts = next;
-    waiting = NOTHING_YET;
+    waiting = NO_TASKS;
   }
 
   /** An active job as the view of them shows it; without a record it cannot be read. */
   public void onActive(JobId id, Optional<JobRecord> record) {
-    active.put(id, record.<Standing>map(Standing.Active::new).orElse(new Standing.Unknown()));
-    record.ifPresent(orphans::onActive);
+    active.put(id, record.<JobStatus>map(JobStatus.Active::new).orElse(new JobStatus.Unknown()));
+    record.ifPresent(cascadingCancellations::onActive);
   }
 
   public void onNoLongerActive(JobId id) {
     active.remove(id);
-    accepted.accepted(id);
-    orphans.onNoLongerActive(id);
+    dependencyValidator.markAccepted(id);
+    cascadingCancellations.onNoLongerActive(id);
   }
 
   public void submit(String body, Responder responder) {
-    if (pressure.get() == MemoryPressure.SCARCE) {
+    if (pressure.get() == MemoryPressure.CRITICAL) {
       unavailable(responder);
       return;
     }
@@ -142,34 +144,34 @@
       spec = JobCodec.parse(submission);
       awaited = JobCodec.awaits(submission);
     } catch (MalformedMessageException e) {
-      refuseUnlessKnown(body, 400, e.getMessage(), responder);
+      rejectUnlessKnown(body, 400, e.getMessage(), responder);
       return;
     }
-    if (!catalog.known()) {
+    if (!catalog.isLoaded()) {
       unavailable(responder);
       return;
     }
-    Optional<String> impossible = impossible(spec);
+    Optional<String> impossible = unsatisfiableReason(spec);
     if (impossible.isPresent()) {
-      refuseUnlessKnown(body, 422, impossible.get(), responder);
+      rejectUnlessKnown(body, 422, impossible.get(), responder);
       return;
     }
     if (awaited.contains(spec.id())) {
-      refuseUnlessKnown(body, 422, "awaits itself", responder);
+      rejectUnlessKnown(body, 422, "awaits itself", responder);
       return;
     }
-    accepted.check(
+    dependencyValidator.check(
         awaited,
         verdict -> {
           switch (verdict) {
-            case ALL -> accept(spec, awaited, responder);
-            case NEVER -> refuseUnlessKnown(body, 422, "awaits an unknown job", responder);
-            case DOUBT -> unavailable(responder);
+            case ALL_ACCEPTED -> accept(spec, awaited, responder);
+            case UNKNOWN_JOB -> rejectUnlessKnown(body, 422, "awaits an unknown job", responder);
+            case UNDECIDED -> unavailable(responder);
           }
         });
   }
 
-  private Optional<String> impossible(JobSpec spec) {
+  private Optional<String> unsatisfiableReason(JobSpec spec) {
     PlatformSettings.Team team = teams.get(spec.team().value());
     if (team == null) {
       return Optional.of("unknown team");
@@ -177,7 +179,7 @@
     boolean fits =
         catalog.types().values().stream()
             .filter(type -> spec.allowsType(type.id()) && spec.perTask().fitsInto(type.size()))
-            .anyMatch(type -> offered(type, spec));
+            .anyMatch(type -> isOffered(type, spec));
     if (!fits) {
       return Optional.of("a task fits no allowed machine type");
     }
@@ -189,12 +191,12 @@
   }
 
   /** Whether the type is to be had in a zone that the job allows, as far as the catalog says. */
-  private static boolean offered(MachineType type, JobSpec spec) {
+  private static boolean isOffered(MachineType type, JobSpec spec) {
     return type.zones().isEmpty() || type.zones().stream().anyMatch(spec::allowsZone);
   }
 
   /** The outcome of an accepted job wins over a changed retry. */
-  private void refuseUnlessKnown(String body, int status, String why, Responder responder) {
+  private void rejectUnlessKnown(String body, int status, String why, Responder responder) {
     Optional<JobId> id = jobIdOf(body);
     if (id.isEmpty()) {
       responder.respond(status, JobCodec.error(why));
@@ -203,7 +205,7 @@
     lookUp(
         id.get(),
         standing -> {
-          if (newest(id.get(), standing) instanceof Standing.Never) {
+          if (newestStatus(id.get(), standing) instanceof JobStatus.NeverAccepted) {
             responder.respond(status, JobCodec.error(why));
           } else {
             answer(id.get(), standing, responder);
@@ -221,14 +223,14 @@
   }
 
   private void accept(JobSpec spec, List<JobId> awaited, Responder responder) {
-    Optional<JobPhase> known = over(spec.id());
+    Optional<JobPhase> known = terminalPhase(spec.id());
     if (known.isPresent()) {
       respond(spec.id(), 200, known.get(), responder);
       return;
     }
     if (active.containsKey(spec.id())) {
       // Surely accepted: a transaction that must fail would take from the rate of changes.
-      ask(spec.id(), standing -> answer(spec.id(), standing, responder), responder);
+      readCurrent(spec.id(), standing -> answer(spec.id(), standing, responder), responder);
       return;
     }
     JsonNode value = JobRecord.value(spec, JobDependencies.of(awaited), loop.wallMillis(), false);
@@ -237,7 +239,7 @@
     } else if (awaited.isEmpty()) {
       responder.respond(400, JobCodec.error("job too long"));
     } else {
-      lists.write(
+      dependencyLists.write(
           spec.id(),
           awaited,
           stored -> {
@@ -245,7 +247,7 @@
             accept(spec, shorter, ACCEPT_TRIES, responder);
           },
           outcome -> {
-            if (outcome instanceof Outcome.Conflict) {
+            if (outcome instanceof CommitResult.Conflict) {
               lookUp(spec.id(), standing -> answer(spec.id(), standing, responder));
             } else {
               unavailable(responder);
@@ -257,16 +259,16 @@
   private void accept(JobSpec spec, JsonNode value, int tries, Responder responder) {
     store.commit(
         List.of(
-            new Guard(StoreKeys.active(spec.id()), new Revision(0)),
-            new Guard(StoreKeys.ended(spec.id()), new Revision(0))),
-        List.of(Write.put(StoreKeys.active(spec.id()), value)),
+            new Compare(StoreKeys.activeJob(spec.id()), new Revision(0)),
+            new Compare(StoreKeys.endedJob(spec.id()), new Revision(0))),
+        List.of(Write.put(StoreKeys.activeJob(spec.id()), value)),
         KeyValueStore.Urgency.PROMPT,
         outcome -> {
-          if (outcome instanceof Outcome.Committed) {
-            accepted(spec.id(), responder);
-          } else if (outcome instanceof Outcome.Conflict) {
+          if (outcome instanceof CommitResult.Committed) {
+            dependencyValidator(spec.id(), responder);
+          } else if (outcome instanceof CommitResult.Conflict) {
             lookUp(spec.id(), standing -> answer(spec.id(), standing, responder));
-          } else if (outcome instanceof Outcome.Busy && tries > 1) {
+          } else if (outcome instanceof CommitResult.Busy && tries > 1) {
             // Surely not stored, and there may be room again in a moment.
             loop.after(BUSY_PAUSE, () -> accept(spec, value, tries - 1, responder));
           } else {
@@ -277,9 +279,9 @@
   }
 
   /** Another node may have told the job's user more before the answer to the commit came. */
-  private void accepted(JobId id, Responder responder) {
-    Standing now = newest(id, new Standing.Unknown());
-    if (now instanceof Standing.Unknown) {
+  private void dependencyValidator(JobId id, Responder responder) {
+    JobStatus now = newestStatus(id, new JobStatus.Unknown());
+    if (now instanceof JobStatus.Unknown) {
       respond(id, 201, JobPhase.PENDING, responder);
     } else {
       answer(id, now, responder);
@@ -291,16 +293,16 @@
       responder.respond(404, JobCodec.error("no such job"));
       return;
     }
-    Optional<JobPhase> known = over(id);
+    Optional<JobPhase> known = terminalPhase(id);
     if (known.isPresent()) {
       respond(id, 200, known.get(), responder);
       return;
     }
-    ask(id, standing -> answerPoll(id, standing, responder), responder);
+    readCurrent(id, standing -> answerPoll(id, standing, responder), responder);
   }
 
   /** How the job stands at a moment after the question. */
-  private void ask(JobId id, Consumer<Standing> then, Responder responder) {
+  private void readCurrent(JobId id, Consumer<JobStatus> then, Responder responder) {
     // Some always get through, however short memory is: a job's users must hear of it in the end.
     if (pollsWaiting >= maxPolls()) {
       unavailable(responder);
@@ -309,7 +311,7 @@
     pollsWaiting++;
     // Polls share the proof that the view of active jobs is as fresh as they are: one read for each
     // would leave no room for acceptance at the state service's rate.
-    prover.accept(
+    currentViewCheck.accept(
         proven -> {
           pollsWaiting--;
           if (!proven) {
@@ -323,37 +325,37 @@
   }
 
   /** What is final and known here. */
-  private Optional<JobPhase> over(JobId id) {
-    boolean cancelled = active.get(id) instanceof Standing.Active job && job.job().cancelled();
+  private Optional<JobPhase> terminalPhase(JobId id) {
+    boolean cancelled = active.get(id) instanceof JobStatus.Active job && job.job().cancelled();
     return Optional.ofNullable(cancelled ? JobPhase.CANCELLED : ended.get(id));
   }
 
   /** How many polls may wait for a proof at a time. */
   private int maxPolls() {
     return switch (pressure.get()) {
-      case EASE -> POLLS_AT_EASE;
-      case TIGHT -> POLLS_WHEN_TIGHT;
-      case SCARCE -> POLLS_WHEN_SCARCE;
+      case NORMAL -> MAX_POLLS;
+      case HIGH -> MAX_POLLS_HIGH_PRESSURE;
+      case CRITICAL -> MAX_POLLS_CRITICAL_PRESSURE;
     };
   }
 
-  private void answerPoll(JobId id, Standing standing, Responder responder) {
-    if (newest(id, standing) instanceof Standing.Never) {
+  private void answerPoll(JobId id, JobStatus standing, Responder responder) {
+    if (newestStatus(id, standing) instanceof JobStatus.NeverAccepted) {
       responder.respond(404, JobCodec.error("no such job"));
     } else {
       answer(id, standing, responder);
     }
   }
 
-  public void withdraw(JobId id, Responder responder) {
+  public void cancelJob(JobId id, Responder responder) {
     if (!JobCodec.isJobId(id.value())) {
       responder.respond(404, JobCodec.error("no such job"));
       return;
     }
-    withdraw(id, CANCEL_TRIES, responder);
+    cancelJob(id, CANCEL_TRIES, responder);
   }
 
-  private void withdraw(JobId id, int tries, Responder responder) {
+  private void cancelJob(JobId id, int tries, Responder responder) {
     if (tries == 0) {
       unavailable(responder);
       return;
@@ -361,7 +363,7 @@
     lookUp(
         id,
         standing -> {
-          if (standing instanceof Standing.Active active && !active.job().cancelled()) {
+          if (standing instanceof JobStatus.Active active && !active.job().cancelled()) {
             cancel(active.job(), tries, responder);
           } else {
             answerPoll(id, standing, responder);
@@ -371,16 +373,16 @@
 
   private void cancel(JobRecord job, int tries, Responder responder) {
     store.commit(
-        List.of(new Guard(StoreKeys.active(job.id()), job.version())),
-        List.of(Write.put(StoreKeys.active(job.id()), job.cancelledValue())),
+        List.of(new Compare(StoreKeys.activeJob(job.id()), job.revision())),
+        List.of(Write.put(StoreKeys.activeJob(job.id()), job.cancelledValue())),
         KeyValueStore.Urgency.PROMPT,
         outcome -> {
-          if (outcome instanceof Outcome.Committed) {
+          if (outcome instanceof CommitResult.Committed) {
             ended.put(job.id(), JobPhase.CANCELLED);
             onCancelled.accept(job.id());
             respond(job.id(), 200, JobPhase.CANCELLED, responder);
-          } else if (outcome instanceof Outcome.Conflict) {
-            withdraw(job.id(), tries - 1, responder);
+          } else if (outcome instanceof CommitResult.Conflict) {
+            cancelJob(job.id(), tries - 1, responder);
           } else {
             unavailable(responder);
           }
@@ -388,43 +390,45 @@
   }
 
   /** A job only ever moves from active to ended, so this order of reading cannot miss it. */
-  private void lookUp(JobId id, Consumer<Standing> then) {
-    Optional<JobPhase> known = over(id);
+  private void lookUp(JobId id, Consumer<JobStatus> then) {
+    Optional<JobPhase> known = terminalPhase(id);
     if (known.isPresent()) {
-      then.accept(new Standing.Ended(known.get()));
+      then.accept(new JobStatus.Ended(known.get()));
       return;
     }
     store.get(
-        StoreKeys.active(id),
+        StoreKeys.activeJob(id),
         KeyValueStore.Urgency.NORMAL,
         active -> {
-          if (active instanceof Answer.Found<Item> found) {
+          if (active instanceof ReadResult.Found<KeyValue> found) {
             then.accept(
                 JobRecord.read(found.value())
-                    .<Standing>map(Standing.Active::new)
-                    .orElse(new Standing.Unknown()));
-          } else if (active instanceof Answer.Absent<Item>) {
+                    .<JobStatus>map(JobStatus.Active::new)
+                    .orElse(new JobStatus.Unknown()));
+          } else if (active instanceof ReadResult.Absent<KeyValue>) {
             lookUpEnded(id, then);
           } else {
-            then.accept(new Standing.Unknown());
+            then.accept(new JobStatus.Unknown());
           }
         });
   }
 
-  private void lookUpEnded(JobId id, Consumer<Standing> then) {
+  private void lookUpEnded(JobId id, Consumer<JobStatus> then) {
     store.get(
-        StoreKeys.ended(id),
+        StoreKeys.endedJob(id),
         KeyValueStore.Urgency.NORMAL,
-        answer -> then.accept(endOf(id, answer)));
+        answer -> then.accept(parseEnd(id, answer)));
   }
 
-  private Standing endOf(JobId id, Answer<Item> answer) {
-    if (answer instanceof Answer.Found<Item> found) {
+  private JobStatus parseEnd(JobId id, ReadResult<KeyValue> answer) {
+    if (answer instanceof ReadResult.Found<KeyValue> found) {
       Optional<JobPhase> phase = JobRecord.endedPhase(found.value());
       phase.ifPresent(known -> ended.put(id, known));
-      return phase.<Standing>map(Standing.Ended::new).orElse(new Standing.Unknown());
+      return phase.<JobStatus>map(JobStatus.Ended::new).orElse(new JobStatus.Unknown());
     }
-    return answer instanceof Answer.Absent<Item> ? new Standing.Never() : new Standing.Unknown();
+    return answer instanceof ReadResult.Absent<KeyValue>
+        ? new JobStatus.NeverAccepted()
+        : new JobStatus.Unknown();
   }
 
   /**
@@ -432,23 +436,23 @@
    * then accepted, then cancelled or done. All answers about a job pass here. What could not be
    * read stays unknown, unless the job is over: this node's view of it may be old.
    */
-  private Standing newest(JobId id, Standing read) {
-    Optional<JobPhase> known = over(id);
+  private JobStatus newestStatus(JobId id, JobStatus read) {
+    Optional<JobPhase> known = terminalPhase(id);
     if (known.isPresent()) {
-      return new Standing.Ended(known.get());
+      return new JobStatus.Ended(known.get());
     }
-    boolean later = read instanceof Standing.Never && active.containsKey(id);
+    boolean later = read instanceof JobStatus.NeverAccepted && active.containsKey(id);
     return later ? active.get(id) : read;
   }
 
-  private void answer(JobId id, Standing read, Responder responder) {
-    Standing standing = newest(id, read);
-    if (standing instanceof Standing.Active active) {
+  private void answer(JobId id, JobStatus read, Responder responder) {
+    JobStatus standing = newestStatus(id, read);
+    if (standing instanceof JobStatus.Active active) {
       if (active.job().cancelled()) {
         ended.put(id, JobPhase.CANCELLED);
         respond(id, 200, JobPhase.CANCELLED, responder);
       } else {
-        if (orphans.contains(id)) {
+        if (cascadingCancellations.contains(id)) {
           unavailable(responder);
           return;
         }
@@ -456,7 +460,7 @@
         boolean running = count != null && count.getRunning() > 0;
         respond(id, 200, running ? JobPhase.RUNNING : JobPhase.PENDING, responder);
       }
-    } else if (standing instanceof Standing.Ended end) {
+    } else if (standing instanceof JobStatus.Ended end) {
       respond(id, 200, end.phase(), responder);
     } else {
       unavailable(responder);
--- a/src/main/java/org/mulleinshift/autoscaling/Autoscaler.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Autoscaler.java
@@ -52,81 +52,81 @@
   private static final Duration DEADLINE = Duration.ofSeconds(5);
   private static final int REMEMBERED_DELETED = 5000;
   private static final int MACHINE_BYTES = 128;
-  private static final int DOUBTED_FROM = 2;
-  private static final int PROBE_OF = 10;
+  private static final int DELAYED_BOOTS_THRESHOLD = 2;
+  private static final int PROBE_FRACTION = 10;
 
   /** The way to the cloud. */
   public record Cloud(AsyncHttpClient calls, InetSocketAddress address, RateLimiter budget) {}
 
   private final Leader leader;
-  private final Leader.Surroundings context;
+  private final Leader.Context context;
   private final EventLoop loop;
   private final Cloud cloud;
   private final Map<MachineId, Machine> tracked = new HashMap<>();
-  private final OfferSelector market;
-  private final Provisioner rentals;
-  private final CapacityPlanner plan;
-  private final ScaleIn draining;
-  private final CloudInventory list;
-  private final BootTimeEstimator boots;
-  private final Map<MachineTypeId, Integer> doubtful = new HashMap<>();
+  private final OfferSelector offers;
+  private final Provisioner provisioner;
+  private final CapacityPlanner planner;
+  private final ScaleIn scaleIn;
+  private final CloudInventory inventory;
+  private final BootTimeEstimator bootTimes;
+  private final Map<MachineTypeId, Integer> delayedBoots = new HashMap<>();
   private final Map<MachineTypeId, MonotonicTime> probedAt = new HashMap<>();
   private final Set<MachineId> deleting = new LinkedHashSet<>();
   private final Set<MachineId> deleted = BoundedMap.set(REMEMBERED_DELETED);
   private Optional<MonotonicTime> lastResize = Optional.empty();
   private boolean deleteInFlight;
 
-  public Autoscaler(Leader leader, Leader.Surroundings context, Cloud cloud, Revision term) {
+  public Autoscaler(Leader leader, Leader.Context context, Cloud cloud, Revision term) {
     this.leader = leader;
     this.context = context;
     this.loop = context.loop();
     this.cloud = cloud;
-    this.market =
+    this.offers =
         new OfferSelector(
             loop,
             context.catalog(),
             leader.shards(),
             context.tunables().seconds(Tunables.Key.REFUSED_PAUSE_S),
-            offer -> rentals().unanswered(offer));
-    this.rentals = new Provisioner(leader, context, cloud, term, this);
-    this.plan = new CapacityPlanner(this, leader, context);
-    this.draining = new ScaleIn(this, plan, leader, context);
-    this.list = new CloudInventory(leader, context, cloud, this::listed);
-    this.boots =
+            offer -> provisioner().outstanding(offer));
+    this.provisioner = new Provisioner(leader, context, cloud, term, this);
+    this.planner = new CapacityPlanner(this, leader, context);
+    this.scaleIn = new ScaleIn(this, planner, leader, context);
+    this.inventory = new CloudInventory(leader, context, cloud, this::listed);
+    this.bootTimes =
         new BootTimeEstimator(
             context.tunables().number(Tunables.Key.BOOT_DEFAULT_S),
             context.tunables().number(Tunables.Key.BOOT_OVERDUE_FACTOR));
   }
 
-  public Provisioner rentals() {
-    return rentals;
+  public Provisioner provisioner() {
+    return provisioner;
   }
 
-  public BootTimeEstimator boots() {
-    return boots;
+  public BootTimeEstimator bootTimes() {
+    return bootTimes;
   }
 
   public void start() {
-    rentals.start();
-    loop.after(Duration.ofMillis(500), this::walkRegularly);
-    loop.after(Duration.ofSeconds(2), list::listRegularly);
+    provisioner.start();
+    loop.after(Duration.ofMillis(500), this::runPeriodically);
+    loop.after(Duration.ofSeconds(2), inventory::listPeriodically);
   }
 
-  private void walkRegularly() {
+  private void runPeriodically() {
     if (leader.leading()) {
-      loop.after(context.tunables().seconds(Tunables.Key.WALK_S), this::walkRegularly);
-      if (context.certain().getAsBoolean()) {
+      loop.after(context.tunables().seconds(Tunables.Key.WALK_S), this::runPeriodically);
+      if (context.holdsValidLease().getAsBoolean()) {
         inspectMachines();
-        walk();
-        deleteSome();
+        resize();
+        deleteReleased();
       }
     }
   }
 
   /** Must take no new task. */
-  public boolean closed(MachineId machine) {
+  public boolean isCordoned(MachineId machine) {
     Machine known = tracked.get(machine);
-    return known != null && known.closed();
+    return known != null && known.cordoned();
   }
 
   private boolean recordedUp(MachineId machine) {
@@ -140,9 +140,9 @@
   }
 
   /** An owner told something new of a machine. */
-  public void onReport(ShardView shard, MachineId id) {
+  public void onMachineStatus(ShardView shard, MachineId id) {
     MachineRecord record = shard.machines().get(id);
-    MachineStatus report = shard.reportOf(id).orElse(null);
+    MachineStatus report = shard.statusOf(id).orElse(null);
     if (record == null
         || report == null
         || record.up()
@@ -154,75 +154,75 @@
     // Only a rental seen from its start tells a boot time. Machines that were up before, or
     // that an earlier leader rented, would seem to boot in no time: then there is no horizon
     // and no spacing, and every booting machine seems overdue.
-    boots.cameUp(record.type(), known.rentedAt(), known.cameUp(loop.now()));
+    bootTimes.onUp(record.type(), known.provisionedAt(), known.onUp(loop.now()));
     LOG.info("{} is up after {} s", id, Math.round(known.heldSeconds(loop.now())));
     store(shard);
   }
 
   private void store(ShardView shard) {
-    leader.batcher().submit(StoreKeys.shard(shard.id()), new ShardUnit(shard));
+    leader.batcher().submit(StoreKeys.shard(shard.id()), new ShardMutation(shard));
   }
 
   public void storeWhenIdle(ShardView shard) {
-    leader.batcher().submitIdle(StoreKeys.shard(shard.id()), new ShardUnit(shard));
+    leader.batcher().submitWhenIdle(StoreKeys.shard(shard.id()), new ShardMutation(shard));
   }
 
   /** Gives up machines that do not come up, are silent beyond their lease, or fail everything. */
   private void inspectMachines() {
-    doubtful.clear();
+    delayedBoots.clear();
     for (ShardView shard : leader.shards().values()) {
       for (Map.Entry<MachineId, MachineRecord> entry : shard.machines().entrySet()) {
         MachineId id = entry.getKey();
         Machine known = track(id);
         Optional<MachineType> type = context.catalog().type(entry.getValue().type());
-        Optional<MachineStatus> report = shard.reportOf(id);
+        Optional<MachineStatus> report = shard.statusOf(id);
         Optional<BootTimeEstimator.Outlook> outlook =
             type.filter(t -> !entry.getValue().up()).map(t -> outlook(t, known));
-        boolean overdue = outlook.equals(Optional.of(BootTimeEstimator.Outlook.HOPELESS));
-        if (outlook.equals(Optional.of(BootTimeEstimator.Outlook.DOUBTFUL))) {
-          doubtful.merge(entry.getValue().type(), 1, Integer::sum);
+        boolean overdue = outlook.equals(Optional.of(BootTimeEstimator.Outlook.ABANDONED));
+        if (outlook.equals(Optional.of(BootTimeEstimator.Outlook.DELAYED))) {
+          delayedBoots.merge(entry.getValue().type(), 1, Integer::sum);
         }
-        if (leader.busy(id, shard.id())) {
-          known.busy(loop.now());
+        if (leader.isBusy(id, shard.id())) {
+          known.markBusy(loop.now());
         }
         boolean silent =
             entry.getValue().up()
                 && report.isPresent()
-                && report.get().getLiveness().equals(OwnedMachine.Silence.GONE.wireName());
-        if (overdue || silent || leader.blame().faulty(id)) {
-          giveUp(id, overdue ? "does not come up" : silent ? "is silent" : "fails its tasks");
+                && report.get().getLiveness().equals(OwnedMachine.Liveness.LOST.wireName());
+        if (overdue || silent || leader.failures().isQuarantined(id)) {
+          release(id, overdue ? "does not come up" : silent ? "is silent" : "fails its tasks");
         }
       }
     }
   }
 
   BootTimeEstimator.Outlook outlook(MachineType type, Machine machine) {
-    return boots.outlook(type, machine.rentedAt(), loop.now());
+    return bootTimes.outlook(type, machine.provisionedAt(), loop.now());
   }
 
-  void giveUp(MachineId machine, String why) {
-    if (track(machine).giveBack()) {
+  void release(MachineId machine, String why) {
+    if (track(machine).release()) {
       deleting.add(machine);
       LOG.info("{} {}: returning it", machine, why);
-      touchShardOf(machine);
+      markShardChanged(machine);
     }
   }
 
   /** The shard's owner hears which machines take no new task. */
-  void touchShardOf(MachineId machine) {
+  void markShardChanged(MachineId machine) {
     leader.shards().values().stream()
         .filter(shard -> shard.machines().containsKey(machine))
-        .forEach(shard -> leader.touch(shard.id()));
+        .forEach(shard -> leader.markShardChanged(shard.id()));
   }
 
-  private void deleteSome() {
-    if (deleting.isEmpty() || deleteInFlight || !cloud.budget().take(1, 0)) {
+  private void deleteReleased() {
+    if (deleting.isEmpty() || deleteInFlight || !cloud.budget().tryAcquire(1, 0)) {
       return;
     }
     List<MachineId> batch = deleting.stream().limit(CloudCodec.MAX_DELETED).toList();
     deleteInFlight = true;
     // A deposed leader's picture is old: a machine that it drained may have tasks by now.
-    leader.batcher().ifTermStands(() -> delete(batch), () -> deleteInFlight = false);
+    leader.batcher().ifStillLeader(() -> delete(batch), () -> deleteInFlight = false);
   }
 
   private void delete(List<MachineId> batch) {
@@ -235,16 +235,16 @@
               deleteInFlight = false;
               // Only a 200 proves that the machines and all on them are gone.
               if (reply.ok() && leader.leading()) {
-                gone(batch);
+                onDeleted(batch);
               }
             });
   }
 
-  private void gone(List<MachineId> machines) {
+  private void onDeleted(List<MachineId> machines) {
     machines.forEach(deleting::remove);
     deleted.addAll(machines);
     machines.forEach(tracked::remove);
-    leader.blame().gone(machines);
+    leader.failures().onMachinesDeleted(machines);
     for (ShardView shard : leader.shards().values()) {
       if (shard.machines().keySet().removeAll(machines)) {
         store(shard);
@@ -252,33 +252,33 @@
     }
   }
 
-  private void walk() {
+  private void resize() {
     double horizon = horizon();
-    List<QueueSimulation.Waiting> waiting = plan.waiting(horizon);
-    int demand = waiting.stream().mapToInt(QueueSimulation.Waiting::count).sum();
-    CapacityPlanner.Plan found = plan.plan(waiting, horizon);
+    List<QueueSimulation.PendingGroup> waiting = planner.pendingGroups(horizon);
+    int demand = waiting.stream().mapToInt(QueueSimulation.PendingGroup::count).sum();
+    CapacityPlanner.Plan found = planner.plan(waiting, horizon);
     Set<MachineTypeId> scarce = scarceTypes(found.result().shortage());
     if (!scarce.isEmpty()) {
       // Exception to the paper: what only fits a type that is not to be had gets that type's room,
       // and other tasks are rented for elsewhere.
-      List<QueueSimulation.Waiting> moved = awayFrom(scarce, waiting);
-      found = moved.equals(waiting) ? found : plan.plan(moved, horizon);
+      List<QueueSimulation.PendingGroup> moved = avoiding(scarce, waiting);
+      found = moved.equals(waiting) ? found : planner.plan(moved, horizon);
     }
-    List<QueueSimulation.Waiting> shortage = found.result().shortage();
+    List<QueueSimulation.PendingGroup> shortage = found.result().shortage();
     LOG.debug(
         "walk: {} processors, {} waiting, {} short, scarce {}",
-        found.fleetCpus(),
+        found.clusterCpus(),
         demand,
-        shortage.stream().mapToInt(QueueSimulation.Waiting::count).sum(),
+        shortage.stream().mapToInt(QueueSimulation.PendingGroup::count).sum(),
         scarce);
     if (!shortage.isEmpty() && resizeAllowed(found, horizon)) {
-      rentFor(shortage);
+      scaleOut(shortage);
     }
-    doubtful.keySet().forEach(type -> probe(type, waiting));
-    Set<MachineTypeId> wanted = plan.typesFor(waiting);
-    draining.reopen(wanted);
-    draining.consolidate(wanted);
-    draining.drain(found.result().used());
+    delayedBoots.keySet().forEach(type -> probeBoots(type, waiting));
+    Set<MachineTypeId> wanted = planner.typesFor(waiting);
+    scaleIn.uncordon(wanted);
+    scaleIn.consolidate(wanted);
+    scaleIn.releaseIdle(found.result().used());
   }
 
   /**
@@ -288,20 +288,20 @@
   private boolean resizeAllowed(CapacityPlanner.Plan plan, double horizon) {
     double missing =
         plan.result().shortage().stream()
-            .mapToDouble(group -> group.count() * group.need().perTask().cpus())
+            .mapToDouble(group -> group.count() * group.request().perTask().cpus())
             .sum();
     boolean large =
-        missing > context.tunables().number(Tunables.Key.RESIZE_AT_ONCE) * plan.fleetCpus();
+        missing > context.tunables().number(Tunables.Key.RESIZE_AT_ONCE) * plan.clusterCpus();
     return large || lastResize.isEmpty() || loop.now().secondsSince(lastResize.get()) >= horizon;
   }
 
   /** The types that tasks wait for although the cloud has no more of them. */
-  private Set<MachineTypeId> scarceTypes(List<QueueSimulation.Waiting> shortage) {
+  private Set<MachineTypeId> scarceTypes(List<QueueSimulation.PendingGroup> shortage) {
     Set<MachineTypeId> scarce = new HashSet<>();
-    for (QueueSimulation.Waiting group : shortage) {
-      if (!market.offers(group.need())) {
+    for (QueueSimulation.PendingGroup group : shortage) {
+      if (!offers.hasOfferFor(group.request())) {
         for (MachineType type : context.catalog().types().values()) {
-          if (group.need().mayUse(type)) {
+          if (group.request().fits(type)) {
             scarce.add(type.id());
           }
         }
@@ -310,14 +310,14 @@
     return scarce;
   }
 
-  private List<QueueSimulation.Waiting> awayFrom(
-      Set<MachineTypeId> scarce, List<QueueSimulation.Waiting> waiting) {
+  private List<QueueSimulation.PendingGroup> avoiding(
+      Set<MachineTypeId> scarce, List<QueueSimulation.PendingGroup> waiting) {
     List<MachineTypeId> others =
         context.catalog().types().keySet().stream().filter(id -> !scarce.contains(id)).toList();
-    List<QueueSimulation.Waiting> groups = new ArrayList<>();
-    for (QueueSimulation.Waiting group : waiting) {
-      ResourceRequest elsewhere = group.need().onlyOn(others);
-      boolean canMove = !elsewhere.types().isEmpty() && market.offers(elsewhere);
+    List<QueueSimulation.PendingGroup> groups = new ArrayList<>();
+    for (QueueSimulation.PendingGroup group : waiting) {
+      ResourceRequest elsewhere = group.request().restrictedTo(others);
+      boolean canMove = !elsewhere.types().isEmpty() && offers.hasOfferFor(elsewhere);
       groups.add(canMove ? group.with(elsewhere) : group);
     }
     return groups;
@@ -326,67 +326,68 @@
   private double horizon() {
     double least = Double.MAX_VALUE;
     for (MachineType type : context.catalog().types().values()) {
-      least = Math.min(least, boots.expected(type));
+      least = Math.min(least, bootTimes.expected(type));
     }
     return least;
   }
 
-  private void rentFor(List<QueueSimulation.Waiting> shortage) {
+  private void scaleOut(List<QueueSimulation.PendingGroup> shortage) {
     Map<OfferSelector.Offer, Integer> wanted = new LinkedHashMap<>();
     // Only machines that have room left for some group: a long queue rents for many.
     List<MachineCapacity> open = new ArrayList<>();
-    Resources least = UnschedulableRequests.minOf(shortage, QueueSimulation.Waiting::need);
-    for (QueueSimulation.Waiting group : shortage) {
-      int left = group.count() - BinPacker.fill(group.need(), group.count(), open);
+    Resources least =
+        UnschedulableRequests.minimumOf(shortage, QueueSimulation.PendingGroup::request);
+    for (QueueSimulation.PendingGroup group : shortage) {
+      int left = group.count() - BinPacker.fill(group.request(), group.count(), open);
       while (left > 0) {
         Optional<OfferSelector.Offer> offer =
-            market.bestOffer(group.need(), left, group.patient(), wanted);
-        if (offer.isEmpty() || market.enough(offer.get(), wanted)) {
+            offers.bestOffer(group.request(), left, group.spotOnly(), wanted);
+        if (offer.isEmpty() || offers.isSaturated(offer.get(), wanted)) {
           // The next walk goes on from what the cloud answers.
           break;
         }
         int number = wanted.merge(offer.get(), 1, Integer::sum);
-        MachineCapacity capacity = freshCapacity(offer.get(), number);
-        left -= BinPacker.fill(group.need(), left, List.of(capacity));
+        MachineCapacity capacity = newMachineCapacity(offer.get(), number);
+        left -= BinPacker.fill(group.request(), left, List.of(capacity));
         open.add(capacity);
       }
-      open.removeIf(capacity -> !least.fitsInto(capacity.free()));
+      open.removeIf(capacity -> !least.fitsInto(capacity.available()));
     }
-    wanted.keySet().removeIf(offer -> doubted(offer.type()));
-    wanted.forEach(rentals::rent);
+    wanted.keySet().removeIf(offer -> isBootDelayed(offer.type()));
+    wanted.forEach(provisioner::provision);
     if (!wanted.isEmpty()) {
       lastResize = Optional.of(loop.now());
     }
   }
 
-  boolean doubted(MachineTypeId type) {
-    return doubtful.getOrDefault(type, 0) >= DOUBTED_FROM;
+  boolean isBootDelayed(MachineTypeId type) {
+    return delayedBoots.getOrDefault(type, 0) >= DELAYED_BOOTS_THRESHOLD;
   }
 
   /**
    * While no machine of a type comes up any more, those on their way count as room, and only a few
    * are rented, a boot time apart, to see whether that is over: more would be paid for in vain.
    */
-  private void probe(MachineTypeId type, List<QueueSimulation.Waiting> waiting) {
+  private void probeBoots(MachineTypeId type, List<QueueSimulation.PendingGroup> waiting) {
     MonotonicTime last = probedAt.get(type);
-    if (!doubted(type) || (last != null && loop.now().secondsSince(last) < horizon())) {
+    if (!isBootDelayed(type) || (last != null && loop.now().secondsSince(last) < horizon())) {
       return;
     }
-    for (QueueSimulation.Waiting group : waiting) {
-      ResourceRequest need = group.need().onlyOn(List.of(type));
+    for (QueueSimulation.PendingGroup group : waiting) {
+      ResourceRequest need = group.request().restrictedTo(List.of(type));
       Optional<OfferSelector.Offer> offer =
           need.types().isEmpty()
               ? Optional.empty()
-              : market.bestOffer(need, 1, group.patient(), Map.of());
+              : offers.bestOffer(need, 1, group.spotOnly(), Map.of());
       if (offer.isPresent()) {
         probedAt.put(type, loop.now());
-        rentals.rent(offer.get(), 1 + doubtful.get(type) / PROBE_OF);
+        provisioner.provision(offer.get(), 1 + delayedBoots.get(type) / PROBE_FRACTION);
         return;
       }
     }
   }
 
-  private MachineCapacity freshCapacity(OfferSelector.Offer offer, int number) {
+  private MachineCapacity newMachineCapacity(OfferSelector.Offer offer, int number) {
     MachineType type = context.catalog().type(offer.type()).get();
     return new MachineCapacity(
         new MachineId("new-" + number),
@@ -399,23 +400,23 @@
   }
 
   @Override
-  public void refused(ProvisioningRequest request, boolean some) {
-    market.refused(OfferSelector.Offer.of(request), some);
+  public void onRefused(ProvisioningRequest request, boolean some) {
+    offers.onRefused(OfferSelector.Offer.of(request), some);
     // What was not given is no room: the next walk may look elsewhere at once.
     lastResize = Optional.empty();
   }
 
   @Override
-  public void rented(ProvisioningRequest request, List<MachineId> machines) {
+  public void onProvisioned(ProvisioningRequest request, List<MachineId> machines) {
     if (machines.size() >= request.count()) {
-      market.given(OfferSelector.Offer.of(request));
+      offers.onFulfilled(OfferSelector.Offer.of(request));
     }
     Set<ShardView> touched = new LinkedHashSet<>();
     for (MachineId machine : machines) {
       if (!deleted.contains(machine) && !known(machine)) {
-        ShardView shard = shardWithCapacity(request.zone());
+        ShardView shard = shardWithSpace(request.zone());
         shard.machines().put(machine, new MachineRecord(request.type(), request.spot(), false));
-        tracked.put(machine, Machine.rented(request.plannedAt()));
+        tracked.put(machine, Machine.provisioned(request.plannedAt()));
         touched.add(shard);
       }
     }
@@ -427,12 +428,12 @@
         .anyMatch(shard -> shard.machines().containsKey(machine));
   }
 
-  private ShardView shardWithCapacity(ZoneId zone) {
+  private ShardView shardWithSpace(ZoneId zone) {
     // A shard's record must stay below the store's limit for a value.
     int most =
         Math.min(
             context.tunables().count(Tunables.Key.SHARD_MACHINES),
-            context.settings().cluster().state().minValueBytes() / MACHINE_BYTES);
+            context.settings().cluster().store().minValueBytes() / MACHINE_BYTES);
     int number = 0;
     for (ShardView shard : leader.shards().values()) {
       if (shard.zone().equals(zone)) {
@@ -458,16 +459,16 @@
     }
     Machine known = tracked.get(machine.id());
     if (known != null) {
-      known.age(loop.now(), machine.age());
+      known.learnAge(loop.now(), machine.age());
     }
     if (machine.phase() == CloudMachine.Phase.FAILED) {
-      giveUp(machine.id(), "has failed");
+      release(machine.id(), "has failed");
     } else if (!known(machine.id())) {
       adopt(machine.id(), machine.type(), machine.zone(), machine.spot());
     }
   }
 
-  public void onStranger(UnknownWorkerReport report) {
+  public void onUnknownWorker(UnknownWorkerReport report) {
     MachineId id = new MachineId(report.getMachine());
     if (!known(id) && !deleted.contains(id) && !deleting.contains(id)) {
       adopt(
@@ -485,29 +486,29 @@
       return;
     }
     LOG.info("adopting {}", id);
-    ShardView shard = shardWithCapacity(zone);
+    ShardView shard = shardWithSpace(zone);
     shard.machines().put(id, new MachineRecord(type, spot, false));
     track(id);
     store(shard);
   }
 
   /** A shard's machines. */
-  private final class ShardUnit implements TransactionBatcher.Unit {
+  private final class ShardMutation implements TransactionBatcher.Mutation {
     private final ShardView shard;
 
-    ShardUnit(ShardView shard) {
+    ShardMutation(ShardView shard) {
       this.shard = shard;
     }
 
     @Override
     public List<Write> writes() {
-      return List.of(Write.put(StoreKeys.shard(shard.id()), shard.stored()));
+      return List.of(Write.put(StoreKeys.shard(shard.id()), shard.storedValue()));
     }
 
     @Override
-    public void committed(Revision revision) {
-      leader.touch(shard.id());
-      leader.cycleSoon();
+    public void onCommitted(Revision revision) {
+      leader.markShardChanged(shard.id());
+      leader.scheduleCycle();
     }
   }
 }
--- a/src/main/java/org/mulleinshift/autoscaling/BootTimeEstimator.java
+++ b/src/main/java/org/mulleinshift/autoscaling/BootTimeEstimator.java
@@ -30,11 +30,11 @@
   enum Outlook {
     ON_TIME,
     /** Late, but so is every machine of its type rented since: it may still come. */
-    DOUBTFUL,
+    DELAYED,
     /** Late, while younger ones are up: no room to count on. */
-    LATE,
+    OVERDUE,
     /** Not worth waiting for. */
-    HOPELESS
+    ABANDONED
   }
 
   private static final class Seen {
@@ -52,7 +52,7 @@
   }
 
   /** A machine came up; how long that took is known only if its rental was seen. */
-  void cameUp(MachineTypeId type, MonotonicTime rentedAt, Optional<Double> took) {
+  void onUp(MachineTypeId type, MonotonicTime rentedAt, Optional<Double> took) {
     Seen seen = types.computeIfAbsent(type, key -> new Seen());
     if (seen.youngestUp == null || rentedAt.isAfter(seen.youngestUp)) {
       seen.youngestUp = rentedAt;
@@ -74,7 +74,7 @@
   }
 
   /** Boots that another leader saw; this one's own come after them. */
-  public void advise(MachineTypeId type, List<Double> seconds) {
+  public void learn(MachineTypeId type, List<Double> seconds) {
     Seen seen = types.computeIfAbsent(type, key -> new Seen());
     if (seen.seconds.isEmpty()) {
       seconds.stream().filter(s -> s >= 0).limit(REMEMBERED).forEach(seen.seconds::addLast);
@@ -107,8 +107,8 @@
         seen != null && seen.youngestUp != null && seen.youngestUp.isAfter(rentedAt);
     double factor = overtaken ? overdueFactor : Math.max(overdueFactor, EXCUSED_FACTOR);
     if (age > GRACE_SECONDS + factor * ordinary) {
-      return Outlook.HOPELESS;
+      return Outlook.ABANDONED;
     }
-    return overtaken ? Outlook.LATE : Outlook.DOUBTFUL;
+    return overtaken ? Outlook.OVERDUE : Outlook.DELAYED;
   }
 }
--- a/src/main/java/org/mulleinshift/autoscaling/CapacityPlanner.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CapacityPlanner.java
@@ -32,27 +32,27 @@
 
 /** What a walk starts from: the rooms of machines, booting ones and rentals, and who waits. */
 final class CapacityPlanner {
-  private final Autoscaler fleet;
+  private final Autoscaler autoscaler;
   private final Leader leader;
-  private final Leader.Surroundings context;
+  private final Leader.Context context;
   private final EventLoop loop;
 
-  CapacityPlanner(Autoscaler fleet, Leader leader, Leader.Surroundings context) {
-    this.fleet = fleet;
+  CapacityPlanner(Autoscaler fleet, Leader leader, Leader.Context context) {
+    this.autoscaler = fleet;
     this.leader = leader;
     this.context = context;
     this.loop = context.loop();
   }
 
   /** What a walk found: the shortage, the machines that it used, and the fleet's processors. */
-  record Plan(QueueSimulation.Result result, double fleetCpus) {}
+  record Plan(QueueSimulation.Result result, double clusterCpus) {}
 
-  Plan plan(List<QueueSimulation.Waiting> waiting, double horizon) {
+  Plan plan(List<QueueSimulation.PendingGroup> waiting, double horizon) {
     List<MachineCapacity> capacities = new ArrayList<>();
     List<QueueSimulation.Release> releases = new ArrayList<>();
     Map<MachineId, MachineCapacity> byMachine = new HashMap<>();
     collectMachines(capacities, releases, byMachine, horizon);
-    collectRentals(capacities, releases, horizon);
+    collectProvisioning(capacities, releases, horizon);
     double cpus = capacities.stream().mapToDouble(capacity -> capacity.size().cpus()).sum();
     collectRunning(byMachine, releases, horizon);
     int steps = context.tunables().count(Tunables.Key.WALK_STEPS);
@@ -71,17 +71,17 @@
               (id, record) -> {
                 Optional<MachineType> type = context.catalog().type(record.type());
                 if (type.isEmpty()
-                    || fleet.closed(id)
-                    || shard.reportOf(id).filter(OwnedMachine::occupied).isPresent()) {
+                    || autoscaler.isCordoned(id)
+                    || shard.statusOf(id).filter(OwnedMachine::occupied).isPresent()) {
                   return;
                 }
                 boolean leaving =
-                    shard.reportOf(id).filter(MachineStatus::getInterrupted).isPresent();
+                    shard.statusOf(id).filter(MachineStatus::getInterrupted).isPresent();
                 if (leaving) {
                   return;
                 }
                 Resources size = type.get().size();
-                Machine known = fleet.track(id);
+                Machine known = autoscaler.track(id);
                 if (!record.up() && overdue(type.get(), known)) {
                   // It may never come, so it is no room.
                   return;
@@ -100,7 +100,7 @@
                   // Within the horizon even if its type boots slower than that: a machine on its
                   // way that is no room is rented for again with every resize.
                   double bootLeft =
-                      fleet.boots().expected(type.get()) - known.heldSeconds(loop.now());
+                      autoscaler.bootTimes().expected(type.get()) - known.heldSeconds(loop.now());
                   double at = Math.min(horizon, Math.max(0, bootLeft));
                   releases.add(new QueueSimulation.Release(at, capacity, size));
                 }
@@ -109,14 +109,14 @@
   }
 
   private boolean overdue(MachineType type, Machine machine) {
-    BootTimeEstimator.Outlook outlook = fleet.outlook(type, machine);
-    return outlook == BootTimeEstimator.Outlook.LATE
-        || outlook == BootTimeEstimator.Outlook.HOPELESS;
+    BootTimeEstimator.Outlook outlook = autoscaler.outlook(type, machine);
+    return outlook == BootTimeEstimator.Outlook.OVERDUE
+        || outlook == BootTimeEstimator.Outlook.ABANDONED;
   }
 
-  private void collectRentals(
+  private void collectProvisioning(
       List<MachineCapacity> capacities, List<QueueSimulation.Release> releases, double horizon) {
-    for (ProvisioningRequest request : fleet.rentals().expected()) {
+    for (ProvisioningRequest request : autoscaler.provisioner().expected()) {
       MachineType type = context.catalog().type(request.type()).orElse(null);
       if (type == null) {
         continue;
@@ -152,10 +152,10 @@
     }
     // All that is placed takes its room first: then most machines of a busy fleet are full, and
     // need not be looked at again for each job.
-    Resources least = UnschedulableRequests.minOf(unplaced, Unplaced::need);
+    Resources least = UnschedulableRequests.minimumOf(unplaced, Unplaced::need);
     List<MachineCapacity> open = new ArrayList<>();
     for (MachineCapacity capacity : byMachine.values()) {
-      if (least.fitsInto(capacity.free())) {
+      if (least.fitsInto(capacity.available())) {
         open.add(capacity);
       }
     }
@@ -200,10 +200,10 @@
       }
       MachineCapacity capacity = byMachine.get(assignment.machine().get());
       if (capacity != null) {
-        capacity.take(need);
+        capacity.allocate(need);
         double ran =
             assignment.runningSince().map(since -> loop.now().secondsSince(since)).orElse(0.0);
-        double left = RunTimeEstimator.left(expected, ran);
+        double left = RunTimeEstimator.remaining(expected, ran);
         if (left <= horizon) {
           releases.add(new QueueSimulation.Release(left, capacity, need.perTask()));
         }
@@ -225,7 +225,8 @@
         queue.add(new Queued(job, 0));
       }
     }
-    for (DependencyResolver.Soon soon : leader.chains().soon(horizon)) {
+    for (DependencyResolver.ExpectedRelease soon :
+        leader.dependencies().expectedReleases(horizon)) {
       int place = 0;
       while (place < queue.size()
           && !soon.job().priority().above(queue.get(place).job().priority())) {
@@ -237,22 +238,22 @@
   }
 
   /** Waiting tasks in order, without those that their team's limit holds back. */
-  List<QueueSimulation.Waiting> waiting(double horizon) {
-    Map<TeamId, Resources> use = leader.use();
-    List<QueueSimulation.Waiting> groups = new ArrayList<>();
+  List<QueueSimulation.PendingGroup> pendingGroups(double horizon) {
+    Map<TeamId, Resources> use = leader.usageByTeam();
+    List<QueueSimulation.PendingGroup> groups = new ArrayList<>();
     for (Queued queued : queue(horizon)) {
       Job job = queued.job();
       Resources used = use.getOrDefault(job.spec().team(), Resources.ZERO);
-      int count = Math.min(job.waitingCount(), leader.quota().withinLimit(job, used));
+      int count = Math.min(job.waitingCount(), leader.quota().tasksWithinLimit(job, used));
       // A job submitted with a mistake is no demand beyond its next try.
-      count = Math.min(count, leader.blame().tries(job, loop.now()));
+      count = Math.min(count, leader.failures().allowedAttempts(job, loop.now()));
       if (count > 0) {
         use.put(job.spec().team(), used.plus(job.spec().perTask().times(count)));
         groups.add(
-            new QueueSimulation.Waiting(
+            new QueueSimulation.PendingGroup(
                 ResourceRequest.of(job.spec()),
                 context.runTimes().expectedSeconds(job),
-                patient(job),
+                waitsForSpot(job),
                 count,
                 queued.fromSeconds()));
       }
@@ -261,22 +262,22 @@
   }
 
   /** Work of the lowest priority is worth no dear machine as long as its time allows to wait. */
-  private boolean patient(Job job) {
+  private boolean waitsForSpot(Job job) {
     if (job.priority() != Priority.LOW || !job.spec().spotAllowed()) {
       return false;
     }
     double patience = context.tunables().number(Tunables.Key.PATIENT_S);
-    double latest = job.dueMillis() - 2000 * context.runTimes().expectedSeconds(job);
+    double latest = job.deadlineMillis() - 2000 * context.runTimes().expectedSeconds(job);
     double until = Math.min(latest, job.readyMillis() + 1000 * patience);
     return loop.wallMillis() < until;
   }
 
   /** The types that waiting tasks could use. */
-  Set<MachineTypeId> typesFor(List<QueueSimulation.Waiting> waiting) {
+  Set<MachineTypeId> typesFor(List<QueueSimulation.PendingGroup> waiting) {
     Set<MachineTypeId> types = new HashSet<>();
-    for (QueueSimulation.Waiting group : waiting) {
+    for (QueueSimulation.PendingGroup group : waiting) {
       context.catalog().types().values().stream()
-          .filter(type -> group.need().mayUse(type))
+          .filter(type -> group.request().fits(type))
           .forEach(type -> types.add(type.id()));
     }
     return types;
--- a/src/main/java/org/mulleinshift/autoscaling/CloudInventory.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CloudInventory.java
@@ -20,35 +20,35 @@
   private static final Duration LIST_EVERY = Duration.ofSeconds(10);
 
   private final Leader leader;
-  private final Leader.Surroundings context;
+  private final Leader.Context context;
   private final EventLoop loop;
   private final Autoscaler.Cloud cloud;
-  private final Consumer<CloudMachine> listed;
+  private final Consumer<CloudMachine> onListed;
 
   CloudInventory(
       Leader leader,
-      Leader.Surroundings context,
+      Leader.Context context,
       Autoscaler.Cloud cloud,
       Consumer<CloudMachine> listed) {
     this.leader = leader;
     this.context = context;
     this.loop = context.loop();
     this.cloud = cloud;
-    this.listed = listed;
+    this.onListed = listed;
   }
 
-  void listRegularly() {
+  void listPeriodically() {
     if (!leader.leading()) {
       return;
     }
-    loop.after(LIST_EVERY, this::listRegularly);
-    if (context.certain().getAsBoolean()) {
+    loop.after(LIST_EVERY, this::listPeriodically);
+    if (context.holdsValidLease().getAsBoolean()) {
       list(Optional.empty());
     }
   }
 
   private void list(Optional<MachineId> after) {
-    if (!cloud.budget().take(1, 1)) {
+    if (!cloud.budget().tryAcquire(1, 1)) {
       return;
     }
     cloud
@@ -62,7 +62,7 @@
               }
               try {
                 CloudCodec.Page page = CloudCodec.parseList(reply.body());
-                page.machines().forEach(listed);
+                page.machines().forEach(onListed);
                 if (page.more() && !page.machines().isEmpty()) {
                   list(Optional.of(page.machines().get(page.machines().size() - 1).id()));
                 }
--- a/src/main/java/org/mulleinshift/autoscaling/OfferSelector.java
+++ b/src/main/java/org/mulleinshift/autoscaling/OfferSelector.java
@@ -36,7 +36,7 @@
   private final MachineTypeCatalog catalog;
   private final Map<ShardId, ShardView> shards;
   private final Duration pause;
-  private final ToIntFunction<Offer> asked;
+  private final ToIntFunction<Offer> outstanding;
   private final Map<Offer, Refusals> refusals = new HashMap<>();
 
   /** How often in a row the cloud had none of an offer, and until when it is not asked again. */
@@ -56,14 +56,14 @@
     this.catalog = catalog;
     this.shards = shards;
     this.pause = pause;
-    this.asked = asked;
+    this.outstanding = asked;
   }
 
   /**
    * The cloud had none of these, or too few. What it keeps refusing is asked for at growing
    * distances.
    */
-  void refused(Offer offer, boolean some) {
+  void onRefused(Offer offer, boolean some) {
     Refusals known = refusals.get(offer);
     if (known != null && known.until.isAfter(loop.now())) {
       // Asked for together with what was refused before: no further news.
@@ -74,7 +74,7 @@
   }
 
   /** The cloud gave all that was asked for. */
-  void given(Offer offer) {
+  void onFulfilled(Offer offer) {
     refusals.remove(offer);
   }
 
@@ -83,9 +83,9 @@
    * that was refused is tried with a single request. Unbounded, a queue far above what is to be had
    * became hundreds of stored names, each to be written, asked, refused and removed.
    */
-  boolean enough(Offer offer, Map<Offer, Integer> wanted) {
-    int most = (refusals.containsKey(offer) ? 1 : MAX_REQUESTS) * CloudCodec.MAX_RENTED;
-    return wanted.getOrDefault(offer, 0) + asked.applyAsInt(offer) >= most;
+  boolean isSaturated(Offer offer, Map<Offer, Integer> wanted) {
+    int most = (refusals.containsKey(offer) ? 1 : MAX_REQUESTS) * CloudCodec.MAX_PROVISIONED;
+    return wanted.getOrDefault(offer, 0) + outstanding.applyAsInt(offer) >= most;
   }
 
   /** The cheapest way to run the tasks that would use a new machine, among what is to be had. */
@@ -106,7 +106,7 @@
               || !need.allows(type.id(), spot)
               || !need.allowsZone(zone)
               || !available(offer)
-              || (refusals.containsKey(offer) && enough(offer, wanted))) {
+              || (refusals.containsKey(offer) && isSaturated(offer, wanted))) {
             continue;
           }
           // Large machines are kept for the tasks that need them unless they cost far less.
@@ -124,9 +124,9 @@
   }
 
   /** Whether any machine that such a task fits and may be on is to be had. */
-  boolean offers(ResourceRequest need) {
+  boolean hasOfferFor(ResourceRequest need) {
     return catalog.types().values().stream()
-        .filter(need::mayUse)
+        .filter(need::fits)
         .anyMatch(
             type ->
                 type.zones().stream()
--- a/src/main/java/org/mulleinshift/autoscaling/Provisioner.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Provisioner.java
@@ -10,7 +10,7 @@
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.protocol.StoreCodec.Write;
 import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.store.TransactionBatcher;
@@ -31,24 +31,24 @@
 
   /** Hears what came of rentals. */
   interface Listener {
-    void rented(ProvisioningRequest request, List<MachineId> machines);
+    void onProvisioned(ProvisioningRequest request, List<MachineId> machines);
 
     /** Some, but not all, or none of the machines are to be had. */
-    void refused(ProvisioningRequest request, boolean some);
+    void onRefused(ProvisioningRequest request, boolean some);
   }
 
   private final Leader leader;
-  private final Leader.Surroundings context;
+  private final Leader.Context context;
   private final EventLoop loop;
   private final Autoscaler.Cloud cloud;
   private final Revision term;
   private final Listener listener;
-  private final Map<String, ProvisioningRequest> rentals = new LinkedHashMap<>();
-  private long names;
+  private final Map<String, ProvisioningRequest> requests = new LinkedHashMap<>();
+  private long lastNumber;
 
   Provisioner(
       Leader leader,
-      Leader.Surroundings context,
+      Leader.Context context,
       Autoscaler.Cloud cloud,
       Revision term,
       Listener listener) {
@@ -61,21 +61,21 @@
   }
 
   void start() {
-    rentals.values().forEach(this::ask);
+    requests.values().forEach(this::send);
   }
 
   /** Rentals whose machines may still be counted on. */
   List<ProvisioningRequest> expected() {
-    return rentals.values().stream()
+    return requests.values().stream()
         .filter(request -> request.state() != ProvisioningRequest.State.ANSWERED)
         .filter(request -> loop.now().secondsSince(request.plannedAt()) <= DEADLINE.toSeconds() * 2)
         .toList();
   }
 
   /** Machines of an offer that were planned or asked for and not answered. */
-  int unanswered(OfferSelector.Offer offer) {
+  int outstanding(OfferSelector.Offer offer) {
     int count = 0;
-    for (ProvisioningRequest request : rentals.values()) {
+    for (ProvisioningRequest request : requests.values()) {
       boolean open = request.state() != ProvisioningRequest.State.ANSWERED;
       count += open && OfferSelector.Offer.of(request).equals(offer) ? request.count() : 0;
     }
@@ -83,12 +83,12 @@
   }
 
   /** A new leader asks again under the stored names: the same name never rents twice. */
-  public void load(List<Item> items, TransactionBatcher batcher) {
-    for (Item item : items) {
-      String name = item.key().substring(StoreKeys.RENTALS.length());
+  public void load(List<KeyValue> items, TransactionBatcher batcher) {
+    for (KeyValue item : items) {
+      String name = item.key().substring(StoreKeys.PROVISIONING_REQUESTS.length());
       try {
-        rentals.put(name, ProvisioningRequest.read(name, item.value(), loop.now()));
-        batcher.known(item.key(), item.version());
+        requests.put(name, ProvisioningRequest.read(name, item.value(), loop.now()));
+        batcher.recordRevision(item.key(), item.revision());
       } catch (MalformedMessageException e) {
         // Not ours to ask again or to end. Its machines, if any come, are adopted as unexpected.
         LOG.warn("{}: this build can't read it: {}", item.key(), e.getMessage());
@@ -96,14 +96,14 @@
     }
   }
 
-  void rent(OfferSelector.Offer offer, int count) {
-    for (int left = count; left > 0; left -= CloudCodec.MAX_RENTED) {
-      rentAtOnce(offer, Math.min(left, CloudCodec.MAX_RENTED));
+  void provision(OfferSelector.Offer offer, int count) {
+    for (int left = count; left > 0; left -= CloudCodec.MAX_PROVISIONED) {
+      provisionBatch(offer, Math.min(left, CloudCodec.MAX_PROVISIONED));
     }
   }
 
-  private void rentAtOnce(OfferSelector.Offer offer, int count) {
-    String name = "r-" + term + "-" + ++names;
+  private void provisionBatch(OfferSelector.Offer offer, int count) {
+    String name = "r-" + term + "-" + ++lastNumber;
     ProvisioningRequest request =
         new ProvisioningRequest(
             name,
@@ -113,16 +113,16 @@
             count,
             loop.now(),
             ProvisioningRequest.State.PLANNED);
-    rentals.put(name, request);
-    leader.batcher().submit(StoreKeys.rental(name), new RentalUnit(request));
+    requests.put(name, request);
+    leader.batcher().submit(StoreKeys.provisioningRequest(name), new RequestMutation(request));
   }
 
-  private void ask(ProvisioningRequest request) {
-    if (!leader.leading() || request.state() != ProvisioningRequest.State.ASKED) {
+  private void send(ProvisioningRequest request) {
+    if (!leader.leading() || request.state() != ProvisioningRequest.State.SENT) {
       return;
     }
-    if (!context.certain().getAsBoolean() || !cloud.budget().take(1, 0)) {
-      loop.after(RETRY, () -> ask(request));
+    if (!context.holdsValidLease().getAsBoolean() || !cloud.budget().tryAcquire(1, 0)) {
+      loop.after(RETRY, () -> send(request));
       return;
     }
     cloud
@@ -130,24 +130,24 @@
         .call(
             cloud.address(),
             HttpRequest.post(
-                CloudCodec.RENTALS,
-                CloudCodec.rent(
+                CloudCodec.MACHINES,
+                CloudCodec.provision(
                     request.name(),
                     request.type(),
                     request.zone(),
                     request.spot(),
                     request.count()),
                 DEADLINE),
-            reply -> answered(request, reply));
+            reply -> onResponse(request, reply));
   }
 
-  private void answered(ProvisioningRequest request, HttpResponse reply) {
+  private void onResponse(ProvisioningRequest request, HttpResponse reply) {
     if (!leader.leading()) {
       return;
     }
     if (reply.ok()) {
       try {
-        rented(request, CloudCodec.parseRented(reply.body()));
+        rented(request, CloudCodec.parseProvisioned(reply.body()));
         return;
       } catch (MalformedMessageException e) {
         LOG.warn("answer to rental {}: {}", request.name(), e.getMessage());
@@ -155,12 +155,12 @@
     }
     if (reply.status() == 400 || (reply.status() == 503 && reply.body().contains("no capacity"))) {
       LOG.info("rental {} of {} in {} refused", request.name(), request.type(), request.zone());
-      listener.refused(request, false);
-      end(request);
+      listener.onRefused(request, false);
+      complete(request);
       return;
     }
     // No clear answer: the cloud may have rented. The same name asks again.
-    loop.after(RETRY, () -> ask(request));
+    loop.after(RETRY, () -> send(request));
   }
 
   private void rented(ProvisioningRequest request, List<MachineId> machines) {
@@ -172,51 +172,51 @@
         request.type(),
         request.zone());
     if (machines.size() < request.count()) {
-      listener.refused(request, !machines.isEmpty());
+      listener.onRefused(request, !machines.isEmpty());
     }
-    listener.rented(request, machines);
-    end(request);
+    listener.onProvisioned(request, machines);
+    complete(request);
   }
 
   /** The rental's key goes only after its machines are stored. */
-  private void end(ProvisioningRequest request) {
+  private void complete(ProvisioningRequest request) {
     request.transitionTo(ProvisioningRequest.State.ANSWERED);
     leader
         .batcher()
         .submit(
-            StoreKeys.rental(request.name()),
-            new TransactionBatcher.Unit() {
+            StoreKeys.provisioningRequest(request.name()),
+            new TransactionBatcher.Mutation() {
               @Override
               public List<Write> writes() {
-                return List.of(Write.delete(StoreKeys.rental(request.name())));
+                return List.of(Write.delete(StoreKeys.provisioningRequest(request.name())));
               }
 
               @Override
-              public void committed(Revision revision) {
-                rentals.remove(request.name());
+              public void onCommitted(Revision revision) {
+                requests.remove(request.name());
               }
             });
   }
 
   /** A rental's name, stored before the cloud hears it. */
-  private final class RentalUnit implements TransactionBatcher.Unit {
+  private final class RequestMutation implements TransactionBatcher.Mutation {
     private final ProvisioningRequest request;
 
-    RentalUnit(ProvisioningRequest request) {
+    RequestMutation(ProvisioningRequest request) {
       this.request = request;
     }
 
     @Override
     public List<Write> writes() {
       return request.state() == ProvisioningRequest.State.PLANNED
-          ? List.of(Write.put(StoreKeys.rental(request.name()), request.write()))
+          ? List.of(Write.put(StoreKeys.provisioningRequest(request.name()), request.write()))
           : List.of();
     }
 
     @Override
-    public void committed(Revision revision) {
-      request.transitionTo(ProvisioningRequest.State.ASKED);
-      ask(request);
+    public void onCommitted(Revision revision) {
+      request.transitionTo(ProvisioningRequest.State.SENT);
+      send(request);
     }
   }
 }
--- a/src/main/java/org/mulleinshift/autoscaling/QueueSimulation.java
+++ b/src/main/java/org/mulleinshift/autoscaling/QueueSimulation.java
@@ -23,21 +23,21 @@
   /**
    * Waiting tasks of one job that may start.
    *
-   * @param patient waits for cheap machines rather than rent dear ones
+   * @param spotOnly waits for cheap machines rather than rent dear ones
    * @param fromSeconds before that they may not start, since what they await is not over
    */
-  record Waiting(
-      ResourceRequest need, double runSeconds, boolean patient, int count, double fromSeconds) {
-    Waiting(ResourceRequest need, double runSeconds, boolean patient, int count) {
+  record PendingGroup(
+      ResourceRequest request, double runSeconds, boolean spotOnly, int count, double fromSeconds) {
+    PendingGroup(ResourceRequest need, double runSeconds, boolean patient, int count) {
       this(need, runSeconds, patient, count, 0);
     }
 
-    Waiting with(ResourceRequest other) {
-      return new Waiting(other, runSeconds, patient, count, fromSeconds);
+    PendingGroup with(ResourceRequest other) {
+      return new PendingGroup(other, runSeconds, spotOnly, count, fromSeconds);
     }
 
-    Waiting with(int left) {
-      return new Waiting(need, runSeconds, patient, left, fromSeconds);
+    PendingGroup with(int left) {
+      return new PendingGroup(request, runSeconds, spotOnly, left, fromSeconds);
     }
 
     /** Whether they join the queue between the two moments. */
@@ -47,14 +47,14 @@
   }
 
   /** What is left waiting, and which machines the walk made use of. */
-  record Result(List<Waiting> shortage, Set<MachineId> used) {}
+  record Result(List<PendingGroup> shortage, Set<MachineId> used) {}
 
   private QueueSimulation() {}
 
   static Result run(
       List<MachineCapacity> capacities,
       List<Release> releases,
-      List<Waiting> waiting,
+      List<PendingGroup> waiting,
       double horizon,
       int steps) {
     List<List<Release>> due = new ArrayList<>();
@@ -64,15 +64,15 @@
     for (Release release : releases) {
       put(release, due, horizon, 0);
     }
-    Resources least = UnschedulableRequests.minOf(waiting, Waiting::need);
-    int[] left = waiting.stream().mapToInt(Waiting::count).toArray();
+    Resources least = UnschedulableRequests.minimumOf(waiting, PendingGroup::request);
+    int[] left = waiting.stream().mapToInt(PendingGroup::count).toArray();
     Set<MachineId> used = new HashSet<>();
     for (int step = 0; step <= steps; step++) {
       double time = horizon * step / steps;
       // What found no room before can only find it where some became free since.
       Set<MachineCapacity> grown = new LinkedHashSet<>();
       for (Release release : due.get(step)) {
-        release.capacity().give(release.amount());
+        release.capacity().free(release.amount());
         grown.add(release.capacity());
       }
       double before = horizon * (step - 1) / steps;
@@ -80,32 +80,32 @@
       boolean joined = waiting.stream().anyMatch(group -> group.joins(before, time));
       List<MachineCapacity> open = new ArrayList<>();
       for (MachineCapacity capacity : step == 0 || joined ? capacities : grown) {
-        if (least.fitsInto(capacity.free())) {
+        if (least.fitsInto(capacity.available())) {
           open.add(capacity);
         }
       }
       UnschedulableRequests unplaceable = new UnschedulableRequests();
       int next = step + 1;
       for (int i = 0; i < left.length && !open.isEmpty(); i++) {
-        Waiting group = waiting.get(i);
-        if (left[i] > 0 && group.fromSeconds <= time && !unplaceable.covers(group.need)) {
+        PendingGroup group = waiting.get(i);
+        if (left[i] > 0 && group.fromSeconds <= time && !unplaceable.covers(group.request)) {
           left[i] -=
               BinPacker.fill(
-                  group.need,
+                  group.request,
                   left[i],
                   open,
                   (capacity, count) -> {
                     used.add(capacity.machine());
-                    Resources freed = group.need.perTask().times(count);
+                    Resources freed = group.request.perTask().times(count);
                     put(new Release(time + group.runSeconds, capacity, freed), due, horizon, next);
                   });
           if (left[i] > 0) {
-            unplaceable.add(group.need);
+            unplaceable.add(group.request);
           }
         }
       }
     }
-    List<Waiting> shortage = new ArrayList<>();
+    List<PendingGroup> shortage = new ArrayList<>();
     for (int i = 0; i < left.length; i++) {
       if (left[i] > 0) {
         shortage.add(waiting.get(i).with(left[i]));
--- a/src/main/java/org/mulleinshift/autoscaling/ScaleIn.java
+++ b/src/main/java/org/mulleinshift/autoscaling/ScaleIn.java
@@ -29,17 +29,17 @@
 /** Which machines are returned: only such as are wholly idle, and such as the others can do for. */
 final class ScaleIn {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
-  private static final int DRAINED_OF = 24;
+  private static final int DRAIN_FRACTION = 24;
   private static final int MAX_TRIALS = 16;
 
-  private final Autoscaler fleet;
+  private final Autoscaler autoscaler;
   private final CapacityPlanner plan;
   private final Leader leader;
-  private final Leader.Surroundings context;
+  private final Leader.Context context;
   private final EventLoop loop;
 
-  ScaleIn(Autoscaler fleet, CapacityPlanner plan, Leader leader, Leader.Surroundings context) {
-    this.fleet = fleet;
+  ScaleIn(Autoscaler fleet, CapacityPlanner plan, Leader leader, Leader.Context context) {
+    this.autoscaler = fleet;
     this.plan = plan;
     this.leader = leader;
     this.context = context;
@@ -47,42 +47,42 @@
   }
 
   /** Returns machines that are idle, paid for their least time, and of no use to the walk. */
-  void drain(Set<MachineId> used) {
+  void releaseIdle(Set<MachineId> used) {
     double idle = context.tunables().number(Tunables.Key.IDLE_RETURN_S);
     double held = context.tunables().number(Tunables.Key.MINIMUM_HELD_S);
     for (ShardView shard : leader.shards().values()) {
       for (Map.Entry<MachineId, MachineRecord> entry : shard.machines().entrySet()) {
         MachineId id = entry.getKey();
-        Machine known = fleet.track(id);
+        Machine known = autoscaler.track(id);
         boolean unused =
             known.state() == Machine.State.DRAINING
                 || (!used.contains(id) && known.idleSeconds(loop.now()) >= idle);
         if (entry.getValue().up()
             && unused
-            && !fleet.doubted(entry.getValue().type())
+            && !autoscaler.isBootDelayed(entry.getValue().type())
             && known.state() != Machine.State.RETURNING
             && known.heldSeconds(loop.now()) >= held
-            && !leader.busy(id, shard.id())) {
-          fleet.giveUp(id, "is idle");
+            && !leader.isBusy(id, shard.id())) {
+          autoscaler.release(id, "is idle");
         }
       }
     }
   }
 
   /** Room ran short: machines that were to go stay. */
-  void reopen(Set<MachineTypeId> wanted) {
+  void uncordon(Set<MachineTypeId> wanted) {
     for (ShardView shard : leader.shards().values()) {
       for (Map.Entry<MachineId, MachineRecord> entry : shard.machines().entrySet()) {
         if (!wanted.contains(entry.getValue().type())) {
           continue;
         }
         MachineId id = entry.getKey();
-        Machine known = fleet.track(id);
-        known.spare(false, loop.now());
+        Machine known = autoscaler.track(id);
+        known.surplusFor(false, loop.now());
         if (known.state() == Machine.State.DRAINING) {
           LOG.info("{} stays", id);
           known.reopen();
-          leader.touch(shard.id());
+          leader.markShardChanged(shard.id());
         }
       }
     }
@@ -102,8 +102,9 @@
     Map<MachineId, MachineCapacity> capacities = new HashMap<>();
     plan.collectMachines(new ArrayList<>(), new ArrayList<>(), capacities, 0);
     plan.collectRunning(capacities, new ArrayList<>(), 0);
-    for (CapacityReservation.Kept kept : leader.headroom().kept(loop.now())) {
-      if (BinPacker.fill(kept.need(), 2 * kept.count(), capacities.values()) < 2 * kept.count()) {
+    for (CapacityReservation.Reservation kept : leader.reservation().reservations(loop.now())) {
+      if (BinPacker.fill(kept.request(), 2 * kept.count(), capacities.values())
+          < 2 * kept.count()) {
         return;
       }
     }
@@ -112,36 +113,36 @@
     candidates.sort(
         Comparator.comparingDouble(MachineCapacity::drainWeight)
             .reversed()
-            .thenComparingDouble(capacity -> -capacity.free().cpus())
+            .thenComparingDouble(capacity -> -capacity.available().cpus())
             .thenComparing(MachineCapacity::machine));
     // A few at a time: each trial costs as much as the fleet is large.
     int trials = MAX_TRIALS;
-    int most = 1 + candidates.size() / DRAINED_OF;
+    int most = 1 + candidates.size() / DRAIN_FRACTION;
     for (MachineCapacity candidate : candidates) {
-      Machine known = fleet.track(candidate.machine());
+      Machine known = autoscaler.track(candidate.machine());
       boolean old = known.state() == Machine.State.UP && known.heldSeconds(loop.now()) >= held;
-      boolean spare = old && most > 0 && trials-- > 0 && movesElsewhere(candidate, capacities);
+      boolean spare = old && most > 0 && trials-- > 0 && fitsElsewhere(candidate, capacities);
       most -= spare ? 1 : 0;
-      if (known.spare(spare, loop.now()) >= patience && spare) {
+      if (known.surplusFor(spare, loop.now()) >= patience && spare) {
         LOG.info("{} is spare: it takes no new tasks", candidate.machine());
         known.drain();
-        fleet.touchShardOf(candidate.machine());
+        autoscaler.markShardChanged(candidate.machine());
       }
     }
   }
 
   /** Whether the others have room for its tasks; if so, that room is taken and it is left out. */
-  private boolean movesElsewhere(
+  private boolean fitsElsewhere(
       MachineCapacity candidate, Map<MachineId, MachineCapacity> capacities) {
     Map<MachineId, MachineCapacity> trial = new HashMap<>();
     Map<ResourceRequest, Integer> needs = new LinkedHashMap<>();
-    for (TaskAssignment assignment : leader.occupancy().on(candidate.machine())) {
+    for (TaskAssignment assignment : leader.allocations().on(candidate.machine())) {
       Job job = leader.jobs().get(assignment.task().job());
       needs.merge(ResourceRequest.of(job.spec()), 1, Integer::sum);
     }
-    Resources least = UnschedulableRequests.minOf(needs.keySet(), need -> need);
+    Resources least = UnschedulableRequests.minimumOf(needs.keySet(), need -> need);
     for (MachineCapacity capacity : capacities.values()) {
-      if (capacity != candidate && least.fitsInto(capacity.free())) {
+      if (capacity != candidate && least.fitsInto(capacity.available())) {
         trial.put(capacity.machine(), capacity.copy());
       }
     }
--- a/src/main/java/org/mulleinshift/compatibility/FeatureGates.java
+++ b/src/main/java/org/mulleinshift/compatibility/FeatureGates.java
@@ -5,11 +5,11 @@
 import org.mulleinshift.model.ClusterView;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StoreCodec.Guard;
-import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.Compare;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.protocol.StoreCodec.Write;
 import org.mulleinshift.store.KeyValueStore;
-import org.mulleinshift.store.KeyValueStore.Answer;
+import org.mulleinshift.store.KeyValueStore.ReadResult;
 import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.transport.EventLoop;
 import org.slf4j.Logger;
@@ -26,19 +26,19 @@
   private static final Duration RETRY = Duration.ofSeconds(1);
 
   /** Since this build a chunk of progress may be cut into parts. */
-  public static final int PARTS = 1;
+  public static final int SPLIT_CHUNKS = 1;
 
   /** Since this build progress may stand in the log. */
   public static final int PROGRESS_LOG = 2;
 
-  private static final int OWN = PROGRESS_LOG;
+  private static final int OWN_LEVEL = PROGRESS_LOG;
 
   private final EventLoop loop;
   private final KeyValueStore store;
   private final NodeId self;
   private final List<NodeId> members;
   private final ClusterView view;
-  private int told;
+  private int loggedLevel;
 
   /** Of all configured members, this one included. */
   public FeatureGates(
@@ -53,14 +53,14 @@
   /** Shows the build of this process. */
   public void start() {
     store.get(
-        StoreKeys.build(self),
+        StoreKeys.featureLevel(self),
         KeyValueStore.Urgency.URGENT,
         answer -> {
-          if (answer instanceof Answer.Absent<Item>) {
-            show(new Revision(0));
-          } else if (answer instanceof Answer.Found<Item> found) {
-            if (found.value().value().path("build").asInt() < OWN) {
-              show(found.value().version());
+          if (answer instanceof ReadResult.Absent<KeyValue>) {
+            publish(new Revision(0));
+          } else if (answer instanceof ReadResult.Found<KeyValue> found) {
+            if (found.value().value().path("build").asInt() < OWN_LEVEL) {
+              publish(found.value().revision());
             }
           } else {
             loop.after(RETRY, this::start);
@@ -68,24 +68,25 @@
         });
   }
 
-  private void show(Revision version) {
-    String key = StoreKeys.build(self);
+  private void publish(Revision version) {
+    String key = StoreKeys.featureLevel(self);
     store.commit(
-        List.of(new Guard(key, version)),
-        List.of(Write.put(key, ClusterView.buildValue(OWN))),
+        List.of(new Compare(key, version)),
+        List.of(Write.put(key, ClusterView.featureLevelValue(OWN_LEVEL))),
         KeyValueStore.Urgency.URGENT,
         outcome -> {
-          if (!(outcome instanceof KeyValueStore.Outcome.Committed)) {
+          if (!(outcome instanceof KeyValueStore.CommitResult.Committed)) {
             loop.after(RETRY, this::start);
           }
         });
   }
 
   /** Whether all members have shown that build, or a newer one. */
-  public boolean all(int build) {
-    boolean all = members.stream().allMatch(node -> view.builds().getOrDefault(node, 0) >= build);
-    if (all && told < build) {
-      told = build;
+  public boolean allSupport(int build) {
+    boolean all =
+        members.stream().allMatch(node -> view.featureLevels().getOrDefault(node, 0) >= build);
+    if (all && loggedLevel < build) {
+      loggedLevel = build;
       LOG.info("all controllers have shown build {}: its forms may be written", build);
     }
     return all;
--- a/src/main/java/org/mulleinshift/compatibility/UnreadableJobs.java
+++ b/src/main/java/org/mulleinshift/compatibility/UnreadableJobs.java
@@ -36,7 +36,7 @@
   }
 
   /** Where a job that is set aside may have tasks, by its stored progress. */
-  public void progress(JsonNode value) {
+  public void addProgress(JsonNode value) {
     JsonNode at = value.path("at");
     if (!at.isArray()) {
       anywhere = true;
@@ -44,18 +44,18 @@
     }
     for (JsonNode item : at) {
       if (item.path("b").isTextual()) {
-        mayBeAt(new ShardId(item.path("b").asText()));
+        addShard(new ShardId(item.path("b").asText()));
       } else {
         anywhere = true;
       }
     }
   }
 
-  public void mayBeAt(ShardId shard) {
+  public void addShard(ShardId shard) {
     shards.add(shard);
   }
 
-  public boolean has(JobId job) {
+  public boolean contains(JobId job) {
     return jobs.containsKey(job);
   }
 
@@ -64,14 +64,14 @@
   }
 
   /** Whether tasks that nobody may stop may be on the shard's machines. */
-  public boolean mayBeIn(ShardId shard) {
+  public boolean mayOccupy(ShardId shard) {
     return !jobs.isEmpty() && (anywhere || shards.contains(shard));
   }
 
   /** Adds what the jobs may have out to what their teams have. */
-  public void addUse(Map<TeamId, Resources> use) {
+  public void addUsage(Map<TeamId, Resources> use) {
     for (Footprint footprint : jobs.values()) {
-      footprint.team().ifPresent(team -> use.merge(team, footprint.most(), Resources::plus));
+      footprint.team().ifPresent(team -> use.merge(team, footprint.maximum(), Resources::plus));
     }
   }
 }
--- a/src/main/java/org/mulleinshift/controller/Controller.java
+++ b/src/main/java/org/mulleinshift/controller/Controller.java
@@ -34,7 +34,7 @@
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.PeerCodec;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.protocol.WorkerCodec;
 import org.mulleinshift.protocol.peer.Heartbeat;
 import org.mulleinshift.protocol.peer.JobSummary;
@@ -80,85 +80,85 @@
   private static final int MAX_RELAYED = 1 << 18;
 
   /** The ways out of the process. */
-  public record Outside(
+  public record Ports(
       EventLoop loop,
-      AsyncHttpClient state,
+      AsyncHttpClient store,
       AsyncHttpClient watches,
       AsyncHttpClient cloud,
       AsyncHttpClient workers,
       PeerTransport peers,
-      HeapMonitor margin) {}
+      HeapMonitor heapMonitor) {}
 
   private final EventLoop loop;
   private final PlatformSettings settings;
   private final Tunables tunables;
   private final NodeId self;
-  private final PeerTransport peers;
-  private final HeapMonitor margin;
+  private final PeerTransport transport;
+  private final HeapMonitor heapMonitor;
   private final PeerCodec codec = new PeerCodec();
-  private final StoreRateLimits rates;
+  private final StoreRateLimits rateLimits;
   private final KeyValueStore store;
   private final ClusterView view = new ClusterView();
   private final WatchCache control;
   private final WatchCache jobs;
   private final Set<JobId> cancelled = new HashSet<>();
-  private final PeerFailureDetector links;
-  private final StoreHealth stateLink;
-  private final IndirectLeaseRenewal proofs;
-  private final StandbyFailover succession;
+  private final PeerFailureDetector peers;
+  private final StoreHealth storeHealth;
+  private final IndirectLeaseRenewal indirectRenewal;
+  private final StandbyFailover failover;
   private final Map<NodeId, List<Object>> outbox = new HashMap<>();
   private final ControllerSession session;
   private final LeaderElection election;
-  private final FeatureGates builds;
+  private final FeatureGates featureGates;
   private final MachineTypeCatalog catalog;
-  private final OwnedShards heldShards;
-  private final JobApi frontend;
+  private final OwnedShards ownedShards;
+  private final JobApi jobApi;
   private final RunTimeEstimator runTimes = new RunTimeEstimator();
-  private final EstimateReplicator advice;
+  private final EstimateReplicator estimates;
   private final Autoscaler.Cloud cloud;
   private final List<NodeId> otherZoneFirst = new ArrayList<>();
   private final ReadinessProbe readiness;
   private Optional<Leader> leader = Optional.empty();
   private boolean jobsKnown;
-  private long badFrames;
+  private long malformedFrames;
 
-  public Controller(PlatformSettings settings, Tunables tunables, Outside ports) {
+  public Controller(PlatformSettings settings, Tunables tunables, Ports ports) {
     this.loop = ports.loop();
     this.settings = settings;
     this.tunables = tunables;
     this.self = new NodeId(settings.label());
-    this.advice = new EstimateReplicator(loop, runTimes);
-    this.peers = ports.peers();
+    this.estimates = new EstimateReplicator(loop, runTimes);
+    this.transport = ports.peers();
     settings.members().stream()
         .sorted(Comparator.comparing(member -> member.zone().equals(settings.zone())))
         .forEach(member -> otherZoneFirst.add(new NodeId(member.label())));
-    this.margin = ports.margin();
+    this.heapMonitor = ports.heapMonitor();
     PlatformSettings.Cluster cluster = settings.cluster();
-    this.rates = new StoreRateLimits(cluster);
+    this.rateLimits = new StoreRateLimits(cluster);
     this.store =
         new KeyValueStore(
             loop,
-            ports.state(),
+            ports.store(),
             ports.watches(),
-            settings.state(),
+            settings.store(),
             new KeyValueStore.Rates(
-                rates.requests(),
-                rates.writes(false),
-                cluster.state().requestsLeft(),
-                cluster.state().writesLeft()));
-    Duration spacing = rates.watchSpacing();
+                rateLimits.requests(),
+                rateLimits.writes(false),
+                cluster.store().requestsShareAfterReduction(),
+                cluster.store().writesShareAfterReduction()));
+    Duration spacing = rateLimits.watchSpacing();
     this.control = new WatchCache(loop, store, StoreKeys.CONTROL, spacing, new ControlListener());
-    this.jobs = new WatchCache(loop, store, StoreKeys.ACTIVE, spacing, new JobListener());
+    this.jobs = new WatchCache(loop, store, StoreKeys.ACTIVE_JOBS, spacing, new JobListener());
     this.readiness = new ReadinessProbe(loop, this::ready);
-    this.links = new PeerFailureDetector(loop, self);
-    this.stateLink =
+    this.peers = new PeerFailureDetector(loop, self);
+    this.storeHealth =
         new StoreHealth(
             loop,
             tunables.seconds(Tunables.Key.STATE_LOST_S),
-            rates.probeSpacing(),
+            rateLimits.probeSpacing(),
             this::probe,
             new StateLinkListener());
-    store.tell(stateLink);
+    store.observe(storeHealth);
     Duration shardLease = Leases.shard(cluster.workers(), tunables);
     this.session =
         new ControllerSession(
@@ -167,7 +167,7 @@
             self,
             shardLease,
             shorter(tunables.seconds(Tunables.Key.RENEW_S), shardLease.dividedBy(5)),
-            jobs::provePromptly,
+            jobs::confirmCurrentUrgently,
             this::onSessionChange);
     this.election =
         new LeaderElection(
@@ -176,59 +176,59 @@
             self,
             tunables.seconds(Tunables.Key.LEADER_LEASE_S),
             new ElectionListener(),
-            this::yields);
-    this.succession =
+            this::campaignDelay);
+    this.failover =
         new StandbyFailover(
             loop,
             self,
             tunables.seconds(Tunables.Key.LEADER_SILENT_S),
             tunables.seconds(Tunables.Key.LEADER_LEASE_S),
             new StandbyFailover.Parts(
-                links, view, this::linksWell, () -> beat(true), this::depose));
-    this.proofs =
+                peers, view, this::isHealthy, () -> sendHeartbeat(true), this::depose));
+    this.indirectRenewal =
         new IndirectLeaseRenewal(
             loop,
             self,
-            new IndirectLeaseRenewal.Parts(store, stateLink, links, session, view, control, jobs),
+            new IndirectLeaseRenewal.Parts(store, storeHealth, peers, session, view, control, jobs),
             this::send);
     this.catalog =
         new MachineTypeCatalog(loop, ports.cloud(), settings.cloud(), this::onSessionChange);
-    this.heldShards =
+    this.ownedShards =
         new OwnedShards(
             self,
             view,
             session,
-            new ShardOwner.Surroundings(
+            new ShardOwner.Context(
                 loop,
                 ports.workers(),
                 catalog,
                 cluster.workers(),
                 shardLease,
                 cancelled::contains,
-                this::onShardNews),
+                this::onShardStatusChange),
             new OwnedShards.Peers(
                 settings.members().stream().map(m -> new NodeId(m.label())).toList(),
                 this::answersWorkers,
-                this::onWorkerLink),
-            this::toLeader);
+                this::onReachabilityChange),
+            this::sendToLeader);
     List<NodeId> all = new ArrayList<>(List.of(self));
     settings.members().forEach(member -> all.add(new NodeId(member.label())));
-    this.builds = new FeatureGates(loop, store, self, all, view);
-    this.frontend =
+    this.featureGates = new FeatureGates(loop, store, self, all, view);
+    this.jobApi =
         new JobApi(
             loop,
             store,
             catalog,
             cluster,
             tunables.count(Tunables.Key.RETRY_AFTER_S),
-            jobs::prove,
-            ports.margin()::pressure,
+            jobs::confirmCurrent,
+            ports.heapMonitor()::pressure,
             this::onCancelled);
     this.cloud =
         new Autoscaler.Cloud(
             ports.cloud(),
             settings.cloud(),
-            new RateLimiter(loop, cluster.cloudLimits().requestsPerSecond() * 0.6));
+            new RateLimiter(loop, cluster.cloud().requestsPerSecond() * 0.6));
   }
 
   private static Duration shorter(Duration one, Duration other) {
@@ -236,33 +236,33 @@
   }
 
   public void start() {
-    margin.start();
-    stateLink.start();
+    heapMonitor.start();
+    storeHealth.start();
     session.start();
-    builds.start();
+    featureGates.start();
     control.start();
     jobs.start();
     catalog.start();
-    heldShards.start();
-    succession.start();
-    loop.onStandstill(this::stoodStill);
-    beatRegularly();
+    ownedShards.start();
+    failover.start();
+    loop.onProcessPause(this::onProcessPause);
+    sendHeartbeatsPeriodically();
   }
 
   @Override
   public void handle(String method, String path, String body, Responder responder) {
     if (path.equals(WorkerCodec.CHECKIN)) {
-      if (only("POST", method, responder)) {
-        heldShards.checkin(body, responder);
+      if (requireMethod("POST", method, responder)) {
+        ownedShards.onHeartbeat(body, responder);
       }
     } else if (path.equals(JobCodec.RUNS)) {
-      if (only("POST", method, responder)) {
-        frontend.submit(body, responder);
+      if (requireMethod("POST", method, responder)) {
+        jobApi.submit(body, responder);
       }
     } else if (path.startsWith(JobCodec.RUNS + "/")) {
       handleJob(method, path.substring(JobCodec.RUNS.length() + 1), responder);
     } else if (path.equals("/ready")) {
-      if (only("GET", method, responder)) {
+      if (requireMethod("GET", method, responder)) {
         readiness.answer(responder);
       }
     } else {
@@ -274,19 +274,19 @@
     int slash = rest.indexOf('/');
     JobId job = new JobId(slash < 0 ? rest : rest.substring(0, slash));
     if (slash < 0) {
-      if (only("GET", method, responder)) {
-        frontend.poll(job, responder);
+      if (requireMethod("GET", method, responder)) {
+        jobApi.poll(job, responder);
       }
     } else if (rest.substring(slash).equals("/withdraw")) {
-      if (only("POST", method, responder)) {
-        frontend.withdraw(job, responder);
+      if (requireMethod("POST", method, responder)) {
+        jobApi.cancelJob(job, responder);
       }
     } else {
       responder.respond(404, JobCodec.error("no such path"));
     }
   }
 
-  private static boolean only(String wanted, String method, Responder responder) {
+  private static boolean requireMethod(String wanted, String method, Responder responder) {
     if (wanted.equals(method)) {
       return true;
     }
@@ -297,74 +297,77 @@
   /** Not ready while only this node is without the state service: others can do better. */
   private boolean ready() {
     boolean started =
-        session.state() == ControllerSession.State.HELD && jobsKnown && catalog.known();
-    return started && stateLink.state() != StoreHealth.State.LOST;
+        session.state() == ControllerSession.State.ACTIVE && jobsKnown && catalog.isLoaded();
+    return started && storeHealth.state() != StoreHealth.State.LOST;
   }
 
   /** How a controller stands to its workers, by its own word. */
-  private WorkerReachability.State hearing(NodeId node) {
+  private WorkerReachability.State reachabilityOf(NodeId node) {
     if (node.equals(self)) {
-      return heldShards.hearing();
+      return ownedShards.reachability();
     }
-    return links.word(node).map(PeerFailureDetector::workers).orElse(WorkerReachability.State.WELL);
+    return peers
+        .freshHeartbeat(node)
+        .map(PeerFailureDetector::workerReachability)
+        .orElse(WorkerReachability.State.WELL);
   }
 
   private boolean storeLost(NodeId node) {
     return node.equals(self)
-        ? stateLink.state() == StoreHealth.State.LOST
-        : links.word(node).filter(Heartbeat::getStoreLost).isPresent();
+        ? storeHealth.state() == StoreHealth.State.LOST
+        : peers.freshHeartbeat(node).filter(Heartbeat::getStoreLost).isPresent();
   }
 
   /** Whether workers should be sent there: not to one that is silent, or cannot hear them. */
   private boolean answersWorkers(NodeId node) {
-    return links.silence(node).compareTo(PeerFailureDetector.FRESH) < 0
-        && hearing(node).compareTo(WorkerReachability.State.DOUBTED) <= 0;
+    return peers.silence(node).compareTo(PeerFailureDetector.FRESH) < 0
+        && reachabilityOf(node).compareTo(WorkerReachability.State.DOUBTED) <= 0;
   }
 
-  private void beatRegularly() {
-    loop.after(election.leading() ? LEADER_HEARTBEAT : HEARTBEAT, this::beatRegularly);
-    beat();
+  private void sendHeartbeatsPeriodically() {
+    loop.after(election.leading() ? LEADER_HEARTBEAT : HEARTBEAT, this::sendHeartbeatsPeriodically);
+    sendHeartbeat();
   }
 
-  private void onWorkerLink() {
-    LOG.info("links: {}", links.describe());
-    beat();
+  private void onReachabilityChange() {
+    LOG.info("links: {}", peers.describe());
+    sendHeartbeat();
   }
 
-  private void beat() {
-    beat(false);
+  private void sendHeartbeat() {
+    sendHeartbeat(false);
   }
 
-  private void beat(boolean answerSoon) {
-    boolean served = stateLink.state() == StoreHealth.State.SERVED;
+  private void sendHeartbeat(boolean answerSoon) {
+    boolean served = storeHealth.state() == StoreHealth.State.SERVED;
     Optional<ClusterView.LeaderRecord> seen = served ? view.leader() : Optional.empty();
     Heartbeat beat =
         new Heartbeat(
-            session.hold().map(hold -> hold.value()).orElse(0L),
-            stateLink.silence().toMillis(),
-            stateLink.state() == StoreHealth.State.LOST,
-            heldShards.hearing().wireName(),
+            session.lease().map(hold -> hold.value()).orElse(0L),
+            storeHealth.silence().toMillis(),
+            storeHealth.state() == StoreHealth.State.LOST,
+            ownedShards.reachability().wireName(),
             seen.map(record -> record.node().value()).orElse(""),
             seen.map(record -> record.term().value()).orElse(0L),
-            election.leading() ? succession.choose(otherZoneFirst) : "",
+            election.leading() ? failover.choose(otherZoneFirst) : "",
             answerSoon,
-            links.heardList());
+            peers.lastHeardList());
     settings.members().forEach(member -> send(new NodeId(member.label()), beat));
   }
 
-  private boolean linksWell() {
-    return stateLink.state() == StoreHealth.State.SERVED
-        && heldShards.hearing() == WorkerReachability.State.WELL
+  private boolean isHealthy() {
+    return storeHealth.state() == StoreHealth.State.SERVED
+        && ownedShards.reachability() == WorkerReachability.State.WELL
         && control.state() == WatchCache.State.WATCHING;
   }
 
   /** The leader is gone: its lease need not end by itself, every write of its term demands it. */
-  private void depose(LeaderElection.Standing gone) {
-    election.onResignation(gone, true, view);
+  private void depose(LeaderElection.TermLease gone) {
+    election.onLeadershipTransfer(gone, true, view);
   }
 
-  private Duration yields() {
-    return succession.yields();
+  private Duration campaignDelay() {
+    return failover.yields();
   }
 
   /** A call whose answer tells how the link to the state service is. */
@@ -372,31 +375,34 @@
     store.get(StoreKeys.LEADER, KeyValueStore.Urgency.URGENT, answer -> {});
   }
 
-  private void onBeat(NodeId sender, Heartbeat beat) {
-    links.beat(sender, beat);
+  private void onHeartbeat(NodeId sender, Heartbeat beat) {
+    peers.onHeartbeat(sender, beat);
     if (beat.getReplyImmediately()) {
       // What the sender asks is whether the service answers anybody just now.
-      store.get(StoreKeys.LEADER, KeyValueStore.Urgency.URGENT, answer -> beat());
+      store.get(StoreKeys.LEADER, KeyValueStore.Urgency.URGENT, answer -> sendHeartbeat());
     }
-    leaderByPeers()
+    leaderReportedByPeers()
         .filter(record -> !record.node().equals(self))
-        .filter(record -> election.standing().filter(own -> later(record, own)).isPresent())
+        .filter(record -> election.termLease().filter(own -> isNewerTerm(record, own)).isPresent())
         .ifPresent(record -> election.resign("a peer sees another leader"));
   }
 
-  private static boolean later(ClusterView.LeaderRecord record, LeaderElection.Standing own) {
+  private static boolean isNewerTerm(
+      ClusterView.LeaderRecord record, LeaderElection.TermLease own) {
     return record.term().compareTo(own.term()) > 0;
   }
 
   /** Of a controller that cannot see for itself who leads, its served peers' word counts. */
-  private Optional<ClusterView.LeaderRecord> leaderByPeers() {
-    return stateLink.state() == StoreHealth.State.SERVED ? Optional.empty() : links.leaderByPeers();
+  private Optional<ClusterView.LeaderRecord> leaderReportedByPeers() {
+    return storeHealth.state() == StoreHealth.State.SERVED
+        ? Optional.empty()
+        : peers.leaderReportedByPeers();
   }
 
   /** The newest leader by the own view or by peers. */
   private Optional<ClusterView.LeaderRecord> knownLeader() {
     Optional<ClusterView.LeaderRecord> seen = view.leader();
-    Optional<ClusterView.LeaderRecord> told = leaderByPeers();
+    Optional<ClusterView.LeaderRecord> told = leaderReportedByPeers();
     boolean newer =
         told.isPresent() && (seen.isEmpty() || told.get().term().compareTo(seen.get().term()) > 0);
     return newer ? told : seen;
@@ -406,15 +412,15 @@
    * This process stood still while the clocks ran on. What it has not heard since says nothing of
    * the others; whatever else was fresh before is checked by the clock where it is acted on.
    */
-  private void stoodStill(Duration gap) {
+  private void onProcessPause(Duration gap) {
     LOG.warn("stood still for {} ms", gap.toMillis());
-    links.stoodStill();
-    heldShards.stoodStill();
+    peers.onProcessPause();
+    ownedShards.onProcessPause();
   }
 
   private void send(NodeId node, Object body) {
     if (node.equals(self)) {
-      deliver(self, body);
+      dispatch(self, body);
     } else {
       // What one step has to say to a peer goes in one frame.
       List<Object> waiting = outbox.computeIfAbsent(node, key -> new ArrayList<>());
@@ -427,15 +433,15 @@
 
   private void flush(NodeId node) {
     byte[] frame = codec.write(self, outbox.remove(node));
-    peers.send(node.value(), frame);
+    transport.send(node.value(), frame);
     // Where the two don't hear each other a third that hears both brings it, at worst a second
     // time: every message can be repeated.
     if (frame.length <= MAX_RELAYED) {
-      links
+      peers
           .relayTo(node)
           .ifPresent(
               third ->
-                  peers.send(
+                  transport.send(
                       third.value(),
                       codec.write(
                           self, List.of(new RelayedFrame(node.value(), ByteBuffer.wrap(frame))))));
@@ -443,9 +449,9 @@
   }
 
   /** A leader whose lease may be over takes no reports, not even its own. */
-  private void toLeader(Object body) {
-    if (leader.isPresent() && election.certain()) {
-      deliver(self, body);
+  private void sendToLeader(Object body) {
+    if (leader.isPresent() && election.holdsValidLease()) {
+      dispatch(self, body);
     } else {
       knownLeader()
           .filter(record -> !record.node().equals(self))
@@ -466,10 +472,10 @@
       if (!known) {
         throw new MalformedMessageException("unknown sender");
       }
-      links.heard(sender, direct);
-      message.getBodies().forEach(body -> deliver(sender, body));
+      peers.onMessage(sender, direct);
+      message.getBodies().forEach(body -> dispatch(sender, body));
     } catch (MalformedMessageException e) {
-      if (badFrames++ % 100 == 0) {
+      if (malformedFrames++ % 100 == 0) {
         LOG.warn("peer frame: {}", e.getMessage());
       }
     }
@@ -482,59 +488,59 @@
     if (relay.getReceiver().equals(self.value())) {
       onFrame(frame, false);
     } else if (settings.members().stream().anyMatch(m -> m.label().equals(relay.getReceiver()))) {
-      peers.send(
+      transport.send(
           relay.getReceiver(),
           codec.write(self, List.of(new RelayedFrame(relay.getReceiver(), relay.getFrame()))));
     }
   }
 
-  private void deliver(NodeId sender, Object body) {
+  private void dispatch(NodeId sender, Object body) {
     if (body instanceof Heartbeat beat) {
-      onBeat(sender, beat);
+      onHeartbeat(sender, beat);
     } else if (body instanceof ShardAssignment assignment) {
-      heldShards.onAssignment(assignment);
+      ownedShards.onAssignment(assignment);
     } else if (body instanceof ShardStatus report) {
-      leader.ifPresent(term -> term.onShardReport(report));
+      leader.ifPresent(term -> term.onShardStatus(report));
     } else if (body instanceof ShardStatusAck seen) {
-      heldShards.onReportsSeen(seen);
+      ownedShards.onStatusAck(seen);
     } else if (body instanceof UnknownWorkerReport report) {
-      leader.ifPresent(term -> term.onStranger(report));
+      leader.ifPresent(term -> term.onUnknownWorker(report));
     } else if (body instanceof OwnerSuspicion suspicion) {
-      leader.ifPresent(term -> term.onSuspicion(suspicion));
+      leader.ifPresent(term -> term.onOwnerSuspicion(suspicion));
     } else if (body instanceof JobSummary digest) {
-      frontend.onDigest(digest);
+      jobApi.onSummary(digest);
     } else if (body instanceof RelayedFrame relay) {
       onRelay(relay);
     } else if (body instanceof LearnedEstimates told) {
-      advice.onAdvice(told);
+      estimates.onEstimates(told);
     } else if (body instanceof LeaseRenewalRequest request) {
-      proofs.onRequest(sender, request);
+      indirectRenewal.onRequest(sender, request);
     } else if (body instanceof LeaseRenewalResponse answer) {
-      proofs.onAnswer(sender, answer);
+      indirectRenewal.onResponse(sender, answer);
     } else if (body instanceof LeadershipTransfer resignation) {
-      onResignation(resignation);
+      onLeadershipTransfer(resignation);
     }
   }
 
   /** A leader that lost the state service asks the best placed peer to lead. */
-  private void resign() {
-    Optional<LeaderElection.Standing> standing = election.standing();
-    List<NodeId> served = links.servedPeers();
+  private void transferLeadership() {
+    Optional<LeaderElection.TermLease> standing = election.termLease();
+    List<NodeId> served = peers.peersServedByStore();
     if (standing.isEmpty() || served.isEmpty()) {
       return;
     }
     LeadershipTransfer resignation =
         new LeadershipTransfer(
-            standing.get().term().value(), standing.get().hold().value(), served.get(0).value());
+            standing.get().term().value(), standing.get().lease().value(), served.get(0).value());
     LOG.warn("term {} given up, {} is to lead", standing.get().term(), served.get(0));
     election.resign("the state service is lost");
     settings.members().forEach(member -> send(new NodeId(member.label()), resignation));
   }
 
-  private void onResignation(LeadershipTransfer resignation) {
-    if (stateLink.state() == StoreHealth.State.SERVED) {
-      election.onResignation(
-          new LeaderElection.Standing(
+  private void onLeadershipTransfer(LeadershipTransfer resignation) {
+    if (storeHealth.state() == StoreHealth.State.SERVED) {
+      election.onLeadershipTransfer(
+          new LeaderElection.TermLease(
               new Revision(resignation.getTerm()), new LeaseId(resignation.getLease())),
           resignation.getSuccessor().equals(self.value()),
           view);
@@ -542,50 +548,50 @@
   }
 
   private void onSessionChange() {
-    if (heldShards != null) {
-      heldShards.onControlChange();
+    if (ownedShards != null) {
+      ownedShards.onControlChange();
       observeElection();
     }
   }
 
   private void observeElection() {
     boolean ready =
-        session.state() == ControllerSession.State.HELD
-            && stateLink.state() == StoreHealth.State.SERVED
+        session.state() == ControllerSession.State.ACTIVE
+            && storeHealth.state() == StoreHealth.State.SERVED
             && control.state() == WatchCache.State.WATCHING
             && jobsKnown
-            && catalog.known();
+            && catalog.isLoaded();
     election.observe(view, ready);
   }
 
-  private void onShardNews() {
-    heldShards.reportSoon();
+  private void onShardStatusChange() {
+    ownedShards.reportStatusSoon();
   }
 
   private void onCancelled(JobId job) {
     if (cancelled.add(job)) {
-      heldShards.onCancelled(job);
+      ownedShards.onCancelled(job);
     }
   }
 
   private final class StateLinkListener implements StoreHealth.Listener {
     @Override
     public void doubted() {
-      beat(true);
+      sendHeartbeat(true);
     }
 
     @Override
     public boolean peerServedSince(MonotonicTime moment) {
-      return links.anyServedSince(moment);
+      return peers.anyServedSince(moment);
     }
 
     @Override
     public void changed(StoreHealth.State next) {
-      LOG.info("links: {}", links.describe());
-      beat();
+      LOG.info("links: {}", peers.describe());
+      sendHeartbeat();
       if (next == StoreHealth.State.LOST) {
-        resign();
-        proofs.start();
+        transferLeadership();
+        indirectRenewal.start();
       }
       observeElection();
     }
@@ -595,18 +601,18 @@
     private boolean grantsChanged;
 
     @Override
-    public void changed(String key, Optional<Item> item) {
+    public void onChange(String key, Optional<KeyValue> item) {
       view.apply(key, item);
       grantsChanged |= key.startsWith(StoreKeys.GRANTS);
     }
 
     @Override
-    public void settled(Revision revision) {
+    public void onCaughtUp(Revision revision) {
       if (grantsChanged) {
         grantsChanged = false;
-        session.verifySoon();
+        session.verifyGrantsSoon();
       }
-      heldShards.onControlChange();
+      ownedShards.onControlChange();
       leader.ifPresent(Leader::onControlChange);
       observeElection();
     }
@@ -614,15 +620,15 @@
 
   private final class JobListener implements WatchCache.Listener {
     @Override
-    public void changed(String key, Optional<Item> item) {
-      JobId id = new JobId(key.substring(StoreKeys.ACTIVE.length()));
+    public void onChange(String key, Optional<KeyValue> item) {
+      JobId id = new JobId(key.substring(StoreKeys.ACTIVE_JOBS.length()));
       if (item.isEmpty()) {
         cancelled.remove(id);
-        frontend.onNoLongerActive(id);
+        jobApi.onNoLongerActive(id);
         return;
       }
       Optional<JobRecord> read = JobRecord.read(item.get());
-      frontend.onActive(id, read);
+      jobApi.onActive(id, read);
       if (read.isEmpty()) {
         leader.ifPresent(term -> term.onUnreadable(id, item.get().value()));
       }
@@ -636,8 +642,8 @@
     }
 
     @Override
-    public void settled(Revision revision) {
-      jobs.knownAsOf().ifPresent(session::cancellationsKnown);
+    public void onCaughtUp(Revision revision) {
+      jobs.currentAsOf().ifPresent(session::onCancellationsKnown);
       if (!jobsKnown) {
         jobsKnown = true;
         observeElection();
@@ -647,10 +653,10 @@
 
   private final class ElectionListener implements LeaderElection.Listener {
     @Override
-    public void won(Revision term) {
+    public void onElected(Revision term) {
       Leader next =
           new Leader(
-              new Leader.Surroundings(
+              new Leader.Context(
                   loop,
                   store,
                   settings,
@@ -659,27 +665,27 @@
                   view,
                   catalog,
                   runTimes,
-                  advice,
-                  builds,
-                  succession::named,
-                  links::silence,
-                  Controller.this::hearing,
+                  estimates,
+                  featureGates,
+                  failover::named,
+                  peers::silence,
+                  Controller.this::reachabilityOf,
                   Controller.this::storeLost,
                   Controller.this::send,
-                  election::certain,
+                  election::holdsValidLease,
                   () -> election.resign("another leader's term")),
               cloud,
               term);
       leader = Optional.of(next);
-      store.writeRate(rates.writes(true));
+      store.writeRate(rateLimits.writes(true));
       next.start();
     }
 
     @Override
-    public void lost() {
+    public void onLeadershipLost() {
       leader.ifPresent(Leader::retire);
       leader = Optional.empty();
-      store.writeRate(rates.writes(false));
+      store.writeRate(rateLimits.writes(false));
       loop.after(Duration.ofMillis(500), Controller.this::observeElection);
     }
   }
--- a/src/main/java/org/mulleinshift/controller/StoreRateLimits.java
+++ b/src/main/java/org/mulleinshift/controller/StoreRateLimits.java
@@ -33,7 +33,7 @@
   /** Requests a second of one controller. */
   double requests() {
     double share = 1.0 / Math.max(1, cluster.size());
-    return cluster.state().requestsPerSecond() * Math.min(1, share * ABOVE_EVEN_SHARE);
+    return cluster.store().requestsPerSecond() * Math.min(1, share * ABOVE_EVEN_SHARE);
   }
 
   /**
@@ -46,20 +46,20 @@
         leading || cluster.size() == 1
             ? LEADER_WRITES
             : Math.max(MIN_WRITES, OTHER_WRITES / others);
-    return cluster.state().writesPerSecond() * share;
+    return cluster.store().writesPerSecond() * share;
   }
 
   /**
    * Every change that is watched costs each controller a request: they share a part of the rate.
    */
   Duration watchSpacing() {
-    double seconds = WATCHES * cluster.size() / (WATCH_SHARE * cluster.state().requestsPerSecond());
+    double seconds = WATCHES * cluster.size() / (WATCH_SHARE * cluster.store().requestsPerSecond());
     return Duration.ofMillis((long) (1000 * seconds));
   }
 
   /** Time between two probes of a node's link to the state service. */
   Duration probeSpacing() {
-    double probes = PROBE_SHARE * cluster.state().requestsPerSecond() / cluster.size();
+    double probes = PROBE_SHARE * cluster.store().requestsPerSecond() / cluster.size();
     Duration spacing = Duration.ofMillis((long) (1000 / probes));
     return spacing.compareTo(MIN_PROBE) < 0 ? MIN_PROBE : spacing;
   }
--- a/src/main/java/org/mulleinshift/dependencies/CascadingCancellations.java
+++ b/src/main/java/org/mulleinshift/dependencies/CascadingCancellations.java
@@ -27,8 +27,8 @@
 
   /** An active job as it is stored now. */
   public void onActive(JobRecord job) {
-    if (!job.awaits().none()) {
-      needs.put(job.id(), job.awaits().named());
+    if (!job.dependencies().isEmpty()) {
+      needs.put(job.id(), job.dependencies().named());
       changed = true;
     }
     if (job.cancelled()) {
@@ -55,12 +55,12 @@
     }
     if (changed) {
       changed = false;
-      work();
+      recompute();
     }
     return found.contains(job);
   }
 
-  private void work() {
+  private void recompute() {
     Map<JobId, Set<JobId>> neededBy = new HashMap<>();
     needs.forEach(
         (job, all) ->
--- a/src/main/java/org/mulleinshift/dependencies/DependencyListWriter.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyListWriter.java
@@ -11,10 +11,10 @@
 import org.mulleinshift.model.JobDependencies;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StoreCodec.Guard;
+import org.mulleinshift.protocol.StoreCodec.Compare;
 import org.mulleinshift.protocol.StoreCodec.Write;
 import org.mulleinshift.store.KeyValueStore;
-import org.mulleinshift.store.KeyValueStore.Outcome;
+import org.mulleinshift.store.KeyValueStore.CommitResult;
 import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.transport.EventLoop;
 
@@ -48,13 +48,17 @@
 
   /** Tells what the record is to hold, or a failure: then nothing was accepted. */
   public void write(
-      JobId job, List<JobId> awaited, Consumer<JobDependencies> written, Consumer<Outcome> failed) {
+      JobId job,
+      List<JobId> awaited,
+      Consumer<JobDependencies> written,
+      Consumer<CommitResult> failed) {
     String names = job + " " + awaited;
     String digest = UUID.nameUUIDFromBytes(names.getBytes(StandardCharsets.UTF_8)).toString();
-    List<List<JobId>> lists = JobDependencies.cut(awaited, valueBytes);
+    List<List<JobId>> lists = JobDependencies.partition(awaited, valueBytes);
     List<Write> writes = new ArrayList<>();
     for (int i = 0; i < lists.size(); i++) {
-      writes.add(Write.put(StoreKeys.awaited(job, digest, i), JobDependencies.list(lists.get(i))));
+      writes.add(
+          Write.put(StoreKeys.dependencyList(job, digest, i), JobDependencies.list(lists.get(i))));
     }
     JobDependencies record = new JobDependencies(List.of(), lists.size(), digest);
     Attempt attempt = new Attempt(job, digest, writes, () -> written.accept(record), failed);
@@ -62,7 +66,11 @@
   }
 
   private record Attempt(
-      JobId job, String digest, List<Write> writes, Runnable written, Consumer<Outcome> failed) {}
+      JobId job,
+      String digest,
+      List<Write> writes,
+      Runnable written,
+      Consumer<CommitResult> failed) {}
 
   private void next(Attempt attempt, int tries) {
     JobId job = attempt.job();
@@ -75,15 +83,15 @@
     List<Write> batch = left.subList(0, Math.min(maxOps, left.size()));
     store.commit(
         List.of(
-            new Guard(StoreKeys.active(job), new Revision(0)),
-            new Guard(StoreKeys.ended(job), new Revision(0))),
+            new Compare(StoreKeys.activeJob(job), new Revision(0)),
+            new Compare(StoreKeys.endedJob(job), new Revision(0))),
         batch,
         KeyValueStore.Urgency.PROMPT,
         outcome -> {
-          if (outcome instanceof Outcome.Committed) {
+          if (outcome instanceof CommitResult.Committed) {
             begun.put(attempt.digest(), from + batch.size());
             next(attempt, tries);
-          } else if (outcome instanceof Outcome.Busy && tries > 0) {
+          } else if (outcome instanceof CommitResult.Busy && tries > 0) {
             loop.after(BUSY_PAUSE, () -> next(attempt, tries - 1));
           } else {
             attempt.failed().accept(outcome);
--- a/src/main/java/org/mulleinshift/dependencies/DependencyLoader.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyLoader.java
@@ -15,9 +15,9 @@
 import org.mulleinshift.model.JobRecord;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.MalformedMessageException;
-import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.store.KeyValueStore;
-import org.mulleinshift.store.KeyValueStore.Answer;
+import org.mulleinshift.store.KeyValueStore.ReadResult;
 import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.transport.EventLoop;
 import org.slf4j.Logger;
@@ -58,7 +58,7 @@
   }
 
   /** How a job ended that is not among the active ones; asked once at a time. */
-  public void end(JobId job) {
+  public void loadEnd(JobId job) {
     if (asked.add(job)) {
       enqueue(() -> readEnd(job));
     }
@@ -66,22 +66,22 @@
 
   private void readEnd(JobId job) {
     get(
-        StoreKeys.ended(job),
+        StoreKeys.endedJob(job),
         item -> {
           asked.remove(job);
-          item.flatMap(DependencyLoader::end).ifPresent(end -> ended.accept(job, end));
+          item.flatMap(DependencyLoader::loadEnd).ifPresent(end -> ended.accept(job, end));
         });
   }
 
   /** None if this build can't read it: what awaits the job waits on. */
-  private static Optional<DependencyResolver.End> end(Item item) {
+  private static Optional<DependencyResolver.End> loadEnd(KeyValue item) {
     return JobRecord.endedPhase(item)
         .map(phase -> new DependencyResolver.End(phase, JobRecord.endedMillis(item).orElse(0)));
   }
 
   /** All that a job awaits; never called back if that can't be read, and the job waits on. */
-  public void lists(
-      JobId job, JobDependencies awaits, Consumer<List<JobId>> then, Consumer<Item> read) {
+  public void loadLists(
+      JobId job, JobDependencies awaits, Consumer<List<JobId>> then, Consumer<KeyValue> read) {
     enqueue(() -> readList(job, awaits, 0, new ArrayList<>(), then, read));
   }
 
@@ -91,8 +91,8 @@
       int list,
       List<JobId> found,
       Consumer<List<JobId>> then,
-      Consumer<Item> read) {
-    String key = StoreKeys.awaited(job, awaits.digest(), list);
+      Consumer<KeyValue> read) {
+    String key = StoreKeys.dependencyList(job, awaits.digest(), list);
     get(
         key,
         item -> {
@@ -127,18 +127,18 @@
   }
 
   /** The key as it stands; without an answer it is asked for again. */
-  private void get(String key, Consumer<Optional<Item>> then) {
+  private void get(String key, Consumer<Optional<KeyValue>> then) {
     store.get(
         key,
         KeyValueStore.Urgency.NORMAL,
         answer -> {
           if (!wanted.getAsBoolean()) {
             queue.clear();
-          } else if (answer instanceof Answer.Found<Item> found) {
+          } else if (answer instanceof ReadResult.Found<KeyValue> found) {
             open--;
             then.accept(Optional.of(found.value()));
             next();
-          } else if (answer instanceof Answer.Absent<Item>) {
+          } else if (answer instanceof ReadResult.Absent<KeyValue>) {
             open--;
             then.accept(Optional.empty());
             next();
--- a/src/main/java/org/mulleinshift/dependencies/DependencyResolver.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyResolver.java
@@ -38,17 +38,17 @@
   /** What becomes of jobs that waited. */
   public interface Listener {
     /** All that it awaited is done. */
-    void released(Job job);
+    void onReleased(Job job);
 
     /** Something that it needs was cancelled, and so is it. */
-    void cancelled(Job job);
+    void onCancelled(Job job);
   }
 
   /** A job that should be released within some time. */
-  public record Soon(Job job, double inSeconds) {}
+  public record ExpectedRelease(Job job, double inSeconds) {}
 
   private final DependencyGraph graph = new DependencyGraph();
-  private final Map<JobId, Job> held = new LinkedHashMap<>();
+  private final Map<JobId, Job> waitingJobs = new LinkedHashMap<>();
   private final Map<JobId, Long> lastEnds = new HashMap<>();
   private final Map<JobId, Job> heirs = new HashMap<>();
   private final Listener listener;
@@ -61,69 +61,69 @@
   }
 
   /** A job that waits; what it awaits is not looked at before {@link #await}. */
-  public void hold(Job job) {
-    held.put(job.spec().id(), job);
+  public void await(Job job) {
+    waitingJobs.put(job.spec().id(), job);
   }
 
-  public Optional<Job> held(JobId job) {
-    return Optional.ofNullable(held.get(job));
+  public Optional<Job> waitingJobs(JobId job) {
+    return Optional.ofNullable(waitingJobs.get(job));
   }
 
-  public Collection<Job> held() {
-    return held.values();
+  public Collection<Job> waitingJobs() {
+    return waitingJobs.values();
   }
 
   /** It waits no more, for whatever reason. */
-  public void leave(JobId job) {
-    held.remove(job);
+  public void remove(JobId job) {
+    waitingJobs.remove(job);
     lastEnds.remove(job);
     graph.leave(job);
     changed = true;
   }
 
   /** What a job that is held awaits. */
-  public void await(Job job, Collection<JobId> awaited) {
+  public void addDependencies(Job job, Collection<JobId> awaited) {
     graph.add(job.spec().id(), awaited);
     changed = true;
   }
 
   /** The end of a job is stored. */
-  public void ended(JobId need, End end) {
+  public void onEnded(JobId need, End end) {
     if (end.phase() == JobPhase.DONE) {
-      done(need, end.atMillis());
+      onDone(need, end.atMillis());
     } else {
-      cancelled(need);
+      onCancelled(need);
     }
   }
 
-  private void done(JobId need, long atMillis) {
+  private void onDone(JobId need, long atMillis) {
     graph.neededBy(need).forEach(job -> lastEnds.merge(job, atMillis, Math::max));
     for (JobId id : graph.done(need)) {
-      Job job = held.get(id);
+      Job job = waitingJobs.get(id);
       long last = lastEnds.getOrDefault(id, atMillis);
-      leave(id);
+      remove(id);
       if (job != null) {
         job.release(last, wallMillis.getAsLong());
-        listener.released(job);
+        listener.onReleased(job);
       }
     }
     changed = true;
   }
 
   /** Cancelled, as stored: whatever needs it ends the same way, none of it has a task. */
-  public void cancelled(JobId need) {
+  public void onCancelled(JobId need) {
     List<JobId> fallen = graph.dependants(need);
     if (!fallen.isEmpty()) {
       LOG.info("{} is cancelled, and {} that need it", need, fallen.size());
     }
     List<Job> jobs = new ArrayList<>();
     for (JobId id : fallen) {
-      held(id).ifPresent(jobs::add);
-      leave(id);
+      waitingJobs(id).ifPresent(jobs::add);
+      remove(id);
     }
     for (Job job : jobs) {
       job.cancel();
-      listener.cancelled(job);
+      listener.onCancelled(job);
     }
   }
 
@@ -140,25 +140,26 @@
    * @param open a job that is not over and does not wait
    * @param expectedSeconds of one of a job's tasks
    */
-  public void inherit(Function<JobId, Optional<Job>> open, ToDoubleFunction<Job> expectedSeconds) {
+  public void propagatePriorities(
+      Function<JobId, Optional<Job>> open, ToDoubleFunction<Job> expectedSeconds) {
     Map<JobId, Job.Inherited> inherited = new HashMap<>();
     Map<JobId, Job> next = new HashMap<>();
     graph.visitLastFirst(
         id -> {
-          Optional<Job> found = held(id).or(() -> open.apply(id));
+          Optional<Job> found = waitingJobs(id).or(() -> open.apply(id));
           if (found.isEmpty()) {
             return;
           }
           Job job = found.get();
           next.put(id, job);
-          job.inherit(inherited.getOrDefault(id, Job.Inherited.NOTHING));
+          job.inherit(inherited.getOrDefault(id, Job.Inherited.NONE));
           double path = SPREAD * expectedSeconds.applyAsDouble(job) + HAND_ON_SECONDS;
           Job.Inherited given =
               new Job.Inherited(
                   job.priority(),
                   job.hasDeadline()
-                      ? job.dueMillis() - (long) (1000 * path)
-                      : Job.Inherited.NOTHING.endMillis());
+                      ? job.deadlineMillis() - (long) (1000 * path)
+                      : Job.Inherited.NONE.deadlineMillis());
           graph
               .needs(id)
               .forEach(need -> inherited.merge(need, given, DependencyResolver::stricter));
@@ -167,7 +168,7 @@
     heirs.forEach(
         (id, job) -> {
           if (!next.containsKey(id) && job.state() == Job.State.ACTIVE) {
-            job.inherit(Job.Inherited.NOTHING);
+            job.inherit(Job.Inherited.NONE);
           }
         });
     heirs.clear();
@@ -176,13 +177,13 @@
 
   private static Job.Inherited stricter(Job.Inherited one, Job.Inherited other) {
     Priority priority = one.priority().above(other.priority()) ? one.priority() : other.priority();
-    return new Job.Inherited(priority, Math.min(one.endMillis(), other.endMillis()));
+    return new Job.Inherited(priority, Math.min(one.deadlineMillis(), other.deadlineMillis()));
   }
 
   /** Held jobs, each after all that it awaits. */
   private List<Job> heldFirstToLast() {
     List<Job> jobs = new ArrayList<>();
-    graph.visitLastFirst(id -> held(id).ifPresent(jobs::add));
+    graph.visitLastFirst(id -> waitingJobs(id).ifPresent(jobs::add));
     Collections.reverse(jobs);
     return jobs;
   }
@@ -192,17 +193,17 @@
    *
    * @param endsIn seconds until a job that does not wait should end
    */
-  public List<Soon> soon(
+  public List<ExpectedRelease> expectedReleases(
       double horizon,
       Function<JobId, Optional<Job>> open,
       ToDoubleFunction<Job> endsIn,
       ToDoubleFunction<Job> expectedSeconds) {
-    List<Soon> found = new ArrayList<>();
+    List<ExpectedRelease> found = new ArrayList<>();
     Map<JobId, Double> releases = new HashMap<>();
     for (Job job : heldFirstToLast()) {
       double release = 0;
       for (JobId need : graph.needs(job.spec().id())) {
-        Job waiting = held.get(need);
+        Job waiting = waitingJobs.get(need);
         double end;
         if (waiting != null) {
           end =
@@ -216,7 +217,7 @@
       }
       releases.put(job.spec().id(), release);
       if (release <= horizon) {
-        found.add(new Soon(job, release));
+        found.add(new ExpectedRelease(job, release));
       }
     }
     return found;
--- a/src/main/java/org/mulleinshift/dependencies/DependencyTracker.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyTracker.java
@@ -23,80 +23,80 @@
   private static final double INHERIT_SECONDS = 2;
 
   private final Leader leader;
-  private final Leader.Surroundings context;
-  private final DependencyResolver chains;
-  private final DependencyLoader reader;
+  private final Leader.Context context;
+  private final DependencyResolver resolver;
+  private final DependencyLoader loader;
   private final Map<JobId, DependencyResolver.End> ends = new BoundedMap<>(REMEMBERED_ENDS);
   private MonotonicTime inheritedAt;
 
-  public DependencyTracker(Leader leader, Leader.Surroundings context) {
+  public DependencyTracker(Leader leader, Leader.Context context) {
     this.leader = leader;
     this.context = context;
-    this.chains = new DependencyResolver(this, context.loop()::wallMillis);
+    this.resolver = new DependencyResolver(this, context.loop()::wallMillis);
     this.inheritedAt = context.loop().now();
-    this.reader =
-        new DependencyLoader(context.loop(), context.store(), leader::serving, chains::ended);
+    this.loader =
+        new DependencyLoader(context.loop(), context.store(), leader::serving, resolver::onEnded);
   }
 
-  public Optional<Job> held(JobId job) {
-    return chains.held(job);
+  public Optional<Job> waitingJob(JobId job) {
+    return resolver.waitingJobs(job);
   }
 
   /** A job from the store: it runs as any other, or is held until what it awaits is over. */
   public void admit(JobRecord record) {
     Job job = new Job(record);
-    if (job.state() != Job.State.HELD) {
-      leader.take(job);
+    if (job.state() != Job.State.AWAITING_DEPENDENCIES) {
+      leader.addJob(job);
       return;
     }
-    chains.hold(job);
+    resolver.await(job);
     if (leader.leading()) {
-      await(job);
+      loadDependencies(job);
     }
   }
 
   /** All that is stored was read, progress too: what has some was let go before. */
   public void begin() {
-    for (Job job : List.copyOf(chains.held())) {
-      if (job.state() == Job.State.HELD) {
-        await(job);
+    for (Job job : List.copyOf(resolver.waitingJobs())) {
+      if (job.state() == Job.State.AWAITING_DEPENDENCIES) {
+        loadDependencies(job);
       } else {
-        chains.leave(job.spec().id());
-        leader.take(job);
+        resolver.remove(job.spec().id());
+        leader.addJob(job);
       }
     }
   }
 
-  private void await(Job job) {
-    if (job.awaits().lists() == 0) {
-      await(job, job.awaits().named());
+  private void loadDependencies(Job job) {
+    if (job.dependencies().lists() == 0) {
+      loadDependencies(job, job.dependencies().named());
     } else {
-      reader.lists(
+      loader.loadLists(
           job.spec().id(),
-          job.awaits(),
-          awaited -> await(job, awaited),
-          item -> leader.batcher().known(item.key(), item.version()));
+          job.dependencies(),
+          awaited -> loadDependencies(job, awaited),
+          item -> leader.batcher().recordRevision(item.key(), item.revision()));
     }
   }
 
-  private void await(Job job, List<JobId> awaited) {
-    if (held(job.spec().id()).filter(found -> found == job).isEmpty()) {
+  private void loadDependencies(Job job, List<JobId> awaited) {
+    if (waitingJob(job.spec().id()).filter(found -> found == job).isEmpty()) {
       return;
     }
-    chains.await(job, awaited);
-    awaited.forEach(this::look);
+    resolver.addDependencies(job, awaited);
+    awaited.forEach(this::resolve);
   }
 
   /** What is active is known to this leader, all else is over or will be shown by the watch. */
-  private void look(JobId need) {
+  private void resolve(JobId need) {
     DependencyResolver.End end = ends.get(need);
-    Optional<Job> open = leader.known(need);
+    Optional<Job> open = leader.findJob(need);
     if (end != null) {
-      chains.ended(need, end);
+      resolver.onEnded(need, end);
     } else if (open.isEmpty()) {
-      reader.end(need);
+      loader.loadEnd(need);
     } else if (open.get().cancelled()) {
-      chains.cancelled(need);
+      resolver.onCancelled(need);
     }
   }
 
@@ -104,53 +104,54 @@
   public void update(Job job, JobRecord record) {
     job.update(record);
     if (job.state() == Job.State.CANCELLING) {
-      chains.leave(job.spec().id());
-      cancelled(job);
+      resolver.remove(job.spec().id());
+      onCancelled(job);
     }
   }
 
   /** A cancellation is stored. */
-  public void cancelledWith(JobId job) {
-    chains.cancelled(job);
+  public void onCancelled(JobId job) {
+    resolver.onCancelled(job);
   }
 
-  public void ended(Job job, long atMillis) {
-    DependencyResolver.End end = new DependencyResolver.End(job.endPhase(), atMillis);
+  public void onEnded(Job job, long atMillis) {
+    DependencyResolver.End end = new DependencyResolver.End(job.terminalPhase(), atMillis);
     ends.put(job.spec().id(), end);
-    chains.ended(job.spec().id(), end);
+    resolver.onEnded(job.spec().id(), end);
   }
 
-  public void drop(JobId job) {
-    chains.leave(job);
+  public void remove(JobId job) {
+    resolver.remove(job);
   }
 
   @Override
-  public void released(Job job) {
-    leader.take(job);
+  public void onReleased(Job job) {
+    leader.addJob(job);
   }
 
   @Override
-  public void cancelled(Job job) {
-    leader.take(job);
+  public void onCancelled(Job job) {
+    leader.addJob(job);
     leader.settle(job);
   }
 
   /** Before jobs are ranked. */
-  public void inherit() {
+  public void propagatePriorities() {
     MonotonicTime now = context.loop().now();
-    if (chains.changed() || now.secondsSince(inheritedAt) >= INHERIT_SECONDS) {
+    if (resolver.changed() || now.secondsSince(inheritedAt) >= INHERIT_SECONDS) {
       inheritedAt = now;
-      chains.inherit(this::open, context.runTimes()::expectedSeconds);
+      resolver.propagatePriorities(this::activeJob, context.runTimes()::expectedSeconds);
     }
   }
 
-  private Optional<Job> open(JobId job) {
+  private Optional<Job> activeJob(JobId job) {
     return Optional.ofNullable(leader.jobs().get(job));
   }
 
   /** Held jobs that should be let go within the horizon. */
-  public List<DependencyResolver.Soon> soon(double horizon) {
-    return chains.soon(horizon, this::open, this::endsIn, context.runTimes()::expectedSeconds);
+  public List<DependencyResolver.ExpectedRelease> expectedReleases(double horizon) {
+    return resolver.expectedReleases(
+        horizon, this::activeJob, this::endsIn, context.runTimes()::expectedSeconds);
   }
 
   /** The longest that any of the job's tasks should still take, if those that wait start now. */
@@ -163,7 +164,7 @@
     MonotonicTime now = context.loop().now();
     for (TaskAssignment assignment : job.assignments()) {
       double ran = assignment.runningSince().map(now::secondsSince).orElse(0.0);
-      left = Math.max(left, RunTimeEstimator.left(expected, ran));
+      left = Math.max(left, RunTimeEstimator.remaining(expected, ran));
     }
     return left;
   }
--- a/src/main/java/org/mulleinshift/dependencies/DependencyValidator.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyValidator.java
@@ -8,9 +8,9 @@
 import java.util.function.Predicate;
 import org.mulleinshift.memory.BoundedMap;
 import org.mulleinshift.protocol.JobId;
-import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.store.KeyValueStore;
-import org.mulleinshift.store.KeyValueStore.Answer;
+import org.mulleinshift.store.KeyValueStore.ReadResult;
 import org.mulleinshift.store.StoreKeys;
 
 /**
@@ -24,10 +24,10 @@
 
   /** What came of a check. */
   public enum Verdict {
-    ALL,
+    ALL_ACCEPTED,
     /** One of them was certainly never accepted. */
-    NEVER,
-    DOUBT
+    UNKNOWN_JOB,
+    UNDECIDED
   }
 
   private final KeyValueStore store;
@@ -47,29 +47,29 @@
   }
 
   /** A job whose record was seen: it was accepted, whatever becomes of it. */
-  public void accepted(JobId job) {
+  public void markAccepted(JobId job) {
     found.add(job);
   }
 
   public void check(List<JobId> jobs, Consumer<Verdict> then) {
     Deque<JobId> open = new ArrayDeque<>();
     jobs.stream().filter(job -> !seen.test(job) && !found.contains(job)).forEach(open::add);
-    Round round = new Round(open, then);
+    Check round = new Check(open, then);
     if (open.isEmpty()) {
-      then.accept(Verdict.ALL);
+      then.accept(Verdict.ALL_ACCEPTED);
     }
     for (int i = 0; i < AT_ONCE && !open.isEmpty(); i++) {
       round.ask();
     }
   }
 
-  private final class Round {
+  private final class Check {
     private final Deque<JobId> open;
     private final Consumer<Verdict> then;
     private int asked;
     private boolean over;
 
-    Round(Deque<JobId> open, Consumer<Verdict> then) {
+    Check(Deque<JobId> open, Consumer<Verdict> then) {
       this.open = open;
       this.then = then;
     }
@@ -79,8 +79,8 @@
       JobId job = open.poll();
       read(
           job,
-          StoreKeys.active(job),
-          () -> read(job, StoreKeys.ended(job), () -> end(Verdict.NEVER)));
+          StoreKeys.activeJob(job),
+          () -> read(job, StoreKeys.endedJob(job), () -> end(Verdict.UNKNOWN_JOB)));
     }
 
     /** Whatever stands there: it was accepted. */
@@ -89,13 +89,13 @@
           key,
           KeyValueStore.Urgency.PROMPT,
           answer -> {
-            if (answer instanceof Answer.Found<Item>) {
+            if (answer instanceof ReadResult.Found<KeyValue>) {
               found.add(job);
               goOn();
-            } else if (answer instanceof Answer.Absent<Item>) {
+            } else if (answer instanceof ReadResult.Absent<KeyValue>) {
               absent.run();
             } else {
-              end(Verdict.DOUBT);
+              end(Verdict.UNDECIDED);
             }
           });
     }
@@ -108,7 +108,7 @@
       if (!open.isEmpty()) {
         ask();
       } else if (asked == 0) {
-        end(Verdict.ALL);
+        end(Verdict.ALL_ACCEPTED);
       }
     }
 
--- a/src/main/java/org/mulleinshift/fairness/MaxMinFairShare.java
+++ b/src/main/java/org/mulleinshift/fairness/MaxMinFairShare.java
@@ -11,7 +11,7 @@
  * the rest is shared again among the others by weight.
  */
 public final class MaxMinFairShare {
-  private final Map<String, Double> parts = new HashMap<>();
+  private final Map<String, Double> shares = new HashMap<>();
 
   private MaxMinFairShare() {}
 
@@ -28,7 +28,7 @@
       settled = !content.isEmpty();
       for (ShareEntity party : settled ? content : open) {
         double part = settled ? party.wanted() : level * party.weight();
-        fair.parts.put(party.name(), part);
+        fair.shares.put(party.name(), part);
         left -= part;
       }
       open.removeAll(content);
@@ -38,6 +38,6 @@
 
   /** The share of the fleet that is the party's; 0 if it was not among them. */
   public double of(String name) {
-    return parts.getOrDefault(name, 0.0);
+    return shares.getOrDefault(name, 0.0);
   }
 }
--- a/src/main/java/org/mulleinshift/fairness/ShareClaims.java
+++ b/src/main/java/org/mulleinshift/fairness/ShareClaims.java
@@ -14,7 +14,7 @@
 public final class ShareClaims {
   private static final double SLACK = 1e-9;
 
-  private final Map<String, Double> floors = new LinkedHashMap<>();
+  private final Map<String, Double> minimums = new LinkedHashMap<>();
   private final Map<String, Double> claims = new LinkedHashMap<>();
 
   private ShareClaims() {}
@@ -36,7 +36,7 @@
     for (ShareEntity party : parties) {
       double own = Math.max(fair.of(party.name()), party.weight() / weights);
       double floor = Math.min(party.wanted(), floorShare * own);
-      result.floors.put(party.name(), floor);
+      result.minimums.put(party.name(), floor);
       double missing = Math.min(floor - party.inUse(), party.waiting());
       if (excess && missing > SLACK) {
         result.claims.put(party.name(), missing);
@@ -51,7 +51,7 @@
   }
 
   /** The share below which the party's work is not stopped for others, whoever wants less. */
-  public double floor(String name) {
-    return floors.getOrDefault(name, 0.0);
+  public double minimum(String name) {
+    return minimums.getOrDefault(name, 0.0);
   }
 }
--- a/src/main/java/org/mulleinshift/fairness/ShareEntity.java
+++ b/src/main/java/org/mulleinshift/fairness/ShareEntity.java
@@ -7,12 +7,13 @@
  * @param weight its weight beside the others, above 0
  * @param inUse what its tasks have out
  * @param demand that, and what its waiting tasks ask for
- * @param reach how much of the fleet its tasks may be on
+ * @param reachable how much of the fleet its tasks may be on
  */
-public record ShareEntity(String name, double weight, double inUse, double demand, double reach) {
+public record ShareEntity(
+    String name, double weight, double inUse, double demand, double reachable) {
   /** What it could use. */
   double wanted() {
-    return Math.min(demand, reach);
+    return Math.min(demand, reachable);
   }
 
   double waiting() {
--- a/src/main/java/org/mulleinshift/leader/EstimateReplicator.java
+++ b/src/main/java/org/mulleinshift/leader/EstimateReplicator.java
@@ -25,13 +25,13 @@
   private static final Logger LOG = LoggerFactory.getLogger(EstimateReplicator.class);
   private static final int MAX_CLASSES = 256;
   private static final int MAX_TYPES = 64;
-  private static final Duration USELESS = Duration.ofMinutes(2);
-  private static final Duration AGAIN = Duration.ofSeconds(10);
+  private static final Duration MAX_AGE = Duration.ofMinutes(2);
+  private static final Duration RESEND_INTERVAL = Duration.ofSeconds(10);
 
   private final EventLoop loop;
   private final RunTimeEstimator runTimes;
-  private Optional<LearnedEstimates> heard = Optional.empty();
-  private MonotonicTime heardAt;
+  private Optional<LearnedEstimates> received = Optional.empty();
+  private MonotonicTime receivedAt;
   private Optional<LearnedEstimates> sent = Optional.empty();
   private Optional<NodeId> sentTo = Optional.empty();
   private MonotonicTime sentAt;
@@ -39,30 +39,30 @@
   public EstimateReplicator(EventLoop loop, RunTimeEstimator runTimes) {
     this.loop = loop;
     this.runTimes = runTimes;
-    this.heardAt = loop.now();
-    this.sentAt = heardAt;
+    this.receivedAt = loop.now();
+    this.sentAt = receivedAt;
   }
 
   /** A leader's message; one of an earlier term than the last is out of date. */
-  public void onAdvice(LearnedEstimates advice) {
-    if (heard.filter(known -> known.getTerm() > advice.getTerm()).isEmpty()) {
-      heard = Optional.of(advice);
-      heardAt = loop.now();
+  public void onEstimates(LearnedEstimates advice) {
+    if (received.filter(known -> known.getTerm() > advice.getTerm()).isEmpty()) {
+      received = Optional.of(advice);
+      receivedAt = loop.now();
     }
   }
 
   /** A new leader starts from what the last one learned, if that is not too old. */
   void apply(BootTimeEstimator boots) {
-    Duration age = loop.now().since(heardAt);
-    if (heard.isEmpty() || age.compareTo(USELESS) > 0) {
+    Duration age = loop.now().since(receivedAt);
+    if (received.isEmpty() || age.compareTo(MAX_AGE) > 0) {
       LOG.info("no advice of an earlier leader");
       return;
     }
-    LearnedEstimates advice = heard.get();
-    advice.getRunTimeRatios().forEach(item -> runTimes.advise(item.getName(), item.getRatio()));
+    LearnedEstimates advice = received.get();
+    advice.getRunTimeRatios().forEach(item -> runTimes.learn(item.getName(), item.getRatio()));
     advice
         .getBootTimes()
-        .forEach(item -> boots.advise(new MachineTypeId(item.getMachineType()), item.getSeconds()));
+        .forEach(item -> boots.learn(new MachineTypeId(item.getMachineType()), item.getSeconds()));
     LOG.info(
         "advice of term {}, {} ms old: {} classes, {} types",
         advice.getTerm(),
@@ -83,7 +83,7 @@
     boolean known =
         advice.equals(sent)
             && sentTo.equals(Optional.of(standby))
-            && loop.now().since(sentAt).compareTo(AGAIN) < 0;
+            && loop.now().since(sentAt).compareTo(RESEND_INTERVAL) < 0;
     if (known) {
       return Optional.empty();
     }
--- a/src/main/java/org/mulleinshift/leader/Leader.java
+++ b/src/main/java/org/mulleinshift/leader/Leader.java
@@ -31,7 +31,7 @@
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.StoreCodec;
-import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.protocol.TeamId;
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.protocol.peer.JobSummary;
@@ -56,7 +56,7 @@
 import org.mulleinshift.sharding.ShardView;
 import org.mulleinshift.sharding.TaskPhase;
 import org.mulleinshift.store.KeyValueStore;
-import org.mulleinshift.store.KeyValueStore.Answer;
+import org.mulleinshift.store.KeyValueStore.ReadResult;
 import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.store.TransactionBatcher;
 import org.mulleinshift.transport.EventLoop;
@@ -71,13 +71,13 @@
 public final class Leader {
   private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
   private static final Duration RETRY = Duration.ofMillis(400);
-  private static final Duration UPKEEP = Duration.ofMillis(500);
-  private static final Duration DIGEST = Duration.ofSeconds(1);
+  private static final Duration MAINTENANCE_INTERVAL = Duration.ofMillis(500);
+  private static final Duration SUMMARY_INTERVAL = Duration.ofSeconds(1);
   private static final Duration RESEND = Duration.ofMillis(700);
   private static final int CYCLE_SHARE = 4;
 
   /** Share of the state service's requests that transactions of the leader use. */
-  private static final double JOURNAL_REQUESTS = 0.2;
+  private static final double BATCHER_REQUEST_SHARE = 0.2;
 
   /** What ends a job is stored as one. */
   private static final int MIN_BATCH = 2;
@@ -90,7 +90,7 @@
   }
 
   /** What the leader needs of its node. */
-  public record Surroundings(
+  public record Context(
       EventLoop loop,
       KeyValueStore store,
       PlatformSettings settings,
@@ -99,43 +99,43 @@
       ClusterView view,
       MachineTypeCatalog catalog,
       RunTimeEstimator runTimes,
-      EstimateReplicator advice,
-      FeatureGates builds,
+      EstimateReplicator estimates,
+      FeatureGates featureGates,
       Supplier<Optional<NodeId>> standby,
       Function<NodeId, Duration> peerSilence,
-      Function<NodeId, WorkerReachability.State> hearing,
+      Function<NodeId, WorkerReachability.State> workerReachability,
       Predicate<NodeId> storeLost,
       BiConsumer<NodeId, Object> send,
-      BooleanSupplier certain,
+      BooleanSupplier holdsValidLease,
       Runnable resign) {}
 
-  private final Surroundings context;
+  private final Context context;
   private final EventLoop loop;
   private final Revision term;
   private final TransactionBatcher batcher;
   private final ProgressPersister progress;
-  private final DependencyTracker chains;
+  private final DependencyTracker dependencies;
   private final Map<JobId, Job> jobs = new TreeMap<>();
   private final Map<ShardId, ShardView> shards = new TreeMap<>();
   private final TeamQuotas quota;
-  private final AvailableCapacity freeCapacity;
-  private final AssignmentWriter assignments;
-  private final FailureAttribution blame;
-  private final AllocationIndex occupancy = new AllocationIndex();
-  private final Autoscaler fleet;
-  private final CapacityReservation headroom;
+  private final AvailableCapacity availableCapacity;
+  private final AssignmentWriter assignmentWriter;
+  private final FailureAttribution failures;
+  private final AllocationIndex allocations = new AllocationIndex();
+  private final Autoscaler autoscaler;
+  private final CapacityReservation reservation;
   private final SchedulingCycle scheduling;
   private final ShardGrants grants;
-  private final List<JobRecord> early = new ArrayList<>();
+  private final List<JobRecord> arrivedWhileLoading = new ArrayList<>();
   private final UnreadableJobs unreadable = new UnreadableJobs();
   private State state = State.LOADING;
   private Revision loadedAt = new Revision(0);
   private MonotonicTime lastCycle;
-  private Duration cycleTook = Duration.ZERO;
-  private boolean cyclePlanned;
-  private boolean sendPlanned;
+  private Duration lastCycleDuration = Duration.ZERO;
+  private boolean cycleScheduled;
+  private boolean sendScheduled;
 
-  public Leader(Surroundings context, Autoscaler.Cloud cloud, Revision term) {
+  public Leader(Context context, Autoscaler.Cloud cloud, Revision term) {
     this.context = context;
     this.loop = context.loop();
     this.term = term;
@@ -145,38 +145,40 @@
             loop,
             context.store(),
             term,
-            batch(context.settings().cluster().state()),
-            spacing(context.settings().cluster().state()),
+            maxBatch(context.settings().cluster().store()),
+            spacing(context.settings().cluster().store()),
             context.resign());
     this.progress =
-        new ProgressPersister(this, context, batcher, batch(context.settings().cluster().state()));
-    this.chains = new DependencyTracker(this, context);
+        new ProgressPersister(
+            this, context, batcher, maxBatch(context.settings().cluster().store()));
+    this.dependencies = new DependencyTracker(this, context);
     this.quota = new TeamQuotas(context.settings().cluster().teams());
-    this.freeCapacity = new AvailableCapacity(this, context.catalog());
-    this.assignments = new AssignmentWriter(this, loop, term);
-    this.blame =
+    this.availableCapacity = new AvailableCapacity(this, context.catalog());
+    this.assignmentWriter = new AssignmentWriter(this, loop, term);
+    this.failures =
         new FailureAttribution(
             context.tunables().count(Tunables.Key.FAULTY_AFTER),
             context.tunables().seconds(Tunables.Key.ERROR_PAUSE_S));
-    this.headroom =
+    this.reservation =
         new CapacityReservation(
             context.settings().cluster().objectives(),
             context.tunables().number(Tunables.Key.HEADROOM_JOBS),
             context.tunables().seconds(Tunables.Key.HEADROOM_LASTS_S));
-    this.scheduling = new SchedulingCycle(this, context, term, freeCapacity);
-    this.fleet = new Autoscaler(this, context, cloud, term);
+    this.scheduling = new SchedulingCycle(this, context, term, availableCapacity);
+    this.autoscaler = new Autoscaler(this, context, cloud, term);
     this.grants = new ShardGrants(this, context, batcher);
   }
 
   /** A batch above what the service lets through at once would be refused for ever. */
-  private static int batch(PlatformSettings.State limits) {
-    int burst = (int) (limits.writesPerSecond() * limits.writesLeft() / 2);
-    return Math.min(limits.minTxnOps(), Math.max(MIN_BATCH, burst));
+  private static int maxBatch(PlatformSettings.StoreLimits limits) {
+    int burst = (int) (limits.writesPerSecond() * limits.writesShareAfterReduction() / 2);
+    return Math.min(limits.minTransactionOperations(), Math.max(MIN_BATCH, burst));
   }
 
   /** Transactions follow each other so that the other requests find room. */
-  private static Duration spacing(PlatformSettings.State limits) {
-    double requests = limits.requestsPerSecond() * limits.requestsLeft() * JOURNAL_REQUESTS;
+  private static Duration spacing(PlatformSettings.StoreLimits limits) {
+    double requests =
+        limits.requestsPerSecond() * limits.requestsShareAfterReduction() * BATCHER_REQUEST_SHARE;
     return Duration.ofNanos((long) (1e9 / requests));
   }
 
@@ -187,7 +189,7 @@
   }
 
   public void start() {
-    load(StoreKeys.ACTIVE, this::loadJobs, this::awaitControlView);
+    load(StoreKeys.ACTIVE_JOBS, this::loadJobs, this::awaitClusterView);
   }
 
   public void retire() {
@@ -204,14 +206,14 @@
       String prefix, Optional<String> after, Consumer<StoreCodec.Range> consumer, Runnable then) {
     context
         .store()
-        .page(
+        .readPage(
             prefix,
             after,
             answer -> {
               if (state != State.LOADING) {
                 return;
               }
-              if (!(answer instanceof Answer.Found<StoreCodec.Range> found)) {
+              if (!(answer instanceof ReadResult.Found<StoreCodec.Range> found)) {
                 loop.after(RETRY, () -> load(prefix, after, consumer, then));
                 return;
               }
@@ -228,11 +230,11 @@
   private void loadJobs(StoreCodec.Range page) {
     // The first page's: what changed since then comes by the watch.
     loadedAt = loadedAt.value() == 0 ? page.revision() : loadedAt;
-    for (Item item : page.items()) {
+    for (KeyValue item : page.items()) {
       Optional<JobRecord> record = JobRecord.read(item);
-      record.ifPresent(chains::admit);
+      record.ifPresent(dependencies::admit);
       if (record.isEmpty()) {
-        onUnreadable(new JobId(item.key().substring(StoreKeys.ACTIVE.length())), item.value());
+        onUnreadable(new JobId(item.key().substring(StoreKeys.ACTIVE_JOBS.length())), item.value());
       }
     }
   }
@@ -245,75 +247,75 @@
     if (state == State.RETIRED) {
       return;
     }
-    putAside(id, record, "its record");
-    shards.values().forEach(ShardView::changed);
-    sendSoon();
+    quarantineJob(id, record, "its record");
+    shards.values().forEach(ShardView::markDirty);
+    scheduleSend();
   }
 
   /** Owners hear no more of the job's tasks, and leave alone what runs of them. */
-  public void putAside(JobId id, JsonNode record, String why) {
+  public void quarantineJob(JobId id, JsonNode record, String why) {
     unreadable.add(id, record, why);
     Job job = jobs.remove(id);
-    chains.drop(id);
+    dependencies.remove(id);
     if (job != null) {
       for (TaskAssignment assignment : job.assignments()) {
-        unreadable.mayBeAt(assignment.shard());
+        unreadable.addShard(assignment.shard());
         if (state == State.LEADING) {
-          occupancy.leave(assignment);
-          untell(assignment);
+          allocations.remove(assignment);
+          retract(assignment);
         }
       }
     }
   }
 
   /** The view must show our own term: then it shows all that earlier leaders wrote. */
-  private void awaitControlView() {
+  private void awaitClusterView() {
     if (state != State.LOADING) {
       return;
     }
     boolean current =
         context.view().leader().filter(leader -> leader.term().equals(term)).isPresent();
-    if (!current || !context.catalog().known()) {
-      loop.after(Duration.ofMillis(50), this::awaitControlView);
+    if (!current || !context.catalog().isLoaded()) {
+      loop.after(Duration.ofMillis(50), this::awaitClusterView);
       return;
     }
-    context.view().shards().forEach(this::adoptShard);
-    load(StoreKeys.LOG, progress.loader()::loadSegments, this::loadParts);
+    context.view().shards().forEach(this::loadShard);
+    load(StoreKeys.PROGRESS_LOG, progress.loader()::loadSegments, this::loadParts);
   }
 
   private void loadParts() {
     load(
         StoreKeys.PROGRESS,
         progress.loader()::loadParts,
-        () -> load(StoreKeys.RENTALS, this::loadRentals, this::begin));
+        () -> load(StoreKeys.PROVISIONING_REQUESTS, this::loadRentals, this::begin));
   }
 
-  private void adoptShard(ShardId id, ClusterView.ShardRecord record) {
+  private void loadShard(ShardId id, ClusterView.ShardRecord record) {
     ShardView shard = new ShardView(id, record.zone(), loop.now());
     shard.machines().putAll(record.machines());
-    shard.beyond(record.beyond());
+    shard.unknownFields(record.unknownFields());
     shard.lastOwner(record.lastOwner());
     shards.put(id, shard);
-    batcher.known(StoreKeys.shard(id), record.version());
+    batcher.recordRevision(StoreKeys.shard(id), record.revision());
   }
 
   private void loadRentals(StoreCodec.Range page) {
-    fleet.rentals().load(page.items(), batcher);
+    autoscaler.provisioner().load(page.items(), batcher);
   }
 
-  public void tell(TaskAssignment assignment) {
+  public void publish(TaskAssignment assignment) {
     ShardView shard = shards.get(assignment.shard());
     if (shard != null) {
-      shard.tell(assignment);
-      sendSoon();
+      shard.publish(assignment);
+      scheduleSend();
     }
   }
 
-  public void untell(TaskAssignment assignment) {
+  public void retract(TaskAssignment assignment) {
     ShardView shard = shards.get(assignment.shard());
     if (shard != null) {
-      shard.untell(assignment);
-      sendSoon();
+      shard.retract(assignment);
+      scheduleSend();
     }
   }
 
@@ -325,38 +327,38 @@
   private void begin() {
     progress.loader().finish();
     transitionTo(State.LEADING);
-    context.advice().apply(fleet.boots());
-    jobs.values().forEach(this::enter);
-    chains.begin();
+    context.estimates().apply(autoscaler.bootTimes());
+    jobs.values().forEach(this::restoreAssignments);
+    dependencies.begin();
     onControlChange();
-    early.forEach(this::onJob);
-    early.clear();
+    arrivedWhileLoading.forEach(this::onJob);
+    arrivedWhileLoading.clear();
     List.copyOf(jobs.values()).forEach(this::settle);
-    upkeep();
-    sendDigest();
-    fleet.start();
-    cycleSoon();
+    maintain();
+    sendSummary();
+    autoscaler.start();
+    scheduleCycle();
   }
 
   /** Takes up what the store says of a job's tasks. */
-  private void enter(Job job) {
-    job.assignments().forEach(occupancy::enter);
-    job.assignments().forEach(this::tell);
+  private void restoreAssignments(Job job) {
+    job.assignments().forEach(allocations::add);
+    job.assignments().forEach(this::publish);
   }
 
   /** A job that may run, or is to end; one that was held comes here once it is not any more. */
-  public void take(Job job) {
+  public void addJob(Job job) {
     jobs.put(job.spec().id(), job);
     if (state == State.LEADING) {
-      enter(job);
-      headroom.arrived(job.spec(), loop.now());
-      cycleSoon();
+      restoreAssignments(job);
+      reservation.onJobArrived(job.spec(), loop.now());
+      scheduleCycle();
     }
   }
 
   /** A job that is not over, held or not. */
-  public Optional<Job> known(JobId id) {
-    return Optional.ofNullable(jobs.get(id)).or(() -> chains.held(id));
+  public Optional<Job> findJob(JobId id) {
+    return Optional.ofNullable(jobs.get(id)).or(() -> dependencies.waitingJob(id));
   }
 
   public boolean leading() {
@@ -368,16 +370,16 @@
     return state != State.RETIRED;
   }
 
-  public DependencyTracker chains() {
-    return chains;
+  public DependencyTracker dependencies() {
+    return dependencies;
   }
 
   public TransactionBatcher batcher() {
     return batcher;
   }
 
-  public CapacityReservation headroom() {
-    return headroom;
+  public CapacityReservation reservation() {
+    return reservation;
   }
 
   public Map<ShardId, ShardView> shards() {
@@ -388,38 +390,38 @@
     return jobs;
   }
 
-  public Autoscaler fleet() {
-    return fleet;
+  public Autoscaler autoscaler() {
+    return autoscaler;
   }
 
-  public AllocationIndex occupancy() {
-    return occupancy;
+  public AllocationIndex allocations() {
+    return allocations;
   }
 
   /** A change of an active job in the store, as the watch brings it. */
   public void onJob(JobRecord record) {
     if (state == State.LOADING) {
       // What is accepted while a new leader loads may be in no page that it read: it waits.
-      early.add(record);
+      arrivedWhileLoading.add(record);
       return;
     }
     if (state != State.LEADING
-        || record.version().compareTo(loadedAt) <= 0
-        || unreadable.has(record.id())) {
+        || record.revision().compareTo(loadedAt) <= 0
+        || unreadable.contains(record.id())) {
       return;
     }
-    Job job = known(record.id()).orElse(null);
+    Job job = findJob(record.id()).orElse(null);
     if (job == null) {
-      chains.admit(record);
-    } else if (record.version().compareTo(job.version()) > 0) {
-      if (job.state() == Job.State.HELD) {
-        chains.update(job, record);
+      dependencies.admit(record);
+    } else if (record.revision().compareTo(job.revision()) > 0) {
+      if (job.state() == Job.State.AWAITING_DEPENDENCIES) {
+        dependencies.update(job, record);
       } else {
         job.update(record);
         settle(job);
       }
     }
-    cycleSoon();
+    scheduleCycle();
   }
 
   public void onControlChange() {
@@ -433,16 +435,16 @@
               .map(grant -> new ShardView.Grant(grant.owner(), grant.revision())),
           loop.now());
       if (seen == null) {
-        batcher.forgotten(StoreKeys.grant(shard.id()));
+        batcher.forgetRevision(StoreKeys.grant(shard.id()));
       } else {
-        batcher.known(StoreKeys.grant(shard.id()), seen.revision());
+        batcher.recordRevision(StoreKeys.grant(shard.id()), seen.revision());
       }
     }
     grants.assign();
-    sendSoon();
+    scheduleSend();
   }
 
-  public void onShardReport(ShardStatus report) {
+  public void onShardStatus(ShardStatus report) {
     if (state != State.LEADING) {
       return;
     }
@@ -452,27 +454,27 @@
       return;
     }
     if (report.getSeenTerm() == term.value()) {
-      shard.confirmed(report.getSeenVersion(), loop.now());
+      shard.onAssignmentAck(report.getSeenVersion(), loop.now());
     }
-    if (!shard.continues(report)) {
+    if (!shard.isContiguous(report)) {
       // A report went missing, or this leader is new: the owner tells again from what is known.
-      confirmReports(shard);
+      acknowledgeStatus(shard);
       return;
     }
     if (report.getSequence() <= shard.lastSequence()) {
       return;
     }
-    List<MachineId> named = shard.reported(report, loop.now());
+    List<MachineId> named = shard.onStatus(report, loop.now());
     for (TaskStatus task : report.getTasks()) {
-      onTask(task);
+      onTaskStatus(task);
     }
-    named.forEach(machine -> fleet.onReport(shard, machine));
+    named.forEach(machine -> autoscaler.onMachineStatus(shard, machine));
     if (!named.isEmpty() || !report.getTasks().isEmpty()) {
-      cycleSoon();
+      scheduleCycle();
     }
   }
 
-  private void confirmReports(ShardView shard) {
+  private void acknowledgeStatus(ShardView shard) {
     shard
         .grant()
         .ifPresent(
@@ -488,13 +490,13 @@
                             shard.lastSequence())));
   }
 
-  public void onStranger(UnknownWorkerReport report) {
+  public void onUnknownWorker(UnknownWorkerReport report) {
     if (state == State.LEADING) {
-      fleet.onStranger(report);
+      autoscaler.onUnknownWorker(report);
     }
   }
 
-  private void onTask(TaskStatus report) {
+  private void onTaskStatus(TaskStatus report) {
     Job job = jobs.get(new JobId(report.getJob()));
     TaskAssignment assignment = job == null ? null : job.assignment(report.getIndex()).orElse(null);
     if (assignment == null
@@ -502,46 +504,47 @@
         || assignment.state() == TaskAssignment.State.ENDED) {
       return;
     }
-    occupancy.leave(assignment);
-    onTask(report, job, assignment);
-    occupancy.enter(assignment);
+    allocations.remove(assignment);
+    onTaskStatus(report, job, assignment);
+    allocations.add(assignment);
   }
 
-  private void onTask(TaskStatus report, Job job, TaskAssignment assignment) {
+  private void onTaskStatus(TaskStatus report, Job job, TaskAssignment assignment) {
     MachineId machine = new MachineId(report.getMachine());
     MonotonicTime since = loop.now().minus(Duration.ofMillis(report.getRanMs()));
     switch (TaskPhase.fromWireName(report.getPhase())) {
-      case NEW -> assignment.unplaced();
-      case STARTING, FETCHING -> assignment.placed(machine);
+      case NEW -> assignment.clearPlacement();
+      case STARTING, FETCHING -> assignment.markPlaced(machine);
       case RUNNING, SAVING -> {
-        assignment.running(machine, since);
-        job.begun(loop.wallMillis());
+        assignment.markRunning(machine, since);
+        job.markStarted(loop.wallMillis());
       }
       case DONE -> {
-        blame.succeeded(job, machine);
+        failures.onSuccess(job, machine);
         double seconds = report.getRanMs() / 1000.0;
-        context.runTimes().finished(job.spec(), seconds);
+        context.runTimes().onTaskDone(job.spec(), seconds);
         job.taskDone(assignment, seconds);
-        changed(job, report.getIndex());
+        onTaskChanged(job, report.getIndex());
       }
       case FAILED -> {
-        blame.failed(job, machine, loop.now());
-        touch(assignment.shard());
+        failures.onFailure(job, machine, loop.now());
+        markShardChanged(assignment.shard());
         job.countFailure();
         // Spaced out, so that a job that fails everywhere does not keep the fleet busy.
         double pause =
             context.tunables().number(Tunables.Key.ERROR_PAUSE_S)
                 * Math.min(12, Math.max(1, job.failures() / (double) job.spec().tasks()));
-        returned(job, assignment, Optional.of(loop.now().plusMillis((long) (pause * 1000))));
+        onTaskReturned(job, assignment, Optional.of(loop.now().plusMillis((long) (pause * 1000))));
       }
-      case REJECTED -> returned(job, assignment, Optional.of(loop.now().plusMillis(500)));
-      case STOPPED, LOST -> returned(job, assignment, Optional.empty());
+      case REJECTED -> onTaskReturned(job, assignment, Optional.of(loop.now().plusMillis(500)));
+      case STOPPED, LOST -> onTaskReturned(job, assignment, Optional.empty());
     }
   }
 
-  private void returned(Job job, TaskAssignment assignment, Optional<MonotonicTime> notBefore) {
+  private void onTaskReturned(
+      Job job, TaskAssignment assignment, Optional<MonotonicTime> notBefore) {
     job.taskReturned(assignment, notBefore);
-    changed(job, assignment.task().index());
+    onTaskChanged(job, assignment.task().index());
   }
 
   public TeamQuotas quota() {
@@ -549,8 +552,10 @@
   }
 
   /** Takes no new task. */
-  public boolean closed(MachineId machine) {
-    return fleet.closed(machine) || blame.faulty(machine) || blame.suspect(machine, loop.now());
+  public boolean isCordoned(MachineId machine) {
+    return autoscaler.isCordoned(machine)
+        || failures.isQuarantined(machine)
+        || failures.isSuspect(machine, loop.now());
   }
 
   /** Jobs that this build can't read. */
@@ -559,22 +564,22 @@
   }
 
   /** What each team has out, or may have. */
-  public Map<TeamId, Resources> use() {
-    Map<TeamId, Resources> use = TeamQuotas.use(jobs.values());
-    unreadable.addUse(use);
+  public Map<TeamId, Resources> usageByTeam() {
+    Map<TeamId, Resources> use = TeamQuotas.usageByTeam(jobs.values());
+    unreadable.addUsage(use);
     return use;
   }
 
   /** Whether a task is, may be about to be, or may unknown to this build be on the machine. */
-  public boolean busy(MachineId machine, ShardId shard) {
-    return occupancy.busy(machine, shard) || unreadable.mayBeIn(shard);
+  public boolean isBusy(MachineId machine, ShardId shard) {
+    return allocations.busy(machine, shard) || unreadable.mayOccupy(shard);
   }
 
-  public FailureAttribution blame() {
-    return blame;
+  public FailureAttribution failures() {
+    return failures;
   }
 
-  private void changed(Job job, int index) {
+  private void onTaskChanged(Job job, int index) {
     progress.store(job, index, false);
     settle(job);
   }
@@ -582,63 +587,63 @@
   /** Ends the job if nothing is left of it; stops its tasks if it was cancelled. */
   public void settle(Job job) {
     if (job.state() == Job.State.CANCELLING) {
-      chains.cancelledWith(job.spec().id());
+      dependencies.onCancelled(job.spec().id());
       for (TaskAssignment assignment : job.assignments()) {
         if (!assignment.stopRequested()) {
           requestStop(assignment);
         }
       }
     }
-    boolean over = job.state() == Job.State.ACTIVE ? job.complete() : job.gone();
+    boolean over = job.state() == Job.State.ACTIVE ? job.complete() : job.drained();
     if (over) {
       progress.end(job);
     }
   }
 
   /** The job's end is stored; these were the tasks that the store still knew of. */
-  public void ended(Job job, List<TaskAssignment> left, long atMillis) {
+  public void onJobEnded(Job job, List<TaskAssignment> left, long atMillis) {
     JobId id = job.spec().id();
     jobs.remove(id);
-    blame.over(id);
-    left.forEach(occupancy::leave);
-    left.forEach(this::untell);
-    chains.ended(job, atMillis);
-    cycleSoon();
+    failures.onJobEnded(id);
+    left.forEach(allocations::remove);
+    left.forEach(this::retract);
+    dependencies.onEnded(job, atMillis);
+    scheduleCycle();
   }
 
   public void requestStop(TaskAssignment assignment) {
     assignment.requestStop();
-    if (assignment.told()) {
-      tell(assignment);
+    if (assignment.visibleToOwner()) {
+      publish(assignment);
     }
   }
 
-  public void touch(ShardId shard) {
+  public void markShardChanged(ShardId shard) {
     ShardView found = shards.get(shard);
     if (found != null) {
-      found.changed();
-      sendSoon();
+      found.markDirty();
+      scheduleSend();
     }
   }
 
-  private void upkeep() {
+  private void maintain() {
     if (state != State.LEADING) {
       return;
     }
-    loop.after(UPKEEP, this::upkeep);
-    describeShards();
-    progress.upkeep();
+    loop.after(MAINTENANCE_INTERVAL, this::maintain);
+    logShards();
+    progress.maintain();
     grants.assign();
     for (ShardView shard : shards.values()) {
-      if (shard.sequenceToConfirm()) {
-        confirmReports(shard);
+      if (shard.ackDue()) {
+        acknowledgeStatus(shard);
       }
     }
     sendAssignments();
-    cycleSoon();
+    scheduleCycle();
   }
 
-  private void describeShards() {
+  private void logShards() {
     if (!LOG.isDebugEnabled()) {
       return;
     }
@@ -647,73 +652,75 @@
           "{}: {}, reported {} ms ago, {} of {} machines usable, {}",
           shard.id(),
           shard.grant().map(Object::toString).orElse("not held"),
-          loop.now().since(shard.reportedAt()).toMillis(),
-          freeCapacity.capacitiesOf(shard, Resources.ZERO).size(),
+          loop.now().since(shard.statusAt()).toMillis(),
+          availableCapacity.ofShard(shard, Resources.ZERO).size(),
           shard.machines().size(),
-          shard.told().size() + " tasks");
+          shard.published().size() + " tasks");
     }
   }
 
-  public void onSuspicion(OwnerSuspicion suspicion) {
+  public void onOwnerSuspicion(OwnerSuspicion suspicion) {
     ShardView shard = shards.get(new ShardId(suspicion.getShard()));
     boolean current =
         shard != null
             && shard.grant().filter(g -> g.revision().value() == suspicion.getGrant()).isPresent();
     if (state == State.LEADING && current) {
-      suspicion.getMachines().forEach(machine -> shard.knocked(new MachineId(machine), loop.now()));
+      suspicion
+          .getMachines()
+          .forEach(machine -> shard.onSuspicion(new MachineId(machine), loop.now()));
     }
   }
 
-  public void sendSoon() {
-    if (!sendPlanned) {
-      sendPlanned = true;
+  public void scheduleSend() {
+    if (!sendScheduled) {
+      sendScheduled = true;
       loop.post(
           () -> {
-            sendPlanned = false;
+            sendScheduled = false;
             sendAssignments();
           });
     }
   }
 
   private void sendAssignments() {
-    if (state != State.LEADING || !context.certain().getAsBoolean()) {
+    if (state != State.LEADING || !context.holdsValidLease().getAsBoolean()) {
       return;
     }
     for (ShardView shard : shards.values()) {
-      if (shard.grant().isPresent() && (shard.lost(loop.now(), RESEND) || shard.dirty())) {
-        context.send().accept(shard.grant().get().owner(), assignments.of(shard));
+      if (shard.grant().isPresent() && (shard.resendDue(loop.now(), RESEND) || shard.dirty())) {
+        context.send().accept(shard.grant().get().owner(), assignmentWriter.of(shard));
       }
     }
   }
 
-  public void cycleSoon() {
-    if (cyclePlanned || state != State.LEADING) {
+  public void scheduleCycle() {
+    if (cycleScheduled || state != State.LEADING) {
       return;
     }
-    cyclePlanned = true;
+    cycleScheduled = true;
     // A cycle that takes long on a busy processor comes less often: reports, renewals and
     // acceptance share the loop with it.
     Duration spacing = context.tunables().millis(Tunables.Key.CYCLE_MS);
-    Duration rest = cycleTook.multipliedBy(CYCLE_SHARE);
+    Duration rest = lastCycleDuration.multipliedBy(CYCLE_SHARE);
     spacing = rest.compareTo(spacing) > 0 ? rest : spacing;
     Duration since = loop.now().since(lastCycle);
     Duration wait = since.compareTo(spacing) >= 0 ? Duration.ofMillis(5) : spacing.minus(since);
     loop.after(
         wait,
         () -> {
-          cyclePlanned = false;
+          cycleScheduled = false;
           cycle();
         });
   }
 
   private void cycle() {
-    if (state != State.LEADING || !context.certain().getAsBoolean()) {
+    if (state != State.LEADING || !context.holdsValidLease().getAsBoolean()) {
       return;
     }
     lastCycle = loop.now();
-    chains.inherit();
-    scheduling.cycle();
-    cycleTook = loop.now().since(lastCycle);
+    dependencies.propagatePriorities();
+    scheduling.run();
+    lastCycleDuration = loop.now().since(lastCycle);
   }
 
   public JobRanking ranking() {
@@ -724,19 +731,19 @@
     return progress;
   }
 
-  private void sendDigest() {
+  private void sendSummary() {
     if (state != State.LEADING) {
       return;
     }
-    loop.after(DIGEST, this::sendDigest);
+    loop.after(SUMMARY_INTERVAL, this::sendSummary);
     context
         .standby()
         .get()
         .ifPresent(
             node ->
                 context
-                    .advice()
-                    .next(term.value(), fleet.boots(), node)
+                    .estimates()
+                    .next(term.value(), autoscaler.bootTimes(), node)
                     .ifPresent(advice -> context.send().accept(node, advice)));
     List<JobTaskCounts> counts = new ArrayList<>();
     for (Job job : jobs.values()) {
--- a/src/main/java/org/mulleinshift/membership/AssignableShard.java
+++ b/src/main/java/org/mulleinshift/membership/AssignableShard.java
@@ -22,11 +22,11 @@
   Optional<NodeId> lastOwner();
 
   /** For how long it has had no grant at all. */
-  Duration without(MonotonicTime now);
+  Duration unownedFor(MonotonicTime now);
 
   /** The next owner, while the grant is being stored. */
-  Optional<NodeId> granting();
+  Optional<NodeId> pendingOwner();
 
   /** For how long the owner has shown no sign of anything new that was sent to it. */
-  Duration unheard(MonotonicTime now);
+  Duration unacknowledgedFor(MonotonicTime now);
 }
--- a/src/main/java/org/mulleinshift/membership/ControllerSession.java
+++ b/src/main/java/org/mulleinshift/membership/ControllerSession.java
@@ -5,18 +5,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.mulleinshift.membership.OwnershipLease.Ground;
+import org.mulleinshift.membership.OwnershipLease.Evidence;
 import org.mulleinshift.model.ClusterView;
 import org.mulleinshift.protocol.LeaseId;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.StoreCodec;
-import org.mulleinshift.protocol.StoreCodec.Guard;
-import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.Compare;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.protocol.StoreCodec.Write;
 import org.mulleinshift.store.KeyValueStore;
-import org.mulleinshift.store.KeyValueStore.Answer;
+import org.mulleinshift.store.KeyValueStore.ReadResult;
 import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.MonotonicTime;
@@ -34,10 +34,10 @@
   /** States of the session. */
   public enum State {
     /** Ending the lease of this label's earlier process, which is surely dead. */
-    CLEARING,
+    REVOKING_OLD,
     ACQUIRING,
     REGISTERING,
-    HELD
+    ACTIVE
   }
 
   private final EventLoop loop;
@@ -45,15 +45,15 @@
   private final NodeId self;
   private final Duration ttl;
   private final Duration renewEvery;
-  private final Runnable proveCancellations;
+  private final Runnable confirmCancellations;
   private final Runnable onChange;
-  private final OwnershipLease right;
-  private State state = State.CLEARING;
-  private Optional<LeaseId> hold = Optional.empty();
+  private final OwnershipLease ownership;
+  private State state = State.REVOKING_OLD;
+  private Optional<LeaseId> lease = Optional.empty();
   private MonotonicTime verifiedAt;
-  private boolean stood;
-  private Map<ShardId, Revision> verified = Map.of();
-  private boolean verifyPlanned;
+  private boolean couldAct;
+  private Map<ShardId, Revision> onGrantsVerified = Map.of();
+  private boolean verifyScheduled;
 
   /**
    * @param proveCancellations asks the store whether all cancellations are known; {@link
@@ -72,9 +72,9 @@
     this.self = self;
     this.ttl = ttl;
     this.renewEvery = renewEvery;
-    this.proveCancellations = proveCancellations;
+    this.confirmCancellations = proveCancellations;
     this.onChange = onChange;
-    this.right = new OwnershipLease(ttl);
+    this.ownership = new OwnershipLease(ttl);
     this.verifiedAt = loop.now().minus(ttl);
   }
 
@@ -94,11 +94,12 @@
         StoreKeys.LEADER,
         KeyValueStore.Urgency.URGENT,
         answer -> {
-          if (answer instanceof Answer.Found<Item> found
+          if (answer instanceof ReadResult.Found<KeyValue> found
               && found.value().value().path("node").asText().equals(self.value())) {
-            endOld(new LeaseId(found.value().value().path("hold").asLong()), this::clearNodeKey);
-          } else if (answer instanceof Answer.Found<Item>
-              || answer instanceof Answer.Absent<Item>) {
+            revokeOldLease(
+                new LeaseId(found.value().value().path("hold").asLong()), this::clearNodeKey);
+          } else if (answer instanceof ReadResult.Found<KeyValue>
+              || answer instanceof ReadResult.Absent<KeyValue>) {
             clearNodeKey();
           } else {
             loop.after(RETRY, this::clearLeaderKey);
@@ -111,9 +112,9 @@
         StoreKeys.node(self),
         KeyValueStore.Urgency.URGENT,
         answer -> {
-          if (answer instanceof Answer.Found<Item> found) {
-            endOld(ClusterView.nodeRecord(found.value()).hold(), this::acquire);
-          } else if (answer instanceof Answer.Absent<Item>) {
+          if (answer instanceof ReadResult.Found<KeyValue> found) {
+            revokeOldLease(ClusterView.nodeRecord(found.value()).lease(), this::acquire);
+          } else if (answer instanceof ReadResult.Absent<KeyValue>) {
             acquire();
           } else {
             loop.after(RETRY, this::clearNodeKey);
@@ -121,14 +122,15 @@
         });
   }
 
-  private void endOld(LeaseId old, Runnable next) {
-    store.endHold(
+  private void revokeOldLease(LeaseId old, Runnable next) {
+    store.revokeLease(
         old,
         answer -> {
-          if (answer instanceof Answer.Found<Boolean> || answer instanceof Answer.Absent<Boolean>) {
+          if (answer instanceof ReadResult.Found<Boolean>
+              || answer instanceof ReadResult.Absent<Boolean>) {
             next.run();
           } else {
-            loop.after(RETRY, () -> endOld(old, next));
+            loop.after(RETRY, () -> revokeOldLease(old, next));
           }
         });
   }
@@ -136,12 +138,12 @@
   private void acquire() {
     transitionTo(State.ACQUIRING);
     MonotonicTime sent = loop.now();
-    store.grantHold(
+    store.grantLease(
         ttl,
         answer -> {
-          if (answer instanceof Answer.Found<LeaseId> found) {
-            hold = Optional.of(found.value());
-            renewed(sent);
+          if (answer instanceof ReadResult.Found<LeaseId> found) {
+            lease = Optional.of(found.value());
+            onRenewed(sent);
             register(found.value());
           } else {
             loop.after(RETRY, this::acquire);
@@ -152,12 +154,12 @@
   private void register(LeaseId mine) {
     transitionTo(State.REGISTERING);
     store.commit(
-        List.of(new Guard(StoreKeys.node(self), new Revision(0))),
+        List.of(new Compare(StoreKeys.node(self), new Revision(0))),
         List.of(Write.put(StoreKeys.node(self), ClusterView.nodeValue(mine), mine)),
         KeyValueStore.Urgency.URGENT,
         outcome -> {
-          if (outcome instanceof KeyValueStore.Outcome.Committed) {
-            transitionTo(State.HELD);
+          if (outcome instanceof KeyValueStore.CommitResult.Committed) {
+            transitionTo(State.ACTIVE);
             renew(mine);
           } else {
             // Silence may mean that our own key is there already: start over, which finds it.
@@ -167,50 +169,50 @@
   }
 
   private void renew(LeaseId mine) {
-    if (!hold.equals(Optional.of(mine))) {
+    if (!lease.equals(Optional.of(mine))) {
       return;
     }
     MonotonicTime sent = loop.now();
-    verify();
-    if (!right.fresh(Ground.CANCELLATIONS_KNOWN, sent, renewEvery.dividedBy(2))) {
-      proveCancellations.run();
+    verifyGrants();
+    if (!ownership.fresh(Evidence.CANCELLATIONS_KNOWN, sent, renewEvery.dividedBy(2))) {
+      confirmCancellations.run();
     }
-    store.renew(
+    store.renewLease(
         mine,
         answer -> {
-          if (!hold.equals(Optional.of(mine))) {
+          if (!lease.equals(Optional.of(mine))) {
             // A peer found meanwhile that it is over.
             return;
           }
-          if (answer instanceof Answer.Found<Boolean>) {
-            renewed(sent);
+          if (answer instanceof ReadResult.Found<Boolean>) {
+            onRenewed(sent);
             loop.after(renewEvery, () -> renew(mine));
-          } else if (answer instanceof Answer.Absent<Boolean>) {
-            over(mine);
+          } else if (answer instanceof ReadResult.Absent<Boolean>) {
+            onLeaseExpired(mine);
           } else {
             loop.after(RETRY, () -> renew(mine));
           }
         });
   }
 
-  private void renewed(MonotonicTime sent) {
-    right.shown(Ground.SESSION_RENEWED, sent);
+  private void onRenewed(MonotonicTime sent) {
+    ownership.confirm(Evidence.SESSION_RENEWED, sent);
   }
 
-  private void over(LeaseId mine) {
+  private void onLeaseExpired(LeaseId mine) {
     LOG.warn("session lease {} is over", mine);
-    hold = Optional.empty();
-    right.gone(Ground.SESSION_RENEWED);
-    verified = Map.of();
+    lease = Optional.empty();
+    ownership.invalidate(Evidence.SESSION_RENEWED);
+    onGrantsVerified = Map.of();
     acquire();
   }
 
-  private void verified(MonotonicTime sent, Map<ShardId, Revision> mine) {
+  private void onGrantsVerified(MonotonicTime sent, Map<ShardId, Revision> mine) {
     if (sent.isAfter(verifiedAt)) {
       verifiedAt = sent;
-      right.shown(Ground.GRANTS_READ, sent);
-      boolean changed = !mine.equals(verified);
-      verified = mine;
+      ownership.confirm(Evidence.GRANTS_READ, sent);
+      boolean changed = !mine.equals(onGrantsVerified);
+      onGrantsVerified = mine;
       if (changed) {
         onChange.run();
       }
@@ -222,50 +224,50 @@
    *
    * @param sent when this node asked
    */
-  public void proven(LeaseId renewed, MonotonicTime sent, Map<ShardId, Revision> mine) {
-    if (state == State.HELD && hold.equals(Optional.of(renewed))) {
-      renewed(sent);
-      verified(sent, mine);
+  public void onRenewedByPeer(LeaseId renewed, MonotonicTime sent, Map<ShardId, Revision> mine) {
+    if (state == State.ACTIVE && lease.equals(Optional.of(renewed))) {
+      onRenewed(sent);
+      onGrantsVerified(sent, mine);
     }
   }
 
   /** A peer found that the lease is over. */
-  public void provenOver(LeaseId ended) {
-    if (state == State.HELD && hold.equals(Optional.of(ended))) {
-      over(ended);
+  public void onExpiryReportedByPeer(LeaseId ended) {
+    if (state == State.ACTIVE && lease.equals(Optional.of(ended))) {
+      onLeaseExpired(ended);
     }
   }
 
   /** Reads which grants stand. A watch does not prove that: its news may be held back. */
-  private void verify() {
+  private void verifyGrants() {
     MonotonicTime sent = loop.now();
-    store.range(
+    store.readAll(
         StoreKeys.GRANTS,
         answer -> {
-          if (answer instanceof Answer.Found<StoreCodec.Range> found) {
+          if (answer instanceof ReadResult.Found<StoreCodec.Range> found) {
             Map<ShardId, Revision> mine = new HashMap<>();
-            for (Item item : found.value().items()) {
+            for (KeyValue item : found.value().items()) {
               if (item.value().path("holder").asText().equals(self.value())) {
                 mine.put(
-                    new ShardId(item.key().substring(StoreKeys.GRANTS.length())), item.version());
+                    new ShardId(item.key().substring(StoreKeys.GRANTS.length())), item.revision());
               }
             }
-            verified(sent, mine);
+            onGrantsVerified(sent, mine);
           }
         });
   }
 
   /** Called when a watch brings news of the grants. */
-  public void verifySoon() {
-    if (verifyPlanned || state != State.HELD) {
+  public void verifyGrantsSoon() {
+    if (verifyScheduled || state != State.ACTIVE) {
       return;
     }
-    verifyPlanned = true;
+    verifyScheduled = true;
     loop.after(
         Duration.ofMillis(5),
         () -> {
-          verifyPlanned = false;
-          verify();
+          verifyScheduled = false;
+          verifyGrants();
         });
   }
 
@@ -274,37 +276,37 @@
    *
    * @param asked when the question was sent whose answer showed it
    */
-  public void cancellationsKnown(MonotonicTime asked) {
-    right.shown(Ground.CANCELLATIONS_KNOWN, asked);
+  public void onCancellationsKnown(MonotonicTime asked) {
+    ownership.confirm(Evidence.CANCELLATIONS_KNOWN, asked);
   }
 
   /** Checked whenever this node acts, not only by a timer: timers may go off late. */
-  public boolean entitled(ShardId shard, Revision grant) {
-    return mayAct() && grant.equals(verified.get(shard));
+  public boolean mayActFor(ShardId shard, Revision grant) {
+    return mayAct() && grant.equals(onGrantsVerified.get(shard));
   }
 
   /** Whether this node may act at all, for the shards that are its own. */
   boolean mayAct() {
-    return state == State.HELD && right.stands(loop.now());
+    return state == State.ACTIVE && ownership.isValid(loop.now());
   }
 
   /** For the log; called a few times a second while shards are held. */
-  public void tellRight() {
+  public void logOwnershipChange() {
     boolean stands = mayAct();
-    if (stood && !stands) {
-      LOG.warn("may not act for its blocks: {}", right.weakest(loop.now()));
-    } else if (!stood && stands) {
+    if (couldAct && !stands) {
+      LOG.warn("may not act for its blocks: {}", ownership.describeOldest(loop.now()));
+    } else if (!couldAct && stands) {
       LOG.info("may act for its blocks");
     }
-    stood = stands;
+    couldAct = stands;
   }
 
   public Map<ShardId, Revision> grants() {
-    return verified;
+    return onGrantsVerified;
   }
 
-  public Optional<LeaseId> hold() {
-    return state == State.HELD ? hold : Optional.empty();
+  public Optional<LeaseId> lease() {
+    return state == State.ACTIVE ? lease : Optional.empty();
   }
 
   public State state() {
