--- a/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
+++ b/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
@@ -21,7 +21,7 @@
 import org.mulleinshift.protocol.peer.LeaseRenewalRequest;
 import org.mulleinshift.protocol.peer.LeaseRenewalResponse;
 import org.mulleinshift.store.KeyValueStore;
-import org.mulleinshift.store.KeyValueStore.Answer;
+import org.mulleinshift.store.KeyValueStore.ReadResult;
 import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.store.WatchCache;
 import org.mulleinshift.transport.EventLoop;
@@ -46,11 +46,11 @@
   private static final int MAX_CHARACTERS = 1 << 19;
 
   private static final LeaseId NO_LEASE = new LeaseId(0);
-  private static final Duration BAD_LOGGED = Duration.ofMinutes(1);
+  private static final Duration INVALID_LOG_INTERVAL = Duration.ofMinutes(1);
 
-  private record Question(LeaseId hold, Revision since, MonotonicTime askedAt) {
+  private record PendingRequest(LeaseId lease, Revision since, MonotonicTime sentAt) {
     String prefix() {
-      return hold.equals(NO_LEASE) ? StoreKeys.ACTIVE : StoreKeys.CONTROL;
+      return lease.equals(NO_LEASE) ? StoreKeys.ACTIVE_JOBS : StoreKeys.CONTROL;
     }
   }
 
@@ -64,12 +64,12 @@
   private final WatchCache control;
   private final WatchCache jobs;
   private final BiConsumer<NodeId, Object> send;
-  private final Map<Long, Question> asked = new HashMap<>();
-  private long questions;
+  private final Map<Long, PendingRequest> pending = new HashMap<>();
+  private long lastRequestId;
   private long turns;
   private boolean running;
-  private long bad;
-  private Optional<MonotonicTime> badLoggedAt = Optional.empty();
+  private long invalidResponses;
+  private Optional<MonotonicTime> invalidLoggedAt = Optional.empty();
 
   /** What proofs are made of. */
   public record Parts(
@@ -99,33 +99,33 @@
   public void start() {
     if (!running) {
       running = true;
-      ask();
+      requestRenewal();
     }
   }
 
-  private void ask() {
+  private void requestRenewal() {
     if (link.state() != StoreHealth.State.LOST) {
       running = false;
-      asked.clear();
+      pending.clear();
       return;
     }
-    loop.after(EVERY, this::ask);
-    List<NodeId> served = links.servedPeers();
-    Optional<LeaseId> hold = session.hold();
+    loop.after(EVERY, this::requestRenewal);
+    List<NodeId> served = links.peersServedByStore();
+    Optional<LeaseId> hold = session.lease();
     if (hold.isEmpty() || served.isEmpty()) {
       return;
     }
-    asked.values().removeIf(old -> loop.now().since(old.askedAt).compareTo(EVERY) > 0);
+    pending.values().removeIf(old -> loop.now().since(old.sentAt).compareTo(EVERY) > 0);
     // One after the other: a peer that does not answer costs one turn.
     NodeId peer = served.get((int) (turns % served.size()));
     turns++;
-    ask(peer, hold.get(), control.revision());
-    ask(peer, NO_LEASE, jobs.revision());
+    requestRenewal(peer, hold.get(), control.revision());
+    requestRenewal(peer, NO_LEASE, jobs.revision());
   }
 
-  private void ask(NodeId peer, LeaseId hold, Revision since) {
-    long id = ++questions;
-    asked.put(id, new Question(hold, since, loop.now()));
+  private void requestRenewal(NodeId peer, LeaseId hold, Revision since) {
+    long id = ++lastRequestId;
+    pending.put(id, new PendingRequest(hold, since, loop.now()));
     send.accept(peer, new LeaseRenewalRequest(id, hold.value(), since.value()));
   }
 
@@ -136,40 +136,40 @@
     }
     LeaseId hold = new LeaseId(request.getLease());
     if (hold.equals(NO_LEASE)) {
-      readChanges(sender, request, StoreKeys.ACTIVE);
+      readChanges(sender, request, StoreKeys.ACTIVE_JOBS);
       return;
     }
-    store.renew(
+    store.renewLease(
         hold,
         renewed -> {
-          if (renewed instanceof Answer.Absent<Boolean>) {
-            send.accept(sender, answer(request, true, new Changes(List.of(), new Revision(0))));
-          } else if (renewed instanceof Answer.Found<Boolean>) {
+          if (renewed instanceof ReadResult.Absent<Boolean>) {
+            send.accept(sender, response(request, true, new Changes(List.of(), new Revision(0))));
+          } else if (renewed instanceof ReadResult.Found<Boolean>) {
             readChanges(sender, request, StoreKeys.CONTROL);
           }
         });
   }
 
   private void readChanges(NodeId sender, LeaseRenewalRequest request, String prefix) {
-    store.changes(
+    store.readChanges(
         prefix,
         new Revision(request.getSinceRevision()),
         KeyValueStore.Urgency.URGENT,
         answer -> {
-          if (answer instanceof Answer.Found<Changes> found) {
-            send.accept(sender, answer(request, false, found.value()));
+          if (answer instanceof ReadResult.Found<Changes> found) {
+            send.accept(sender, response(request, false, found.value()));
           }
         });
   }
 
-  private static LeaseRenewalResponse answer(
+  private static LeaseRenewalResponse response(
       LeaseRenewalRequest request, boolean over, Changes changes) {
     List<KeyChange> list = new ArrayList<>();
     int characters = 0;
     for (Change change : changes.changes()) {
       String value = change.value().map(Json::write).orElse("");
       characters += value.length();
-      list.add(new KeyChange(change.key(), value, change.version().value()));
+      list.add(new KeyChange(change.key(), value, change.revision().value()));
     }
     boolean fits = characters <= MAX_CHARACTERS;
     return new LeaseRenewalResponse(
@@ -182,36 +182,36 @@
   }
 
   /** Counted from when this node asked; an answer to no open question is out of date. */
-  public void onAnswer(NodeId sender, LeaseRenewalResponse answer) {
-    Question question = asked.remove(answer.getId());
+  public void onResponse(NodeId sender, LeaseRenewalResponse answer) {
+    PendingRequest question = pending.remove(answer.getId());
     if (question == null) {
       return;
     }
-    if (question.hold.value() != answer.getLease()) {
-      provesNothing(sender, "of another lease");
+    if (question.lease.value() != answer.getLease()) {
+      onInvalidResponse(sender, "of another lease");
     } else if (answer.getExpired()) {
-      if (!question.hold.equals(NO_LEASE)) {
-        session.provenOver(question.hold);
+      if (!question.lease.equals(NO_LEASE)) {
+        session.onExpiryReportedByPeer(question.lease);
       }
     } else if (!answer.getComplete()) {
-      provesNothing(sender, "too much has changed");
+      onInvalidResponse(sender, "too much has changed");
     } else {
-      take(sender, question, answer);
+      apply(sender, question, answer);
     }
   }
 
-  private void take(NodeId sender, Question question, LeaseRenewalResponse answer) {
+  private void apply(NodeId sender, PendingRequest question, LeaseRenewalResponse answer) {
     Changes changes;
     try {
       changes = parse(question, answer);
     } catch (MalformedMessageException e) {
-      provesNothing(sender, e.getMessage());
+      onInvalidResponse(sender, e.getMessage());
       return;
     }
-    if (question.hold.equals(NO_LEASE)) {
+    if (question.lease.equals(NO_LEASE)) {
       // What is taken tells the session by itself.
-      jobs.take(changes, question.askedAt);
-    } else if (control.take(changes, question.askedAt)) {
+      jobs.take(changes, question.sentAt);
+    } else if (control.take(changes, question.sentAt)) {
       Map<ShardId, Revision> mine = new HashMap<>();
       view.grants()
           .forEach(
@@ -220,11 +220,11 @@
                   mine.put(shard, grant.revision());
                 }
               });
-      session.proven(question.hold, question.askedAt, mine);
+      session.onRenewedByPeer(question.lease, question.sentAt, mine);
     }
   }
 
-  private static Changes parse(Question question, LeaseRenewalResponse answer)
+  private static Changes parse(PendingRequest question, LeaseRenewalResponse answer)
       throws MalformedMessageException {
     if (answer.getRevision() < question.since.value()) {
       throw new MalformedMessageException("of an earlier revision than asked for");
@@ -244,12 +244,12 @@
     return new Changes(changes, new Revision(answer.getRevision()));
   }
 
-  private void provesNothing(NodeId sender, String why) {
-    bad++;
+  private void onInvalidResponse(NodeId sender, String why) {
+    invalidResponses++;
     MonotonicTime now = loop.now();
-    if (badLoggedAt.filter(at -> now.since(at).compareTo(BAD_LOGGED) < 0).isEmpty()) {
-      badLoggedAt = Optional.of(now);
-      LOG.warn("answer of {} proves nothing, {} so far: {}", sender, bad, why);
+    if (invalidLoggedAt.filter(at -> now.since(at).compareTo(INVALID_LOG_INTERVAL) < 0).isEmpty()) {
+      invalidLoggedAt = Optional.of(now);
+      LOG.warn("answer of {} proves nothing, {} so far: {}", sender, invalidResponses, why);
     }
   }
 }
--- a/src/main/java/org/mulleinshift/membership/LeaderElection.java
+++ b/src/main/java/org/mulleinshift/membership/LeaderElection.java
@@ -8,10 +8,10 @@
 import org.mulleinshift.protocol.LeaseId;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StoreCodec.Guard;
+import org.mulleinshift.protocol.StoreCodec.Compare;
 import org.mulleinshift.protocol.StoreCodec.Write;
 import org.mulleinshift.store.KeyValueStore;
-import org.mulleinshift.store.KeyValueStore.Answer;
+import org.mulleinshift.store.KeyValueStore.ReadResult;
 import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.MonotonicTime;
@@ -23,20 +23,20 @@
   private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
 
   /** So long the others leave it to the one that was asked to lead. */
-  private static final Duration GIVEN_TO_CHOSEN = Duration.ofMillis(600);
+  private static final Duration SUCCESSOR_GRACE = Duration.ofMillis(600);
 
   /** States of a node in the election. */
   public enum State {
     FOLLOWING,
-    STANDING,
+    CANDIDATE,
     LEADING
   }
 
   /** Hears of the start and the end of a term of this node. */
   public interface Listener {
-    void won(Revision term);
+    void onElected(Revision term);
 
-    void lost();
+    void onLeadershipLost();
   }
 
   private final EventLoop loop;
@@ -44,13 +44,13 @@
   private final NodeId self;
   private final Duration ttl;
   private final Listener listener;
-  private final Supplier<Duration> yields;
+  private final Supplier<Duration> campaignDelay;
   private State state = State.FOLLOWING;
-  private Optional<LeaseId> hold = Optional.empty();
+  private Optional<LeaseId> lease = Optional.empty();
   private Revision term = new Revision(0);
   private MonotonicTime renewedAt;
   private MonotonicTime notBefore;
-  private boolean chosen;
+  private boolean preferred;
 
   /**
    * @param yields how long a free key is left to another controller
@@ -62,7 +62,7 @@
       Duration ttl,
       Listener listener,
       Supplier<Duration> yields) {
-    this.yields = yields;
+    this.campaignDelay = yields;
     this.loop = loop;
     this.store = store;
     this.self = self;
@@ -80,11 +80,11 @@
       LOG.info("election {} -> {}", old, next);
     }
     if (next == State.LEADING) {
-      listener.won(term);
+      listener.onElected(term);
     } else if (old == State.LEADING) {
-      hold.ifPresent(held -> store.endHold(held, answer -> {}));
-      hold = Optional.empty();
-      listener.lost();
+      lease.ifPresent(held -> store.revokeLease(held, answer -> {}));
+      lease = Optional.empty();
+      listener.onLeadershipLost();
     }
   }
 
@@ -96,75 +96,75 @@
         resign("another leader");
       }
     } else if (state == State.FOLLOWING && ready && view.leader().isEmpty()) {
-      transitionTo(State.STANDING);
+      transitionTo(State.CANDIDATE);
       // Spread, so that not all nodes try at the same moment; one that was chosen need not wait.
       Duration spread = Duration.ofMillis((long) (50 + 250 * loop.random()));
       Duration wait = notBefore.isAfter(loop.now()) ? notBefore.since(loop.now()) : Duration.ZERO;
-      wait = wait.compareTo(yields.get()) > 0 ? wait : yields.get();
-      loop.after(chosen ? Duration.ZERO : wait.plus(spread), () -> stand(view));
-      chosen = false;
+      wait = wait.compareTo(campaignDelay.get()) > 0 ? wait : campaignDelay.get();
+      loop.after(preferred ? Duration.ZERO : wait.plus(spread), () -> campaign(view));
+      preferred = false;
     }
   }
 
-  private void stand(ClusterView view) {
+  private void campaign(ClusterView view) {
     if (view.leader().isPresent()) {
       transitionTo(State.FOLLOWING);
       return;
     }
     MonotonicTime sent = loop.now();
-    store.grantHold(
+    store.grantLease(
         ttl,
         answer -> {
-          if (answer instanceof Answer.Found<LeaseId> found) {
-            hold = Optional.of(found.value());
+          if (answer instanceof ReadResult.Found<LeaseId> found) {
+            lease = Optional.of(found.value());
             renewedAt = sent;
-            take(found.value(), view);
+            claimLeadership(found.value(), view);
           } else {
-            giveUp(view);
+            abandonCampaign(view);
           }
         });
   }
 
-  private void take(LeaseId held, ClusterView view) {
+  private void claimLeadership(LeaseId held, ClusterView view) {
     store.commit(
-        List.of(new Guard(StoreKeys.LEADER, new Revision(0))),
+        List.of(new Compare(StoreKeys.LEADER, new Revision(0))),
         List.of(Write.put(StoreKeys.LEADER, ClusterView.leaderValue(self, held), held)),
         KeyValueStore.Urgency.URGENT,
         outcome -> {
-          if (outcome instanceof KeyValueStore.Outcome.Committed committed) {
+          if (outcome instanceof KeyValueStore.CommitResult.Committed committed) {
             term = committed.revision();
             transitionTo(State.LEADING);
             renew(held);
           } else {
             // A win whose answer was lost ends with this lease.
-            store.endHold(held, ended -> {});
-            hold = Optional.empty();
-            giveUp(view);
+            store.revokeLease(held, ended -> {});
+            lease = Optional.empty();
+            abandonCampaign(view);
           }
         });
   }
 
-  private void giveUp(ClusterView view) {
+  private void abandonCampaign(ClusterView view) {
     transitionTo(State.FOLLOWING);
     loop.after(Duration.ofMillis((long) (300 + 400 * loop.random())), () -> observe(view, true));
   }
 
   private void renew(LeaseId held) {
-    if (state != State.LEADING || !hold.equals(Optional.of(held))) {
+    if (state != State.LEADING || !lease.equals(Optional.of(held))) {
       return;
     }
     MonotonicTime sent = loop.now();
-    store.renew(
+    store.renewLease(
         held,
         answer -> {
-          if (state != State.LEADING || !hold.equals(Optional.of(held))) {
+          if (state != State.LEADING || !lease.equals(Optional.of(held))) {
             return;
           }
-          if (answer instanceof Answer.Absent<Boolean>) {
+          if (answer instanceof ReadResult.Absent<Boolean>) {
             resign("lease over");
             return;
           }
-          boolean renewed = answer instanceof Answer.Found<Boolean>;
+          boolean renewed = answer instanceof ReadResult.Found<Boolean>;
           if (renewed) {
             renewedAt = sent;
           }
@@ -180,11 +180,11 @@
   }
 
   /** The standing term, and the lease that it hangs on. */
-  public record Standing(Revision term, LeaseId hold) {}
+  public record TermLease(Revision term, LeaseId lease) {}
 
   /** What a peer needs to end this term's lease; none if this node does not lead. */
-  public Optional<Standing> standing() {
-    return state == State.LEADING ? hold.map(held -> new Standing(term, held)) : Optional.empty();
+  public Optional<TermLease> termLease() {
+    return state == State.LEADING ? lease.map(held -> new TermLease(term, held)) : Optional.empty();
   }
 
   /**
@@ -193,26 +193,26 @@
    * do so and to lead; the others do if that does not come about. A late message ends nothing: the
    * lease is long over.
    */
-  public void onResignation(Standing ended, boolean asked, ClusterView view) {
+  public void onLeadershipTransfer(TermLease ended, boolean asked, ClusterView view) {
     if (state != State.FOLLOWING) {
       return;
     }
     if (asked) {
-      chosen = stands(ended, view);
-      store.endHold(ended.hold(), answer -> {});
+      preferred = isCurrent(ended, view);
+      store.revokeLease(ended.lease(), answer -> {});
     } else {
-      notBefore = loop.now().plus(GIVEN_TO_CHOSEN);
+      notBefore = loop.now().plus(SUCCESSOR_GRACE);
       loop.after(
-          GIVEN_TO_CHOSEN,
+          SUCCESSOR_GRACE,
           () -> {
-            if (stands(ended, view)) {
-              store.endHold(ended.hold(), answer -> {});
+            if (isCurrent(ended, view)) {
+              store.revokeLease(ended.lease(), answer -> {});
             }
           });
     }
   }
 
-  private static boolean stands(Standing known, ClusterView view) {
+  private static boolean isCurrent(TermLease known, ClusterView view) {
     return view.leader().filter(leader -> leader.term().equals(known.term())).isPresent();
   }
 
@@ -221,7 +221,7 @@
   }
 
   /** Whether nobody else can lead now, by our clock. */
-  public boolean certain() {
+  public boolean holdsValidLease() {
     return leading() && renewedAt.plus(ttl.multipliedBy(9).dividedBy(10)).isAfter(loop.now());
   }
 }
--- a/src/main/java/org/mulleinshift/membership/OwnerEligibility.java
+++ b/src/main/java/org/mulleinshift/membership/OwnerEligibility.java
@@ -25,18 +25,18 @@
   private static final Duration FORGIVEN = Duration.ofMinutes(3);
   private static final int MAX_DOUBLINGS = 4;
 
-  private static final class Strikes {
+  private static final class Incidents {
     private int count;
-    private boolean deaf;
+    private boolean unreachable;
     private MonotonicTime lastAt;
     private MonotonicTime until;
   }
 
-  private final Function<NodeId, WorkerReachability.State> hearing;
-  private final Map<NodeId, Strikes> strikes = new HashMap<>();
+  private final Function<NodeId, WorkerReachability.State> reachability;
+  private final Map<NodeId, Incidents> incidents = new HashMap<>();
 
   public OwnerEligibility(Function<NodeId, WorkerReachability.State> hearing) {
-    this.hearing = hearing;
+    this.reachability = hearing;
   }
 
   /**
@@ -45,49 +45,49 @@
    * @param knocks how many machines of each owner reported elsewhere lately
    * @param live the controllers that could hold shards
    */
-  public Set<NodeId> unfit(
+  public Set<NodeId> ineligible(
       Map<NodeId, Integer> suspicions, Collection<NodeId> live, MonotonicTime now) {
     boolean othersHear =
-        live.stream().anyMatch(node -> hearing.apply(node) == WorkerReachability.State.WELL);
+        live.stream().anyMatch(node -> reachability.apply(node) == WorkerReachability.State.WELL);
     for (NodeId node : live) {
-      WorkerReachability.State own = hearing.apply(node);
+      WorkerReachability.State own = reachability.apply(node);
       // Where no controller hears its workers it is not the controller.
       boolean proven = own == WorkerReachability.State.ALL_SILENT && othersHear;
       boolean most =
           own == WorkerReachability.State.MOST_SILENT || own == WorkerReachability.State.ALL_SILENT;
-      Strikes known = strikes.get(node);
-      if (known != null && known.deaf) {
+      Incidents known = incidents.get(node);
+      if (known != null && known.unreachable) {
         if (!most) {
-          hearsAgain(node, known, now);
+          onReachableAgain(node, known, now);
         }
       } else if (proven || (most && suspicions.getOrDefault(node, 0) > 0)) {
-        strike(node, now);
+        recordIncident(node, now);
       }
     }
     Set<NodeId> unfit = new HashSet<>();
-    strikes.forEach(
+    incidents.forEach(
         (node, known) -> {
-          if (known.deaf || known.until.isAfter(now)) {
+          if (known.unreachable || known.until.isAfter(now)) {
             unfit.add(node);
           }
         });
     return unfit;
   }
 
-  private void strike(NodeId node, MonotonicTime now) {
-    Strikes known = strikes.computeIfAbsent(node, key -> new Strikes());
+  private void recordIncident(NodeId node, MonotonicTime now) {
+    Incidents known = incidents.computeIfAbsent(node, key -> new Incidents());
     boolean forgiven = known.count > 0 && now.since(known.lastAt).compareTo(FORGIVEN) > 0;
     known.count = forgiven ? 1 : known.count + 1;
     known.lastAt = now;
     known.until = now;
-    known.deaf = true;
+    known.unreachable = true;
     LOG.info("{} cannot reach its workers: its blocks go to others", node);
   }
 
   /** Its word is a sign of its workers; what comes and goes is trusted later each time. */
-  private static void hearsAgain(NodeId node, Strikes known, MonotonicTime now) {
+  private static void onReachableAgain(NodeId node, Incidents known, MonotonicTime now) {
     Duration trial = FIRST.multipliedBy(1L << Math.min(known.count - 1, MAX_DOUBLINGS));
-    known.deaf = false;
+    known.unreachable = false;
     known.until = now.plus(trial);
     LOG.info("{} hears its workers again: it may hold blocks in {} s", node, trial.toSeconds());
   }
--- a/src/main/java/org/mulleinshift/membership/OwnershipLease.java
+++ b/src/main/java/org/mulleinshift/membership/OwnershipLease.java
@@ -20,43 +20,43 @@
   private static final double DRIFT = 0.001;
 
   /** What must be known, each as of its own moment. */
-  public enum Ground {
+  public enum Evidence {
     SESSION_RENEWED,
     GRANTS_READ,
     CANCELLATIONS_KNOWN
   }
 
   private final Duration usable;
-  private final Map<Ground, MonotonicTime> asOf = new EnumMap<>(Ground.class);
+  private final Map<Evidence, MonotonicTime> asOf = new EnumMap<>(Evidence.class);
 
   OwnershipLease(Duration lease) {
     this.usable = Duration.ofNanos((long) (lease.toNanos() * (1 - DRIFT))).minus(SAFETY);
   }
 
   /** The only place where the right grows. */
-  void shown(Ground ground, MonotonicTime asked) {
+  void confirm(Evidence ground, MonotonicTime asked) {
     asOf.merge(ground, asked, (known, next) -> next.isAfter(known) ? next : known);
   }
 
   /** The ground is gone, whatever was shown of it. */
-  void gone(Ground ground) {
+  void invalidate(Evidence ground) {
     asOf.remove(ground);
   }
 
-  boolean stands(MonotonicTime now) {
-    return asOf.size() == Ground.values().length
+  boolean isValid(MonotonicTime now) {
+    return asOf.size() == Evidence.values().length
         && asOf.values().stream().allMatch(asked -> asked.plus(usable).isAfter(now));
   }
 
   /** Whether the ground was shown as of so short a time ago. */
-  boolean fresh(Ground ground, MonotonicTime now, Duration within) {
+  boolean fresh(Evidence ground, MonotonicTime now, Duration within) {
     MonotonicTime asked = asOf.get(ground);
     return asked != null && now.since(asked).compareTo(within) < 0;
   }
 
   /** Which ground the right hangs on, for the log. */
-  String weakest(MonotonicTime now) {
-    for (Ground ground : Ground.values()) {
+  String describeOldest(MonotonicTime now) {
+    for (Evidence ground : Evidence.values()) {
       if (!asOf.containsKey(ground)) {
         return ground + " not shown";
       }
--- a/src/main/java/org/mulleinshift/membership/PeerFailureDetector.java
+++ b/src/main/java/org/mulleinshift/membership/PeerFailureDetector.java
@@ -25,14 +25,15 @@
   /** A heartbeat older than this says nothing of now. */
   public static final Duration FRESH = Duration.ofMillis(2500);
 
-  private record Said(Heartbeat beat, MonotonicTime at) {}
+  private record ReceivedHeartbeat(Heartbeat heartbeat, MonotonicTime at) {}
 
   private final EventLoop loop;
   private final NodeId self;
   private final MonotonicTime startedAt;
   private final Map<NodeId, MonotonicTime> heardAt = new HashMap<>();
   private final Map<NodeId, MonotonicTime> directAt = new HashMap<>();
-  private final Map<NodeId, Said> said = new TreeMap<>(Comparator.comparing(NodeId::value));
+  private final Map<NodeId, ReceivedHeartbeat> heartbeats =
+      new TreeMap<>(Comparator.comparing(NodeId::value));
 
   public PeerFailureDetector(EventLoop loop, NodeId self) {
     this.loop = loop;
@@ -41,7 +42,7 @@
   }
 
   /** Anything came from the peer, by itself or by a third. */
-  public void heard(NodeId peer, boolean direct) {
+  public void onMessage(NodeId peer, boolean direct) {
     heardAt.put(peer, loop.now());
     if (direct) {
       directAt.put(peer, loop.now());
@@ -58,7 +59,7 @@
     if (!unheard && !unhearing) {
       return Optional.empty();
     }
-    return said.keySet().stream()
+    return heartbeats.keySet().stream()
         .filter(third -> !third.equals(peer) && directSilence(third).compareTo(FRESH) < 0)
         .filter(third -> heardBy(third, peer).filter(ago -> ago.compareTo(FRESH) < 0).isPresent())
         .findFirst();
@@ -68,12 +69,12 @@
     return loop.now().since(directAt.getOrDefault(peer, startedAt));
   }
 
-  public void beat(NodeId peer, Heartbeat beat) {
-    said.put(peer, new Said(beat, loop.now()));
+  public void onHeartbeat(NodeId peer, Heartbeat beat) {
+    heartbeats.put(peer, new ReceivedHeartbeat(beat, loop.now()));
   }
 
   /** What was not heard while this process stood still says nothing of the others. */
-  public void stoodStill() {
+  public void onProcessPause() {
     heardAt.replaceAll((node, at) -> loop.now());
     directAt.replaceAll((node, at) -> loop.now());
   }
@@ -87,28 +88,28 @@
   }
 
   /** The peer's last word of itself, if it is fresh. */
-  public Optional<Heartbeat> word(NodeId peer) {
-    return Optional.ofNullable(said.get(peer))
+  public Optional<Heartbeat> freshHeartbeat(NodeId peer) {
+    return Optional.ofNullable(heartbeats.get(peer))
         .filter(known -> loop.now().since(known.at).compareTo(FRESH) < 0)
-        .map(Said::beat);
+        .map(ReceivedHeartbeat::heartbeat);
   }
 
   /** How the sender stands to its workers, by its own word; an unknown word counts as well. */
-  public static WorkerReachability.State workers(Heartbeat beat) {
+  public static WorkerReachability.State workerReachability(Heartbeat beat) {
     return WorkerReachability.State.fromWireName(beat.getWorkers());
   }
 
   /** Whether the peer said lately that the state service serves it. */
-  public boolean served(NodeId peer) {
-    return word(peer).filter(beat -> !beat.getStoreLost()).isPresent();
+  public boolean isServedByStore(NodeId peer) {
+    return freshHeartbeat(peer).filter(beat -> !beat.getStoreLost()).isPresent();
   }
 
   /** Whether some peer, by its fresh word, had an answer of the state service after the moment. */
   public boolean anyServedSince(MonotonicTime moment) {
-    for (Map.Entry<NodeId, Said> known : said.entrySet()) {
-      Said last = known.getValue();
-      MonotonicTime answered = last.at.minus(Duration.ofMillis(last.beat.getStoreSilenceMs()));
-      if (served(known.getKey()) && answered.isAfter(moment)) {
+    for (Map.Entry<NodeId, ReceivedHeartbeat> known : heartbeats.entrySet()) {
+      ReceivedHeartbeat last = known.getValue();
+      MonotonicTime answered = last.at.minus(Duration.ofMillis(last.heartbeat.getStoreSilenceMs()));
+      if (isServedByStore(known.getKey()) && answered.isAfter(moment)) {
         return true;
       }
     }
@@ -116,20 +117,21 @@
   }
 
   /** Peers that are served, those first that hear their workers and whose word is newest. */
-  public List<NodeId> servedPeers() {
+  public List<NodeId> peersServedByStore() {
     List<NodeId> peers = new ArrayList<>();
-    said.keySet().stream().filter(this::served).forEach(peers::add);
+    heartbeats.keySet().stream().filter(this::isServedByStore).forEach(peers::add);
     peers.sort(
-        Comparator.<NodeId, WorkerReachability.State>comparing(peer -> workers(said.get(peer).beat))
+        Comparator.<NodeId, WorkerReachability.State>comparing(
+                peer -> workerReachability(heartbeats.get(peer).heartbeat))
             .thenComparing(this::silence));
     return peers;
   }
 
   /** The newest leader that a served peer sees. */
-  public Optional<LeaderRecord> leaderByPeers() {
-    return said.keySet().stream()
-        .filter(this::served)
-        .map(peer -> said.get(peer).beat)
+  public Optional<LeaderRecord> leaderReportedByPeers() {
+    return heartbeats.keySet().stream()
+        .filter(this::isServedByStore)
+        .map(peer -> heartbeats.get(peer).heartbeat)
         .filter(beat -> beat.getLeaderTerm() > 0)
         .max(Comparator.comparingLong(Heartbeat::getLeaderTerm))
         .map(
@@ -143,7 +145,7 @@
   /**
    * Whom this controller heard itself, for its own heartbeat: so each learns who does not hear it.
    */
-  public List<PeerLastHeard> heardList() {
+  public List<PeerLastHeard> lastHeardList() {
     List<PeerLastHeard> list = new ArrayList<>();
     directAt
         .keySet()
@@ -152,13 +154,13 @@
   }
 
   /** The peer's last word of itself, however old. */
-  public Optional<Heartbeat> lastWord(NodeId peer) {
-    return Optional.ofNullable(said.get(peer)).map(Said::beat);
+  public Optional<Heartbeat> lastHeartbeat(NodeId peer) {
+    return Optional.ofNullable(heartbeats.get(peer)).map(ReceivedHeartbeat::heartbeat);
   }
 
   /** How long ago a peer last heard another controller, by its fresh word; none if never. */
   public Optional<Duration> heardBy(NodeId peer, NodeId other) {
-    return word(peer).stream()
+    return freshHeartbeat(peer).stream()
         .flatMap(beat -> beat.getLastHeard().stream())
         .filter(heard -> heard.getNode().equals(other.value()))
         .map(heard -> Duration.ofMillis(heard.getSilenceMs()).plus(age(peer)))
@@ -166,14 +168,14 @@
   }
 
   private Duration age(NodeId peer) {
-    return loop.now().since(said.get(peer).at);
+    return loop.now().since(heartbeats.get(peer).at);
   }
 
   /** One line for the log: each peer, how long it and we were silent to each other, its links. */
   public String describe() {
     StringBuilder line = new StringBuilder();
-    for (Map.Entry<NodeId, Said> entry : said.entrySet()) {
-      Heartbeat beat = entry.getValue().beat;
+    for (Map.Entry<NodeId, ReceivedHeartbeat> entry : heartbeats.entrySet()) {
+      Heartbeat beat = entry.getValue().heartbeat;
       line.append(line.isEmpty() ? "" : "; ")
           .append(entry.getKey())
           .append(" heard ")
--- a/src/main/java/org/mulleinshift/membership/ShardAssigner.java
+++ b/src/main/java/org/mulleinshift/membership/ShardAssigner.java
@@ -68,8 +68,8 @@
     for (AssignableShard shard : shards) {
       Optional<NodeId> owner = shard.owner();
       boolean held = owner.filter(live::contains).isPresent();
-      boolean deaf = held && shard.unheard(now).compareTo(deafAfter) > 0;
-      if ((held && !deaf) || shard.granting().isPresent()) {
+      boolean deaf = held && shard.unacknowledgedFor(now).compareTo(deafAfter) > 0;
+      if ((held && !deaf) || shard.pendingOwner().isPresent()) {
         continue;
       }
       if (owner.isEmpty() && mayReturn(shard, takers, now)) {
@@ -105,7 +105,7 @@
    */
   private static boolean mayReturn(AssignableShard shard, List<NodeId> takers, MonotonicTime now) {
     return shard.lastOwner().filter(node -> !takers.contains(node)).isPresent()
-        && shard.without(now).compareTo(RETURNS) < 0;
+        && shard.unownedFor(now).compareTo(RETURNS) < 0;
   }
 
   /** The move that brings the most and the least loaded controllers closest to each other. */
@@ -120,7 +120,7 @@
     NodeId least = loads.keySet().stream().min(byLoad.thenComparing(NodeId::value)).get();
     double difference = loads.get(most) - loads.get(least);
     return shards.stream()
-        .filter(shard -> shard.granting().isEmpty() && shard.owner().equals(Optional.of(most)))
+        .filter(shard -> shard.pendingOwner().isEmpty() && shard.owner().equals(Optional.of(most)))
         .filter(shard -> shard.size() > 0)
         .filter(shard -> difference >= MIN_DIFFERENCE && weight(shard) <= difference * 0.75)
         .min(Comparator.comparingDouble(shard -> Math.abs(difference - 2 * weight(shard))))
@@ -134,7 +134,7 @@
     double total = 0;
     for (AssignableShard shard : shards) {
       total += weight(shard);
-      Optional<NodeId> owner = shard.granting().or(shard::owner);
+      Optional<NodeId> owner = shard.pendingOwner().or(shard::owner);
       owner.ifPresent(node -> loads.computeIfPresent(node, (n, load) -> load + weight(shard)));
     }
     double leading = Math.max(MIN_LEADING, LEADING * total / Math.max(1, takers.size()));
--- a/src/main/java/org/mulleinshift/membership/StandbyFailover.java
+++ b/src/main/java/org/mulleinshift/membership/StandbyFailover.java
@@ -45,11 +45,11 @@
 
   /** What it needs of its node. */
   public record Parts(
-      PeerFailureDetector links,
+      PeerFailureDetector peers,
       ClusterView view,
       BooleanSupplier ownLinksWell,
       Runnable askPeers,
-      Consumer<LeaderElection.Standing> depose) {}
+      Consumer<LeaderElection.TermLease> depose) {}
 
   private final EventLoop loop;
   private final NodeId self;
@@ -99,15 +99,16 @@
   public String choose(List<NodeId> otherZoneFirst) {
     List<NodeId> well =
         otherZoneFirst.stream()
-            .filter(parts.links::served)
+            .filter(parts.peers::isServedByStore)
             .filter(
                 node ->
                     parts
-                        .links
-                        .word(node)
+                        .peers
+                        .freshHeartbeat(node)
                         .filter(
                             beat ->
-                                PeerFailureDetector.workers(beat) == WorkerReachability.State.WELL)
+                                PeerFailureDetector.workerReachability(beat)
+                                    == WorkerReachability.State.WELL)
                         .isPresent())
             .toList();
     if (named.filter(well::contains).isEmpty()) {
@@ -128,7 +129,7 @@
     boolean other =
         standby
             .map(NodeId::new)
-            .filter(node -> !node.equals(self) && parts.links.served(node))
+            .filter(node -> !node.equals(self) && parts.peers.isServedByStore(node))
             .isPresent();
     return other ? YIELD : Duration.ZERO;
   }
@@ -139,7 +140,7 @@
   }
 
   private Optional<String> namedBy(Optional<NodeId> leader) {
-    return leader.flatMap(parts.links::lastWord).map(Heartbeat::getStandby);
+    return leader.flatMap(parts.peers::lastHeartbeat).map(Heartbeat::getStandby);
   }
 
   private void tick() {
@@ -171,7 +172,7 @@
     if (state == State.NONE) {
       transitionTo(State.STANDBY, "named by " + leader.get().node());
     }
-    boolean heard = parts.links.silence(leader.get().node()).compareTo(gap) <= 0;
+    boolean heard = parts.peers.silence(leader.get().node()).compareTo(gap) <= 0;
     silent = heard || late ? Duration.ZERO : silent.plus(gap);
     watch(leader.get());
   }
@@ -206,9 +207,9 @@
   /** Another controller has not heard the leader either, and none that spoke since has. */
   private boolean agreed(NodeId leader, Duration limit) {
     boolean agree = false;
-    for (NodeId peer : parts.links.servedPeers()) {
+    for (NodeId peer : parts.peers.peersServedByStore()) {
       if (!peer.equals(leader)) {
-        Optional<Duration> ago = parts.links.heardBy(peer, leader);
+        Optional<Duration> ago = parts.peers.heardBy(peer, leader);
         if (ago.isPresent() && ago.get().compareTo(limit.dividedBy(2)) < 0) {
           return false;
         }
@@ -222,18 +223,19 @@
     transitionTo(
         State.DEPOSED, leader.node() + " silent for " + silent.toMillis() + " ms, another agrees");
     deposed = Optional.of(leader.node());
-    deposedSession = parts.links.lastWord(leader.node()).map(Heartbeat::getSessionLease).orElse(0L);
+    deposedSession =
+        parts.peers.lastHeartbeat(leader.node()).map(Heartbeat::getSessionLease).orElse(0L);
     falseAlarms = loop.now().since(deposedAt).compareTo(FORGIVEN) > 0 ? 0 : falseAlarms;
     deposedAt = loop.now();
-    parts.depose.accept(new LeaderElection.Standing(leader.term(), leader.hold()));
+    parts.depose.accept(new LeaderElection.TermLease(leader.term(), leader.lease()));
   }
 
   /** The same process speaks again: it was alive, and the next alarm takes longer. */
   private void noteFalseAlarm() {
     boolean alive =
         deposed
-            .filter(node -> parts.links.silence(node).compareTo(loop.now().since(deposedAt)) < 0)
-            .flatMap(parts.links::lastWord)
+            .filter(node -> parts.peers.silence(node).compareTo(loop.now().since(deposedAt)) < 0)
+            .flatMap(parts.peers::lastHeartbeat)
             .filter(beat -> beat.getSessionLease() == deposedSession)
             .isPresent();
     if (alive) {
--- a/src/main/java/org/mulleinshift/membership/StoreHealth.java
+++ b/src/main/java/org/mulleinshift/membership/StoreHealth.java
@@ -13,7 +13,7 @@
  * peers say of theirs. A service that answers nobody is an outage, in which nothing is given up;
  * only a link that is bad while a peer's is good is lost.
  */
-public final class StoreHealth implements KeyValueStore.Fates {
+public final class StoreHealth implements KeyValueStore.CallObserver {
   private static final Logger LOG = LoggerFactory.getLogger(StoreHealth.class);
   private static final Duration TICK = Duration.ofMillis(100);
 
--- a/src/main/java/org/mulleinshift/memory/HeapMonitor.java
+++ b/src/main/java/org/mulleinshift/memory/HeapMonitor.java
@@ -28,7 +28,7 @@
   private final EventLoop loop;
   private final Heap heap;
   private final long limit;
-  private MemoryPressure pressure = MemoryPressure.EASE;
+  private MemoryPressure pressure = MemoryPressure.NORMAL;
   private MonotonicTime mayCollectAt;
   private MonotonicTime collectedAt;
 
@@ -53,7 +53,7 @@
   private void check() {
     long used = heap.used();
     if (used < TIGHT * limit) {
-      transitionTo(MemoryPressure.EASE, used);
+      transitionTo(MemoryPressure.NORMAL, used);
       return;
     }
     MonotonicTime now = loop.now();
@@ -70,8 +70,8 @@
     long left = heap.used();
     transitionTo(
         left >= SCARCE * limit
-            ? MemoryPressure.SCARCE
-            : left >= TIGHT * limit ? MemoryPressure.TIGHT : MemoryPressure.EASE,
+            ? MemoryPressure.CRITICAL
+            : left >= TIGHT * limit ? MemoryPressure.HIGH : MemoryPressure.NORMAL,
         left);
   }
 
--- a/src/main/java/org/mulleinshift/model/Chunk.java
+++ b/src/main/java/org/mulleinshift/model/Chunk.java
@@ -11,15 +11,15 @@
  *
  * @param path which half at each step, from the chunk on; empty for the chunk itself
  */
-public record Chunk(int chunk, String path) {
+public record Chunk(int number, String path) {
   private static final Pattern KEY = Pattern.compile("([0-9]{1,6})(?:/([01]{1,9}))?");
 
-  public static Chunk chunk(int number) {
+  public static Chunk number(int number) {
     return new Chunk(number, "");
   }
 
   /** By the rest of its key; none if that is not a key of this build. */
-  public static Optional<Chunk> read(String text) {
+  public static Optional<Chunk> parse(String text) {
     Matcher key = KEY.matcher(text);
     if (!key.matches()) {
       return Optional.empty();
@@ -30,7 +30,7 @@
   }
 
   /** The first task. */
-  int from() {
+  int firstTask() {
     return bounds()[0];
   }
 
@@ -40,7 +40,7 @@
   }
 
   private int[] bounds() {
-    int from = chunk * Job.CHUNK;
+    int from = number * Job.CHUNK;
     int size = Job.CHUNK;
     for (int i = 0; i < path.length(); i++) {
       int half = (size + 1) / 2;
@@ -51,21 +51,21 @@
   }
 
   Chunk half(int which) {
-    return new Chunk(chunk, path + which);
+    return new Chunk(number, path + which);
   }
 
   /** A part of one task is short enough for every value. */
-  public boolean divisible() {
+  public boolean canSplit() {
     return size() > 1;
   }
 
   /** Whether the other was cut from this one, or is this one. */
-  boolean holds(Chunk other) {
-    return chunk == other.chunk && other.path.startsWith(path);
+  boolean contains(Chunk other) {
+    return number == other.number && other.path.startsWith(path);
   }
 
   @Override
   public String toString() {
-    return path.isEmpty() ? Integer.toString(chunk) : chunk + "/" + path;
+    return path.isEmpty() ? Integer.toString(number) : number + "/" + path;
   }
 }
--- a/src/main/java/org/mulleinshift/model/ChunkLayout.java
+++ b/src/main/java/org/mulleinshift/model/ChunkLayout.java
@@ -19,32 +19,32 @@
   private final NavigableMap<Integer, Chunk> live = new TreeMap<>();
   private final Set<Chunk> stored = new LinkedHashSet<>();
   private final Set<Chunk> dirty = new LinkedHashSet<>();
-  private final Set<Chunk> sent = new LinkedHashSet<>();
-  private final Set<Integer> awaited = new HashSet<>();
+  private final Set<Chunk> markInFlight = new LinkedHashSet<>();
+  private final Set<Integer> urgentChunks = new HashSet<>();
 
   ChunkLayout(int tasks) {
     this.tasks = tasks;
     for (int chunk = 0; chunk * Job.CHUNK < tasks; chunk++) {
-      live.put(chunk * Job.CHUNK, Chunk.chunk(chunk));
+      live.put(chunk * Job.CHUNK, Chunk.number(chunk));
     }
   }
 
   /** The part that a task's progress is written to. */
-  Chunk of(int index) {
+  Chunk chunkOf(int index) {
     return live.floorEntry(index).getValue();
   }
 
   boolean exists(Chunk part) {
-    return part.from() < tasks;
+    return part.firstTask() < tasks;
   }
 
   /** Cuts a part in two. */
   void split(Chunk part) {
-    live.remove(part.from());
+    live.remove(part.firstTask());
     for (int which = 0; which < 2; which++) {
       Chunk half = part.half(which);
       if (half.size() > 0 && exists(half)) {
-        live.put(half.from(), half);
+        live.put(half.firstTask(), half);
         dirty.add(half);
       }
     }
@@ -52,34 +52,34 @@
   }
 
   /** A part found in the store; the ones it was cut from, if they are there, were found before. */
-  void found(Chunk part) {
+  void onFound(Chunk part) {
     stored.add(part);
-    for (Chunk whole = of(part.from());
-        !whole.equals(part) && whole.holds(part);
-        whole = of(part.from())) {
+    for (Chunk whole = chunkOf(part.firstTask());
+        !whole.equals(part) && whole.contains(part);
+        whole = chunkOf(part.firstTask())) {
       split(whole);
     }
     dirty.clear();
   }
 
   /** A part's progress has changed; pressing if a task waits for it to be stored. */
-  public void changed(Chunk part, boolean pressing) {
+  public void markDirty(Chunk part, boolean pressing) {
     dirty.add(part);
     if (pressing) {
-      awaited.add(part.chunk());
+      urgentChunks.add(part.number());
     }
   }
 
   /** Whether a task waits for the chunk's progress to be stored. */
-  public boolean pressing(int chunk) {
-    return awaited.contains(chunk);
+  public boolean urgent(int chunk) {
+    return urgentChunks.contains(chunk);
   }
 
   /** What was cut from a part that is still in the store, and is not there itself. */
   public List<Chunk> uncovered() {
     List<Chunk> found = new ArrayList<>();
     for (Chunk part : live.values()) {
-      if (!stored.contains(part) && stored.stream().anyMatch(whole -> whole.holds(part))) {
+      if (!stored.contains(part) && stored.stream().anyMatch(whole -> whole.contains(part))) {
         found.add(part);
       }
     }
@@ -87,14 +87,14 @@
   }
 
   /** Parts of the chunk that are in the store and no longer read for anything. */
-  public List<Chunk> outgrown(int chunk) {
+  public List<Chunk> obsolete(int chunk) {
     int from = chunk * Job.CHUNK;
     Collection<Chunk> parts = live.subMap(from, from + Job.CHUNK).values();
     List<Chunk> found = new ArrayList<>();
     if (parts.size() > 1) {
       for (Chunk whole : stored) {
-        boolean cut = whole.chunk() == chunk && !parts.contains(whole);
-        if (cut && parts.stream().filter(whole::holds).allMatch(stored::contains)) {
+        boolean cut = whole.number() == chunk && !parts.contains(whole);
+        if (cut && parts.stream().filter(whole::contains).allMatch(stored::contains)) {
           found.add(whole);
         }
       }
@@ -103,40 +103,40 @@
   }
 
   /** What of the chunk waits to be written; what was sent before and not confirmed does again. */
-  public List<Chunk> waiting(int chunk) {
-    dirty.addAll(take(sent, chunk));
-    dirty.removeIf(part -> !part.equals(live.get(part.from())));
-    return dirty.stream().filter(part -> part.chunk() == chunk).toList();
+  public List<Chunk> pending(int chunk) {
+    dirty.addAll(take(markInFlight, chunk));
+    dirty.removeIf(part -> !part.equals(live.get(part.firstTask())));
+    return dirty.stream().filter(part -> part.number() == chunk).toList();
   }
 
   private static List<Chunk> take(Set<Chunk> from, int chunk) {
-    List<Chunk> taken = from.stream().filter(part -> part.chunk() == chunk).toList();
+    List<Chunk> taken = from.stream().filter(part -> part.number() == chunk).toList();
     from.removeAll(taken);
     return taken;
   }
 
   /** The part is on its way to the store. */
-  public void sent(Chunk part) {
+  public void markInFlight(Chunk part) {
     dirty.remove(part);
-    sent.add(part);
+    markInFlight.add(part);
   }
 
   public void stored(Collection<Chunk> parts) {
-    sent.removeAll(parts);
+    markInFlight.removeAll(parts);
     stored.addAll(parts);
     for (Chunk part : parts) {
-      if (waiting(part.chunk()).isEmpty()) {
-        awaited.remove(part.chunk());
+      if (pending(part.number()).isEmpty()) {
+        urgentChunks.remove(part.number());
       }
     }
   }
 
-  public void gone(Chunk part) {
+  public void onDeleted(Chunk part) {
     stored.remove(part);
   }
 
   /** All that is in the store. */
-  public Collection<Chunk> inStore() {
+  public Collection<Chunk> stored() {
     return stored;
   }
 
--- a/src/main/java/org/mulleinshift/model/ClusterView.java
+++ b/src/main/java/org/mulleinshift/model/ClusterView.java
@@ -17,7 +17,7 @@
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.ShardId;
-import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.store.StoreKeys;
 import org.slf4j.Logger;
@@ -28,9 +28,9 @@
   private static final Logger LOG = LoggerFactory.getLogger(ClusterView.class);
 
   /** The leader; its term is the revision at which it took the key, which hangs on the lease. */
-  public record LeaderRecord(NodeId node, Revision term, LeaseId hold) {}
+  public record LeaderRecord(NodeId node, Revision term, LeaseId lease) {}
 
-  public record NodeRecord(LeaseId hold, Revision version) {}
+  public record NodeRecord(LeaseId lease, Revision revision) {}
 
   /** A shard's owner; the revision of the grant is what its fencing tokens start from. */
   public record GrantRecord(NodeId owner, Revision revision) {}
@@ -42,14 +42,14 @@
    * A shard.
    *
    * @param lastHolder who held it when it was written; advice, which older builds leave out
-   * @param beyond fields that this build doesn't know, kept when it is rewritten
+   * @param unknownFields fields that this build doesn't know, kept when it is rewritten
    */
   public record ShardRecord(
       ZoneId zone,
       Map<MachineId, MachineRecord> machines,
-      Revision version,
+      Revision revision,
       Optional<NodeId> lastOwner,
-      Optional<UnknownFields> beyond) {
+      Optional<UnknownFields> unknownFields) {
     private static final String LAST_OWNER = "last";
 
     public static JsonNode write(
@@ -68,7 +68,7 @@
       return node;
     }
 
-    static ShardRecord read(Item item) throws MalformedMessageException {
+    static ShardRecord read(KeyValue item) throws MalformedMessageException {
       JsonNode list = item.value().path("machines");
       if (!list.isObject()) {
         throw new MalformedMessageException("no machines");
@@ -90,7 +90,7 @@
       return new ShardRecord(
           zone,
           machines,
-          item.version(),
+          item.revision(),
           last,
           UnknownFields.beyond(write(zone, machines, last), item.value()));
     }
@@ -103,7 +103,7 @@
   private final Map<ShardId, GrantRecord> grants = new HashMap<>();
   private final Map<ShardId, ShardRecord> shards = new LinkedHashMap<>();
   private final Map<MachineId, ShardId> shardOf = new HashMap<>();
-  private final Map<NodeId, Integer> builds = new HashMap<>();
+  private final Map<NodeId, Integer> featureLevels = new HashMap<>();
   private final Set<ShardId> unreadableShards = new HashSet<>();
   private final Set<ShardId> unreadableGrants = new HashSet<>();
 
@@ -111,7 +111,7 @@
     return Json.object().put("node", node.value()).put("hold", hold.value());
   }
 
-  public static JsonNode buildValue(int build) {
+  public static JsonNode featureLevelValue(int build) {
     return Json.object().put(BUILD, build);
   }
 
@@ -123,23 +123,23 @@
     return Json.object().put("holder", owner.value());
   }
 
-  public void apply(String key, Optional<Item> item) {
+  public void apply(String key, Optional<KeyValue> item) {
     if (key.equals(StoreKeys.LEADER)) {
       leader =
           item.map(
               found ->
                   new LeaderRecord(
                       new NodeId(found.value().path("node").asText()),
-                      found.version(),
+                      found.revision(),
                       new LeaseId(found.value().path("hold").asLong())));
     } else if (key.startsWith(StoreKeys.NODES)) {
       NodeId node = new NodeId(key.substring(StoreKeys.NODES.length()));
       // One without a hold that can be read gets no shard: it would hang on nothing.
       set(nodes, node, item.filter(ClusterView::hasHold).map(ClusterView::nodeRecord));
-    } else if (key.startsWith(StoreKeys.BUILDS)) {
+    } else if (key.startsWith(StoreKeys.FEATURE_LEVELS)) {
       set(
-          builds,
-          new NodeId(key.substring(StoreKeys.BUILDS.length())),
+          featureLevels,
+          new NodeId(key.substring(StoreKeys.FEATURE_LEVELS.length())),
           item.map(found -> found.value().path(BUILD).asInt()));
     } else if (key.startsWith(StoreKeys.GRANTS)) {
       applyGrant(new ShardId(key.substring(StoreKeys.GRANTS.length())), item);
@@ -148,17 +148,17 @@
     }
   }
 
-  public static NodeRecord nodeRecord(Item item) {
-    return new NodeRecord(new LeaseId(item.value().path("hold").asLong()), item.version());
+  public static NodeRecord nodeRecord(KeyValue item) {
+    return new NodeRecord(new LeaseId(item.value().path("hold").asLong()), item.revision());
   }
 
-  private static boolean hasHold(Item item) {
+  private static boolean hasHold(KeyValue item) {
     return item.value().path("hold").canConvertToLong();
   }
 
-  private void applyGrant(ShardId shard, Optional<Item> item) {
+  private void applyGrant(ShardId shard, Optional<KeyValue> item) {
     unreadableGrants.remove(shard);
-    Optional<Item> readable = item.filter(found -> found.value().path("holder").isTextual());
+    Optional<KeyValue> readable = item.filter(found -> found.value().path("holder").isTextual());
     if (item.isPresent() && readable.isEmpty()) {
       LOG.warn("{}: this build can't read who holds it", item.get().key());
       unreadableGrants.add(shard);
@@ -169,10 +169,10 @@
         readable.map(
             found ->
                 new GrantRecord(
-                    new NodeId(found.value().path("holder").asText()), found.version())));
+                    new NodeId(found.value().path("holder").asText()), found.revision())));
   }
 
-  private void applyShard(ShardId shard, Optional<Item> item) {
+  private void applyShard(ShardId shard, Optional<KeyValue> item) {
     ShardRecord old = shards.get(shard);
     Optional<ShardRecord> record = Optional.empty();
     unreadableShards.remove(shard);
@@ -220,8 +220,8 @@
   }
 
   /** Which build each controller has shown; those before this was kept have shown none. */
-  public Map<NodeId, Integer> builds() {
-    return builds;
+  public Map<NodeId, Integer> featureLevels() {
+    return featureLevels;
   }
 
   /** Shards that stand in the store in a form that this build can't read; not its to judge. */
--- a/src/main/java/org/mulleinshift/model/Job.java
+++ b/src/main/java/org/mulleinshift/model/Job.java
@@ -34,7 +34,7 @@
   /** States of a job. */
   public enum State {
     /** Jobs that it awaits are not all over: no task may be assigned. */
-    HELD,
+    AWAITING_DEPENDENCIES,
     /** Tasks may be assigned. */
     ACTIVE,
     /** Cancelled: no task may start, all must go. */
@@ -56,25 +56,25 @@
   private static final String READY = "ready";
 
   private final JobSpec spec;
-  private final JobDependencies awaits;
+  private final JobDependencies dependencies;
   private final long acceptedMillis;
-  private final ChunkLayout parts;
+  private final ChunkLayout chunks;
   private OptionalLong readyMillis = OptionalLong.empty();
-  private Inherited inherited = Inherited.NOTHING;
-  private Revision version;
+  private Inherited inherited = Inherited.NONE;
+  private Revision revision;
   private State state;
-  private final Map<Chunk, UnknownFields> beyond = new HashMap<>();
+  private final Map<Chunk, UnknownFields> unknownFields = new HashMap<>();
   private final BitSet done = new BitSet();
-  private final BitSet delegated = new BitSet();
+  private final BitSet assigned = new BitSet();
   private final BitSet unavailable = new BitSet();
   private final NavigableMap<Integer, TaskAssignment> assignments = new TreeMap<>();
-  private final Map<Integer, Integer> tries = new HashMap<>();
-  private final Map<Integer, MonotonicTime> pausedUntil = new HashMap<>();
-  private final Map<ZoneId, Integer> perZone = new HashMap<>();
-  private OptionalLong begunMillis = OptionalLong.empty();
-  private boolean takenOver;
+  private final Map<Integer, Integer> attempts = new HashMap<>();
+  private final Map<Integer, MonotonicTime> retryAfter = new HashMap<>();
+  private final Map<ZoneId, Integer> assignedPerZone = new HashMap<>();
+  private OptionalLong startedMillis = OptionalLong.empty();
+  private boolean inheritedProgress;
   private OptionalLong releasedMillis = OptionalLong.empty();
-  private OptionalLong toldMillis = OptionalLong.empty();
+  private OptionalLong firstAssignedMillis = OptionalLong.empty();
   private int failures;
   private double runSecondsTotal;
   private int runCount;
@@ -83,20 +83,23 @@
   /**
    * What a job takes over from those that need it.
    *
-   * @param endMillis by when it should be complete; far off if none of them has a deadline
+   * @param deadlineMillis by when it should be complete; far off if none of them has a deadline
    */
-  public record Inherited(Priority priority, long endMillis) {
-    public static final Inherited NOTHING = new Inherited(Priority.LOW, Long.MAX_VALUE);
+  public record Inherited(Priority priority, long deadlineMillis) {
+    public static final Inherited NONE = new Inherited(Priority.LOW, Long.MAX_VALUE);
   }
 
   public Job(JobRecord record) {
     this.spec = record.spec();
-    this.awaits = record.awaits();
-    this.parts = new ChunkLayout(spec.tasks());
+    this.dependencies = record.dependencies();
+    this.chunks = new ChunkLayout(spec.tasks());
     this.acceptedMillis = record.acceptedMillis();
-    this.version = record.version();
+    this.revision = record.revision();
     this.cancelled = record.cancelled();
-    this.state = cancelled ? State.CANCELLING : awaits.none() ? State.ACTIVE : State.HELD;
+    this.state =
+        cancelled
+            ? State.CANCELLING
+            : dependencies.isEmpty() ? State.ACTIVE : State.AWAITING_DEPENDENCIES;
   }
 
   /** The only place where a job's state changes. */
@@ -109,7 +112,7 @@
 
   /** Takes over what the store says of the job, cancellations above all. */
   public void update(JobRecord record) {
-    version = record.version();
+    revision = record.revision();
     if (record.cancelled()) {
       // Stored, so the user was told or will be: the end is cancelled even if all tasks complete
       // before they could be stopped, or our own end was about to be stored.
@@ -120,7 +123,7 @@
   /** Its user asked for it, or for the end of a job that it needs. */
   public void cancel() {
     cancelled = true;
-    if (state == State.HELD || state == State.ACTIVE) {
+    if (state == State.AWAITING_DEPENDENCIES || state == State.ACTIVE) {
       transitionTo(State.CANCELLING);
     }
   }
@@ -133,7 +136,7 @@
 
   private void release(long atMillis) {
     readyMillis = OptionalLong.of(Math.max(acceptedMillis, atMillis));
-    if (state == State.HELD) {
+    if (state == State.AWAITING_DEPENDENCIES) {
       transitionTo(State.ACTIVE);
     }
   }
@@ -149,7 +152,7 @@
    */
   public void load(Chunk part, JsonNode value, Function<ShardId, ZoneId> zones)
       throws MalformedMessageException {
-    int base = part.from();
+    int base = part.firstTask();
     int most = Math.min(part.size(), spec.tasks() - base);
     if (most <= 0) {
       throw new MalformedMessageException("progress of a part that the job does not have");
@@ -176,36 +179,36 @@
                           shard,
                           zones.apply(shard),
                           attempt,
-                          TaskAssignment.State.LIVE)));
+                          TaskAssignment.State.STORED)));
     }
-    if (!awaits.none()) {
+    if (!dependencies.isEmpty()) {
       release(value.path(READY).asLong(acceptedMillis));
     }
-    takenOver |= !ended.isEmpty() || !found.isEmpty();
-    parts.found(part);
+    inheritedProgress |= !ended.isEmpty() || !found.isEmpty();
+    chunks.onFound(part);
     clear(base, base + most);
     ended.stream().forEach(index -> markDone(base + index));
     found.forEach(this::add);
-    beyond.remove(part);
-    UnknownFields.beyond(progress(part), value).ifPresent(more -> beyond.put(part, more));
+    unknownFields.remove(part);
+    UnknownFields.beyond(progress(part), value).ifPresent(more -> unknownFields.put(part, more));
   }
 
   private void clear(int from, int to) {
     for (TaskAssignment old : List.copyOf(assignments.subMap(from, to).values())) {
       assignments.remove(old.task().index());
-      perZone.merge(old.zone(), -1, (a, b) -> a + b == 0 ? null : a + b);
+      assignedPerZone.merge(old.zone(), -1, (a, b) -> a + b == 0 ? null : a + b);
     }
     done.clear(from, to);
-    delegated.clear(from, to);
+    assigned.clear(from, to);
     unavailable.clear(from, to);
   }
 
   /** The stored form of a part. */
   public JsonNode progress(Chunk part) {
-    int base = part.from();
+    int base = part.firstTask();
     ObjectNode node = Json.object();
     node.put("done", TaskIndexRanges.write(done.get(base, base + part.size())));
-    if (!awaits.none()) {
+    if (!dependencies.isEmpty()) {
       node.put(READY, readyMillis());
     }
     Map<String, BitSet> groups = new LinkedHashMap<>();
@@ -226,32 +229,33 @@
           item.put("n", Long.parseLong(key.substring(0, space)));
           item.put("r", TaskIndexRanges.write(set));
         });
-    Optional.ofNullable(beyond.get(part)).ifPresent(more -> more.restore(node));
+    Optional.ofNullable(unknownFields.get(part)).ifPresent(more -> more.restore(node));
     return node;
   }
 
   /** How its progress is cut into keys. */
-  public ChunkLayout parts() {
-    return parts;
+  public ChunkLayout chunks() {
+    return chunks;
   }
 
   /** What a task's progress is written to from now on. */
-  public Chunk partOf(int index) {
-    return parts.of(index);
+  public Chunk chunkOf(int index) {
+    return chunks.chunkOf(index);
   }
 
   /** Its progress no longer fits into a value. */
   public void split(Chunk part) {
-    parts.split(part);
-    Optional.ofNullable(beyond.remove(part)).ifPresent(more -> beyond.put(part.half(0), more));
+    chunks.split(part);
+    Optional.ofNullable(unknownFields.remove(part))
+        .ifPresent(more -> unknownFields.put(part.half(0), more));
   }
 
   /**
    * Entrusts a task to a shard. The attempt counts the task's own tries within the term, so that
    * tasks of a shard share it and the stored form stays short however slowly a job gets its room.
    */
-  public TaskAssignment delegate(int index, ShardId shard, ZoneId zone, Attempt firstOfTerm) {
-    int earlier = tries.merge(index, 1, Integer::sum) - 1;
+  public TaskAssignment assign(int index, ShardId shard, ZoneId zone, Attempt firstOfTerm) {
+    int earlier = attempts.merge(index, 1, Integer::sum) - 1;
     Attempt attempt = new Attempt(firstOfTerm.value() + earlier);
     TaskAssignment assignment =
         new TaskAssignment(
@@ -262,22 +266,22 @@
             attempt,
             TaskAssignment.State.WRITING);
     add(assignment);
-    pausedUntil.remove(index);
+    retryAfter.remove(index);
     return assignment;
   }
 
   private void add(TaskAssignment assignment) {
     if (assignments.put(assignment.task().index(), assignment) == null) {
-      delegated.set(assignment.task().index());
+      assigned.set(assignment.task().index());
       unavailable.set(assignment.task().index());
-      perZone.merge(assignment.zone(), 1, Integer::sum);
+      assignedPerZone.merge(assignment.zone(), 1, Integer::sum);
     }
   }
 
   public void taskDone(TaskAssignment assignment, double runSeconds) {
-    assignment.ended();
+    assignment.end();
     markDone(assignment.task().index());
-    tries.remove(assignment.task().index());
+    attempts.remove(assignment.task().index());
     if (runSeconds > 0) {
       runSecondsTotal += runSeconds;
       runCount++;
@@ -291,46 +295,46 @@
 
   /** The task is provably nowhere; it may be tried again after the pause. */
   public void taskReturned(TaskAssignment assignment, Optional<MonotonicTime> notBefore) {
-    assignment.ended();
-    notBefore.ifPresent(time -> pausedUntil.put(assignment.task().index(), time));
+    assignment.end();
+    notBefore.ifPresent(time -> retryAfter.put(assignment.task().index(), time));
   }
 
   /** A task of it runs. */
-  public void begun(long atMillis) {
-    if (begunMillis.isEmpty() && !takenOver) {
-      begunMillis = OptionalLong.of(atMillis);
+  public void markStarted(long atMillis) {
+    if (startedMillis.isEmpty() && !inheritedProgress) {
+      startedMillis = OptionalLong.of(atMillis);
     }
   }
 
   /** A first task of it was stored as assigned, and its owner hears of it. */
-  public void told(long atMillis) {
-    if (toldMillis.isEmpty()) {
-      toldMillis = OptionalLong.of(atMillis);
+  public void markFirstAssigned(long atMillis) {
+    if (firstAssignedMillis.isEmpty()) {
+      firstAssignedMillis = OptionalLong.of(atMillis);
     }
   }
 
   /** How long each step took from the last end that it awaited, if this leader saw all of them. */
-  private String handOn() {
-    if (releasedMillis.isEmpty() || toldMillis.isEmpty() || begunMillis.isEmpty()) {
+  private String dependencyLatency() {
+    if (releasedMillis.isEmpty() || firstAssignedMillis.isEmpty() || startedMillis.isEmpty()) {
       return "";
     }
     return String.format(
         ", hand-on: end known %d ms, told %d ms, runs %d ms",
         releasedMillis.getAsLong() - readyMillis(),
-        toldMillis.getAsLong() - releasedMillis.getAsLong(),
-        begunMillis.getAsLong() - toldMillis.getAsLong());
+        firstAssignedMillis.getAsLong() - releasedMillis.getAsLong(),
+        startedMillis.getAsLong() - firstAssignedMillis.getAsLong());
   }
 
   /** Whether any of its tasks ran or was sent out, as far as this leader or the store knows. */
-  public boolean hasBegun() {
-    return begunMillis.isPresent() || takenOver;
+  public boolean hasStarted() {
+    return startedMillis.isPresent() || inheritedProgress;
   }
 
   /** How it fared, for operators. */
   public String summary(long nowMillis) {
     String begun =
-        begunMillis.isPresent()
-            ? Math.max(0, (begunMillis.getAsLong() - readyMillis()) / 1000) + " s"
+        startedMillis.isPresent()
+            ? Math.max(0, (startedMillis.getAsLong() - readyMillis()) / 1000) + " s"
             : "an unknown time";
     return String.format(
         "%d tasks of %s, begun after %s, over after %d s, due %s%s",
@@ -341,7 +345,7 @@
         spec.deadlineSeconds().isPresent()
             ? Math.round(spec.deadlineSeconds().getAsDouble()) + " s"
             : "at no time",
-        handOn());
+        dependencyLatency());
   }
 
   public void countFailure() {
@@ -351,26 +355,26 @@
   /** What was decided for the chunk is stored: the new may be told, the ended forgotten. */
   public void stored(
       Collection<TaskAssignment> written, Collection<TaskAssignment> ended, Revision revision) {
-    written.forEach(assignment -> assignment.stored(revision));
+    written.forEach(assignment -> assignment.markStored(revision));
     for (TaskAssignment assignment : ended) {
       int index = assignment.task().index();
       if (assignments.remove(index, assignment)) {
-        delegated.clear(index);
+        assigned.clear(index);
         unavailable.set(index, done.get(index));
-        perZone.merge(assignment.zone(), -1, (a, b) -> a + b == 0 ? null : a + b);
+        assignedPerZone.merge(assignment.zone(), -1, (a, b) -> a + b == 0 ? null : a + b);
       }
     }
   }
 
-  public void beginEnd() {
+  public void beginEnding() {
     transitionTo(State.ENDING);
   }
 
-  public void finishEnd() {
+  public void finishEnding() {
     transitionTo(State.ENDED);
     assignments.clear();
-    delegated.clear();
-    perZone.clear();
+    assigned.clear();
+    assignedPerZone.clear();
   }
 
   public boolean complete() {
@@ -378,7 +382,7 @@
   }
 
   /** Cancelled, and provably no task of it is anywhere. */
-  public boolean gone() {
+  public boolean drained() {
     return state == State.CANCELLING
         && assignments.values().stream().allMatch(d -> d.state() == TaskAssignment.State.ENDED);
   }
@@ -387,7 +391,7 @@
     return cancelled;
   }
 
-  public JobPhase endPhase() {
+  public JobPhase terminalPhase() {
     return cancelled ? JobPhase.CANCELLED : JobPhase.DONE;
   }
 
@@ -404,17 +408,17 @@
    * When it should be complete, by the time of day; far off for a job without a deadline that
    * nothing with a deadline needs.
    */
-  public long dueMillis() {
+  public long deadlineMillis() {
     double own = spec.deadlineSeconds().orElse(NO_DEADLINE_SECONDS);
-    return Math.min(inherited.endMillis(), acceptedMillis + (long) (1000 * own));
+    return Math.min(inherited.deadlineMillis(), acceptedMillis + (long) (1000 * own));
   }
 
   public boolean hasDeadline() {
-    return spec.deadlineSeconds().isPresent() || inherited.endMillis() < Long.MAX_VALUE;
+    return spec.deadlineSeconds().isPresent() || inherited.deadlineMillis() < Long.MAX_VALUE;
   }
 
-  public JobDependencies awaits() {
-    return awaits;
+  public JobDependencies dependencies() {
+    return dependencies;
   }
 
   /** From when it could run: all times but the deadline count from then. */
@@ -426,8 +430,8 @@
     return acceptedMillis;
   }
 
-  public Revision version() {
-    return version;
+  public Revision revision() {
+    return revision;
   }
 
   public State state() {
@@ -444,19 +448,19 @@
 
   /** The assignments of a part of the job. */
   public Collection<TaskAssignment> assignments(Chunk part) {
-    return assignments.subMap(part.from(), part.from() + part.size()).values();
+    return assignments.subMap(part.firstTask(), part.firstTask() + part.size()).values();
   }
 
   public Optional<TaskAssignment> assignment(int index) {
     return Optional.ofNullable(assignments.get(index));
   }
 
-  public int delegatedIn(ZoneId zone) {
-    return perZone.getOrDefault(zone, 0);
+  public int assignedIn(ZoneId zone) {
+    return assignedPerZone.getOrDefault(zone, 0);
   }
 
-  public Map<ZoneId, Integer> perZone() {
-    return perZone;
+  public Map<ZoneId, Integer> assignedPerZone() {
+    return assignedPerZone;
   }
 
   public int doneCount() {
@@ -471,8 +475,8 @@
     return count;
   }
 
-  public int delegatedCount() {
-    return delegated.cardinality();
+  public int assignedCount() {
+    return assigned.cardinality();
   }
 
   public int waitingCount() {
@@ -486,7 +490,7 @@
     for (int index = unavailable.nextClearBit(0);
         index < spec.tasks() && count < found.length;
         index = unavailable.nextClearBit(index + 1)) {
-      MonotonicTime until = pausedUntil.get(index);
+      MonotonicTime until = retryAfter.get(index);
       if (until == null || !until.isAfter(now)) {
         found[count++] = index;
       }
@@ -499,7 +503,7 @@
     return runCount == 0 ? Optional.empty() : Optional.of(runSecondsTotal / runCount);
   }
 
-  public Resources delegatedResources() {
+  public Resources assignedResources() {
     return spec.perTask().times(assignments.size());
   }
 }
--- a/src/main/java/org/mulleinshift/model/JobDependencies.java
+++ b/src/main/java/org/mulleinshift/model/JobDependencies.java
@@ -19,17 +19,17 @@
  * @param digest of what the lists hold; lists of another submission have another
  */
 public record JobDependencies(List<JobId> named, int lists, String digest) {
-  public static final JobDependencies NOTHING = new JobDependencies(List.of(), 0, "");
+  public static final JobDependencies NONE = new JobDependencies(List.of(), 0, "");
   private static final String NAMED = "awaits";
   private static final String LISTS = "lists";
   private static final String DIGEST = "digest";
   private static final int MAX_LISTS = 10_000;
 
   public static JobDependencies of(List<JobId> named) {
-    return named.isEmpty() ? NOTHING : new JobDependencies(List.copyOf(named), 0, "");
+    return named.isEmpty() ? NONE : new JobDependencies(List.copyOf(named), 0, "");
   }
 
-  public boolean none() {
+  public boolean isEmpty() {
     return named.isEmpty() && lists == 0;
   }
 
@@ -70,7 +70,7 @@
   }
 
   /** Cuts a long list into such as fit into values of that size. */
-  public static List<List<JobId>> cut(List<JobId> jobs, int valueBytes) {
+  public static List<List<JobId>> partition(List<JobId> jobs, int valueBytes) {
     List<List<JobId>> lists = new ArrayList<>();
     List<JobId> next = new ArrayList<>();
     int bytes = 0;
--- a/src/main/java/org/mulleinshift/model/JobRecord.java
+++ b/src/main/java/org/mulleinshift/model/JobRecord.java
@@ -12,7 +12,7 @@
 import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.protocol.TeamId;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -23,31 +23,32 @@
  * <p>The record of a job that awaits others has no {@code at} where others have it: builds that
  * don't know chains set such a job aside whole, instead of running it too early.
  *
- * @param beyond fields of the record that this build doesn't know, to be kept when it is rewritten
+ * @param unknownFields fields of the record that this build doesn't know, to be kept when it is
+ *     rewritten
  */
 public record JobRecord(
     JobSpec spec,
-    JobDependencies awaits,
+    JobDependencies dependencies,
     long acceptedMillis,
     boolean cancelled,
-    Revision version,
-    Optional<UnknownFields> beyond) {
+    Revision revision,
+    Optional<UnknownFields> unknownFields) {
   private static final Logger LOG = LoggerFactory.getLogger(JobRecord.class);
   private static final String AT = "at";
   private static final String CHAIN = "chain";
 
   /** What a job whose record can't be read may have out, as far as can be told. */
-  public record Footprint(Optional<TeamId> team, Resources most) {}
+  public record Footprint(Optional<TeamId> team, Resources maximum) {}
 
   public JobRecord(JobSpec spec, long acceptedMillis, boolean cancelled, Revision version) {
-    this(spec, JobDependencies.NOTHING, acceptedMillis, cancelled, version, Optional.empty());
+    this(spec, JobDependencies.NONE, acceptedMillis, cancelled, version, Optional.empty());
   }
 
   public static JsonNode value(
       JobSpec spec, JobDependencies awaits, long acceptedMillis, boolean cancelled) {
     ObjectNode node = Json.object();
     node.set("spec", JobCodec.write(spec));
-    if (awaits.none()) {
+    if (awaits.isEmpty()) {
       node.put(AT, acceptedMillis);
     } else {
       ObjectNode chain = node.putObject(CHAIN);
@@ -60,19 +61,19 @@
 
   /** The record of the same job, cancelled; with all that the stored one has beyond this build. */
   public JsonNode cancelledValue() {
-    JsonNode node = value(spec, awaits, acceptedMillis, true);
-    beyond.ifPresent(fields -> fields.restore(node));
+    JsonNode node = value(spec, dependencies, acceptedMillis, true);
+    unknownFields.ifPresent(fields -> fields.restore(node));
     return node;
   }
 
   /** None if this build can't read it: then the job isn't its to judge. */
-  public static Optional<JobRecord> read(Item item) {
+  public static Optional<JobRecord> read(KeyValue item) {
     JsonNode value = item.value();
     try {
       JobSpec spec = JobCodec.parse(value.path("spec"));
       boolean chained = value.has(CHAIN);
       JsonNode chain = value.path(CHAIN);
-      JobDependencies awaits = chained ? JobDependencies.read(chain) : JobDependencies.NOTHING;
+      JobDependencies awaits = chained ? JobDependencies.read(chain) : JobDependencies.NONE;
       long at = Json.count(chained ? chain : value, AT, 0, Long.MAX_VALUE);
       boolean cancelled = Json.flag(value, "cancelled");
       return Optional.of(
@@ -81,7 +82,7 @@
               awaits,
               at,
               cancelled,
-              item.version(),
+              item.revision(),
               UnknownFields.beyond(value(spec, awaits, at, cancelled), value)));
     } catch (MalformedMessageException e) {
       LOG.warn("{}: this build can't read it: {}", item.key(), e.getMessage());
@@ -109,13 +110,13 @@
     return Json.object().put("phase", phase.wire()).put(AT, atMillis);
   }
 
-  public static OptionalLong endedMillis(Item item) {
+  public static OptionalLong endedMillis(KeyValue item) {
     JsonNode at = item.value().path(AT);
     return at.canConvertToLong() ? OptionalLong.of(at.asLong()) : OptionalLong.empty();
   }
 
   /** None for a phase that this build doesn't know: it is neither done nor cancelled for it. */
-  public static Optional<JobPhase> endedPhase(Item item) {
+  public static Optional<JobPhase> endedPhase(KeyValue item) {
     String phase = item.value().path("phase").asText();
     for (JobPhase known : JobPhase.values()) {
       if (known.terminal() && known.wire().equals(phase)) {
--- a/src/main/java/org/mulleinshift/model/Machine.java
+++ b/src/main/java/org/mulleinshift/model/Machine.java
@@ -18,23 +18,23 @@
     RETURNING
   }
 
-  private final boolean rentSeen;
-  private MonotonicTime rentedAt;
+  private final boolean provisioningObserved;
+  private MonotonicTime provisionedAt;
   private MonotonicTime idleSince;
   private boolean ageKnown;
-  private Optional<MonotonicTime> spareSince = Optional.empty();
+  private Optional<MonotonicTime> surplusSince = Optional.empty();
   private State state;
 
   private Machine(MonotonicTime rentedAt, boolean rentSeen, State state) {
-    this.rentedAt = rentedAt;
+    this.provisionedAt = rentedAt;
     this.idleSince = rentedAt;
-    this.rentSeen = rentSeen;
+    this.provisioningObserved = rentSeen;
     this.ageKnown = rentSeen;
     this.state = state;
   }
 
   /** A machine whose rental this leader saw from its start. */
-  public static Machine rented(MonotonicTime at) {
+  public static Machine provisioned(MonotonicTime at) {
     return new Machine(at, true, State.BOOTING);
   }
 
@@ -59,12 +59,12 @@
   }
 
   /** It has come up; tells how long that took, if its rental was seen. */
-  public Optional<Double> cameUp(MonotonicTime now) {
+  public Optional<Double> onUp(MonotonicTime now) {
     idleSince = now;
     if (state == State.BOOTING) {
       transitionTo(State.UP);
     }
-    return rentSeen ? Optional.of(now.secondsSince(rentedAt)) : Optional.empty();
+    return provisioningObserved ? Optional.of(now.secondsSince(provisionedAt)) : Optional.empty();
   }
 
   public void drain() {
@@ -73,11 +73,11 @@
 
   public void reopen() {
     transitionTo(State.UP);
-    spareSince = Optional.empty();
+    surplusSince = Optional.empty();
   }
 
   /** False if it is being returned already. */
-  public boolean giveBack() {
+  public boolean release() {
     if (state == State.RETURNING) {
       return false;
     }
@@ -86,27 +86,27 @@
   }
 
   /** The cloud's list tells the age of a machine that was found. */
-  public void age(MonotonicTime now, Duration age) {
+  public void learnAge(MonotonicTime now, Duration age) {
     if (!ageKnown) {
-      rentedAt = now.minus(age);
+      provisionedAt = now.minus(age);
       ageKnown = true;
     }
   }
 
-  public void busy(MonotonicTime now) {
+  public void markBusy(MonotonicTime now) {
     idleSince = now;
   }
 
   /** Notes whether the fleet could do without it; tells for how long that has been so. */
-  public double spare(boolean isSpare, MonotonicTime now) {
+  public double surplusFor(boolean isSpare, MonotonicTime now) {
     if (!isSpare) {
-      spareSince = Optional.empty();
+      surplusSince = Optional.empty();
       return 0;
     }
-    if (spareSince.isEmpty()) {
-      spareSince = Optional.of(now);
+    if (surplusSince.isEmpty()) {
+      surplusSince = Optional.of(now);
     }
-    return now.secondsSince(spareSince.get());
+    return now.secondsSince(surplusSince.get());
   }
 
   public State state() {
@@ -114,16 +114,16 @@
   }
 
   /** Must take no new task. */
-  public boolean closed() {
+  public boolean cordoned() {
     return state == State.DRAINING || state == State.RETURNING;
   }
 
-  public MonotonicTime rentedAt() {
-    return rentedAt;
+  public MonotonicTime provisionedAt() {
+    return provisionedAt;
   }
 
   public double heldSeconds(MonotonicTime now) {
-    return now.secondsSince(rentedAt);
+    return now.secondsSince(provisionedAt);
   }
 
   public double idleSeconds(MonotonicTime now) {
--- a/src/main/java/org/mulleinshift/model/ProvisioningRequest.java
+++ b/src/main/java/org/mulleinshift/model/ProvisioningRequest.java
@@ -15,7 +15,7 @@
     /** Its name is being stored. */
     PLANNED,
     /** The cloud may have it. Only a clear answer ends this state. */
-    ASKED,
+    SENT,
     /** Answered; the outcome is being stored. */
     ANSWERED
   }
@@ -72,7 +72,7 @@
         Json.flag(value, "spot"),
         (int) Json.count(value, "count", 1, Integer.MAX_VALUE),
         now,
-        State.ASKED);
+        State.SENT);
   }
 
   public String name() {
--- a/src/main/java/org/mulleinshift/model/TaskAssignment.java
+++ b/src/main/java/org/mulleinshift/model/TaskAssignment.java
@@ -20,7 +20,7 @@
     /** Decided, not stored; the owner must not hear of it yet. */
     WRITING,
     /** Stored; the owner may place it. */
-    LIVE,
+    STORED,
     /** The owner named its machine. */
     PLACED,
     /** It runs. */
@@ -57,21 +57,21 @@
     }
   }
 
-  void stored(Revision revision) {
+  void markStored(Revision revision) {
     if (state == State.WRITING) {
       storedAt = revision;
-      transitionTo(State.LIVE);
+      transitionTo(State.STORED);
     }
   }
 
-  public void placed(MachineId where) {
+  public void markPlaced(MachineId where) {
     machine = Optional.of(where);
-    if (state == State.LIVE) {
+    if (state == State.STORED) {
       transitionTo(State.PLACED);
     }
   }
 
-  public void running(MachineId where, MonotonicTime since) {
+  public void markRunning(MachineId where, MonotonicTime since) {
     machine = Optional.of(where);
     if (runningSince.isEmpty()) {
       runningSince = Optional.of(since);
@@ -79,15 +79,15 @@
     transitionTo(State.RUNNING);
   }
 
-  void ended() {
+  void end() {
     transitionTo(State.ENDED);
   }
 
   /** A new owner found nothing yet: the place is unknown again. */
-  public void unplaced() {
+  public void clearPlacement() {
     machine = Optional.empty();
     if (state == State.PLACED || state == State.RUNNING) {
-      transitionTo(State.LIVE);
+      transitionTo(State.STORED);
     }
   }
 
@@ -138,7 +138,7 @@
   }
 
   /** Known to the owner, or about to be. */
-  public boolean told() {
+  public boolean visibleToOwner() {
     return state != State.WRITING;
   }
 }
--- a/src/main/java/org/mulleinshift/placement/BinPacker.java
+++ b/src/main/java/org/mulleinshift/placement/BinPacker.java
@@ -11,17 +11,17 @@
   private BinPacker() {}
 
   /** Takes room for some of several equal tasks on a machine. */
-  public interface Taker {
-    void take(MachineCapacity capacity, int count);
+  public interface CapacityConsumer {
+    void accept(MachineCapacity capacity, int count);
   }
 
   /** A room that takes the tasks; of equal ones the first is chosen. */
-  private record Scored(MachineCapacity capacity, double score, int place)
+  private record Scored(MachineCapacity capacity, double score, int position)
       implements Comparable<Scored> {
     @Override
     public int compareTo(Scored other) {
       int byScore = Double.compare(score, other.score);
-      return byScore != 0 ? byScore : Integer.compare(place, other.place);
+      return byScore != 0 ? byScore : Integer.compare(position, other.position);
     }
   }
 
@@ -31,8 +31,11 @@
    * the others stay as they are. So each room is looked at once, however many tasks there are.
    */
   public static int fill(
-      ResourceRequest need, int count, Collection<MachineCapacity> capacities, Taker consumer) {
-    MachineCapacity best = choose(need, capacities).orElse(null);
+      ResourceRequest need,
+      int count,
+      Collection<MachineCapacity> capacities,
+      CapacityConsumer consumer) {
+    MachineCapacity best = best(need, capacities).orElse(null);
     if (best == null || count <= 0) {
       return 0;
     }
@@ -42,7 +45,7 @@
     }
     List<Scored> others = new ArrayList<>();
     for (MachineCapacity capacity : capacities) {
-      if (capacity != best && capacity.takes(need)) {
+      if (capacity != best && capacity.fits(need)) {
         others.add(new Scored(capacity, capacity.score(need), others.size()));
       }
     }
@@ -54,10 +57,10 @@
   }
 
   private static int take(
-      ResourceRequest need, int most, MachineCapacity capacity, Taker consumer) {
+      ResourceRequest need, int most, MachineCapacity capacity, CapacityConsumer consumer) {
     int taken = Math.min(most, capacity.countOf(need));
-    capacity.take(need, taken);
-    consumer.take(capacity, taken);
+    capacity.allocate(need, taken);
+    consumer.accept(capacity, taken);
     return taken;
   }
 
@@ -66,12 +69,12 @@
     return fill(need, count, capacities, (capacity, taken) -> {});
   }
 
-  public static Optional<MachineCapacity> choose(
+  public static Optional<MachineCapacity> best(
       ResourceRequest need, Collection<MachineCapacity> capacities) {
     MachineCapacity best = null;
     double bestScore = 0;
     for (MachineCapacity capacity : capacities) {
-      if (!capacity.takes(need)) {
+      if (!capacity.fits(need)) {
         continue;
       }
       double score = capacity.score(need);
--- a/src/main/java/org/mulleinshift/placement/MachineCapacity.java
+++ b/src/main/java/org/mulleinshift/placement/MachineCapacity.java
@@ -31,10 +31,10 @@
   private final MachineType type;
   private final boolean spot;
   private final Resources size;
-  private final Collection<String> known;
-  private Set<String> coming = Set.of();
-  private final double dearness;
-  private Resources free;
+  private final Collection<String> cachedImages;
+  private Set<String> incomingImages = Set.of();
+  private final double relativePrice;
+  private Resources available;
 
   public MachineCapacity(
       MachineId machine,
@@ -49,10 +49,10 @@
     this.zone = zone;
     this.type = type;
     this.spot = spot;
-    this.dearness = type.dearness(spot);
+    this.relativePrice = type.relativePrice(spot);
     this.size = type.size();
-    this.free = free;
-    this.known = images;
+    this.available = free;
+    this.cachedImages = images;
   }
 
   /** Room on a machine of a shard. */
@@ -67,8 +67,8 @@
         machine, shard.id(), shard.zone(), type, record.spot(), free, images);
   }
 
-  boolean takes(ResourceRequest need) {
-    return need.perTask().fitsInto(free) && allowedFor(need);
+  boolean fits(ResourceRequest need) {
+    return need.perTask().fitsInto(available) && allowedFor(need);
   }
 
   private boolean allowedFor(ResourceRequest need) {
@@ -77,23 +77,23 @@
 
   /** How many such tasks fit. */
   int countOf(ResourceRequest need) {
-    return allowedFor(need) ? need.perTask().countIn(free) : 0;
+    return allowedFor(need) ? need.perTask().countIn(available) : 0;
   }
 
-  public void take(ResourceRequest need) {
-    take(need, 1);
+  public void allocate(ResourceRequest need) {
+    allocate(need, 1);
   }
 
-  public void take(ResourceRequest need, int count) {
-    free = free.minus(count == 1 ? need.perTask() : need.perTask().times(count));
-    if (!coming.contains(need.image())) {
-      coming = coming.isEmpty() ? new HashSet<>(4) : coming;
-      coming.add(need.image());
+  public void allocate(ResourceRequest need, int count) {
+    available = available.minus(count == 1 ? need.perTask() : need.perTask().times(count));
+    if (!incomingImages.contains(need.image())) {
+      incomingImages = incomingImages.isEmpty() ? new HashSet<>(4) : incomingImages;
+      incomingImages.add(need.image());
     }
   }
 
-  public void give(Resources amount) {
-    free = free.plus(amount);
+  public void free(Resources amount) {
+    available = available.plus(amount);
   }
 
   /**
@@ -102,15 +102,15 @@
    * returned; then the one that is left fullest.
    */
   double score(ResourceRequest need) {
-    double left = PRICE_WEIGHT * dearness + SIZE_WEIGHT * (1 - need.perTask().shareOf(size));
-    left += size.cpus() > 0 ? (free.cpus() - need.perTask().cpus()) : 0;
-    left += size.gpus() > 0 ? 8 * (free.gpus() - need.perTask().gpus()) : 0;
-    left += size.memoryGb() > 0 ? (free.memoryGb() - need.perTask().memoryGb()) / 16 : 0;
+    double left = PRICE_WEIGHT * relativePrice + SIZE_WEIGHT * (1 - need.perTask().shareOf(size));
+    left += size.cpus() > 0 ? (available.cpus() - need.perTask().cpus()) : 0;
+    left += size.gpus() > 0 ? 8 * (available.gpus() - need.perTask().gpus()) : 0;
+    left += size.memoryGb() > 0 ? (available.memoryGb() - need.perTask().memoryGb()) / 16 : 0;
     return left + fetchWeight(need);
   }
 
   private double fetchWeight(ResourceRequest need) {
-    if (known.contains(need.image()) || coming.contains(need.image())) {
+    if (cachedImages.contains(need.image()) || incomingImages.contains(need.image())) {
       return 0;
     }
     double rate = type.fetchGbPerSecond();
@@ -121,7 +121,7 @@
 
   /** A measure for choosing what to drain first. */
   public double drainWeight() {
-    return (1 + dearness) * size.cpus();
+    return (1 + relativePrice) * size.cpus();
   }
 
   public MachineId machine() {
@@ -142,8 +142,9 @@
 
   /** The same room, to be taken from in a trial. */
   public MachineCapacity copy() {
-    MachineCapacity copy = new MachineCapacity(machine, shard, zone, type, spot, free, known);
-    copy.coming = coming.isEmpty() ? coming : new HashSet<>(coming);
+    MachineCapacity copy =
+        new MachineCapacity(machine, shard, zone, type, spot, available, cachedImages);
+    copy.incomingImages = incomingImages.isEmpty() ? incomingImages : new HashSet<>(incomingImages);
     return copy;
   }
 
@@ -155,7 +156,7 @@
     return type.id();
   }
 
-  public Resources free() {
-    return free;
+  public Resources available() {
+    return available;
   }
 }
--- a/src/main/java/org/mulleinshift/placement/MachineTypeCatalog.java
+++ b/src/main/java/org/mulleinshift/placement/MachineTypeCatalog.java
@@ -37,10 +37,10 @@
   }
 
   public void start() {
-    calls.call(cloud, HttpRequest.get(CloudCodec.CATALOG, DEADLINE), this::received);
+    calls.call(cloud, HttpRequest.get(CloudCodec.CATALOG, DEADLINE), this::onResponse);
   }
 
-  private void received(HttpResponse reply) {
+  private void onResponse(HttpResponse reply) {
     if (reply.ok()) {
       try {
         types = CloudCodec.parseCatalog(reply.body());
@@ -54,7 +54,7 @@
     loop.after(RETRY.plusMillis((long) (500 * loop.random())), this::start);
   }
 
-  public boolean known() {
+  public boolean isLoaded() {
     return !types.isEmpty();
   }
 
--- a/src/main/java/org/mulleinshift/placement/PlacementConstraints.java
+++ b/src/main/java/org/mulleinshift/placement/PlacementConstraints.java
@@ -12,15 +12,15 @@
   private PlacementConstraints() {}
 
   /** Whether one more of its tasks may be in the zone, given where the others are. */
-  public static boolean allowed(Job job, ZoneId zone) {
+  public static boolean allows(Job job, ZoneId zone) {
     if (!job.spec().allowsZone(zone)) {
       return false;
     }
-    if (job.spec().oneZone() && !job.perZone().isEmpty() && job.delegatedIn(zone) == 0) {
+    if (job.spec().oneZone() && !job.assignedPerZone().isEmpty() && job.assignedIn(zone) == 0) {
       return false;
     }
     int half = (job.spec().tasks() + 1) / 2;
-    return !job.spec().spread() || job.delegatedIn(zone) < half;
+    return !job.spec().spread() || job.assignedIn(zone) < half;
   }
 
   /** A gang starts as a whole: none of its tasks is out, and there is room for all of them. */
@@ -31,7 +31,7 @@
       int allowed,
       MonotonicTime now) {
     int tasks = job.spec().tasks() - job.doneCount();
-    if (job.delegatedCount() > 0 || allowed < tasks || job.waiting(tasks, now).length < tasks) {
+    if (job.assignedCount() > 0 || allowed < tasks || job.waiting(tasks, now).length < tasks) {
       return false;
     }
     Map<ZoneId, Integer> perZone = new HashMap<>();
--- a/src/main/java/org/mulleinshift/placement/ResourceRequest.java
+++ b/src/main/java/org/mulleinshift/placement/ResourceRequest.java
@@ -39,18 +39,18 @@
   }
 
   /** The same on some types only; none are left if it allows none of them. */
-  public ResourceRequest onlyOn(List<MachineTypeId> some) {
+  public ResourceRequest restrictedTo(List<MachineTypeId> some) {
     List<MachineTypeId> left = some.stream().filter(this::allowsType).toList();
     return new ResourceRequest(perTask, image, imageGb, left, zone, spotAllowed);
   }
 
   /** A task fits an empty machine of the type, and may be on it. */
-  public boolean mayUse(MachineType type) {
+  public boolean fits(MachineType type) {
     return perTask.fitsInto(type.size()) && allowsType(type.id());
   }
 
   /** Every machine that the other may be on, this may be on. */
-  boolean allowsAllOf(ResourceRequest other) {
+  boolean isNoStricterThan(ResourceRequest other) {
     return (types.isEmpty() || types.equals(other.types))
         && (zone.isEmpty() || zone.equals(other.zone))
         && (spotAllowed || !other.spotAllowed);
--- a/src/main/java/org/mulleinshift/placement/UnschedulableRequests.java
+++ b/src/main/java/org/mulleinshift/placement/UnschedulableRequests.java
@@ -23,7 +23,7 @@
 
   public boolean covers(ResourceRequest need) {
     for (ResourceRequest known : failed) {
-      if (known.perTask().within(need.perTask()) && known.allowsAllOf(need)) {
+      if (known.perTask().isAtMost(need.perTask()) && known.isNoStricterThan(need)) {
         return true;
       }
     }
@@ -31,16 +31,16 @@
   }
 
   /** The least that any of these asks for, of each kind; endless if there are none. */
-  public static <T> Resources minOf(Collection<T> all, Function<T, ResourceRequest> need) {
-    Resources least = Resources.ENDLESS;
+  public static <T> Resources minimumOf(Collection<T> all, Function<T, ResourceRequest> need) {
+    Resources least = Resources.UNBOUNDED;
     for (T one : all) {
-      least = least(least, need.apply(one).perTask());
+      least = minimum(least, need.apply(one).perTask());
     }
     return least;
   }
 
   /** The least that any of the needs asks for, of each kind; no room without it is of any use. */
-  public static Resources least(Resources one, Resources other) {
+  public static Resources minimum(Resources one, Resources other) {
     return new Resources(
         Math.min(one.cpus(), other.cpus()),
         Math.min(one.gpus(), other.gpus()),
--- a/src/main/java/org/mulleinshift/progress/ChunkUpdate.java
+++ b/src/main/java/org/mulleinshift/progress/ChunkUpdate.java
@@ -17,13 +17,13 @@
 /** The parts of a chunk of a job's progress that have changed, on their way to the store. */
 final class ChunkUpdate {
   /** What is to be stored of a part. */
-  record Form(Chunk part, JsonNode progress, int bytes) {}
+  record EncodedChunk(Chunk chunk, JsonNode progress, int bytes) {}
 
   private final Leader leader;
   private final EventLoop loop;
   private final Job job;
   private final int chunk;
-  private List<Chunk> parts = List.of();
+  private List<Chunk> sent = List.of();
   private List<TaskAssignment> written = List.of();
   private List<TaskAssignment> ended = List.of();
 
@@ -43,88 +43,89 @@
   }
 
   static String name(Job job, int chunk) {
-    return StoreKeys.progress(job.spec().id(), Chunk.chunk(chunk));
+    return StoreKeys.progress(job.spec().id(), Chunk.number(chunk));
   }
 
-  boolean pressing() {
-    return job.parts().pressing(chunk);
+  boolean urgent() {
+    return job.chunks().urgent(chunk);
   }
 
   /** Nothing of the job's progress is to be written any more. */
-  boolean over() {
+  boolean obsolete() {
     boolean ends = job.state() == Job.State.ENDING || job.state() == Job.State.ENDED;
-    return ends || leader.unreadable().has(job.spec().id());
+    return ends || leader.unreadable().contains(job.spec().id());
   }
 
   /** Of each part that waits; one that is longer is cut first, if it may be. */
-  List<Form> forms(int longest, boolean maySplit) {
-    if (over()) {
+  List<EncodedChunk> encode(int longest, boolean maySplit) {
+    if (obsolete()) {
       return List.of();
     }
-    Map<Chunk, Form> forms = new LinkedHashMap<>();
-    List<Chunk> waiting = job.parts().waiting(chunk);
-    while (waiting.stream().anyMatch(part -> cut(part, forms, longest, maySplit))) {
-      waiting = job.parts().waiting(chunk);
+    Map<Chunk, EncodedChunk> forms = new LinkedHashMap<>();
+    List<Chunk> waiting = job.chunks().pending(chunk);
+    while (waiting.stream().anyMatch(part -> splitIfTooLong(part, forms, longest, maySplit))) {
+      waiting = job.chunks().pending(chunk);
     }
     return waiting.stream().map(forms::get).toList();
   }
 
-  private boolean cut(Chunk part, Map<Chunk, Form> forms, int longest, boolean maySplit) {
+  private boolean splitIfTooLong(
+      Chunk part, Map<Chunk, EncodedChunk> forms, int longest, boolean maySplit) {
     if (forms.containsKey(part)) {
       return false;
     }
     JsonNode progress = job.progress(part);
     int bytes = StoreCodec.bytes(progress);
-    if (maySplit && part.divisible() && bytes > longest) {
+    if (maySplit && part.canSplit() && bytes > longest) {
       job.split(part);
       return true;
     }
-    forms.put(part, new Form(part, progress, bytes));
+    forms.put(part, new EncodedChunk(part, progress, bytes));
     return false;
   }
 
   /** These go to the store now. */
-  void sent(List<Form> chosen) {
-    parts = new ArrayList<>();
-    for (Form form : chosen) {
-      parts.add(form.part());
-      job.parts().sent(form.part());
+  void markSent(List<EncodedChunk> chosen) {
+    sent = new ArrayList<>();
+    for (EncodedChunk form : chosen) {
+      sent.add(form.chunk());
+      job.chunks().markInFlight(form.chunk());
     }
     written = select(TaskAssignment.State.WRITING);
     ended = select(TaskAssignment.State.ENDED);
   }
 
   private List<TaskAssignment> select(TaskAssignment.State wanted) {
-    return parts.stream()
+    return sent.stream()
         .flatMap(part -> job.assignments(part).stream())
         .filter(assignment -> assignment.state() == wanted)
         .toList();
   }
 
   /** What was sent last. */
-  List<Chunk> sentParts() {
-    return parts;
+  List<Chunk> sentChunks() {
+    return sent;
   }
 
   /** What was sent last is stored: owners may hear of it. */
-  void stored(Revision revision) {
-    job.parts().stored(parts);
+  void onStored(Revision revision) {
+    job.chunks().stored(sent);
     job.stored(written, ended, revision);
     if (!written.isEmpty()) {
-      job.told(loop.wallMillis());
+      job.markFirstAssigned(loop.wallMillis());
     }
     // Ends first: a task that comes back to the same shard is told as a new one.
-    ended.forEach(leader::untell);
-    written.forEach(leader::tell);
+    ended.forEach(leader::retract);
+    written.forEach(leader::publish);
   }
 
   /** Whether more has changed since. */
-  boolean waits() {
-    return !job.parts().waiting(chunk).isEmpty();
+  boolean hasPending() {
+    return !job.chunks().pending(chunk).isEmpty();
   }
 
   /** Parts in the store that are no longer read for anything. */
-  List<Chunk> outgrown() {
-    return job.parts().outgrown(chunk);
+  List<Chunk> obsoleteChunks() {
+    return job.chunks().obsolete(chunk);
   }
 }
--- a/src/main/java/org/mulleinshift/progress/LogSegment.java
+++ b/src/main/java/org/mulleinshift/progress/LogSegment.java
@@ -39,7 +39,7 @@
    *
    * @param bytes how long the entry is within a segment, worked out once
    */
-  public record Entry(JobId job, Chunk part, JsonNode progress, int bytes) {
+  public record Entry(JobId job, Chunk chunk, JsonNode progress, int bytes) {
     /** An entry whose progress is that long by itself. */
     public static Entry of(JobId job, Chunk part, JsonNode progress, int progressBytes) {
       int names = StoreCodec.bytes(job.value()) + part.toString().length();
@@ -62,7 +62,7 @@
     ObjectNode segment = Json.object();
     segment.put(FORM_FIELD, FORM);
     ArrayNode list = segment.putArray(ENTRIES);
-    entries.forEach(entry -> list.add(node(entry.job(), entry.part(), entry.progress())));
+    entries.forEach(entry -> list.add(node(entry.job(), entry.chunk(), entry.progress())));
     return segment;
   }
 
@@ -98,7 +98,7 @@
 
   private static Entry entry(JsonNode item) throws MalformedMessageException {
     Optional<Chunk> part =
-        item.path(PART).isTextual() ? Chunk.read(item.path(PART).asText()) : Optional.empty();
+        item.path(PART).isTextual() ? Chunk.parse(item.path(PART).asText()) : Optional.empty();
     if (item.size() != ENTRY_FIELDS || part.isEmpty() || !item.path(PROGRESS).isObject()) {
       throw new MalformedMessageException("an entry of another form");
     }
--- a/src/main/java/org/mulleinshift/progress/ProgressLog.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressLog.java
@@ -42,11 +42,11 @@
   private static final int NAMES_BYTES = 160;
 
   /** A part of a job whose progress is in the log. */
-  public record Image(JobId job, Chunk part) {}
+  public record ChunkImage(JobId job, Chunk chunk) {}
 
   private static final class Slot {
     private final int number;
-    private final Map<Image, Integer> live = new LinkedHashMap<>();
+    private final Map<ChunkImage, Integer> live = new LinkedHashMap<>();
     private int liveBytes;
     private boolean pinned;
     private long writtenAt;
@@ -59,13 +59,13 @@
       return live.isEmpty() && !pinned;
     }
 
-    void add(Image image, int bytes) {
+    void add(ChunkImage image, int bytes) {
       live.put(image, bytes);
       liveBytes += bytes;
     }
 
     /** How many bytes the image took. */
-    int remove(Image image) {
+    int remove(ChunkImage image) {
       int bytes = live.remove(image);
       liveBytes -= bytes;
       return bytes;
@@ -74,9 +74,9 @@
 
   private int slotBytes;
   private final Map<Integer, Slot> slots = new TreeMap<>();
-  private final Map<Image, Slot> where = new HashMap<>();
-  private final Map<JobId, Set<Image>> byJob = new HashMap<>();
-  private final Set<Integer> inDoubt = new TreeSet<>();
+  private final Map<ChunkImage, Slot> slotByImage = new HashMap<>();
+  private final Map<JobId, Set<ChunkImage>> byJob = new HashMap<>();
+  private final Set<Integer> uncertainSlots = new TreeSet<>();
   private long writes;
   private int liveBytes;
 
@@ -98,7 +98,7 @@
 
     private Batch(int maxSlots) {
       this.maxSlots = maxSlots;
-      inDoubt.forEach(number -> take(slots.get(number)));
+      uncertainSlots.forEach(number -> take(slots.get(number)));
     }
 
     private void take(Slot slot) {
@@ -140,8 +140,9 @@
     public List<Write> writes() {
       List<Write> writes = new ArrayList<>();
       for (Slot slot : taken) {
-        inDoubt.add(slot.number);
-        writes.add(Write.put(StoreKeys.segment(slot.number), LogSegment.write(entries.get(slot))));
+        uncertainSlots.add(slot.number);
+        writes.add(
+            Write.put(StoreKeys.logSegment(slot.number), LogSegment.write(entries.get(slot))));
       }
       return writes;
     }
@@ -179,32 +180,32 @@
 
   /** The batch is stored: its images are the newest, and earlier ones are no longer needed. */
   public void stored(Batch batch) {
-    inDoubt.clear();
+    uncertainSlots.clear();
     writes++;
     for (Slot slot : batch.taken) {
       slot.writtenAt = writes;
-      batch.entries.get(slot).forEach(entry -> enter(slot, entry));
+      batch.entries.get(slot).forEach(entry -> addImage(slot, entry));
     }
   }
 
-  private void enter(Slot slot, LogSegment.Entry entry) {
-    Image image = new Image(entry.job(), entry.part());
+  private void addImage(Slot slot, LogSegment.Entry entry) {
+    ChunkImage image = new ChunkImage(entry.job(), entry.chunk());
     release(image);
     int bytes = entry.bytes();
     slot.add(image, bytes);
     liveBytes += bytes;
-    where.put(image, slot);
+    slotByImage.put(image, slot);
     byJob.computeIfAbsent(image.job(), key -> new LinkedHashSet<>()).add(image);
   }
 
   /** The image is stored elsewhere by now, or nobody needs it. */
-  public void release(Image image) {
-    Slot slot = where.remove(image);
+  public void release(ChunkImage image) {
+    Slot slot = slotByImage.remove(image);
     if (slot == null) {
       return;
     }
     liveBytes -= slot.remove(image);
-    Set<Image> images = byJob.get(image.job());
+    Set<ChunkImage> images = byJob.get(image.job());
     images.remove(image);
     if (images.isEmpty()) {
       byJob.remove(image.job());
@@ -217,13 +218,13 @@
   }
 
   /** A slot that was found in the store. */
-  public void found(int number) {
+  public void onFound(int number) {
     slots.computeIfAbsent(number, Slot::new);
   }
 
   /** An image that was found to be the newest of its part. */
-  public void found(int number, LogSegment.Entry newest) {
-    enter(slots.computeIfAbsent(number, Slot::new), newest);
+  public void onFound(int number, LogSegment.Entry newest) {
+    addImage(slots.computeIfAbsent(number, Slot::new), newest);
   }
 
   /** The slot holds what this build can't read, or may not touch: it is left as it is. */
@@ -232,20 +233,20 @@
   }
 
   /** Nobody may write the image anew: its slot is left as it is. */
-  public void keep(Image image) {
-    Optional.ofNullable(where.get(image)).ifPresent(slot -> slot.pinned = true);
+  public void pinSlotOf(ChunkImage image) {
+    Optional.ofNullable(slotByImage.get(image)).ifPresent(slot -> slot.pinned = true);
   }
 
   /**
    * Live images of several slots that fit into one: written anew together they leave more slots
    * free than they take.
    */
-  public List<Image> toCompact() {
+  public List<ChunkImage> toCompact() {
     int needed = liveBytes / Math.max(1, slotBytes) + 1;
-    if (inUse() <= Math.max(MIN_SLOTS, SLACK * needed) || crowded()) {
+    if (inUse() <= Math.max(MIN_SLOTS, SLACK * needed) || isCrowded()) {
       return List.of();
     }
-    List<Image> images = new ArrayList<>();
+    List<ChunkImage> images = new ArrayList<>();
     int bytes = 0;
     int emptied = 0;
     for (Slot slot : occupied(Comparator.comparingInt(slot -> slot.liveBytes))) {
@@ -260,15 +261,15 @@
   }
 
   /** Live images that should move to keys of their own: the log is too full to compact it. */
-  public List<Image> toMoveOut() {
-    if (!crowded()) {
+  public List<ChunkImage> toMoveOut() {
+    if (!isCrowded()) {
       return List.of();
     }
     List<Slot> oldestFirst = occupied(Comparator.comparingLong(slot -> slot.writtenAt));
     return oldestFirst.isEmpty() ? List.of() : List.copyOf(oldestFirst.get(0).live.keySet());
   }
 
-  private boolean crowded() {
+  private boolean isCrowded() {
     return liveBytes > MAX_LIVE * MAX_SLOTS * slotBytes;
   }
 
@@ -288,17 +289,17 @@
   }
 
   /** All parts whose newest image is in the log. */
-  public List<Image> live() {
-    return List.copyOf(where.keySet());
+  public List<ChunkImage> live() {
+    return List.copyOf(slotByImage.keySet());
   }
 
   /** Whether nothing of the log is needed, and nothing of it may still be on its way. */
   public boolean idle() {
-    return inUse() == 0 && inDoubt.isEmpty();
+    return inUse() == 0 && uncertainSlots.isEmpty();
   }
 
   /** Keys of the slots that are known. */
   public List<String> keys() {
-    return slots.keySet().stream().map(StoreKeys::segment).toList();
+    return slots.keySet().stream().map(StoreKeys::logSegment).toList();
   }
 }
--- a/src/main/java/org/mulleinshift/progress/ProgressLogWriter.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressLogWriter.java
@@ -17,20 +17,20 @@
  * Group commit of progress: what has changed of all jobs goes into few values of the log. What
  * nobody waits for is held back for a moment, so that it shares a value with what comes next.
  */
-final class ProgressLogWriter implements TransactionBatcher.Unit {
+final class ProgressLogWriter implements TransactionBatcher.Mutation {
   /** Less than a scheduling cycle: what ends is stored with what the next cycle starts. */
   private static final Duration LINGER = Duration.ofMillis(100);
 
   /** What the writer asks of those who keep the progress of jobs. */
   interface Listener {
     /** Whether the chunk has to be written under its own keys for now. */
-    boolean needsKeys(String chunk);
+    boolean mustUseKeys(String chunk);
 
     /** Has a chunk written under its own keys. */
-    void writeByKeys(ChunkUpdate progress);
+    void writeToKeys(ChunkUpdate progress);
 
     /** The changes of these chunks are stored. */
-    void stored(List<ChunkUpdate> progress);
+    void onStored(List<ChunkUpdate> progress);
   }
 
   private final EventLoop loop;
@@ -39,7 +39,7 @@
   private final int maxSlots;
   private final Listener listener;
   private final Map<String, ChunkUpdate> pending = new LinkedHashMap<>();
-  private final Set<String> inDoubt = new HashSet<>();
+  private final Set<String> uncertain = new HashSet<>();
   private List<ChunkUpdate> sent = List.of();
   private ProgressLog.Batch batch;
   private boolean planned;
@@ -69,8 +69,8 @@
   }
 
   private void plan() {
-    if (pressing()) {
-      batcher.submit(StoreKeys.LOG, this);
+    if (urgent()) {
+      batcher.submit(StoreKeys.PROGRESS_LOG, this);
     } else if (!planned && !pending.isEmpty()) {
       planned = true;
       loop.after(
@@ -78,24 +78,24 @@
           () -> {
             planned = false;
             if (!pending.isEmpty()) {
-              batcher.submit(StoreKeys.LOG, this);
+              batcher.submit(StoreKeys.PROGRESS_LOG, this);
             }
           });
     }
   }
 
   /** Whether a write of the chunk to the log may still be carried out. */
-  boolean inDoubt(String name) {
-    return inDoubt.contains(name);
+  boolean uncertain(String name) {
+    return uncertain.contains(name);
   }
 
   @Override
-  public boolean pressing() {
-    return pending.values().stream().anyMatch(ChunkUpdate::pressing);
+  public boolean urgent() {
+    return pending.values().stream().anyMatch(ChunkUpdate::urgent);
   }
 
   @Override
-  public boolean first() {
+  public boolean takesPrecedence() {
     return true;
   }
 
@@ -103,42 +103,42 @@
   public List<Write> writes() {
     batch = log.begin(maxSlots);
     sent = new ArrayList<>();
-    for (ChunkUpdate progress : inTurn()) {
-      if (listener.needsKeys(progress.name())) {
+    for (ChunkUpdate progress : urgentFirst()) {
+      if (listener.mustUseKeys(progress.name())) {
         moveToKeys(progress);
-      } else if (!take(progress)) {
+      } else if (!addToBatch(progress)) {
         break;
       }
     }
     if (batch.empty()) {
       // No slot is free: what waits must not wait for one.
-      inTurn().forEach(this::moveToKeys);
+      urgentFirst().forEach(this::moveToKeys);
     }
-    sent.forEach(progress -> inDoubt.add(progress.name()));
+    sent.forEach(progress -> uncertain.add(progress.name()));
     return batch.writes();
   }
 
   private void moveToKeys(ChunkUpdate progress) {
     pending.remove(progress.name());
-    listener.writeByKeys(progress);
+    listener.writeToKeys(progress);
   }
 
-  private List<ChunkUpdate> inTurn() {
+  private List<ChunkUpdate> urgentFirst() {
     List<ChunkUpdate> order = new ArrayList<>();
-    pending.values().stream().filter(ChunkUpdate::pressing).forEach(order::add);
-    pending.values().stream().filter(progress -> !progress.pressing()).forEach(order::add);
+    pending.values().stream().filter(ChunkUpdate::urgent).forEach(order::add);
+    pending.values().stream().filter(progress -> !progress.urgent()).forEach(order::add);
     return order;
   }
 
   /** False if the batch is full. */
-  private boolean take(ChunkUpdate progress) {
-    List<ChunkUpdate.Form> chosen = new ArrayList<>();
+  private boolean addToBatch(ChunkUpdate progress) {
+    List<ChunkUpdate.EncodedChunk> chosen = new ArrayList<>();
     boolean full = false;
     boolean unfit = false;
-    for (ChunkUpdate.Form form : progress.forms(log.longestProgress(), true)) {
+    for (ChunkUpdate.EncodedChunk form : progress.encode(log.longestProgress(), true)) {
       LogSegment.Entry entry =
           LogSegment.Entry.of(
-              progress.job().spec().id(), form.part(), form.progress(), form.bytes());
+              progress.job().spec().id(), form.chunk(), form.progress(), form.bytes());
       boolean fits = entry.bytes() <= log.longestEntry();
       boolean taken = fits && batch.add(entry);
       if (taken) {
@@ -147,13 +147,13 @@
       unfit |= !fits;
       full |= fits && !taken;
     }
-    progress.sent(chosen);
+    progress.markSent(chosen);
     if (!chosen.isEmpty()) {
       sent.add(progress);
-    } else if (!full && !inDoubt(progress.name())) {
+    } else if (!full && !uncertain(progress.name())) {
       pending.remove(progress.name());
       if (unfit) {
-        listener.writeByKeys(progress);
+        listener.writeToKeys(progress);
       }
     }
     return !full;
@@ -161,24 +161,24 @@
 
   /** The service takes less than its limits say: shorter values, and keys of each job beside. */
   @Override
-  public void unfit() {
+  public void onRejected() {
     log.shorten();
-    batcher.submit(StoreKeys.LOG, this);
+    batcher.submit(StoreKeys.PROGRESS_LOG, this);
   }
 
   @Override
-  public void committed(Revision revision) {
+  public void onCommitted(Revision revision) {
     log.stored(batch);
-    inDoubt.clear();
+    uncertain.clear();
     List<ChunkUpdate> stored = sent;
     sent = List.of();
     for (ChunkUpdate progress : stored) {
-      progress.stored(revision);
-      if (!progress.waits()) {
+      progress.onStored(revision);
+      if (!progress.hasPending()) {
         pending.remove(progress.name());
       }
     }
-    listener.stored(stored);
+    listener.onStored(stored);
     plan();
   }
 }
--- a/src/main/java/org/mulleinshift/progress/ProgressPersister.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressPersister.java
@@ -17,7 +17,7 @@
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.StoreCodec;
-import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.protocol.StoreCodec.Write;
 import org.mulleinshift.settings.PlatformSettings;
 import org.mulleinshift.settings.Tunables;
@@ -43,30 +43,30 @@
   private static final int LOG_BYTES = 44_000;
 
   private final Leader leader;
-  private final Leader.Surroundings context;
+  private final Leader.Context context;
   private final TransactionBatcher batcher;
   private final int valueBytes;
-  private final boolean limitsFall;
+  private final boolean limitsWillShrink;
   private final int maxOps;
   private final ProgressLog log;
   private final ProgressLogWriter logWriter;
   private final ProgressLoader loader;
 
   /** Parts by chunk whose last write under a key of their own may still be carried out. */
-  private final Map<String, Set<Chunk>> keysInDoubt = new HashMap<>();
+  private final Map<String, Set<Chunk>> uncertainKeys = new HashMap<>();
 
-  private boolean partsAllowed;
-  private boolean logging;
+  private boolean splitAllowed;
+  private boolean useLog;
 
   public ProgressPersister(
-      Leader leader, Leader.Surroundings context, TransactionBatcher batcher, int maxOps) {
+      Leader leader, Leader.Context context, TransactionBatcher batcher, int maxOps) {
     this.leader = leader;
     this.context = context;
     this.batcher = batcher;
     this.maxOps = maxOps;
-    PlatformSettings.State limits = context.settings().cluster().state();
+    PlatformSettings.StoreLimits limits = context.settings().cluster().store();
     // Else no build has stored anything longer than what fits.
-    this.limitsFall = limits.minValueBytes() < limits.valueBytes();
+    this.limitsWillShrink = limits.minValueBytes() < limits.valueBytes();
     this.valueBytes = (int) (USED_OF_VALUE * limits.minValueBytes());
     this.log = new ProgressLog(valueBytes);
     int slots = Math.max(1, Math.min(maxOps / 2, LOG_BYTES / valueBytes));
@@ -85,25 +85,25 @@
    * there, unless the operators have switched it off: then what is there moves back to keys. Each
    * step may be the last.
    */
-  public void upkeep() {
-    if (!partsAllowed && context.builds().all(FeatureGates.PARTS)) {
-      partsAllowed = true;
-      leader.jobs().values().forEach(this::convert);
+  public void maintain() {
+    if (!splitAllowed && context.featureGates().allSupport(FeatureGates.SPLIT_CHUNKS)) {
+      splitAllowed = true;
+      leader.jobs().values().forEach(this::rewriteOversized);
     }
     boolean wanted = context.tunables().number(Tunables.Key.PROGRESS_LOG) > 0;
-    if (!logging && wanted && context.builds().all(FeatureGates.PROGRESS_LOG)) {
-      logging = true;
+    if (!useLog && wanted && context.featureGates().allSupport(FeatureGates.PROGRESS_LOG)) {
+      useLog = true;
     }
     if (!wanted) {
-      leaveLog();
+      migrateFromLog();
     }
   }
 
   /** The way back to an earlier build, which reads no log. */
-  private void leaveLog() {
-    moveToKeys(log.live());
+  private void migrateFromLog() {
+    migrateToKeys(log.live());
     if (log.idle()) {
-      List<String> left = log.keys().stream().filter(batcher::knows).toList();
+      List<String> left = log.keys().stream().filter(batcher::hasRevision).toList();
       left.forEach(this::removeKey);
       if (!left.isEmpty()) {
         LOG.info("the progress log is not needed any more: {} slots are removed", left.size());
@@ -111,9 +111,9 @@
     }
   }
 
-  private void convert(Job job) {
-    List<Chunk> open = new ArrayList<>(job.parts().uncovered());
-    for (Chunk part : List.copyOf(job.parts().live())) {
+  private void rewriteOversized(Job job) {
+    List<Chunk> open = new ArrayList<>(job.chunks().uncovered());
+    for (Chunk part : List.copyOf(job.chunks().live())) {
       // Also what could not be stored before.
       boolean waits =
           job.assignments(part).stream()
@@ -121,7 +121,7 @@
                   assignment ->
                       assignment.state() == TaskAssignment.State.WRITING
                           || assignment.state() == TaskAssignment.State.ENDED);
-      if (waits || (limitsFall && StoreCodec.bytes(job.progress(part)) > valueBytes)) {
+      if (waits || (limitsWillShrink && StoreCodec.bytes(job.progress(part)) > valueBytes)) {
         open.add(part);
       }
     }
@@ -129,109 +129,109 @@
   }
 
   private void writeWhenIdle(Job job, Chunk part) {
-    job.parts().changed(part, false);
-    KeyedUnit unit = new KeyedUnit(chunkOf(job, part));
-    batcher.submitIdle(unit.progress.name(), unit);
+    job.chunks().markDirty(part, false);
+    ChunkMutation unit = new ChunkMutation(chunkOf(job, part));
+    batcher.submitWhenIdle(unit.progress.name(), unit);
   }
 
   private ChunkUpdate chunkOf(Job job, Chunk part) {
-    return new ChunkUpdate(leader, context.loop(), job, part.chunk());
+    return new ChunkUpdate(leader, context.loop(), job, part.number());
   }
 
   /** Has the progress of a task stored; pressing if its start waits for that. */
   public void store(Job job, int task, boolean pressing) {
-    Chunk part = job.partOf(task);
-    job.parts().changed(part, pressing);
+    Chunk part = job.chunkOf(task);
+    job.chunks().markDirty(part, pressing);
     store(chunkOf(job, part));
   }
 
   private void store(ChunkUpdate progress) {
-    if (logging && !needsKeys(progress.name())) {
+    if (useLog && !mustUseKeys(progress.name())) {
       logWriter.add(progress);
     } else {
-      writeByKeys(progress);
+      writeToKeys(progress);
     }
   }
 
   @Override
-  public boolean needsKeys(String chunk) {
-    return keysInDoubt.containsKey(chunk);
+  public boolean mustUseKeys(String chunk) {
+    return uncertainKeys.containsKey(chunk);
   }
 
   @Override
-  public void writeByKeys(ChunkUpdate progress) {
-    batcher.submit(progress.name(), new KeyedUnit(progress));
+  public void writeToKeys(ChunkUpdate progress) {
+    batcher.submit(progress.name(), new ChunkMutation(progress));
   }
 
   @Override
-  public void stored(List<ChunkUpdate> stored) {
+  public void onStored(List<ChunkUpdate> stored) {
     stored.forEach(this::cleanUp);
     compact();
   }
 
   /** After a chunk's changes were stored: what is no longer read goes, and the job may end. */
   private void cleanUp(ChunkUpdate progress) {
-    progress.outgrown().forEach(part -> remove(progress.job(), part));
+    progress.obsoleteChunks().forEach(part -> remove(progress.job(), part));
     leader.settle(progress.job());
-    leader.cycleSoon();
+    leader.scheduleCycle();
   }
 
   /** Keeps the log short: what a new leader reads is bounded by what is live in it. */
   private void compact() {
     rewrite(log.toCompact(), (job, part) -> store(chunkOf(job, part)));
-    moveToKeys(log.toMoveOut());
+    migrateToKeys(log.toMoveOut());
   }
 
-  private void moveToKeys(List<ProgressLog.Image> images) {
+  private void migrateToKeys(List<ProgressLog.ChunkImage> images) {
     rewrite(images, this::writeWhenIdle);
   }
 
   /** Images of jobs that this build can't read any more stay where they are. */
-  private void rewrite(List<ProgressLog.Image> images, BiConsumer<Job, Chunk> writer) {
-    for (ProgressLog.Image image : images) {
-      Optional<Job> job = leader.known(image.job());
+  private void rewrite(List<ProgressLog.ChunkImage> images, BiConsumer<Job, Chunk> writer) {
+    for (ProgressLog.ChunkImage image : images) {
+      Optional<Job> job = leader.findJob(image.job());
       if (job.isPresent()) {
-        job.get().parts().changed(image.part(), false);
-        writer.accept(job.get(), image.part());
+        job.get().chunks().markDirty(image.chunk(), false);
+        writer.accept(job.get(), image.chunk());
       } else {
-        log.keep(image);
+        log.pinSlotOf(image);
       }
     }
   }
 
   /** Has the end of a job stored, whose state allows it. */
   public void end(Job job) {
-    batcher.known(StoreKeys.active(job.spec().id()), job.version());
-    batcher.submit(StoreKeys.ended(job.spec().id()), new EndUnit(job));
-    job.beginEnd();
+    batcher.recordRevision(StoreKeys.activeJob(job.spec().id()), job.revision());
+    batcher.submit(StoreKeys.endedJob(job.spec().id()), new JobEndMutation(job));
+    job.beginEnding();
   }
 
   /** Changed parts of a chunk, each under a key of its own. */
-  private final class KeyedUnit implements TransactionBatcher.Unit {
+  private final class ChunkMutation implements TransactionBatcher.Mutation {
     private final ChunkUpdate progress;
 
-    KeyedUnit(ChunkUpdate progress) {
+    ChunkMutation(ChunkUpdate progress) {
       this.progress = progress;
     }
 
     @Override
-    public boolean pressing() {
-      return progress.pressing();
+    public boolean urgent() {
+      return progress.urgent();
     }
 
     @Override
     public List<Write> writes() {
-      if (logWriter.inDoubt(progress.name())) {
+      if (logWriter.uncertain(progress.name())) {
         // The log's next write takes it along.
         return List.of();
       }
-      List<ChunkUpdate.Form> chosen =
-          progress.forms(valueBytes, partsAllowed).stream().limit(maxOps).toList();
-      progress.sent(chosen);
+      List<ChunkUpdate.EncodedChunk> chosen =
+          progress.encode(valueBytes, splitAllowed).stream().limit(maxOps).toList();
+      progress.markSent(chosen);
       List<Write> writes = new ArrayList<>();
-      for (ChunkUpdate.Form form : chosen) {
-        keysInDoubt.computeIfAbsent(progress.name(), key -> new HashSet<>()).add(form.part());
-        writes.add(Write.put(StoreKeys.progress(id(), form.part()), form.progress()));
+      for (ChunkUpdate.EncodedChunk form : chosen) {
+        uncertainKeys.computeIfAbsent(progress.name(), key -> new HashSet<>()).add(form.chunk());
+        writes.add(Write.put(StoreKeys.progress(id(), form.chunk()), form.progress()));
       }
       return writes;
     }
@@ -241,13 +241,13 @@
     }
 
     @Override
-    public void committed(Revision revision) {
+    public void onCommitted(Revision revision) {
       certain();
-      for (Chunk part : progress.sentParts()) {
-        log.release(new ProgressLog.Image(id(), part));
+      for (Chunk part : progress.sentChunks()) {
+        log.release(new ProgressLog.ChunkImage(id(), part));
       }
-      progress.stored(revision);
-      if (progress.waits()) {
+      progress.onStored(revision);
+      if (progress.hasPending()) {
         store(progress);
       }
       cleanUp(progress);
@@ -255,91 +255,93 @@
 
     /** What was written is known; a part that was cut since is read for nothing. */
     private void certain() {
-      Set<Chunk> doubtful = keysInDoubt.getOrDefault(progress.name(), new HashSet<>());
-      doubtful.removeAll(progress.sentParts());
-      doubtful.removeIf(part -> !progress.job().parts().live().contains(part));
+      Set<Chunk> doubtful = uncertainKeys.getOrDefault(progress.name(), new HashSet<>());
+      doubtful.removeAll(progress.sentChunks());
+      doubtful.removeIf(part -> !progress.job().chunks().live().contains(part));
       if (doubtful.isEmpty()) {
-        keysInDoubt.remove(progress.name());
+        uncertainKeys.remove(progress.name());
       }
     }
   }
 
   private void remove(Job job, Chunk part) {
-    log.release(new ProgressLog.Image(job.spec().id(), part));
+    log.release(new ProgressLog.ChunkImage(job.spec().id(), part));
     String key = StoreKeys.progress(job.spec().id(), part);
-    if (batcher.knows(key)) {
+    if (batcher.hasRevision(key)) {
       // Nobody reads it any more: it need not compete with what tasks wait for.
-      batcher.submitIdle(key, new DeleteUnit(key, () -> job.parts().gone(part)));
+      batcher.submitWhenIdle(key, new DeleteKeyMutation(key, () -> job.chunks().onDeleted(part)));
     } else {
-      job.parts().gone(part);
+      job.chunks().onDeleted(part);
     }
   }
 
   /** Has a key deleted that nobody reads any more. */
   void removeKey(String key) {
-    batcher.submitIdle(key, new DeleteUnit(key));
+    batcher.submitWhenIdle(key, new DeleteKeyMutation(key));
   }
 
   /** The end of a job: from here on users hear done or cancelled, and jobs that await it may go. */
-  private final class EndUnit implements TransactionBatcher.Unit {
+  private final class JobEndMutation implements TransactionBatcher.Mutation {
     private final Job job;
     private List<TaskAssignment> left = List.of();
     private long atMillis;
 
-    EndUnit(Job job) {
+    JobEndMutation(Job job) {
       this.job = job;
     }
 
     @Override
     public List<Write> writes() {
       JobId id = job.spec().id();
-      if (leader.unreadable().has(id)) {
+      if (leader.unreadable().contains(id)) {
         return List.of();
       }
       atMillis = context.loop().wallMillis();
       List<Write> writes = new ArrayList<>();
-      writes.add(Write.delete(StoreKeys.active(id)));
-      writes.add(Write.put(StoreKeys.ended(id), JobRecord.endedValue(job.endPhase(), atMillis)));
+      writes.add(Write.delete(StoreKeys.activeJob(id)));
+      writes.add(
+          Write.put(StoreKeys.endedJob(id), JobRecord.endedValue(job.terminalPhase(), atMillis)));
       left = List.copyOf(job.assignments());
       return writes;
     }
 
     @Override
-    public void reread(String key, Optional<Item> item) {
-      if (key.equals(StoreKeys.active(job.spec().id()))) {
+    public void onReread(String key, Optional<KeyValue> item) {
+      if (key.equals(StoreKeys.activeJob(job.spec().id()))) {
         item.flatMap(JobRecord::read).ifPresent(job::update);
       }
     }
 
     @Override
-    public void committed(Revision revision) {
+    public void onCommitted(Revision revision) {
       JobId id = job.spec().id();
-      LOG.info("job {} {}: {}", id, job.endPhase().wire(), job.summary(atMillis));
-      List.copyOf(job.parts().inStore()).forEach(part -> remove(job, part));
-      for (int list = 0; list < job.awaits().lists(); list++) {
-        String key = StoreKeys.awaited(id, job.awaits().digest(), list);
-        if (batcher.knows(key)) {
+      LOG.info("job {} {}: {}", id, job.terminalPhase().wire(), job.summary(atMillis));
+      List.copyOf(job.chunks().stored()).forEach(part -> remove(job, part));
+      for (int list = 0; list < job.dependencies().lists(); list++) {
+        String key = StoreKeys.dependencyList(id, job.dependencies().digest(), list);
+        if (batcher.hasRevision(key)) {
           removeKey(key);
         }
       }
       log.release(id);
-      forgetDoubts(job);
-      job.finishEnd();
-      batcher.forgotten(StoreKeys.ended(id));
-      leader.ended(job, left, atMillis);
+      forgetUncertainWrites(job);
+      job.finishEnding();
+      batcher.forgetRevision(StoreKeys.endedJob(id));
+      leader.onJobEnded(job, left, atMillis);
     }
   }
 
   /** A late write of a job that is over is read for nothing. */
-  private void forgetDoubts(Job job) {
-    for (Chunk part : job.parts().live()) {
-      keysInDoubt.remove(ChunkUpdate.name(job, part.chunk()));
+  private void forgetUncertainWrites(Job job) {
+    for (Chunk part : job.chunks().live()) {
+      uncertainKeys.remove(ChunkUpdate.name(job, part.number()));
     }
   }
 
   /** A key that is no longer needed. */
-  private record DeleteUnit(String key, Runnable then) implements TransactionBatcher.Unit {
-    DeleteUnit(String key) {
+  private record DeleteKeyMutation(String key, Runnable then)
+      implements TransactionBatcher.Mutation {
+    DeleteKeyMutation(String key) {
       this(key, () -> {});
     }
 
@@ -349,7 +351,7 @@
     }
 
     @Override
-    public void committed(Revision revision) {
+    public void onCommitted(Revision revision) {
       LOG.debug("removed {}", key);
       then.run();
     }
--- a/src/main/java/org/mulleinshift/protocol/CloudCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/CloudCodec.java
@@ -14,9 +14,9 @@
 /** The cloud's interface. */
 public final class CloudCodec {
   public static final String CATALOG = "/catalog";
-  public static final String RENTALS = "/rentals";
+  public static final String MACHINES = "/rentals";
   public static final String DELETE = "/rentals/delete";
-  public static final int MAX_RENTED = 50;
+  public static final int MAX_PROVISIONED = 50;
   public static final int MAX_DELETED = 100;
   public static final int LIST_LIMIT = 500;
 
@@ -55,7 +55,8 @@
     return types;
   }
 
-  public static String rent(String name, MachineTypeId type, ZoneId zone, boolean spot, int count) {
+  public static String provision(
+      String name, MachineTypeId type, ZoneId zone, boolean spot, int count) {
     ObjectNode node = Json.object();
     node.put("hire", name);
     node.put("build", type.value());
@@ -65,7 +66,7 @@
     return Json.write(node);
   }
 
-  public static List<MachineId> parseRented(String body) throws MalformedMessageException {
+  public static List<MachineId> parseProvisioned(String body) throws MalformedMessageException {
     List<MachineId> machines = new ArrayList<>();
     for (JsonNode item : list(Json.parseObject(body), "hosts")) {
       if (!item.isTextual()) {
@@ -85,7 +86,7 @@
 
   public static String listPath(Optional<MachineId> after) {
     String from = after.map(machine -> "from=" + machine.value() + "&").orElse("");
-    return RENTALS + "?" + from + "limit=" + LIST_LIMIT;
+    return MACHINES + "?" + from + "limit=" + LIST_LIMIT;
   }
 
   public static Page parseList(String body) throws MalformedMessageException {
--- a/src/main/java/org/mulleinshift/protocol/HeartbeatParser.java
+++ b/src/main/java/org/mulleinshift/protocol/HeartbeatParser.java
@@ -24,10 +24,10 @@
   private String type;
   private String zone;
   private Boolean spot;
-  private long session = -1;
+  private long epoch = -1;
   private long sequence = -1;
   private long token = -1;
-  private Optional<Duration> recall = Optional.empty();
+  private Optional<Duration> interruptionNotice = Optional.empty();
   private List<WorkerHeartbeat.Entry> tasks;
 
   private HeartbeatParser(JsonParser in) {
@@ -63,9 +63,9 @@
         new MachineTypeId(given(type, "build")),
         new ZoneId(given(zone, "yard")),
         given(spot, "loaner"),
-        new HeartbeatVersion(given(session, "shift"), given(sequence, "tick")),
+        new HeartbeatVersion(given(epoch, "shift"), given(sequence, "tick")),
         new FencingToken(given(token, "baton")),
-        recall,
+        interruptionNotice,
         tasks);
   }
 
@@ -76,10 +76,10 @@
       case "build" -> type = text(key);
       case "yard" -> zone = text(key);
       case "loaner" -> spot = flag(key);
-      case "shift" -> session = count(key);
+      case "shift" -> epoch = count(key);
       case "tick" -> sequence = count(key);
       case "baton" -> token = count(key);
-      case "recall_s" -> recall = recall(key);
+      case "recall_s" -> interruptionNotice = interruptionNotice(key);
       case "pieces" -> tasks = entries();
       default -> in.skipChildren();
     }
@@ -144,7 +144,8 @@
     return new TaskId(new JobId(name.substring(0, slash)), index);
   }
 
-  private Optional<Duration> recall(String key) throws IOException, MalformedMessageException {
+  private Optional<Duration> interruptionNotice(String key)
+      throws IOException, MalformedMessageException {
     if (in.hasToken(JsonToken.VALUE_NULL)) {
       return Optional.empty();
     }
--- a/src/main/java/org/mulleinshift/protocol/HeartbeatVersion.java
+++ b/src/main/java/org/mulleinshift/protocol/HeartbeatVersion.java
@@ -1,8 +1,7 @@
 package org.mulleinshift.protocol;
 
 /** Orders a worker's messages: the larger one is the newer one. */
-public record HeartbeatVersion(long session, long sequence)
-    implements Comparable<HeartbeatVersion> {
+public record HeartbeatVersion(long epoch, long sequence) implements Comparable<HeartbeatVersion> {
   public static final HeartbeatVersion NEVER = new HeartbeatVersion(0, 0);
 
   public boolean isAfter(HeartbeatVersion other) {
@@ -11,7 +10,7 @@
 
   @Override
   public int compareTo(HeartbeatVersion other) {
-    int bySession = Long.compare(session, other.session);
+    int bySession = Long.compare(epoch, other.epoch);
     return bySession != 0 ? bySession : Long.compare(sequence, other.sequence);
   }
 }
--- a/src/main/java/org/mulleinshift/protocol/MachineType.java
+++ b/src/main/java/org/mulleinshift/protocol/MachineType.java
@@ -14,7 +14,7 @@
     Duration boot,
     List<ZoneId> zones) {
   /** By how much of the spot price such a machine costs more than a spot one. */
-  public double dearness(boolean spot) {
+  public double relativePrice(boolean spot) {
     return spot || spotPrice <= 0 ? 0 : price / spotPrice - 1;
   }
 
--- a/src/main/java/org/mulleinshift/protocol/Resources.java
+++ b/src/main/java/org/mulleinshift/protocol/Resources.java
@@ -3,7 +3,7 @@
 /** Amounts that a task takes and a machine has. */
 public record Resources(double cpus, double gpus, double memoryGb) {
   public static final Resources ZERO = new Resources(0, 0, 0);
-  public static final Resources ENDLESS =
+  public static final Resources UNBOUNDED =
       new Resources(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
   private static final double SLACK = 1e-6;
 
@@ -26,7 +26,7 @@
   }
 
   /** No more of anything than the other; exact, unlike {@link #fitsInto}. */
-  public boolean within(Resources other) {
+  public boolean isAtMost(Resources other) {
     return cpus <= other.cpus && gpus <= other.gpus && memoryGb <= other.memoryGb;
   }
 
--- a/src/main/java/org/mulleinshift/protocol/StoreCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/StoreCodec.java
@@ -13,14 +13,14 @@
 /** The state service's interface. */
 public final class StoreCodec {
   public static final String COMMIT = "/commit";
-  public static final String HOLDS = "/holds";
+  public static final String LEASES = "/holds";
   public static final int RANGE_LIMIT = 250;
 
   /** A key with its value and the revision of its last change. */
-  public record Item(String key, JsonNode value, Revision version) {}
+  public record KeyValue(String key, JsonNode value, Revision revision) {}
 
   /** One page of keys. */
-  public record Range(List<Item> items, boolean more, Revision revision) {
+  public record Range(List<KeyValue> items, boolean more, Revision revision) {
     /** After which key the next page begins, if there is one. */
     public Optional<String> next() {
       return more && !items.isEmpty()
@@ -30,16 +30,16 @@
   }
 
   /** A change that a watch saw; without a value the key was deleted. */
-  public record Change(String key, Optional<JsonNode> value, Revision version) {}
+  public record Change(String key, Optional<JsonNode> value, Revision revision) {}
 
   /** What a watch saw. */
   public record Changes(List<Change> changes, Revision revision) {}
 
   /** Demands that a key has this version; 0: it does not exist. */
-  public record Guard(String key, Revision version) {}
+  public record Compare(String key, Revision revision) {}
 
   /** A put or, without a value, a delete. The value is JSON text: it is encoded once. */
-  public record Write(String key, Optional<String> value, Optional<LeaseId> hold) {
+  public record Write(String key, Optional<String> value, Optional<LeaseId> lease) {
     public static Write put(String key, JsonNode value) {
       return new Write(key, Optional.of(Json.write(value)), Optional.empty());
     }
@@ -86,23 +86,23 @@
     return "/changes?starts=" + prefix + "&from=" + from + "&hold_ms=" + wait.toMillis();
   }
 
-  public static String renewPath(LeaseId hold) {
-    return HOLDS + "/" + hold + "/renew";
+  public static String renewLeasePath(LeaseId hold) {
+    return LEASES + "/" + hold + "/renew";
   }
 
-  public static String holdPath(LeaseId hold) {
-    return HOLDS + "/" + hold;
+  public static String leasePath(LeaseId hold) {
+    return LEASES + "/" + hold;
   }
 
-  public static String grant(Duration ttl) {
+  public static String grantLease(Duration ttl) {
     return Json.write(Json.object().put("ttl_ms", ttl.toMillis()));
   }
 
-  public static String commit(List<Guard> guards, List<Write> writes) {
+  public static String commit(List<Compare> guards, List<Write> writes) {
     ObjectNode node = Json.object();
     ArrayNode conditions = node.putArray("guards");
-    for (Guard guard : guards) {
-      conditions.addObject().put("k", guard.key()).put("stamp", guard.version().value());
+    for (Compare guard : guards) {
+      conditions.addObject().put("k", guard.key()).put("stamp", guard.revision().value());
     }
     ArrayNode changes = node.putArray("writes");
     for (Write write : writes) {
@@ -112,17 +112,17 @@
       } else {
         item.put("set", write.key());
         item.putRawValue("value", new RawValue(write.value().get()));
-        write.hold().ifPresent(hold -> item.put("hold", hold.value()));
+        write.lease().ifPresent(hold -> item.put("hold", hold.value()));
       }
     }
     return Json.write(node);
   }
 
-  public static LeaseId parseHold(String body) throws MalformedMessageException {
+  public static LeaseId parseLease(String body) throws MalformedMessageException {
     return new LeaseId(Json.count(Json.parseObject(body), "hold", 0, Long.MAX_VALUE));
   }
 
-  public static Item parseItem(String body) throws MalformedMessageException {
+  public static KeyValue parseItem(String body) throws MalformedMessageException {
     return item(Json.parseObject(body));
   }
 
@@ -132,7 +132,7 @@
 
   public static Range parseRange(String body) throws MalformedMessageException {
     JsonNode node = Json.parseObject(body);
-    List<Item> items = new ArrayList<>();
+    List<KeyValue> items = new ArrayList<>();
     for (JsonNode row : node.path("rows")) {
       items.add(item(row));
     }
@@ -153,8 +153,8 @@
     return new Changes(changes, revision(node, "epoch"));
   }
 
-  private static Item item(JsonNode node) throws MalformedMessageException {
-    return new Item(Json.text(node, "k"), node.path("value"), revision(node, "stamp"));
+  private static KeyValue item(JsonNode node) throws MalformedMessageException {
+    return new KeyValue(Json.text(node, "k"), node.path("value"), revision(node, "stamp"));
   }
 
   private static Revision revision(JsonNode node, String key) throws MalformedMessageException {
--- a/src/main/java/org/mulleinshift/protocol/WorkerCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/WorkerCodec.java
@@ -9,11 +9,11 @@
 public final class WorkerCodec {
   public static final String CHECKIN = "/checkin";
   public static final String STATUS = "/status";
-  public static final String ORDERS = "/orders";
+  public static final String COMMANDS = "/orders";
 
   private WorkerCodec() {}
 
-  public static WorkerHeartbeat parseReport(String body) throws MalformedMessageException {
+  public static WorkerHeartbeat parseHeartbeat(String body) throws MalformedMessageException {
     return HeartbeatParser.parse(body);
   }
 
@@ -33,7 +33,7 @@
     return switch (wire) {
       case "done" -> WorkerHeartbeat.Cause.DONE;
       case "halted" -> WorkerHeartbeat.Cause.STOPPED;
-      case "full" -> WorkerHeartbeat.Cause.NO_CAPACITY;
+      case "full" -> WorkerHeartbeat.Cause.INSUFFICIENT_RESOURCES;
       case "in_use" -> WorkerHeartbeat.Cause.BUSY;
       case "peers", "incomplete" -> WorkerHeartbeat.Cause.GANG_BROKEN;
       case "no_such" -> WorkerHeartbeat.Cause.UNKNOWN;
--- a/src/main/java/org/mulleinshift/protocol/WorkerHeartbeat.java
+++ b/src/main/java/org/mulleinshift/protocol/WorkerHeartbeat.java
@@ -11,9 +11,9 @@
     MachineTypeId type,
     ZoneId zone,
     boolean spot,
-    HeartbeatVersion moment,
+    HeartbeatVersion version,
     FencingToken highestToken,
-    Optional<Duration> recall,
+    Optional<Duration> interruptionNotice,
     List<Entry> tasks) {
 
   public enum State {
@@ -30,7 +30,7 @@
     DONE,
     STOPPED,
     ERROR,
-    NO_CAPACITY,
+    INSUFFICIENT_RESOURCES,
     BUSY,
     /** A gang that did not come together, or lost one of its tasks. */
     GANG_BROKEN,
--- a/src/main/java/org/mulleinshift/scheduling/AllocationIndex.java
+++ b/src/main/java/org/mulleinshift/scheduling/AllocationIndex.java
@@ -25,7 +25,7 @@
   private final Map<ShardId, Map<TaskId, TaskAssignment>> unplaced = new HashMap<>();
 
   /** Called before a assignment changes. */
-  public void leave(TaskAssignment assignment) {
+  public void remove(TaskAssignment assignment) {
     if (assignment.state() == TaskAssignment.State.ENDED) {
       return;
     }
@@ -48,7 +48,7 @@
   }
 
   /** Called after a assignment has changed. */
-  public void enter(TaskAssignment assignment) {
+  public void add(TaskAssignment assignment) {
     if (assignment.state() == TaskAssignment.State.ENDED) {
       return;
     }
--- a/src/main/java/org/mulleinshift/scheduling/AvailableCapacity.java
+++ b/src/main/java/org/mulleinshift/scheduling/AvailableCapacity.java
@@ -29,11 +29,11 @@
 /** The room that a cycle gives out, and the tasks that wait at owners for more of it. */
 public final class AvailableCapacity {
   /** Tasks that wait at an owner for room. */
-  record Ahead(ShardId shard, ResourceRequest need, int count) {}
+  record QueuedAtOwner(ShardId shard, ResourceRequest request, int count) {}
 
   private final Leader leader;
   private final MachineTypeCatalog catalog;
-  private final List<Ahead> ahead = new ArrayList<>();
+  private final List<QueuedAtOwner> queuedAtOwners = new ArrayList<>();
 
   public AvailableCapacity(Leader leader, MachineTypeCatalog catalog) {
     this.leader = leader;
@@ -41,33 +41,33 @@
   }
 
   /** What was assigned and found no room when the rooms were last asked for. */
-  List<Ahead> ahead() {
-    return ahead;
+  List<QueuedAtOwner> queuedAtOwners() {
+    return queuedAtOwners;
   }
 
   /**
    * Free room as the owners report it, less what is assigned and not yet placed. Machines that have
    * less left than the least that anybody asks for are left out.
    */
-  List<MachineCapacity> capacities(Resources minAsked) {
+  List<MachineCapacity> collect(Resources minAsked) {
     List<MachineCapacity> capacities = new ArrayList<>();
-    ahead.clear();
+    queuedAtOwners.clear();
     for (ShardView shard : leader.shards().values()) {
       Map<JobId, Integer> unplaced = new LinkedHashMap<>();
-      for (TaskAssignment assignment : leader.occupancy().unplaced(shard.id())) {
+      for (TaskAssignment assignment : leader.allocations().unplaced(shard.id())) {
         unplaced.merge(assignment.task().job(), 1, Integer::sum);
       }
       Resources least = minAsked;
       for (JobId job : unplaced.keySet()) {
-        least = UnschedulableRequests.least(least, leader.jobs().get(job).spec().perTask());
+        least = UnschedulableRequests.minimum(least, leader.jobs().get(job).spec().perTask());
       }
-      List<MachineCapacity> found = capacitiesOf(shard, least);
+      List<MachineCapacity> found = ofShard(shard, least);
       unplaced.forEach(
           (job, count) -> {
             ResourceRequest need = ResourceRequest.of(leader.jobs().get(job).spec());
             int left = count - BinPacker.fill(need, count, found);
             if (left > 0) {
-              ahead.add(new Ahead(shard.id(), need, left));
+              queuedAtOwners.add(new QueuedAtOwner(shard.id(), need, left));
             }
           });
       capacities.addAll(found);
@@ -76,30 +76,30 @@
   }
 
   /** The rooms of a shard's machines that have at least so much left. */
-  public List<MachineCapacity> capacitiesOf(ShardView shard, Resources least) {
+  public List<MachineCapacity> ofShard(ShardView shard, Resources least) {
     List<MachineCapacity> found = new ArrayList<>();
-    if (shard.hasReported()) {
+    if (shard.hasStatus()) {
       for (MachineId id : shard.machines().keySet()) {
-        capacityOf(shard, id, least).ifPresent(found::add);
+        ofMachine(shard, id, least).ifPresent(found::add);
       }
     }
     return found;
   }
 
   /** What is left of a machine, if it may take tasks and has at least so much. */
-  Optional<MachineCapacity> capacityOf(ShardView shard, MachineId id, Resources least) {
+  Optional<MachineCapacity> ofMachine(ShardView shard, MachineId id, Resources least) {
     MachineRecord record = shard.machines().get(id);
     MachineType type = record == null ? null : catalog.type(record.type()).orElse(null);
-    if (type == null || !record.up() || !shard.hasReported()) {
+    if (type == null || !record.up() || !shard.hasStatus()) {
       return Optional.empty();
     }
     // Most machines of a busy fleet are full: what else it takes to know them is asked later.
-    Resources free = type.size().minus(leader.occupancy().used(id));
+    Resources free = type.size().minus(leader.allocations().used(id));
     if (!least.fitsInto(free)) {
       return Optional.empty();
     }
     return shard
-        .reportOf(id)
+        .statusOf(id)
         .filter(report -> usable(id, report))
         .map(report -> MachineCapacity.on(shard, id, record, type, free, images(id, report)));
   }
@@ -107,7 +107,7 @@
   /** What the machine has, and what its tasks fetch: like tasks then share the fetch. */
   private Set<String> images(MachineId machine, MachineStatus report) {
     Set<String> images = new HashSet<>(report.getImages());
-    for (TaskAssignment assignment : leader.occupancy().on(machine)) {
+    for (TaskAssignment assignment : leader.allocations().on(machine)) {
       Job job = leader.jobs().get(assignment.task().job());
       if (job != null) {
         images.add(job.spec().image());
@@ -119,7 +119,7 @@
   private boolean usable(MachineId machine, MachineStatus report) {
     return report.getPhase().equals(MachinePhase.CONFIRMED.wireName())
         && !report.getInterrupted()
-        && report.getLiveness().equals(OwnedMachine.Silence.HEARD.wireName())
-        && !leader.closed(machine);
+        && report.getLiveness().equals(OwnedMachine.Liveness.ALIVE.wireName())
+        && !leader.isCordoned(machine);
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/CapacityReservation.java
+++ b/src/main/java/org/mulleinshift/scheduling/CapacityReservation.java
@@ -20,7 +20,7 @@
   private static final double WEIGHT = 0.2;
 
   /** Tasks for which room is kept. */
-  public record Kept(ResourceRequest need, int count) {}
+  public record Reservation(ResourceRequest request, int count) {}
 
   private static final class Seen {
     private ResourceRequest need;
@@ -44,17 +44,17 @@
     this.lasting = lasting;
   }
 
-  boolean protects(JobSpec spec) {
+  boolean appliesTo(JobSpec spec) {
     return classes.contains(spec.jobClass());
   }
 
   /** Whether any class has a start aim. */
-  boolean protectsAny() {
+  boolean isActive() {
     return !classes.isEmpty();
   }
 
-  public void arrived(JobSpec spec, MonotonicTime now) {
-    if (protects(spec)) {
+  public void onJobArrived(JobSpec spec, MonotonicTime now) {
+    if (appliesTo(spec)) {
       Seen known = seen.computeIfAbsent(spec.jobClass(), key -> new Seen());
       known.tasks =
           known.need == null ? spec.tasks() : known.tasks * (1 - WEIGHT) + spec.tasks() * WEIGHT;
@@ -63,12 +63,12 @@
     }
   }
 
-  public List<Kept> kept(MonotonicTime now) {
-    List<Kept> kept = new ArrayList<>();
+  public List<Reservation> reservations(MonotonicTime now) {
+    List<Reservation> kept = new ArrayList<>();
     for (Seen known : seen.values()) {
       int count = (int) Math.round(known.tasks * share);
       if (count > 0 && now.since(known.lastAt).compareTo(lasting) < 0) {
-        kept.add(new Kept(known.need, count));
+        kept.add(new Reservation(known.need, count));
       }
     }
     return kept;
--- a/src/main/java/org/mulleinshift/scheduling/FailureAttribution.java
+++ b/src/main/java/org/mulleinshift/scheduling/FailureAttribution.java
@@ -36,8 +36,8 @@
   private static final class JobFailures {
     private final Set<MachineId> machines = new LinkedHashSet<>();
     private int failures;
-    private int tries;
-    private boolean blamed;
+    private int attempts;
+    private boolean faulty;
     private MonotonicTime notBefore;
   }
 
@@ -57,34 +57,34 @@
   }
 
   /** A task of the job failed on the machine. */
-  public void failed(Job job, MachineId machine, MonotonicTime now) {
+  public void onFailure(Job job, MachineId machine, MonotonicTime now) {
     JobFailures known = jobs.computeIfAbsent(job.spec().id(), key -> new JobFailures());
     known.failures++;
-    if (known.blamed) {
-      known.tries++;
-      known.notBefore = now.plus(pause.multipliedBy(1L << Math.min(known.tries, MAX_DOUBLINGS)));
+    if (known.faulty) {
+      known.attempts++;
+      known.notBefore = now.plus(pause.multipliedBy(1L << Math.min(known.attempts, MAX_DOUBLINGS)));
       return;
     }
     MachineFailures there = machines.computeIfAbsent(machine, key -> new MachineFailures());
     there.byJob.merge(job, 1, Integer::sum);
     there.lastAt = now;
-    if (known.machines.size() < JOB_MACHINES && !faulty(machine)) {
+    if (known.machines.size() < JOB_MACHINES && !isQuarantined(machine)) {
       known.machines.add(machine);
     }
     boolean several = known.machines.size() >= JOB_MACHINES || known.failures >= JOB_FAILURES;
-    if (several && !proven(job)) {
+    if (several && !hasSucceeded(job)) {
       LOG.info("job {} fails on several machines: it gets few tries", job.spec().id());
-      known.blamed = true;
+      known.faulty = true;
       known.notBefore = now.plus(pause);
       forgetOnMachines(job.spec().id());
     }
   }
 
   /** A task of the job was done on the machine: neither is to blame. */
-  public void succeeded(Job job, MachineId machine) {
+  public void onSuccess(Job job, MachineId machine) {
     machines.remove(machine);
     JobFailures known = jobs.remove(job.spec().id());
-    if (known != null && known.blamed) {
+    if (known != null && known.faulty) {
       LOG.info("job {} succeeds after all", job.spec().id());
     }
   }
@@ -99,34 +99,34 @@
             });
   }
 
-  public void over(JobId job) {
+  public void onJobEnded(JobId job) {
     jobs.remove(job);
     forgetOnMachines(job);
   }
 
-  public void gone(List<MachineId> returned) {
+  public void onMachinesDeleted(List<MachineId> returned) {
     machines.keySet().removeAll(returned);
   }
 
-  private static boolean proven(Job job) {
+  private static boolean hasSucceeded(Job job) {
     return job.doneCount() > 0;
   }
 
-  boolean blamed(Job job) {
+  boolean isJobFaulty(Job job) {
     JobFailures known = jobs.get(job.spec().id());
-    return known != null && known.blamed;
+    return known != null && known.faulty;
   }
 
   /**
    * How many of the job's tasks may be tried now: of a blamed job one at a time, spaced out. A gang
    * is tried whole: one task of it alone fits nowhere, and it would never get another try.
    */
-  public int tries(Job job, MonotonicTime now) {
+  public int allowedAttempts(Job job, MonotonicTime now) {
     JobFailures known = jobs.get(job.spec().id());
-    if (known == null || !known.blamed) {
+    if (known == null || !known.faulty) {
       return Integer.MAX_VALUE;
     }
-    boolean due = job.delegatedCount() == 0 && !known.notBefore.isAfter(now);
+    boolean due = job.assignedCount() == 0 && !known.notBefore.isAfter(now);
     int whole = job.spec().kind() == JobKind.GANG ? job.spec().tasks() : 1;
     return due ? whole : 0;
   }
@@ -135,7 +135,7 @@
    * Jobs that succeed elsewhere failed there, with no success between: several jobs, or one twice
    * as often.
    */
-  public boolean faulty(MachineId machine) {
+  public boolean isQuarantined(MachineId machine) {
     MachineFailures there = machines.get(machine);
     if (there == null) {
       return false;
@@ -143,7 +143,7 @@
     int accusers = 0;
     int failures = 0;
     for (Map.Entry<Job, Integer> entry : there.byJob.entrySet()) {
-      if (proven(entry.getKey())) {
+      if (hasSucceeded(entry.getKey())) {
         accusers++;
         failures += entry.getValue();
       }
@@ -152,7 +152,7 @@
   }
 
   /** Something fails there and it is open whose fault that is: it takes nothing for a while. */
-  public boolean suspect(MachineId machine, MonotonicTime now) {
+  public boolean isSuspect(MachineId machine, MonotonicTime now) {
     MachineFailures there = machines.get(machine);
     return there != null
         && now.since(there.lastAt).compareTo(SUSPECT_FOR) < 0
--- a/src/main/java/org/mulleinshift/scheduling/JobRanking.java
+++ b/src/main/java/org/mulleinshift/scheduling/JobRanking.java
@@ -23,7 +23,7 @@
 public final class JobRanking {
   private final List<Job> order;
   private final Map<JobId, Integer> ranks;
-  private final Set<JobId> guaranteed = new HashSet<>();
+  private final Set<JobId> withinGuarantee = new HashSet<>();
 
   private JobRanking(List<Entry> entries) {
     order = new ArrayList<>(entries.size());
@@ -32,7 +32,7 @@
       ranks.put(entry.job.spec().id(), order.size());
       order.add(entry.job);
       if (entry.guaranteed) {
-        guaranteed.add(entry.job.spec().id());
+        withinGuarantee.add(entry.job.spec().id());
       }
     }
   }
@@ -42,16 +42,16 @@
       Predicate<Job> blamed,
       Map<String, PlatformSettings.Team> teams,
       Tardiness lateness,
-      MinimumShares.Picture picture,
+      MinimumShares.Snapshot picture,
       long nowMillis) {
     List<Entry> entries = new ArrayList<>(jobs.size());
     for (Job job : jobs) {
-      entries.add(new Entry(job, blamed.test(job), lateness.place(job, picture, nowMillis)));
+      entries.add(new Entry(job, blamed.test(job), lateness.position(job, picture, nowMillis)));
     }
     entries.sort(Entry.BY_ARRIVAL);
     Map<TeamId, double[]> earlier = new HashMap<>();
     for (Entry entry : entries) {
-      if (!entry.blamed) {
+      if (!entry.faulty) {
         Job job = entry.job;
         Resources need = job.spec().perTask();
         int left = job.spec().tasks() - job.doneCount();
@@ -78,24 +78,24 @@
     private static final Comparator<Entry> BY_URGENCY =
         (one, other) -> {
           int byClass = Integer.compare(one.urgency(), other.urgency());
-          int byTurn = byClass != 0 ? byClass : Double.compare(one.turn, other.turn);
+          int byTurn = byClass != 0 ? byClass : Double.compare(one.order, other.order);
           return byTurn != 0 ? byTurn : BY_ARRIVAL.compare(other, one);
         };
 
     private final Job job;
-    private final boolean blamed;
+    private final boolean faulty;
     private final Tardiness.Grade grade;
     private final int priority;
-    private final double turn;
+    private final double order;
     private final long accepted;
     private boolean guaranteed;
 
-    Entry(Job job, boolean blamed, Tardiness.Place place) {
+    Entry(Job job, boolean blamed, Tardiness.Position place) {
       this.job = job;
-      this.blamed = blamed;
+      this.faulty = blamed;
       this.grade = place.grade();
       this.priority = job.priority().rank();
-      this.turn = place.turn();
+      this.order = place.order();
       this.accepted = job.readyMillis();
     }
 
@@ -106,7 +106,7 @@
     private int urgency() {
       boolean late = grade == Tardiness.Grade.LATE;
       int level = 2 * priority + (late ? 3 : 0);
-      return (blamed ? 256 : 0) + level * 8 + (guaranteed ? 0 : 4) + grade.rank();
+      return (faulty ? 256 : 0) + level * 8 + (guaranteed ? 0 : 4) + grade.rank();
     }
   }
 
@@ -121,7 +121,7 @@
   }
 
   /** Whether the job fits into its team's guarantee together with the team's earlier jobs. */
-  boolean guaranteed(Job job) {
-    return guaranteed.contains(job.spec().id());
+  boolean withinGuarantee(Job job) {
+    return withinGuarantee.contains(job.spec().id());
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/MinimumShares.java
+++ b/src/main/java/org/mulleinshift/scheduling/MinimumShares.java
@@ -44,68 +44,69 @@
 
   private final Leader leader;
   private final MachineTypeCatalog catalog;
-  private final double floorShare;
+  private final double minimumShare;
   private final Map<MachineTypeId, Resources> byType = new HashMap<>();
-  private Resources fleet = Resources.ZERO;
-  private Optional<MonotonicTime> told = Optional.empty();
-  private MonotonicTime lookedAt;
-  private boolean looked;
+  private Resources clusterCapacity = Resources.ZERO;
+  private Optional<MonotonicTime> loggedAt = Optional.empty();
+  private MonotonicTime refreshedAt;
+  private boolean refreshed;
 
   MinimumShares(Leader leader, MachineTypeCatalog catalog, Tunables tunables, MonotonicTime now) {
     this.leader = leader;
     this.catalog = catalog;
-    this.floorShare = tunables.number(Tunables.Key.FLOOR_SHARE);
-    this.lookedAt = now;
+    this.minimumShare = tunables.number(Tunables.Key.FLOOR_SHARE);
+    this.refreshedAt = now;
   }
 
   /** What a party is summed up from. */
-  private static final class Sum {
+  private static final class Accumulator {
     private final double weight;
     private final Set<MachineTypeId> types = new HashSet<>();
     private double inUse;
     private double demand;
     private double most = 1;
 
-    Sum(double weight) {
+    Accumulator(double weight) {
       this.weight = weight;
     }
   }
 
   /** The classes, or the teams, and what they may claim. */
-  static final class Side {
-    private final Function<Job, String> partyOf;
-    private final Map<String, ShareEntity> parties = new HashMap<>();
+  static final class EntityGroup {
+    private final Function<Job, String> entityOf;
+    private final Map<String, ShareEntity> entities = new HashMap<>();
     private final ShareClaims claims;
-    private final Map<String, Double> left;
+    private final Map<String, Double> remaining;
 
-    private Side(Function<Job, String> partyOf, Collection<ShareEntity> all, double floorShare) {
-      this.partyOf = partyOf;
+    private EntityGroup(
+        Function<Job, String> partyOf, Collection<ShareEntity> all, double floorShare) {
+      this.entityOf = partyOf;
       this.claims = ShareClaims.of(all, floorShare);
-      this.left = new HashMap<>(claims.claims());
-      all.forEach(party -> parties.put(party.name(), party));
+      this.remaining = new HashMap<>(claims.claims());
+      all.forEach(party -> entities.put(party.name(), party));
     }
 
-    String partyOf(Job job) {
-      return partyOf.apply(job);
+    String entityOf(Job job) {
+      return entityOf.apply(job);
     }
 
-    boolean claimsAny() {
-      return !left.isEmpty();
+    boolean hasClaims() {
+      return !remaining.isEmpty();
     }
 
     /** How many of the job's tasks, each of such a share, its party may still claim. */
-    int mayClaim(Job job, double share) {
-      double open = left.getOrDefault(partyOf(job), 0.0);
+    int claimableTasks(Job job, double share) {
+      double open = remaining.getOrDefault(entityOf(job), 0.0);
       return share > 0 && open > 0 ? (int) Math.ceil(open / share - 1e-6) : 0;
     }
 
-    void claimed(Job job, double shares) {
-      left.merge(partyOf(job), -shares, Double::sum);
+    void onClaimed(Job job, double shares) {
+      remaining.merge(entityOf(job), -shares, Double::sum);
     }
 
     /** Each party's share of the fleet, its floor, and what it asks for, in percent. */
     String describe() {
-      return parties.values().stream()
+      return entities.values().stream()
           .map(
               party ->
                   String.format(
@@ -113,90 +114,93 @@
                       "%s has %.0f%%, floor %.0f%%, asks for %.0f%%",
                       party.name(),
                       100 * party.inUse(),
-                      100 * claims.floor(party.name()),
+                      100 * claims.minimum(party.name()),
                       100 * party.demand()))
           .collect(Collectors.joining(", "));
     }
 
     /** What the job's party uses beyond its floor. */
-    double aboveFloor(Job job) {
-      ShareEntity own = parties.get(partyOf(job));
-      return own == null ? 0 : own.inUse() - claims.floor(own.name());
+    double aboveMinimum(Job job) {
+      ShareEntity own = entities.get(entityOf(job));
+      return own == null ? 0 : own.inUse() - claims.minimum(own.name());
     }
   }
 
   /**
    * How classes and teams stand in one cycle.
    *
-   * @param fleet all that can be used
+   * @param clusterCapacity all that can be used
    */
-  record Picture(Resources fleet, List<Side> sides) {
+  record Snapshot(Resources clusterCapacity, List<EntityGroup> groups) {
     /** The share of the fleet that one task takes. */
     double share(Job job) {
-      return job.spec().perTask().shareOf(fleet);
+      return job.spec().perTask().shareOf(clusterCapacity);
     }
   }
 
-  Picture picture(Collection<Job> jobs, Map<TeamId, Resources> use, MonotonicTime now) {
-    if (!looked || now.secondsSince(lookedAt) >= LOOK_SECONDS) {
-      look();
-      lookedAt = now;
+  Snapshot snapshot(Collection<Job> jobs, Map<TeamId, Resources> use, MonotonicTime now) {
+    if (!refreshed || now.secondsSince(refreshedAt) >= LOOK_SECONDS) {
+      refreshCapacity();
+      refreshedAt = now;
     }
-    Map<String, Sum> classes = new HashMap<>();
-    Map<String, Sum> teams = new HashMap<>();
+    Map<String, Accumulator> classes = new HashMap<>();
+    Map<String, Accumulator> teams = new HashMap<>();
     for (Job job : jobs) {
-      double share = job.spec().perTask().shareOf(fleet);
-      double out = share * job.delegatedCount();
+      double share = job.spec().perTask().shareOf(clusterCapacity);
+      double out = share * job.assignedCount();
       double asked = 0;
       if (job.state() == Job.State.ACTIVE && job.waitingCount() > 0) {
         Resources used = use.getOrDefault(job.spec().team(), Resources.ZERO);
-        int may = Math.min(leader.quota().withinLimit(job, used), leader.blame().tries(job, now));
+        int may =
+            Math.min(
+                leader.quota().tasksWithinLimit(job, used),
+                leader.failures().allowedAttempts(job, now));
         asked = share * Math.min(may, job.waitingCount());
       }
-      Sum ofClass =
+      Accumulator ofClass =
           classes.computeIfAbsent(
-              job.spec().jobClass(), key -> new Sum(weight(job.spec().priority())));
+              job.spec().jobClass(), key -> new Accumulator(weight(job.spec().priority())));
       ResourceRequest need = ResourceRequest.of(job.spec());
       for (MachineType type : catalog.types().values()) {
-        if (need.mayUse(type)) {
+        if (need.fits(type)) {
           ofClass.types.add(type.id());
         }
       }
-      Sum ofTeam =
+      Accumulator ofTeam =
           teams.computeIfAbsent(
-              job.spec().team().value(), key -> new Sum(weight(job.spec().team())));
-      ofTeam.most = leader.quota().limit(job.spec().team()).shareOf(fleet);
+              job.spec().team().value(), key -> new Accumulator(weight(job.spec().team())));
+      ofTeam.most = leader.quota().limit(job.spec().team()).shareOf(clusterCapacity);
       ofClass.inUse += out;
       ofClass.demand += out + asked;
       ofTeam.inUse += out;
       ofTeam.demand += out + asked;
     }
     List<ShareEntity> ofClasses = new ArrayList<>();
-    classes.forEach((name, sum) -> ofClasses.add(party(name, sum, reach(sum.types))));
+    classes.forEach((name, sum) -> ofClasses.add(entity(name, sum, reachableShare(sum.types))));
     List<ShareEntity> ofTeams = new ArrayList<>();
-    teams.forEach((name, sum) -> ofTeams.add(party(name, sum, sum.most)));
-    Picture picture =
-        new Picture(
-            fleet,
+    teams.forEach((name, sum) -> ofTeams.add(entity(name, sum, sum.most)));
+    Snapshot picture =
+        new Snapshot(
+            clusterCapacity,
             List.of(
-                new Side(job -> job.spec().jobClass(), ofClasses, floorShare),
-                new Side(job -> job.spec().team().value(), ofTeams, floorShare)));
-    tell(picture, now);
+                new EntityGroup(job -> job.spec().jobClass(), ofClasses, minimumShare),
+                new EntityGroup(job -> job.spec().team().value(), ofTeams, minimumShare)));
+    logClaims(picture, now);
     return picture;
   }
 
   /** Operators see that floors act: seldom, and only then. */
-  private void tell(Picture picture, MonotonicTime now) {
-    boolean claimed = picture.sides().stream().anyMatch(Side::claimsAny);
-    if (claimed && (told.isEmpty() || now.secondsSince(told.get()) >= TELL_SECONDS)) {
-      told = Optional.of(now);
+  private void logClaims(Snapshot picture, MonotonicTime now) {
+    boolean claimed = picture.groups().stream().anyMatch(EntityGroup::hasClaims);
+    if (claimed && (loggedAt.isEmpty() || now.secondsSince(loggedAt.get()) >= TELL_SECONDS)) {
+      loggedAt = Optional.of(now);
       LOG.info(
           "floors act: {}",
-          picture.sides().stream().map(Side::describe).collect(Collectors.joining("; ")));
+          picture.groups().stream().map(EntityGroup::describe).collect(Collectors.joining("; ")));
     }
   }
 
-  private static ShareEntity party(String name, Sum sum, double reach) {
+  private static ShareEntity entity(String name, Accumulator sum, double reach) {
     return new ShareEntity(name, sum.weight, sum.inUse, sum.demand, reach);
   }
 
@@ -209,32 +213,32 @@
   private double weight(TeamId team) {
     Map<String, PlatformSettings.Team> all = leader.quota().teams();
     double sum = all.values().stream().mapToDouble(PlatformSettings.Team::cpus).sum();
-    double own = leader.quota().guaranteed(team);
+    double own = leader.quota().guaranteedCpus(team);
     return 1.0 / Math.max(1, all.size()) + (sum > 0 ? own / sum : 0);
   }
 
-  private double reach(Set<MachineTypeId> types) {
+  private double reachableShare(Set<MachineTypeId> types) {
     Resources reached = Resources.ZERO;
     for (MachineTypeId type : types) {
       reached = reached.plus(byType.getOrDefault(type, Resources.ZERO));
     }
-    return fleet.cpus() > 0 ? reached.cpus() / fleet.cpus() : 1;
+    return clusterCapacity.cpus() > 0 ? reached.cpus() / clusterCapacity.cpus() : 1;
   }
 
   /** Machines that are there or on their way; not what is known to be silent or leaving. */
-  private void look() {
-    looked = true;
+  private void refreshCapacity() {
+    refreshed = true;
     byType.clear();
-    fleet = Resources.ZERO;
+    clusterCapacity = Resources.ZERO;
     for (ShardView shard : leader.shards().values()) {
       for (Map.Entry<MachineId, MachineRecord> entry : shard.machines().entrySet()) {
-        MachineStatus report = shard.reportOf(entry.getKey()).orElse(null);
+        MachineStatus report = shard.statusOf(entry.getKey()).orElse(null);
         boolean silent =
-            report != null && !report.getLiveness().equals(OwnedMachine.Silence.HEARD.wireName());
+            report != null && !report.getLiveness().equals(OwnedMachine.Liveness.ALIVE.wireName());
         MachineType type = catalog.type(entry.getValue().type()).orElse(null);
-        if (type != null && !silent && !leader.closed(entry.getKey())) {
+        if (type != null && !silent && !leader.isCordoned(entry.getKey())) {
           byType.merge(type.id(), type.size(), Resources::plus);
-          fleet = fleet.plus(type.size());
+          clusterCapacity = clusterCapacity.plus(type.size());
         }
       }
     }
--- a/src/main/java/org/mulleinshift/scheduling/Preemption.java
+++ b/src/main/java/org/mulleinshift/scheduling/Preemption.java
@@ -30,11 +30,11 @@
   private static final int MAX_ASKING = 24;
 
   /** Where a task is. */
-  record Where(ZoneId zone, MachineTypeId type, boolean spot) {}
+  record Location(ZoneId zone, MachineTypeId type, boolean spot) {}
 
   /** Tells where a told task is, if it is on a machine of a known shard. */
-  interface Placed {
-    Optional<Where> of(TaskAssignment assignment);
+  interface Locator {
+    Optional<Location> of(TaskAssignment assignment);
   }
 
   private record Candidate(TaskAssignment assignment, double ranSeconds) {}
@@ -42,19 +42,19 @@
   /** A job's tasks on machines that are alike: for whoever asks, one may give way as the other. */
   private static final class Group {
     private final Job job;
-    private final Where where;
+    private final Location where;
     private final PriorityQueue<Candidate> candidates =
         new PriorityQueue<>(Comparator.comparingDouble(Candidate::ranSeconds));
-    private int leaving;
+    private int stopping;
 
-    Group(Job job, Where where) {
+    Group(Job job, Location where) {
       this.job = job;
       this.where = where;
     }
 
     void add(TaskAssignment assignment, double ranSeconds) {
       if (assignment.stopRequested()) {
-        leaving++;
+        stopping++;
       } else {
         candidates.add(new Candidate(assignment, ranSeconds));
       }
@@ -62,9 +62,10 @@
   }
 
   /** A group as one asker sees it, by the task that would lose least. */
-  private record Open(Group group, int capacity, double ranSeconds) implements Comparable<Open> {
+  private record Option(Group group, int capacity, double ranSeconds)
+      implements Comparable<Option> {
     @Override
-    public int compareTo(Open other) {
+    public int compareTo(Option other) {
       return Double.compare(ranSeconds, other.ranSeconds);
     }
   }
@@ -78,54 +79,54 @@
   }
 
   /** What decides whether work may be stopped for a job, and keeps count of what was. */
-  interface GivesWay {
-    boolean mayStop(Job other);
+  interface Policy {
+    boolean mayPreempt(Job other);
 
-    void stopped(Job other);
+    void onPreempted(Job other);
   }
 
   /**
    * Whether the job is so near the last moment for its start that work should be lost for it. On a
    * large fleet tasks end all the time, and most jobs get their room from those.
    */
-  boolean pressing(Job job, double expectedSeconds, long nowMillis) {
+  boolean urgent(Job job, double expectedSeconds, long nowMillis) {
     return !job.hasDeadline()
-        || job.dueMillis() - nowMillis - 1000 * expectedSeconds <= 1000 * slackSeconds;
+        || job.deadlineMillis() - nowMillis - 1000 * expectedSeconds <= 1000 * slackSeconds;
   }
 
   /**
    * Tasks whose stop makes room for so many of the job's tasks; they are taken out of the round.
    */
   List<TaskAssignment> victims(
-      Job job, int wanted, Round round, GivesWay rule, Predicate<Where> usable) {
+      Job job, int wanted, Pass round, Policy rule, Predicate<Location> usable) {
     ResourceRequest need = ResourceRequest.of(job.spec());
     int missing = wanted;
-    PriorityQueue<Open> open = new PriorityQueue<>();
+    PriorityQueue<Option> open = new PriorityQueue<>();
     for (Group group : round.groups()) {
       int capacity = need.perTask().countIn(group.job.spec().perTask());
-      if (capacity == 0 || !rule.mayStop(group.job) || !usable.test(group.where)) {
+      if (capacity == 0 || !rule.mayPreempt(group.job) || !usable.test(group.where)) {
         continue;
       }
       // Already giving way: its room is on the way.
-      missing -= group.leaving * capacity;
+      missing -= group.stopping * capacity;
       // A large task that gives way to a few small ones loses more than they win.
       if (capacity <= MAX_CAPACITY && !group.candidates.isEmpty()) {
-        open.add(new Open(group, capacity, group.candidates.peek().ranSeconds));
+        open.add(new Option(group, capacity, group.candidates.peek().ranSeconds));
       }
     }
     List<TaskAssignment> chosen = new ArrayList<>();
     while (missing > 0 && !open.isEmpty()) {
-      Open next = open.poll();
+      Option next = open.poll();
       Group group = next.group;
-      if (!rule.mayStop(group.job)) {
+      if (!rule.mayPreempt(group.job)) {
         continue;
       }
-      rule.stopped(group.job);
+      rule.onPreempted(group.job);
       chosen.add(group.candidates.poll().assignment);
-      group.leaving++;
+      group.stopping++;
       missing -= next.capacity;
       if (!group.candidates.isEmpty()) {
-        open.add(new Open(group, next.capacity, group.candidates.peek().ranSeconds));
+        open.add(new Option(group, next.capacity, group.candidates.peek().ranSeconds));
       }
     }
     return chosen;
@@ -135,34 +136,34 @@
    * What could give way in one cycle. It is looked for once, however many jobs ask, and only so
    * many ask: room that is made goes to the most urgent of those that wait, whoever asked for it.
    */
-  final class Round {
+  final class Pass {
     private final Collection<Job> jobs;
-    private final Placed placed;
+    private final Locator placed;
     private final MonotonicTime now;
-    private final Map<String, Integer> asked = new HashMap<>();
+    private final Map<String, Integer> admitted = new HashMap<>();
     private List<Group> groups;
 
-    Round(Collection<Job> jobs, Placed placed, MonotonicTime now) {
+    Pass(Collection<Job> jobs, Locator placed, MonotonicTime now) {
       this.jobs = jobs;
       this.placed = placed;
       this.now = now;
     }
 
     /** Whether one more job may ask for this reason; counts it. */
-    boolean mayAsk(String reason) {
-      return asked.merge(reason, 1, Integer::sum) <= MAX_ASKING;
+    boolean admit(String reason) {
+      return admitted.merge(reason, 1, Integer::sum) <= MAX_ASKING;
     }
 
     private List<Group> groups() {
       if (groups == null) {
         groups = new ArrayList<>();
-        jobs.forEach(this::look);
+        jobs.forEach(this::collect);
       }
       return groups;
     }
 
-    private void look(Job other) {
-      Map<Where, Group> byPlace = new LinkedHashMap<>();
+    private void collect(Job other) {
+      Map<Location, Group> byPlace = new LinkedHashMap<>();
       for (TaskAssignment assignment : other.assignments()) {
         double ran = assignment.runningSince().map(now::secondsSince).orElse(0.0);
         if (assignment.stopRequested() || ran <= maxSeconds) {
@@ -176,8 +177,8 @@
     }
 
     /** How many tasks of each job are giving way. */
-    void eachLeaving(BiConsumer<Job, Integer> consumer) {
-      groups().forEach(group -> consumer.accept(group.job, group.leaving));
+    void forEachStopping(BiConsumer<Job, Integer> consumer) {
+      groups().forEach(group -> consumer.accept(group.job, group.stopping));
     }
   }
 
@@ -186,7 +187,7 @@
   }
 
   /** On a machine that the preempting job may use. */
-  static boolean onUsableMachine(Job job, Where where) {
+  static boolean onUsableMachine(Job job, Location where) {
     return ResourceRequest.of(job.spec()).allows(where.type(), where.spot());
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/PreemptionPolicies.java
+++ b/src/main/java/org/mulleinshift/scheduling/PreemptionPolicies.java
@@ -12,14 +12,14 @@
   private PreemptionPolicies() {}
 
   /** Only work of strictly lower priority. */
-  record ByPriority(Job job) implements Preemption.GivesWay {
+  record LowerPriority(Job job) implements Preemption.Policy {
     @Override
-    public boolean mayStop(Job other) {
+    public boolean mayPreempt(Job other) {
       return job.priority().above(other.priority());
     }
 
     @Override
-    public void stopped(Job other) {
+    public void onPreempted(Job other) {
       // Priorities do not change with what was stopped.
     }
   }
@@ -28,16 +28,16 @@
    * What a rule allows, but only work that comes after the job: what is too late for its aims comes
    * after less urgent work, and would stop what gets its room again at once.
    */
-  record Behind(Preemption.GivesWay rule, int rank, JobRanking ranking)
-      implements Preemption.GivesWay {
+  record LowerRanked(Preemption.Policy rule, int rank, JobRanking ranking)
+      implements Preemption.Policy {
     @Override
-    public boolean mayStop(Job other) {
-      return rank < ranking.rank(other.spec().id()) && rule.mayStop(other);
+    public boolean mayPreempt(Job other) {
+      return rank < ranking.rank(other.spec().id()) && rule.mayPreempt(other);
     }
 
     @Override
-    public void stopped(Job other) {
-      rule.stopped(other);
+    public void onPreempted(Job other) {
+      rule.onPreempted(other);
     }
   }
 
@@ -45,41 +45,41 @@
    * What a rule allows, but nothing of the floor of another party: what was given to the floor
    * would be stopped again in the same moment.
    */
-  static final class AboveFloor implements Preemption.GivesWay {
-    private final Preemption.GivesWay rule;
+  static final class AboveMinimumShare implements Preemption.Policy {
+    private final Preemption.Policy rule;
     private final Job job;
-    private final MinimumShares.Side side;
-    private final MinimumShares.Picture picture;
+    private final MinimumShares.EntityGroup side;
+    private final MinimumShares.Snapshot picture;
     private final Map<String, Double> stopped = new HashMap<>();
 
-    AboveFloor(
+    AboveMinimumShare(
         Job job,
-        Preemption.GivesWay rule,
-        MinimumShares.Side side,
-        MinimumShares.Picture picture,
-        Preemption.Round round) {
+        Preemption.Policy rule,
+        MinimumShares.EntityGroup side,
+        MinimumShares.Snapshot picture,
+        Preemption.Pass round) {
       this.job = job;
       this.rule = rule;
       this.side = side;
       this.picture = picture;
-      round.eachLeaving(this::count);
+      round.forEachStopping(this::count);
     }
 
     @Override
-    public boolean mayStop(Job other) {
-      double left = side.aboveFloor(other) - stopped.getOrDefault(side.partyOf(other), 0.0);
-      boolean own = side.partyOf(other).equals(side.partyOf(job));
-      return (own || left > 0) && rule.mayStop(other);
+    public boolean mayPreempt(Job other) {
+      double left = side.aboveMinimum(other) - stopped.getOrDefault(side.entityOf(other), 0.0);
+      boolean own = side.entityOf(other).equals(side.entityOf(job));
+      return (own || left > 0) && rule.mayPreempt(other);
     }
 
     @Override
-    public void stopped(Job other) {
+    public void onPreempted(Job other) {
       count(other, 1);
-      rule.stopped(other);
+      rule.onPreempted(other);
     }
 
     private void count(Job other, int tasks) {
-      stopped.merge(side.partyOf(other), tasks * picture.share(other), Double::sum);
+      stopped.merge(side.entityOf(other), tasks * picture.share(other), Double::sum);
     }
   }
 
@@ -88,38 +88,38 @@
    * the protocol allows: nothing more urgent, and nothing that itself has a start aim, which each
    * stop would miss.
    */
-  static final class ByGuarantee implements Preemption.GivesWay {
+  static final class ReclaimGuarantee implements Preemption.Policy {
     private final Job job;
     private final JobRanking ranking;
     private final Predicate<Job> startsSoon;
     private final Map<TeamId, Double> excess = new HashMap<>();
 
-    ByGuarantee(
+    ReclaimGuarantee(
         Job job,
         JobRanking ranking,
         Predicate<Job> startsSoon,
         TeamQuotas quota,
         Map<TeamId, Resources> inUse,
-        Preemption.Round round) {
+        Preemption.Pass round) {
       this.job = job;
       this.ranking = ranking;
       this.startsSoon = startsSoon;
-      inUse.forEach((team, used) -> excess.put(team, used.cpus() - quota.guaranteed(team)));
+      inUse.forEach((team, used) -> excess.put(team, used.cpus() - quota.guaranteedCpus(team)));
       // What is being stopped already no longer counts.
-      round.eachLeaving(this::stopped);
+      round.forEachStopping(this::stopped);
     }
 
     @Override
-    public boolean mayStop(Job other) {
+    public boolean mayPreempt(Job other) {
       return !other.spec().team().equals(job.spec().team())
           && !other.priority().above(job.priority())
           && !startsSoon.test(other)
-          && !ranking.guaranteed(other)
+          && !ranking.withinGuarantee(other)
           && excess.getOrDefault(other.spec().team(), 0.0) >= other.spec().perTask().cpus();
     }
 
     @Override
-    public void stopped(Job other) {
+    public void onPreempted(Job other) {
       stopped(other, 1);
     }
 
--- a/src/main/java/org/mulleinshift/scheduling/RunTimeEstimator.java
+++ b/src/main/java/org/mulleinshift/scheduling/RunTimeEstimator.java
@@ -18,7 +18,7 @@
 
   private final Map<String, Double> ratios = new HashMap<>();
 
-  public void finished(JobSpec spec, double seconds) {
+  public void onTaskDone(JobSpec spec, double seconds) {
     if (spec.estimateSeconds() > 0 && seconds > 0) {
       double ratio = Math.min(MAX_RATIO, Math.max(MIN_RATIO, seconds / spec.estimateSeconds()));
       ratios.merge(spec.jobClass(), ratio, (old, seen) -> old * (1 - WEIGHT) + seen * WEIGHT);
@@ -33,14 +33,14 @@
   }
 
   /** What another leader learned. */
-  public void advise(String jobClass, double ratio) {
+  public void learn(String jobClass, double ratio) {
     if (ratio >= MIN_RATIO && ratio <= MAX_RATIO) {
       ratios.put(jobClass, ratio);
     }
   }
 
   /** What a task should still take; one past its expected end frees nothing to count on. */
-  public static double left(double expected, double ran) {
+  public static double remaining(double expected, double ran) {
     return ran > expected ? expected / 2 : expected - ran;
   }
 
