--- a/src/main/java/org/mulleinshift/scheduling/SchedulingCycle.java
+++ b/src/main/java/org/mulleinshift/scheduling/SchedulingCycle.java
@@ -37,29 +37,29 @@
   private static final int FIRST_PART = 16;
 
   private final Leader leader;
-  private final Leader.Surroundings context;
+  private final Leader.Context context;
   private final EventLoop loop;
   private final Revision term;
-  private final AvailableCapacity freeCapacity;
-  private final CapacityReservation headroom;
+  private final AvailableCapacity availableCapacity;
+  private final CapacityReservation reservation;
   private final Preemption preemption;
   private final Optional<Double> guaranteeWithin;
   private final double aheadSeconds;
-  private final StarvationPrevention largest;
-  private final MinimumShares floors;
-  private final Tardiness lateness;
+  private final StarvationPrevention starvation;
+  private final MinimumShares minimumShares;
+  private final Tardiness tardiness;
   private Optional<JobRanking> ranking = Optional.empty();
-  private Optional<MinimumShares.Picture> picture = Optional.empty();
-  private UnschedulableRequests unplaceable = new UnschedulableRequests();
+  private Optional<MinimumShares.Snapshot> shares = Optional.empty();
+  private UnschedulableRequests unschedulable = new UnschedulableRequests();
 
   public SchedulingCycle(
-      Leader leader, Leader.Surroundings context, Revision term, AvailableCapacity freeCapacity) {
+      Leader leader, Leader.Context context, Revision term, AvailableCapacity freeCapacity) {
     this.leader = leader;
     this.context = context;
     this.loop = context.loop();
     this.term = term;
-    this.freeCapacity = freeCapacity;
-    this.headroom = leader.headroom();
+    this.availableCapacity = freeCapacity;
+    this.reservation = leader.reservation();
     this.preemption =
         new Preemption(
             context.tunables().number(Tunables.Key.PREEMPT_RAN_S),
@@ -67,11 +67,12 @@
     // Room that frees first refills what is kept for classes with a start aim; tasks that wait at
     // owners would take it before.
     this.aheadSeconds =
-        headroom.protectsAny() ? 0 : context.tunables().number(Tunables.Key.AHEAD_S);
-    this.largest =
+        reservation.isActive() ? 0 : context.tunables().number(Tunables.Key.AHEAD_S);
+    this.starvation =
         new StarvationPrevention(context.tunables().number(Tunables.Key.BEGIN_S), loop.now());
-    this.floors = new MinimumShares(leader, context.catalog(), context.tunables(), loop.now());
-    this.lateness =
+    this.minimumShares =
+        new MinimumShares(leader, context.catalog(), context.tunables(), loop.now());
+    this.tardiness =
         new Tardiness(
             context.runTimes(),
             context.settings().cluster().objectives(),
@@ -83,78 +84,78 @@
             .findFirst();
   }
 
-  public void cycle() {
+  public void run() {
     ranking = Optional.empty();
-    picture = Optional.empty();
+    shares = Optional.empty();
     List<Job> order = ranking().order();
-    List<MachineCapacity> capacities = freeCapacity.capacities(minAsked(order));
-    Map<TeamId, Resources> inUse = leader.use();
+    List<MachineCapacity> capacities = availableCapacity.collect(minAsked(order));
+    Map<TeamId, Resources> inUse = leader.usageByTeam();
     Attempt attempt = new Attempt((term.value() << ATTEMPT_BITS) + 1);
-    unplaceable = new UnschedulableRequests();
-    beginLargest(capacities, inUse, attempt);
-    claim(order, job -> job.state() == Job.State.ACTIVE, capacities, inUse, attempt);
+    unschedulable = new UnschedulableRequests();
+    startStarvedJobs(capacities, inUse, attempt);
+    assignClaims(order, job -> job.state() == Job.State.ACTIVE, capacities, inUse, attempt);
     for (Job job : order) {
-      if (job.state() == Job.State.ACTIVE && headroom.protects(job.spec())) {
-        delegate(job, capacities, inUse, attempt);
+      if (job.state() == Job.State.ACTIVE && reservation.appliesTo(job.spec())) {
+        assign(job, capacities, inUse, attempt);
       }
     }
-    keepHeadroom(capacities);
+    reserveCapacity(capacities);
     for (Job job : order) {
-      if (job.state() == Job.State.ACTIVE && !headroom.protects(job.spec())) {
-        delegate(job, capacities, inUse, attempt);
+      if (job.state() == Job.State.ACTIVE && !reservation.appliesTo(job.spec())) {
+        assign(job, capacities, inUse, attempt);
       }
     }
     // After all room is given: what still waits may ask for more.
     preempt(order, inUse);
-    delegateAhead(order, capacities, inUse, attempt);
+    assignAhead(order, capacities, inUse, attempt);
   }
 
   /** Of each kind the least that a waiting task, or one that room is kept for, takes. */
   private Resources minAsked(List<Job> order) {
-    Resources least = Resources.ENDLESS;
+    Resources least = Resources.UNBOUNDED;
     for (Job job : order) {
       if (job.state() == Job.State.ACTIVE && job.waitingCount() > 0) {
-        least = UnschedulableRequests.least(least, job.spec().perTask());
+        least = UnschedulableRequests.minimum(least, job.spec().perTask());
       }
     }
-    for (CapacityReservation.Kept kept : headroom.kept(loop.now())) {
-      least = UnschedulableRequests.least(least, kept.need().perTask());
+    for (CapacityReservation.Reservation kept : reservation.reservations(loop.now())) {
+      least = UnschedulableRequests.minimum(least, kept.request().perTask());
     }
     return least;
   }
 
   /** A part of each of the largest jobs that waited too long, whatever the order says. */
-  private void beginLargest(
+  private void startStarvedJobs(
       List<MachineCapacity> capacities, Map<TeamId, Resources> inUse, Attempt attempt) {
-    for (Job job : largest.toBegin(leader.jobs().values(), loop.now(), loop.wallMillis())) {
-      delegate(job, capacities, inUse, attempt, (job.spec().tasks() + FIRST_PART - 1) / FIRST_PART);
+    for (Job job : starvation.jobsToStart(leader.jobs().values(), loop.now(), loop.wallMillis())) {
+      assign(job, capacities, inUse, attempt, (job.spec().tasks() + FIRST_PART - 1) / FIRST_PART);
     }
   }
 
   /** Room for classes or teams that are below their floor, before the usual order. */
-  private void claim(
+  private void assignClaims(
       List<Job> order,
       Predicate<Job> open,
       List<MachineCapacity> capacities,
       Map<TeamId, Resources> inUse,
       Attempt attempt) {
-    for (MinimumShares.Side side : picture().sides()) {
-      for (Job job : side.claimsAny() ? order : List.<Job>of()) {
-        int most = side.mayClaim(job, picture().share(job));
+    for (MinimumShares.EntityGroup side : shares().groups()) {
+      for (Job job : side.hasClaims() ? order : List.<Job>of()) {
+        int most = side.claimableTasks(job, shares().share(job));
         if (most > 0 && job.waitingCount() > 0 && open.test(job)) {
-          side.claimed(job, picture().share(job) * delegate(job, capacities, inUse, attempt, most));
+          side.onClaimed(job, shares().share(job) * assign(job, capacities, inUse, attempt, most));
         }
       }
     }
   }
 
-  private void delegate(
+  private void assign(
       Job job, List<MachineCapacity> capacities, Map<TeamId, Resources> inUse, Attempt attempt) {
-    delegate(job, capacities, inUse, attempt, Integer.MAX_VALUE);
+    assign(job, capacities, inUse, attempt, Integer.MAX_VALUE);
   }
 
   /** Gives room to up to so many of the job's tasks; tells to how many. */
-  private int delegate(
+  private int assign(
       Job job,
       List<MachineCapacity> capacities,
       Map<TeamId, Resources> inUse,
@@ -163,7 +164,9 @@
     TeamId team = job.spec().team();
     Resources used = inUse.getOrDefault(team, Resources.ZERO);
     int allowed =
-        Math.min(leader.quota().withinLimit(job, used), leader.blame().tries(job, loop.now()));
+        Math.min(
+            leader.quota().tasksWithinLimit(job, used),
+            leader.failures().allowedAttempts(job, loop.now()));
     // A gang takes room for all its tasks or for none.
     allowed = job.spec().kind() == JobKind.ARRAY ? Math.min(allowed, most) : allowed;
     if (allowed == 0 || job.waitingCount() == 0) {
@@ -176,18 +179,16 @@
     }
     // Where each task changes which zones are left, they are placed one by one.
     boolean oneByOne = job.spec().spread() || job.spec().oneZone();
-    if (!oneByOne && unplaceable.covers(need)) {
+    if (!oneByOne && unschedulable.covers(need)) {
       return 0;
     }
     int[] waiting = job.waiting(allowed, loop.now());
     int[] next = {0};
-    BinPacker.Taker consumer =
+    BinPacker.CapacityConsumer consumer =
         (capacity, count) -> {
           for (int i = 0; i < count; i++) {
             int index = waiting[next[0]++];
-            leader
-                .occupancy()
-                .enter(job.delegate(index, capacity.shard(), capacity.zone(), attempt));
+            leader.allocations().add(job.assign(index, capacity.shard(), capacity.zone(), attempt));
             leader.progress().store(job, index, true);
           }
         };
@@ -200,7 +201,7 @@
     } else {
       placed = BinPacker.fill(need, waiting.length, allowedCapacities(job, capacities), consumer);
       if (placed < waiting.length) {
-        unplaceable.add(need);
+        unschedulable.add(need);
       }
     }
     inUse.put(team, used.plus(job.spec().perTask().times(placed)));
@@ -212,53 +213,53 @@
    * sending it takes longer than a machine should stand idle; the owner starts the task when the
    * room is there.
    */
-  private void delegateAhead(
+  private void assignAhead(
       List<Job> order,
       List<MachineCapacity> capacities,
       Map<TeamId, Resources> inUse,
       Attempt attempt) {
     if (aheadSeconds == 0
-        || order.stream().noneMatch(job -> mayWaitAtOwner(job) && job.waitingCount() > 0)) {
+        || order.stream().noneMatch(job -> mayQueueAtOwner(job) && job.waitingCount() > 0)) {
       return;
     }
     Map<MachineId, MachineCapacity> byMachine = new HashMap<>();
     capacities.forEach(capacity -> byMachine.put(capacity.machine(), capacity));
     for (Job job : order) {
-      for (TaskAssignment assignment : freeSoon(job)) {
+      for (TaskAssignment assignment : endingSoon(job)) {
         MachineId machine = assignment.machine().get();
         MachineCapacity capacity = byMachine.get(machine);
         if (capacity == null) {
-          capacity = fullCapacity(assignment.shard(), machine);
+          capacity = saturatedMachine(assignment.shard(), machine);
           byMachine.put(machine, capacity);
           Optional.ofNullable(capacity).ifPresent(capacities::add);
         }
-        Optional.ofNullable(capacity).ifPresent(found -> found.give(assignment.perTask()));
+        Optional.ofNullable(capacity).ifPresent(found -> found.free(assignment.perTask()));
       }
     }
     // Rooms have grown.
-    unplaceable = new UnschedulableRequests();
-    for (AvailableCapacity.Ahead known : freeCapacity.ahead()) {
+    unschedulable = new UnschedulableRequests();
+    for (AvailableCapacity.QueuedAtOwner known : availableCapacity.queuedAtOwners()) {
       List<MachineCapacity> own =
           capacities.stream().filter(capacity -> capacity.shard().equals(known.shard())).toList();
-      BinPacker.fill(known.need(), known.count(), own);
+      BinPacker.fill(known.request(), known.count(), own);
     }
-    claim(order, SchedulingCycle::mayWaitAtOwner, capacities, inUse, attempt);
+    assignClaims(order, SchedulingCycle::mayQueueAtOwner, capacities, inUse, attempt);
     for (Job job : order) {
-      if (mayWaitAtOwner(job)) {
-        delegate(job, capacities, inUse, attempt);
+      if (mayQueueAtOwner(job)) {
+        assign(job, capacities, inUse, attempt);
       }
     }
   }
 
   /** A machine's room that was left out since too little of it is left; none if it is unusable. */
-  private MachineCapacity fullCapacity(ShardId shard, MachineId machine) {
+  private MachineCapacity saturatedMachine(ShardId shard, MachineId machine) {
     return Optional.ofNullable(leader.shards().get(shard))
-        .flatMap(found -> freeCapacity.capacityOf(found, machine, Resources.ZERO))
+        .flatMap(found -> availableCapacity.ofMachine(found, machine, Resources.ZERO))
         .orElse(null);
   }
 
   /** Where the other tasks are decides where a task may go: then it is not sent ahead. */
-  private static boolean mayWaitAtOwner(Job job) {
+  private static boolean mayQueueAtOwner(Job job) {
     return job.state() == Job.State.ACTIVE
         && job.spec().kind() == JobKind.ARRAY
         && !job.spec().oneZone()
@@ -266,7 +267,7 @@
   }
 
   /** As many of the job's running tasks as should end soon, the longest running first. */
-  private List<TaskAssignment> freeSoon(Job job) {
+  private List<TaskAssignment> endingSoon(Job job) {
     List<TaskAssignment> running =
         job.assignments().stream()
             .filter(assignment -> assignment.state() == TaskAssignment.State.RUNNING)
@@ -282,30 +283,30 @@
     return anywhere
         ? capacities
         : capacities.stream()
-            .filter(capacity -> PlacementConstraints.allowed(job, capacity.zone()))
+            .filter(capacity -> PlacementConstraints.allows(job, capacity.zone()))
             .toList();
   }
 
   private void preempt(List<Job> order, Map<TeamId, Resources> inUse) {
-    Preemption.Round round = preemption.new Round(order, this::whereCanMakeCapacity, loop.now());
+    Preemption.Pass round = preemption.new Pass(order, this::locationOf, loop.now());
     for (Job job : order) {
       if (job.state() != Job.State.ACTIVE
           || job.waitingCount() == 0
-          || leader.blame().blamed(job)) {
+          || leader.failures().isJobFaulty(job)) {
         continue;
       }
-      if (Preemption.mayPreempt(job) && pressing(job) && round.mayAsk("priority")) {
-        stopFor(job, round, inUse, byPriority(job, round));
+      if (Preemption.mayPreempt(job) && urgent(job) && round.admit("priority")) {
+        preemptFor(job, round, inUse, priorityPolicy(job, round));
       }
-      if (claimsGuarantee(job, inUse) && round.mayAsk("guarantee")) {
-        stopFor(
+      if (claimsGuarantee(job, inUse) && round.admit("guarantee")) {
+        preemptFor(
             job,
             round,
             inUse,
-            new PreemptionPolicies.ByGuarantee(
+            new PreemptionPolicies.ReclaimGuarantee(
                 job,
                 ranking(),
-                other -> headroom.protects(other.spec()),
+                other -> reservation.appliesTo(other.spec()),
                 leader.quota(),
                 inUse,
                 round));
@@ -313,28 +314,28 @@
     }
   }
 
-  private void stopFor(
-      Job job, Preemption.Round round, Map<TeamId, Resources> inUse, Preemption.GivesWay rule) {
+  private void preemptFor(
+      Job job, Preemption.Pass round, Map<TeamId, Resources> inUse, Preemption.Policy rule) {
     Resources used = inUse.getOrDefault(job.spec().team(), Resources.ZERO);
-    int wanted = job.waiting(leader.quota().withinLimit(job, used), loop.now()).length;
+    int wanted = job.waiting(leader.quota().tasksWithinLimit(job, used), loop.now()).length;
     preemption
-        .victims(job, wanted, round, rule, where -> canMakeCapacity(job, where))
+        .victims(job, wanted, round, rule, where -> canFreeCapacity(job, where))
         .forEach(leader::requestStop);
   }
 
-  private Preemption.GivesWay byPriority(Job job, Preemption.Round round) {
-    Preemption.GivesWay rule =
-        new PreemptionPolicies.Behind(
-            new PreemptionPolicies.ByPriority(job), ranking().rank(job.spec().id()), ranking());
-    for (MinimumShares.Side side : picture().sides()) {
-      rule = new PreemptionPolicies.AboveFloor(job, rule, side, picture(), round);
+  private Preemption.Policy priorityPolicy(Job job, Preemption.Pass round) {
+    Preemption.Policy rule =
+        new PreemptionPolicies.LowerRanked(
+            new PreemptionPolicies.LowerPriority(job), ranking().rank(job.spec().id()), ranking());
+    for (MinimumShares.EntityGroup side : shares().groups()) {
+      rule = new PreemptionPolicies.AboveMinimumShare(job, rule, side, shares(), round);
     }
     return rule;
   }
 
-  private boolean pressing(Job job) {
+  private boolean urgent(Job job) {
     double expected = context.runTimes().expectedSeconds(job);
-    return headroom.protects(job.spec()) || preemption.pressing(job, expected, loop.wallMillis());
+    return reservation.appliesTo(job.spec()) || preemption.urgent(job, expected, loop.wallMillis());
   }
 
   /** The job lies within its team's guarantee, the team has less than that, and time runs out. */
@@ -342,39 +343,42 @@
     Resources used = inUse.getOrDefault(job.spec().team(), Resources.ZERO);
     double waited = (loop.wallMillis() - job.readyMillis()) / 1000.0;
     return guaranteeWithin.filter(within -> waited >= within).isPresent()
-        && ranking().guaranteed(job)
+        && ranking().withinGuarantee(job)
         && used.plus(job.spec().perTask()).cpus()
-            <= leader.quota().guaranteed(job.spec().team()) + 1e-6;
+            <= leader.quota().guaranteedCpus(job.spec().team()) + 1e-6;
   }
 
-  private static boolean canMakeCapacity(Job job, Preemption.Where where) {
-    return PlacementConstraints.allowed(job, where.zone())
-        && Preemption.onUsableMachine(job, where);
+  private static boolean canFreeCapacity(Job job, Preemption.Location where) {
+    return PlacementConstraints.allows(job, where.zone()) && Preemption.onUsableMachine(job, where);
   }
 
-  private Optional<Preemption.Where> whereCanMakeCapacity(TaskAssignment assignment) {
+  private Optional<Preemption.Location> locationOf(TaskAssignment assignment) {
     ShardView shard = leader.shards().get(assignment.shard());
-    if (shard == null || assignment.state() == TaskAssignment.State.ENDED || !assignment.told()) {
+    if (shard == null
+        || assignment.state() == TaskAssignment.State.ENDED
+        || !assignment.visibleToOwner()) {
       return Optional.empty();
     }
     return assignment
         .machine()
         .map(machine -> shard.machines().get(machine))
-        .map(record -> new Preemption.Where(shard.zone(), record.type(), record.spot()));
+        .map(record -> new Preemption.Location(shard.zone(), record.type(), record.spot()));
   }
 
-  private void keepHeadroom(List<MachineCapacity> capacities) {
-    for (CapacityReservation.Kept kept : headroom.kept(loop.now())) {
-      BinPacker.fill(kept.need(), kept.count(), capacities);
+  private void reserveCapacity(List<MachineCapacity> capacities) {
+    for (CapacityReservation.Reservation kept : reservation.reservations(loop.now())) {
+      BinPacker.fill(kept.request(), kept.count(), capacities);
     }
   }
 
   /** How classes and teams stand in the current cycle. */
-  private MinimumShares.Picture picture() {
-    if (picture.isEmpty()) {
-      picture = Optional.of(floors.picture(leader.jobs().values(), leader.use(), loop.now()));
+  private MinimumShares.Snapshot shares() {
+    if (shares.isEmpty()) {
+      shares =
+          Optional.of(
+              minimumShares.snapshot(leader.jobs().values(), leader.usageByTeam(), loop.now()));
     }
-    return picture.get();
+    return shares.get();
   }
 
   /** The order of the current cycle; between cycles it changes little. */
@@ -384,10 +388,10 @@
           Optional.of(
               JobRanking.of(
                   leader.jobs().values(),
-                  leader.blame()::blamed,
+                  leader.failures()::isJobFaulty,
                   leader.quota().teams(),
-                  lateness,
-                  picture(),
+                  tardiness,
+                  shares(),
                   loop.wallMillis()));
     }
     return ranking.get();
--- a/src/main/java/org/mulleinshift/scheduling/StarvationPrevention.java
+++ b/src/main/java/org/mulleinshift/scheduling/StarvationPrevention.java
@@ -25,25 +25,25 @@
           .thenComparing(job -> job.spec().id());
 
   private final long patienceMillis;
-  private List<Job> found = List.of();
-  private MonotonicTime lookedAt;
+  private List<Job> starved = List.of();
+  private MonotonicTime checkedAt;
 
   StarvationPrevention(double patienceSeconds, MonotonicTime now) {
     this.patienceMillis = (long) (1000 * patienceSeconds);
-    this.lookedAt = now.minus(java.time.Duration.ofSeconds(1));
+    this.checkedAt = now.minus(java.time.Duration.ofSeconds(1));
   }
 
   /** Those that are to begin now, the one that waited longest first. */
-  List<Job> toBegin(Collection<Job> jobs, MonotonicTime now, long wallMillis) {
-    if (now.secondsSince(lookedAt) >= LOOK_SECONDS) {
-      lookedAt = now;
-      found = look(jobs, wallMillis - patienceMillis);
+  List<Job> jobsToStart(Collection<Job> jobs, MonotonicTime now, long wallMillis) {
+    if (now.secondsSince(checkedAt) >= LOOK_SECONDS) {
+      checkedAt = now;
+      starved = findStarved(jobs, wallMillis - patienceMillis);
     }
-    return found.stream().filter(StarvationPrevention::notBegun).toList();
+    return starved.stream().filter(StarvationPrevention::notStarted).toList();
   }
 
-  private static List<Job> look(Collection<Job> jobs, long readyBefore) {
-    if (jobs.stream().noneMatch(job -> notBegun(job) && job.readyMillis() < readyBefore)) {
+  private static List<Job> findStarved(Collection<Job> jobs, long readyBefore) {
+    if (jobs.stream().noneMatch(job -> notStarted(job) && job.readyMillis() < readyBefore)) {
       return List.of();
     }
     Map<String, List<Job>> classes = new HashMap<>();
@@ -57,7 +57,7 @@
       ofClass.sort(LARGEST_FIRST);
       int count = Math.max(1, Math.min(MOST, ofClass.size() / ONE_OF));
       for (Job job : ofClass.subList(0, count)) {
-        if (notBegun(job) && job.readyMillis() < readyBefore) {
+        if (notStarted(job) && job.readyMillis() < readyBefore) {
           late.add(job);
         }
       }
@@ -66,7 +66,7 @@
     return late;
   }
 
-  private static boolean notBegun(Job job) {
-    return job.state() == Job.State.ACTIVE && !job.hasBegun() && job.delegatedCount() == 0;
+  private static boolean notStarted(Job job) {
+    return job.state() == Job.State.ACTIVE && !job.hasStarted() && job.assignedCount() == 0;
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/Tardiness.java
+++ b/src/main/java/org/mulleinshift/scheduling/Tardiness.java
@@ -13,9 +13,9 @@
 final class Tardiness {
   /** As far as can be told; the earlier grade is served first. */
   enum Grade {
-    IN_TIME(0),
+    ON_TIME(0),
     /** By the most times its deadline that the class has an aim for. */
-    IN_LAST_TIME(1),
+    WITHIN_TOLERANCE(1),
     LATE(2);
 
     private final int rank;
@@ -43,7 +43,7 @@
   private static final double WORK_WEIGHT = 60;
 
   private final RunTimeEstimator runTimes;
-  private final Map<String, Double> lastTimes = new HashMap<>();
+  private final Map<String, Double> toleranceFactors = new HashMap<>();
   private final double overdueMillis;
 
   Tardiness(
@@ -55,37 +55,38 @@
     for (PlatformSettings.Objective objective : objectives) {
       objective
           .jobClass()
-          .ifPresent(name -> lastTimes.merge(name, Math.max(1, objective.times()), Math::max));
+          .ifPresent(
+              name -> toleranceFactors.merge(name, Math.max(1, objective.times()), Math::max));
     }
   }
 
   /**
    * A job's place among those of its priority and guarantee.
    *
-   * @param turn the order of jobs of one grade; lower is served first. The seconds until the job's
+   * @param order the order of jobs of one grade; lower is served first. The seconds until the job's
    *     last start, and what its waiting tasks ask for in seconds of the whole fleet, weighted.
    *     Without the first a large job waits too long on a day that has room for it; without the
    *     second all are late on one that has not
    */
-  record Place(Grade grade, double turn) {}
+  record Position(Grade grade, double order) {}
 
   /** By the time of day. */
-  Place place(Job job, MinimumShares.Picture picture, long nowMillis) {
+  Position position(Job job, MinimumShares.Snapshot picture, long nowMillis) {
     double expected = runTimes.expectedSeconds(job);
-    double slack = (job.dueMillis() - nowMillis) / 1000.0 - expected;
+    double slack = (job.deadlineMillis() - nowMillis) / 1000.0 - expected;
     double workLeft = picture.share(job) * job.waitingCount() * expected;
-    return new Place(grade(job, expected, nowMillis), slack + WORK_WEIGHT * workLeft);
+    return new Position(grade(job, expected, nowMillis), slack + WORK_WEIGHT * workLeft);
   }
 
   /** One that is long overdue counts as in time: it has waited enough. */
   private Grade grade(Job job, double expected, long nowMillis) {
     double end = nowMillis + 1000 * (START_SECONDS + SPREAD * expected);
-    if (end <= job.dueMillis() || nowMillis - job.dueMillis() > overdueMillis) {
-      return Grade.IN_TIME;
+    if (end <= job.deadlineMillis() || nowMillis - job.deadlineMillis() > overdueMillis) {
+      return Grade.ON_TIME;
     }
-    double allowed = job.dueMillis() - job.acceptedMillis();
+    double allowed = job.deadlineMillis() - job.acceptedMillis();
     double last =
-        job.acceptedMillis() + allowed * lastTimes.getOrDefault(job.spec().jobClass(), 1.0);
-    return end <= last ? Grade.IN_LAST_TIME : Grade.LATE;
+        job.acceptedMillis() + allowed * toleranceFactors.getOrDefault(job.spec().jobClass(), 1.0);
+    return end <= last ? Grade.WITHIN_TOLERANCE : Grade.LATE;
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/TeamQuotas.java
+++ b/src/main/java/org/mulleinshift/scheduling/TeamQuotas.java
@@ -24,18 +24,18 @@
   }
 
   /** What each team has out. */
-  public static Map<TeamId, Resources> use(Collection<Job> jobs) {
+  public static Map<TeamId, Resources> usageByTeam(Collection<Job> jobs) {
     Map<TeamId, Resources> use = new HashMap<>();
     for (Job job : jobs) {
       if (!job.assignments().isEmpty()) {
-        use.merge(job.spec().team(), job.delegatedResources(), Resources::plus);
+        use.merge(job.spec().team(), job.assignedResources(), Resources::plus);
       }
     }
     return use;
   }
 
   /** How many more of the job's tasks its team may have out. */
-  public int withinLimit(Job job, Resources used) {
+  public int tasksWithinLimit(Job job, Resources used) {
     PlatformSettings.Team team = teams.get(job.spec().team().value());
     if (team == null) {
       return 0;
@@ -53,7 +53,7 @@
   }
 
   /** The processors that a team is guaranteed. */
-  double guaranteed(TeamId team) {
+  double guaranteedCpus(TeamId team) {
     PlatformSettings.Team found = teams.get(team.value());
     return found == null ? 0 : found.cpus();
   }
--- a/src/main/java/org/mulleinshift/settings/Leases.java
+++ b/src/main/java/org/mulleinshift/settings/Leases.java
@@ -14,7 +14,7 @@
    * The longest shard lease with which a cancelled job's tasks are surely gone in time: an owner
    * that hears nothing acts until its lease is over, and its workers run on for a worker lease.
    */
-  public static Duration shard(PlatformSettings.Workers workers, Tunables tunables) {
+  public static Duration shard(PlatformSettings.WorkerTiming workers, Tunables tunables) {
     return workers
         .cancel()
         .minus(workers.lease())
@@ -22,7 +22,7 @@
   }
 
   /** Leases that do not fit would break a rule on the first bad day; better not to start. */
-  public static void check(String file, PlatformSettings.Workers workers, Tunables tunables)
+  public static void check(String file, PlatformSettings.WorkerTiming workers, Tunables tunables)
       throws SettingsException {
     if (shard(workers, tunables).compareTo(LEAST) < 0) {
       throw new SettingsException(
--- a/src/main/java/org/mulleinshift/settings/PlatformSettings.java
+++ b/src/main/java/org/mulleinshift/settings/PlatformSettings.java
@@ -13,7 +13,7 @@
     InetSocketAddress peerBind,
     List<Member> members,
     InetSocketAddress cloud,
-    InetSocketAddress state,
+    InetSocketAddress store,
     Cluster cluster,
     Limits limits) {
 
@@ -25,9 +25,9 @@
       Duration clockOff,
       List<Team> teams,
       List<Objective> objectives,
-      Workers workers,
-      State state,
-      Cloud cloudLimits) {}
+      WorkerTiming workers,
+      StoreLimits store,
+      CloudLimits cloud) {}
 
   /** A maximum of 0 means that there is none. */
   public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
@@ -40,46 +40,50 @@
   public record Objective(
       String kind, Optional<String> jobClass, double withinSeconds, double times) {}
 
-  public record Workers(Duration report, Duration lease, Duration cancel) {}
+  public record WorkerTiming(Duration reportInterval, Duration lease, Duration cancel) {}
 
   /**
    * The state service's limits.
    *
    * @param next those that it will have from some moment on, unannounced
    */
-  public record State(
+  public record StoreLimits(
       double requestsPerSecond,
       double writesPerSecond,
       int valueBytes,
-      int txnOps,
-      Optional<State> next) {
-    public State(double requestsPerSecond, double writesPerSecond, int valueBytes, int txnOps) {
+      int transactionOperations,
+      Optional<StoreLimits> next) {
+    public StoreLimits(
+        double requestsPerSecond, double writesPerSecond, int valueBytes, int txnOps) {
       this(requestsPerSecond, writesPerSecond, valueBytes, txnOps, Optional.empty());
     }
 
     /** What is written must fit before and after that moment. */
     public int minValueBytes() {
-      return Math.min(valueBytes, next.map(State::valueBytes).orElse(valueBytes));
+      return Math.min(valueBytes, next.map(StoreLimits::valueBytes).orElse(valueBytes));
     }
 
-    public int minTxnOps() {
-      return Math.min(txnOps, next.map(State::txnOps).orElse(txnOps));
+    public int minTransactionOperations() {
+      return Math.min(
+          transactionOperations,
+          next.map(StoreLimits::transactionOperations).orElse(transactionOperations));
     }
 
     /** What is left of the rate of changes after that moment. */
-    public double writesLeft() {
+    public double writesShareAfterReduction() {
       return Math.min(
-          1, next.map(State::writesPerSecond).orElse(writesPerSecond) / writesPerSecond);
+          1, next.map(StoreLimits::writesPerSecond).orElse(writesPerSecond) / writesPerSecond);
     }
 
     /** What is left of the rate of requests after that moment. */
-    public double requestsLeft() {
+    public double requestsShareAfterReduction() {
       return Math.min(
-          1, next.map(State::requestsPerSecond).orElse(requestsPerSecond) / requestsPerSecond);
+          1,
+          next.map(StoreLimits::requestsPerSecond).orElse(requestsPerSecond) / requestsPerSecond);
     }
   }
 
-  public record Cloud(double requestsPerSecond, Duration listLag) {}
+  public record CloudLimits(double requestsPerSecond, Duration listLag) {}
 
   public record Limits(double cpu, double memoryMb, int sockets) {}
 }
--- a/src/main/java/org/mulleinshift/settings/PlatformSettingsReader.java
+++ b/src/main/java/org/mulleinshift/settings/PlatformSettingsReader.java
@@ -102,34 +102,34 @@
         Duration.ofNanos((long) (amountOrZero(node, at, "clock_off_ms") * 1e6)),
         List.copyOf(teams),
         List.copyOf(objectives),
-        new PlatformSettings.Workers(
+        new PlatformSettings.WorkerTiming(
             seconds(workers, "cluster.workers.", "report_s"),
             seconds(workers, "cluster.workers.", "lease_s"),
             seconds(workers, "cluster.workers.", "cancel_s")),
         state(state),
-        new PlatformSettings.Cloud(
+        new PlatformSettings.CloudLimits(
             number(cloud, "cluster.cloud.", "rps", 0.1, 1e9),
             Duration.ofNanos((long) (amountOrZero(cloud, "cluster.cloud.", "list_lag_s") * 1e9))));
   }
 
-  private PlatformSettings.State state(JsonNode node) throws SettingsException {
-    PlatformSettings.State now = stateLimits(node, node, "cluster.state.");
+  private PlatformSettings.StoreLimits state(JsonNode node) throws SettingsException {
+    PlatformSettings.StoreLimits now = stateLimits(node, node, "cluster.state.");
     if (!node.hasNonNull("next")) {
       return now;
     }
     JsonNode next = table(node, "cluster.state.", "next");
-    return new PlatformSettings.State(
+    return new PlatformSettings.StoreLimits(
         now.requestsPerSecond(),
         now.writesPerSecond(),
         now.valueBytes(),
-        now.txnOps(),
+        now.transactionOperations(),
         Optional.of(stateLimits(next, node, "cluster.state.next.")));
   }
 
   /** What the table leaves out is as the other says. */
-  private PlatformSettings.State stateLimits(JsonNode node, JsonNode rest, String at)
+  private PlatformSettings.StoreLimits stateLimits(JsonNode node, JsonNode rest, String at)
       throws SettingsException {
-    return new PlatformSettings.State(
+    return new PlatformSettings.StoreLimits(
         number(holding(node, rest, "rps"), at, "rps", 1, 1e9),
         number(holding(node, rest, "write_rps"), at, "write_rps", 1, 1e9),
         (int) (number(holding(node, rest, "value_kb"), at, "value_kb", 0.5, 1e6) * 1024),
--- a/src/main/java/org/mulleinshift/sharding/AssignmentWriter.java
+++ b/src/main/java/org/mulleinshift/sharding/AssignmentWriter.java
@@ -36,7 +36,7 @@
     Map<JobId, List<AssignedTask>> byJob = new LinkedHashMap<>();
     List<RemovedTask> removed = new ArrayList<>();
     for (TaskId task : shard.changesSince(base)) {
-      TaskAssignment assignment = shard.told(task).orElse(null);
+      TaskAssignment assignment = shard.published(task).orElse(null);
       if (assignment == null) {
         removed.add(new RemovedTask(task.job().value(), task.index()));
       } else {
@@ -53,10 +53,10 @@
     List<AssignedJob> assigned = new ArrayList<>();
     byJob.forEach((id, tasks) -> assigned.add(assignedJob(leader.jobs().get(id).spec(), tasks)));
     // A job without tasks: what runs of it is left alone. All of them, with each message.
-    leader.unreadable().jobs().forEach(id -> assigned.add(leftAlone(id)));
+    leader.unreadable().jobs().forEach(id -> assigned.add(unreadableJob(id)));
     List<String> closed = new ArrayList<>();
     shard.machines().keySet().stream()
-        .filter(machine -> leader.closed(machine))
+        .filter(machine -> leader.isCordoned(machine))
         .forEach(machine -> closed.add(machine.value()));
     return new ShardAssignment(
         term.value(),
@@ -77,7 +77,7 @@
     return assignment.stopRequested() || assignment.state() == TaskAssignment.State.ENDED;
   }
 
-  private static AssignedJob leftAlone(JobId id) {
+  private static AssignedJob unreadableJob(JobId id) {
     return new AssignedJob(id.value(), 0.0, 0.0, 0.0, "", 0.0, 0.0, List.of(), false, 0, List.of());
   }
 
--- a/src/main/java/org/mulleinshift/sharding/MachinePhase.java
+++ b/src/main/java/org/mulleinshift/sharding/MachinePhase.java
@@ -5,7 +5,7 @@
   /** No report under this grant yet. */
   UNSEEN("UNSEEN"),
   /** It reports, but has not yet shown that it knows the token. */
-  HEARD("HEARD"),
+  REPORTING("HEARD"),
   /** It knows the token: what it reports is all that is on it. */
   CONFIRMED("CONFIRMED"),
   /** Its worker lease is surely over: nothing runs on it. */
--- a/src/main/java/org/mulleinshift/sharding/OwnedMachine.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedMachine.java
@@ -23,7 +23,7 @@
 /** A machine of a held shard. */
 public final class OwnedMachine {
   /** Low bits of a token, for raising it on one machine without a new grant. */
-  static final int BUMP_BITS = 20;
+  static final int LOCAL_TOKEN_BITS = 20;
 
   /** A worker takes no answer later than 4 s after its report; and more for drift. */
   private static final Duration ANSWERS_AWAITED = Duration.ofMillis(4500);
@@ -32,38 +32,38 @@
   private MachineRecord record;
   private MachinePhase phase = MachinePhase.UNSEEN;
   private FencingToken token;
-  private HeartbeatVersion moment = HeartbeatVersion.NEVER;
-  private MonotonicTime momentAt;
+  private HeartbeatVersion lastHeartbeat = HeartbeatVersion.NEVER;
+  private MonotonicTime lastHeartbeatAt;
   private String address = "";
   private Optional<MonotonicTime> answeredAt = Optional.empty();
   private Optional<MonotonicTime> reachedAt = Optional.empty();
-  private Optional<MonotonicTime> echoAwaited = Optional.empty();
-  private Optional<Duration> recall = Optional.empty();
+  private Optional<MonotonicTime> awaitingEchoSince = Optional.empty();
+  private Optional<Duration> interruptionNotice = Optional.empty();
   private static final String OCCUPIED = "OCCUPIED";
 
   private boolean occupied;
   private List<WorkerHeartbeat.Entry> unassignedTasks = new ArrayList<>();
   private final Map<String, Double> images = new LinkedHashMap<>();
-  private final Map<TaskId, OwnedTask> bound = new LinkedHashMap<>();
+  private final Map<TaskId, OwnedTask> tasks = new LinkedHashMap<>();
   private Resources used = Resources.ZERO;
-  private List<WorkerHeartbeat.Entry> absorbed = List.of();
+  private List<WorkerHeartbeat.Entry> markApplied = List.of();
   private long bindings;
-  private long absorbedBindings = -1;
-  private Silence silence = Silence.HEARD;
-  private boolean directInFlight;
-  private boolean ordersWaiting;
+  private long appliedBindings = -1;
+  private Liveness liveness = Liveness.ALIVE;
+  private boolean directCommandInFlight;
+  private boolean commandsPending;
 
   /** For how long a machine has not been heard, as far as it matters to the leader. */
-  public enum Silence {
-    HEARD("HEARD"),
+  public enum Liveness {
+    ALIVE("HEARD"),
     /** Reports are missing, or it may not hear this node: it takes nothing new. */
-    QUIET("QUIET"),
+    SUSPECTED("QUIET"),
     /** For longer than its lease. */
-    GONE("GONE");
+    LOST("GONE");
 
     private final String wireName;
 
-    Silence(String wireName) {
+    Liveness(String wireName) {
       this.wireName = wireName;
     }
 
@@ -74,7 +74,7 @@
   }
 
   OwnedMachine(MachineId id, MachineRecord record, Revision grant, MonotonicTime now) {
-    this.momentAt = now;
+    this.lastHeartbeatAt = now;
     this.id = id;
     this.record = record;
     this.token = firstToken(grant);
@@ -82,11 +82,11 @@
 
   /** Rises with every grant, since the store's revisions do. */
   static FencingToken firstToken(Revision grant) {
-    return new FencingToken(grant.value() << BUMP_BITS);
+    return new FencingToken(grant.value() << LOCAL_TOKEN_BITS);
   }
 
   static boolean belongsTo(FencingToken token, Revision grant) {
-    return token.value() >> BUMP_BITS == grant.value();
+    return token.value() >> LOCAL_TOKEN_BITS == grant.value();
   }
 
   /** The only place where the phase changes. */
@@ -101,12 +101,12 @@
    */
   void raiseToken(MonotonicTime now) {
     token = new FencingToken(token.value() + 1);
-    echoAwaited = Optional.of(echoAwaited.orElse(now));
+    awaitingEchoSince = Optional.of(awaitingEchoSince.orElse(now));
   }
 
   /** Since when it has shown no sign that it hears this node; empty if it has. */
-  Optional<MonotonicTime> deafSince() {
-    return echoAwaited;
+  Optional<MonotonicTime> awaitingEchoSince() {
+    return awaitingEchoSince;
   }
 
   void adoptToken(FencingToken seen) {
@@ -120,44 +120,45 @@
    * its worker waits for no answer to it any more. Such a one shows no sign of life, and an answer
    * to it renews nothing.
    */
-  boolean surelyCopy(WorkerHeartbeat report, MonotonicTime now) {
-    return !report.moment().isAfter(moment) && now.since(momentAt).compareTo(ANSWERS_AWAITED) > 0;
+  boolean isDelayedDuplicate(WorkerHeartbeat report, MonotonicTime now) {
+    return !report.version().isAfter(lastHeartbeat)
+        && now.since(lastHeartbeatAt).compareTo(ANSWERS_AWAITED) > 0;
   }
 
-  void heard(WorkerHeartbeat report, MonotonicTime now) {
-    moment = report.moment();
-    momentAt = now;
+  void onHeartbeat(WorkerHeartbeat report, MonotonicTime now) {
+    lastHeartbeat = report.version();
+    lastHeartbeatAt = now;
     address = report.address();
-    recall = report.recall();
+    interruptionNotice = report.interruptionNotice();
     if (report.highestToken().compareTo(token) >= 0) {
-      echoAwaited = Optional.empty();
+      awaitingEchoSince = Optional.empty();
     }
   }
 
   /** All that the report says was taken over. */
-  void absorbed(WorkerHeartbeat report) {
-    absorbed = report.tasks();
-    absorbedBindings = bindings;
+  void markApplied(WorkerHeartbeat report) {
+    markApplied = report.tasks();
+    appliedBindings = bindings;
   }
 
   /**
    * Whether the report says what the last one did, of a machine that is as it should be: then
    * nothing follows from it but that the machine is there. Most reports are such.
    */
-  boolean repeats(WorkerHeartbeat report) {
-    return bindings == absorbedBindings
+  boolean isUnchanged(WorkerHeartbeat report) {
+    return bindings == appliedBindings
         && phase == MachinePhase.CONFIRMED
-        && echoAwaited.isEmpty()
+        && awaitingEchoSince.isEmpty()
         && unassignedTasks.isEmpty()
-        && report.moment().session() == moment.session()
-        && report.recall().isPresent() == recall.isPresent()
+        && report.version().epoch() == lastHeartbeat.epoch()
+        && report.interruptionNotice().isPresent() == interruptionNotice.isPresent()
         && report.highestToken().compareTo(token) >= 0
-        && report.tasks().size() == bound.size()
-        && report.tasks().equals(absorbed);
+        && report.tasks().size() == tasks.size()
+        && report.tasks().equals(markApplied);
   }
 
   /** A report came, whether or not this node may answer it. */
-  void reached(MonotonicTime now) {
+  void markReached(MonotonicTime now) {
     reachedAt = Optional.of(now);
   }
 
@@ -165,7 +166,7 @@
     return reachedAt;
   }
 
-  void answered(MonotonicTime now) {
+  void markAnswered(MonotonicTime now) {
     answeredAt = Optional.of(now);
   }
 
@@ -192,21 +193,21 @@
 
   void bind(OwnedTask task) {
     bindings++;
-    if (bound.put(task.task(), task) == null) {
-      used = used.plus(task.need().perTask());
+    if (tasks.put(task.task(), task) == null) {
+      used = used.plus(task.request().perTask());
     }
   }
 
   void release(OwnedTask task) {
     bindings++;
-    if (bound.remove(task.task(), task)) {
-      used = bound.isEmpty() ? Resources.ZERO : used.minus(task.need().perTask());
+    if (tasks.remove(task.task(), task)) {
+      used = tasks.isEmpty() ? Resources.ZERO : used.minus(task.request().perTask());
     }
   }
 
   /** The tasks that are, or possibly are, on it. */
   List<OwnedTask> tasks() {
-    return new ArrayList<>(bound.values());
+    return new ArrayList<>(tasks.values());
   }
 
   /** What those tasks take of it. */
@@ -215,14 +216,14 @@
   }
 
   /** Notes how long it has been silent; tells whether that is news. */
-  boolean silence(Silence now) {
-    boolean news = silence != now;
-    silence = now;
+  boolean liveness(Liveness now) {
+    boolean news = liveness != now;
+    liveness = now;
     return news;
   }
 
-  Silence silence() {
-    return silence;
+  Liveness liveness() {
+    return liveness;
   }
 
   MachineId id() {
@@ -241,8 +242,8 @@
     return token;
   }
 
-  HeartbeatVersion moment() {
-    return moment;
+  HeartbeatVersion lastHeartbeat() {
+    return lastHeartbeat;
   }
 
   String address() {
@@ -255,7 +256,7 @@
 
   /** The cloud takes it away soon. */
   boolean interrupted() {
-    return recall.isPresent();
+    return interruptionNotice.isPresent();
   }
 
   List<WorkerHeartbeat.Entry> unassignedTasks() {
@@ -270,7 +271,7 @@
    * Whether tasks run on it that are not this build's to judge; then it takes no others. Tells
    * whether that is new.
    */
-  boolean occupiedBy(Set<JobId> leftAlone) {
+  boolean updateOccupied(Set<JobId> leftAlone) {
     boolean before = occupied;
     occupied =
         unassignedTasks.stream()
@@ -285,7 +286,7 @@
   }
 
   /** What the leader hears of the machine's phase. */
-  String toldPhase() {
+  String reportedPhase() {
     return occupied ? OCCUPIED : phase().wireName();
   }
 
@@ -293,19 +294,19 @@
     return images.keySet();
   }
 
-  boolean directInFlight() {
-    return directInFlight;
+  boolean directCommandInFlight() {
+    return directCommandInFlight;
   }
 
-  void directInFlight(boolean value) {
-    directInFlight = value;
+  void directCommandInFlight(boolean value) {
+    directCommandInFlight = value;
   }
 
-  boolean ordersWaiting() {
-    return ordersWaiting;
+  boolean commandsPending() {
+    return commandsPending;
   }
 
-  void ordersWaiting(boolean value) {
-    ordersWaiting = value;
+  void commandsPending(boolean value) {
+    commandsPending = value;
   }
 }
--- a/src/main/java/org/mulleinshift/sharding/OwnedShards.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedShards.java
@@ -43,32 +43,33 @@
   private static final Duration REPORT_SPACING = Duration.ofMillis(80);
   private static final Duration REPORT_AT_LEAST = Duration.ofSeconds(1);
 
-  private static final Duration SUSPICIONS = Duration.ofMillis(400);
-  private static final Duration ASK_DEADLINE = Duration.ofMillis(1200);
-  private static final int MAX_ASKED = 64;
+  private static final Duration SUSPICION_BATCHING = Duration.ofMillis(400);
+  private static final Duration PROBE_DEADLINE = Duration.ofMillis(1200);
+  private static final int MAX_PROBES = 64;
 
   /** What the desk asks of the other controllers. */
-  public record Peers(List<NodeId> nodes, Predicate<NodeId> answersWorkers, Runnable beat) {}
+  public record Peers(
+      List<NodeId> nodes, Predicate<NodeId> answersWorkers, Runnable sendHeartbeat) {}
 
   private final EventLoop loop;
   private final NodeId self;
   private final ClusterView view;
   private final ControllerSession session;
-  private final ShardOwner.Surroundings context;
+  private final ShardOwner.Context context;
   private final Peers peers;
   private final Consumer<Object> toLeader;
-  private final Map<ShardId, ShardOwner> held = new HashMap<>();
-  private final Set<MachineId> asked = new HashSet<>();
-  private final Map<ShardId, Set<MachineId>> knocked = new HashMap<>();
+  private final Map<ShardId, ShardOwner> owned = new HashMap<>();
+  private final Set<MachineId> probing = new HashSet<>();
+  private final Map<ShardId, Set<MachineId>> suspect = new HashMap<>();
   private final WorkerReachability workers;
   private boolean reportPlanned;
-  private long badReports;
+  private long malformedHeartbeats;
 
   public OwnedShards(
       NodeId self,
       ClusterView view,
       ControllerSession session,
-      ShardOwner.Surroundings context,
+      ShardOwner.Context context,
       Peers peers,
       Consumer<Object> toLeader) {
     this.loop = context.loop();
@@ -81,23 +82,23 @@
     this.workers =
         new WorkerReachability(
             loop,
-            context.timing().report(),
+            context.timing().reportInterval(),
             new WorkerReachability.Parts(
-                context.workers(), this::count, this::addresses, peers.beat()));
+                context.workers(), this::count, this::addresses, peers.sendHeartbeat()));
   }
 
   public void start() {
     workers.start();
     loop.after(TICK, this::tick);
-    loop.after(REPORT_AT_LEAST, this::reportRegularly);
+    loop.after(REPORT_AT_LEAST, this::reportStatusPeriodically);
   }
 
   private void tick() {
     loop.after(TICK, this::tick);
-    if (!held.isEmpty()) {
-      session.tellRight();
+    if (!owned.isEmpty()) {
+      session.logOwnershipChange();
     }
-    held.values().forEach(ShardOwner::tick);
+    owned.values().forEach(ShardOwner::tick);
   }
 
   /**
@@ -107,8 +108,8 @@
   private WorkerReachability.Count count() {
     int known = 0;
     int silent = 0;
-    for (ShardOwner owner : held.values()) {
-      if (owner.entitled()) {
+    for (ShardOwner owner : owned.values()) {
+      if (owner.mayAct()) {
         known += owner.knownMachines();
         silent += owner.silentMachines();
       }
@@ -117,20 +118,20 @@
   }
 
   private List<InetSocketAddress> addresses() {
-    return held.values().stream().flatMap(owner -> owner.addresses().stream()).toList();
+    return owned.values().stream().flatMap(owner -> owner.addresses().stream()).toList();
   }
 
-  public WorkerReachability.State hearing() {
+  public WorkerReachability.State reachability() {
     return workers.state();
   }
 
-  private void reportRegularly() {
-    loop.after(REPORT_AT_LEAST, this::reportRegularly);
-    held.values().forEach(owner -> toLeader.accept(owner.reports().regularReport()));
+  private void reportStatusPeriodically() {
+    loop.after(REPORT_AT_LEAST, this::reportStatusPeriodically);
+    owned.values().forEach(owner -> toLeader.accept(owner.statusReporter().periodicStatus()));
   }
 
   /** Something that the leader should know; several changes share a report. */
-  public void reportSoon() {
+  public void reportStatusSoon() {
     if (!reportPlanned) {
       reportPlanned = true;
       loop.after(
@@ -143,9 +144,9 @@
   }
 
   private void sendReports() {
-    for (ShardOwner owner : held.values()) {
-      if (owner.reports().hasNews()) {
-        toLeader.accept(owner.reports().newsReport());
+    for (ShardOwner owner : owned.values()) {
+      if (owner.statusReporter().hasUnsentChanges()) {
+        toLeader.accept(owner.statusReporter().incrementalStatus());
       }
     }
   }
@@ -153,7 +154,8 @@
   /** Takes up and gives up shards as the store says. */
   public void onControlChange() {
     Map<ShardId, Revision> verified = session.grants();
-    held.entrySet()
+    owned
+        .entrySet()
         .removeIf(
             entry -> {
               boolean lost = !entry.getValue().grant().equals(verified.get(entry.getKey()));
@@ -169,47 +171,47 @@
       // machines as of the grant or later.
       if (grant.owner().equals(self)
           && grant.revision().equals(verified.get(shard))
-          && !held.containsKey(shard)) {
+          && !owned.containsKey(shard)) {
         LOG.info("block {} taken, grant {}", shard, grant.revision());
         Revision revision = grant.revision();
-        held.put(
+        owned.put(
             shard,
-            new ShardOwner(context, shard, revision, () -> session.entitled(shard, revision)));
+            new ShardOwner(context, shard, revision, () -> session.mayActFor(shard, revision)));
       }
     }
-    held.forEach(
+    owned.forEach(
         (shard, owner) -> Optional.ofNullable(view.shards().get(shard)).ifPresent(owner::onRecord));
   }
 
   public void onAssignment(ShardAssignment assignment) {
-    ShardOwner owner = held.get(new ShardId(assignment.getShard()));
+    ShardOwner owner = owned.get(new ShardId(assignment.getShard()));
     if (owner != null) {
       owner.onAssignment(assignment);
     }
   }
 
-  public void onReportsSeen(ShardStatusAck seen) {
-    ShardOwner owner = held.get(new ShardId(seen.getShard()));
+  public void onStatusAck(ShardStatusAck seen) {
+    ShardOwner owner = owned.get(new ShardId(seen.getShard()));
     if (owner != null) {
-      owner.onReportsSeen(seen);
+      owner.onStatusAck(seen);
     }
   }
 
-  public void stoodStill() {
+  public void onProcessPause() {
     workers.stoodStill();
-    held.values().forEach(ShardOwner::stoodStill);
+    owned.values().forEach(ShardOwner::onProcessPause);
   }
 
   public void onCancelled(JobId job) {
-    held.values().forEach(owner -> owner.onCancelled(job));
+    owned.values().forEach(owner -> owner.onCancelled(job));
   }
 
-  public void checkin(String body, Responder responder) {
+  public void onHeartbeat(String body, Responder responder) {
     WorkerHeartbeat report;
     try {
-      report = WorkerCodec.parseReport(body);
+      report = WorkerCodec.parseHeartbeat(body);
     } catch (MalformedMessageException e) {
-      if (badReports++ % 100 == 0) {
+      if (malformedHeartbeats++ % 100 == 0) {
         LOG.warn("malformed report: {}", e.getMessage());
       }
       responder.respond(400, JobCodec.error(e.getMessage()));
@@ -218,7 +220,7 @@
     workers.reported();
     Optional<ShardId> shard = view.shardOf(report.machine());
     if (shard.isEmpty()) {
-      ask(
+      probe(
           report,
           () ->
               toLeader.accept(
@@ -231,9 +233,9 @@
       responder.respond(421, "{}");
       return;
     }
-    ShardOwner owner = held.get(shard.get());
+    ShardOwner owner = owned.get(shard.get());
     if (owner != null) {
-      Optional<String> answer = owner.onReport(report);
+      Optional<String> answer = owner.onHeartbeat(report);
       if (answer.isPresent()) {
         responder.respond(200, answer.get());
       } else {
@@ -247,8 +249,8 @@
       if (peers.answersWorkers().test(grant.owner())) {
         next = Optional.of(grant.owner());
       } else {
-        ask(report, () -> knocked(shard.get(), report.machine()));
-        next = detour(grant.owner());
+        probe(report, () -> suspect(shard.get(), report.machine()));
+        next = redirectAround(grant.owner());
       }
     }
     responder.respond(421, next.map(WorkerCodec::redirect).orElse("{}"));
@@ -258,7 +260,7 @@
    * A worker that is sent nowhere tries the next controller by itself. Where that is the very one
    * that does not answer it, the one after is named: each attempt there costs a third of its lease.
    */
-  private Optional<NodeId> detour(NodeId silent) {
+  private Optional<NodeId> redirectAround(NodeId silent) {
     List<NodeId> all = new ArrayList<>(peers.nodes());
     all.add(self);
     all.sort(Comparator.comparing(NodeId::value));
@@ -275,18 +277,18 @@
    * The report of a machine that nobody knows, or that its owner does not answer, may be a late
    * copy, and the machine long gone: only one that can be asked is there.
    */
-  private void ask(WorkerHeartbeat report, Runnable ifThere) {
+  private void probe(WorkerHeartbeat report, Runnable ifThere) {
     Optional<InetSocketAddress> address = WorkerAddress.parse(report.address());
-    if (address.isEmpty() || asked.size() >= MAX_ASKED || !asked.add(report.machine())) {
+    if (address.isEmpty() || probing.size() >= MAX_PROBES || !probing.add(report.machine())) {
       return;
     }
     context
         .workers()
         .call(
             address.get(),
-            HttpRequest.get(WorkerCodec.STATUS, ASK_DEADLINE),
+            HttpRequest.get(WorkerCodec.STATUS, PROBE_DEADLINE),
             reply -> {
-              asked.remove(report.machine());
+              probing.remove(report.machine());
               if (reply.ok()) {
                 ifThere.run();
               }
@@ -294,15 +296,15 @@
   }
 
   /** The leader hears of machines whose owner does not answer them; several share a message. */
-  private void knocked(ShardId shard, MachineId machine) {
-    if (knocked.isEmpty()) {
-      loop.after(SUSPICIONS, this::sendSuspicions);
+  private void suspect(ShardId shard, MachineId machine) {
+    if (suspect.isEmpty()) {
+      loop.after(SUSPICION_BATCHING, this::sendSuspicions);
     }
-    knocked.computeIfAbsent(shard, key -> new TreeSet<>()).add(machine);
+    suspect.computeIfAbsent(shard, key -> new TreeSet<>()).add(machine);
   }
 
   private void sendSuspicions() {
-    knocked.forEach(
+    suspect.forEach(
         (shard, machines) -> {
           GrantRecord grant = view.grants().get(shard);
           if (grant != null) {
@@ -313,6 +315,6 @@
                     machines.stream().map(MachineId::value).toList()));
           }
         });
-    knocked.clear();
+    suspect.clear();
   }
 }
--- a/src/main/java/org/mulleinshift/sharding/OwnedTask.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedTask.java
@@ -11,11 +11,11 @@
 final class OwnedTask {
   private final TaskId task;
   private final Attempt attempt;
-  private final ResourceRequest need;
+  private final ResourceRequest request;
   private final double saveSeconds;
   private final int rank;
   private final boolean fresh;
-  private final MonotonicTime takenAt;
+  private final MonotonicTime receivedAt;
   private TaskPhase phase = TaskPhase.NEW;
   private Optional<MachineId> machine = Optional.empty();
   private Optional<MonotonicTime> runningSince = Optional.empty();
@@ -32,11 +32,11 @@
       MonotonicTime takenAt) {
     this.task = task;
     this.attempt = attempt;
-    this.need = need;
+    this.request = need;
     this.saveSeconds = saveSeconds;
     this.rank = rank;
     this.fresh = fresh;
-    this.takenAt = takenAt;
+    this.receivedAt = takenAt;
   }
 
   /** The only place where the phase changes; a final phase stays. */
@@ -66,7 +66,7 @@
   }
 
   /** The machine on which it is, or possibly is. */
-  Optional<MachineId> place() {
+  Optional<MachineId> boundMachine() {
     return bound() ? machine : Optional.empty();
   }
 
@@ -86,8 +86,8 @@
     return attempt;
   }
 
-  ResourceRequest need() {
-    return need;
+  ResourceRequest request() {
+    return request;
   }
 
   double saveSeconds() {
@@ -104,8 +104,8 @@
   }
 
   /** When the leader's message about it came. */
-  MonotonicTime takenAt() {
-    return takenAt;
+  MonotonicTime receivedAt() {
+    return receivedAt;
   }
 
   TaskPhase phase() {
--- a/src/main/java/org/mulleinshift/sharding/ShardGrants.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardGrants.java
@@ -26,20 +26,20 @@
 /** Grants shards of machines to controllers, and has the grants stored. */
 public final class ShardGrants {
   private static final Logger LOG = LoggerFactory.getLogger(ShardGrants.class);
-  private static final Duration KNOCKED = Duration.ofSeconds(5);
+  private static final Duration SUSPICION_WINDOW = Duration.ofSeconds(5);
 
   private final Leader leader;
-  private final Leader.Surroundings context;
+  private final Leader.Context context;
   private final TransactionBatcher batcher;
-  private final ShardAssigner sharing;
-  private final OwnerEligibility fitness;
+  private final ShardAssigner assigner;
+  private final OwnerEligibility eligibility;
 
-  public ShardGrants(Leader leader, Leader.Surroundings context, TransactionBatcher batcher) {
+  public ShardGrants(Leader leader, Leader.Context context, TransactionBatcher batcher) {
     this.leader = leader;
     this.context = context;
     this.batcher = batcher;
-    this.fitness = new OwnerEligibility(context.hearing());
-    this.sharing =
+    this.eligibility = new OwnerEligibility(context.workerReachability());
+    this.assigner =
         new ShardAssigner(
             context.self(), zonesOf(context.self(), context.settings()), context.loop().now());
   }
@@ -50,14 +50,14 @@
    * more: it could not take it up.
    */
   public void assign() {
-    if (!context.certain().getAsBoolean()) {
+    if (!context.holdsValidLease().getAsBoolean()) {
       // Whoever leads by now would have to undo it.
       return;
     }
     Duration limit = context.tunables().seconds(Tunables.Key.PEER_SILENT_S);
     List<NodeId> live = new ArrayList<>(context.view().nodes().keySet());
     live.removeIf(node -> context.peerSilence().apply(node).compareTo(limit) > 0);
-    Set<NodeId> unfit = fitness.unfit(suspicions(), live, context.loop().now());
+    Set<NodeId> unfit = eligibility.ineligible(suspicionsByOwner(), live, context.loop().now());
     if (!unfit.containsAll(live)) {
       live.removeAll(unfit);
     }
@@ -65,25 +65,25 @@
     takers.removeIf(
         node ->
             context.storeLost().test(node)
-                || context.hearing().apply(node) != WorkerReachability.State.WELL);
+                || context.workerReachability().apply(node) != WorkerReachability.State.WELL);
     takers = takers.isEmpty() ? live : takers;
     // Held by somebody that this build can't read: not its to give to others.
     List<ShardView> known = new ArrayList<>(leader.shards().values());
     known.removeIf(shard -> context.view().unreadableGrants().contains(shard.id()));
     for (ShardAssigner.Move move :
-        sharing.moves(known, live, takers, limit.multipliedBy(2), context.loop().now())) {
+        assigner.moves(known, live, takers, limit.multipliedBy(2), context.loop().now())) {
       ShardView shard = leader.shards().get(move.shard().id());
       LOG.info("granting {} to {}", shard.id(), move.owner());
       shard.granting(Optional.of(move.owner()));
-      batcher.submit(StoreKeys.grant(shard.id()), new GrantUnit(shard, move.owner()));
+      batcher.submit(StoreKeys.grant(shard.id()), new GrantMutation(shard, move.owner()));
     }
   }
 
   /** How many machines of each owner reported elsewhere lately. */
-  private Map<NodeId, Integer> suspicions() {
+  private Map<NodeId, Integer> suspicionsByOwner() {
     Map<NodeId, Integer> suspicions = new HashMap<>();
     for (ShardView shard : leader.shards().values()) {
-      int count = shard.suspicions(KNOCKED, context.loop().now());
+      int count = shard.suspicions(SUSPICION_WINDOW, context.loop().now());
       shard.owner().ifPresent(node -> suspicions.merge(node, count, Integer::sum));
     }
     return suspicions;
@@ -99,11 +99,11 @@
   }
 
   /** A shard's new owner, bound to the owner's session lease. */
-  private final class GrantUnit implements TransactionBatcher.Unit {
+  private final class GrantMutation implements TransactionBatcher.Mutation {
     private final ShardView shard;
     private final NodeId owner;
 
-    GrantUnit(ShardView shard, NodeId owner) {
+    GrantMutation(ShardView shard, NodeId owner) {
       this.shard = shard;
       this.owner = owner;
     }
@@ -117,18 +117,18 @@
       return node == null
           ? List.of()
           : List.of(
-              Write.put(StoreKeys.grant(shard.id()), ClusterView.grantValue(owner), node.hold()));
+              Write.put(StoreKeys.grant(shard.id()), ClusterView.grantValue(owner), node.lease()));
     }
 
     @Override
-    public void committed(Revision revision) {
+    public void onCommitted(Revision revision) {
       shard.granting(Optional.empty());
       shard.grant(Optional.of(new ShardView.Grant(owner, revision)), context.loop().now());
-      if (shard.lastOwner(Optional.of(owner)) && batcher.knows(StoreKeys.shard(shard.id()))) {
+      if (shard.lastOwner(Optional.of(owner)) && batcher.hasRevision(StoreKeys.shard(shard.id()))) {
         // Only the next fall of many asks for it.
-        leader.fleet().storeWhenIdle(shard);
+        leader.autoscaler().storeWhenIdle(shard);
       }
-      leader.sendSoon();
+      leader.scheduleSend();
     }
   }
 }
--- a/src/main/java/org/mulleinshift/sharding/ShardOwner.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardOwner.java
@@ -55,50 +55,51 @@
  */
 public final class ShardOwner {
   private static final Logger LOG = LoggerFactory.getLogger(ShardOwner.class);
-  private static final Duration ORDERS_DEADLINE = Duration.ofMillis(1200);
-  private static final Duration UNPLACEABLE = Duration.ofSeconds(4);
+  private static final Duration COMMAND_DEADLINE = Duration.ofMillis(1200);
+  private static final Duration PLACEMENT_TIMEOUT = Duration.ofSeconds(4);
 
   /** A shard lies in one zone, and the leader chose it. */
   private static final ZoneId ANY_ZONE = new ZoneId("");
 
-  private static final int MAX_ORDERS = 200;
+  private static final int MAX_COMMANDS = 200;
 
   /** What an owner needs of its node. */
-  public record Surroundings(
+  public record Context(
       EventLoop loop,
       AsyncHttpClient workers,
       MachineTypeCatalog catalog,
-      PlatformSettings.Workers timing,
+      PlatformSettings.WorkerTiming timing,
       Duration shardLease,
       Predicate<JobId> cancelled,
-      Runnable onNews) {}
+      Runnable onStatusChange) {}
 
-  private final Surroundings context;
+  private final Context context;
   private final EventLoop loop;
   private final ShardId id;
   private final Revision grant;
-  private final BooleanSupplier entitled;
+  private final BooleanSupplier mayAct;
   private final MonotonicTime startedAt;
   private MonotonicTime listeningSince;
   private final Map<MachineId, OwnedMachine> machines = new TreeMap<>();
   private final Map<TaskId, OwnedTask> tasks = new LinkedHashMap<>();
   private final Set<OwnedTask> unplaced = new LinkedHashSet<>();
-  private final Set<JobId> leftAlone = new HashSet<>();
-  private Set<MachineId> closed = Set.of();
-  private final ShardStatusReporter reports;
+  private final Set<JobId> unreadableJobs = new HashSet<>();
+  private Set<MachineId> cordoned = Set.of();
+  private final ShardStatusReporter statusReporter;
   private long seenTerm;
   private long seenVersion;
   private Revision recordSeen = new Revision(0);
 
-  ShardOwner(Surroundings context, ShardId id, Revision grant, BooleanSupplier entitled) {
+  ShardOwner(Context context, ShardId id, Revision grant, BooleanSupplier entitled) {
     this.context = context;
     this.loop = context.loop();
     this.id = id;
     this.grant = grant;
-    this.entitled = entitled;
+    this.mayAct = entitled;
     this.startedAt = loop.now();
     this.listeningSince = startedAt;
-    this.reports = new ShardStatusReporter(loop, id, grant, machines, tasks, context.onNews());
+    this.statusReporter =
+        new ShardStatusReporter(loop, id, grant, machines, tasks, context.onStatusChange());
   }
 
   Revision grant() {
@@ -106,46 +107,46 @@
   }
 
   /** Whether this node may still act for the shard. */
-  boolean entitled() {
-    return entitled.getAsBoolean();
+  boolean mayAct() {
+    return mayAct.getAsBoolean();
   }
 
   /** The shard's machines as stored. A machine that is no longer there was deleted for certain. */
   void onRecord(ShardRecord record) {
-    if (record.version().equals(recordSeen)) {
+    if (record.revision().equals(recordSeen)) {
       return;
     }
-    recordSeen = record.version();
+    recordSeen = record.revision();
     for (Map.Entry<MachineId, MachineRecord> entry : record.machines().entrySet()) {
       machines
           .computeIfAbsent(
               entry.getKey(), key -> new OwnedMachine(key, entry.getValue(), grant, loop.now()))
           .update(entry.getValue());
-      news(entry.getKey());
+      onMachineChanged(entry.getKey());
     }
     List<MachineId> gone = new ArrayList<>(machines.keySet());
     gone.removeAll(record.machines().keySet());
     for (MachineId machine : gone) {
-      loseTasksOf(machines.remove(machine));
+      loseTasks(machines.remove(machine));
     }
     placeAndSend();
   }
 
-  private void loseTasksOf(OwnedMachine machine) {
+  private void loseTasks(OwnedMachine machine) {
     for (OwnedTask task : machine.tasks()) {
       finish(task, task.stopRequested() ? TaskPhase.STOPPED : TaskPhase.LOST);
     }
   }
 
   private void finish(OwnedTask task, TaskPhase phase) {
-    move(task, phase, null);
+    transition(task, phase, null);
   }
 
   /** All changes of a task's phase pass here, so that what is indexed by it stays in step. */
-  private void move(OwnedTask task, TaskPhase next, MachineId where) {
-    OwnedMachine before = task.place().map(machines::get).orElse(null);
+  private void transition(OwnedTask task, TaskPhase next, MachineId where) {
+    OwnedMachine before = task.boundMachine().map(machines::get).orElse(null);
     task.transitionTo(next, where, loop.now());
-    OwnedMachine after = task.place().map(machines::get).orElse(null);
+    OwnedMachine after = task.boundMachine().map(machines::get).orElse(null);
     if (before != null && before != after) {
       before.release(task);
     }
@@ -155,18 +156,18 @@
     if (task.phase() != TaskPhase.NEW) {
       unplaced.remove(task);
     }
-    reports.changed(task.task());
-    context.onNews().run();
+    statusReporter.markChanged(task.task());
+    context.onStatusChange().run();
   }
 
   private void drop(OwnedTask task) {
-    task.place().map(machines::get).ifPresent(machine -> machine.release(task));
+    task.boundMachine().map(machines::get).ifPresent(machine -> machine.release(task));
     unplaced.remove(task);
   }
 
-  private void news(MachineId machine) {
-    reports.changed(machine);
-    context.onNews().run();
+  private void onMachineChanged(MachineId machine) {
+    statusReporter.markChanged(machine);
+    context.onStatusChange().run();
   }
 
   /**
@@ -187,25 +188,25 @@
     }
     if (term != seenTerm) {
       // A new leader knows nothing of this shard yet.
-      reports.unknownToLeader();
+      statusReporter.resetForNewLeader();
     }
     seenTerm = term;
     seenVersion = assignment.getVersion();
-    reports.sawAssignment(seenTerm, seenVersion);
-    closed = new HashSet<>();
-    assignment.getCordoned().forEach(machine -> closed.add(new MachineId(machine)));
+    statusReporter.onAssignment(seenTerm, seenVersion);
+    cordoned = new HashSet<>();
+    assignment.getCordoned().forEach(machine -> cordoned.add(new MachineId(machine)));
     Set<TaskId> named = new HashSet<>();
-    leftAlone.clear();
+    unreadableJobs.clear();
     for (AssignedJob job : assignment.getJobs()) {
       ResourceRequest need = ResourceRequest.of(job);
       JobId id = new JobId(job.getJob());
       if (job.getTasks().isEmpty()) {
-        leftAlone.add(id);
+        unreadableJobs.add(id);
       }
       for (AssignedTask item : job.getTasks()) {
         TaskId task = new TaskId(id, item.getIndex());
         named.add(task);
-        take(task, job, item, need);
+        onAssigned(task, job, item, need);
       }
     }
     for (RemovedTask removed : assignment.getRemoved()) {
@@ -217,19 +218,19 @@
       unnamed.removeIf(named::contains);
       unnamed.forEach(task -> drop(tasks.remove(task)));
     }
-    adoptFromStrays();
-    context.onNews().run();
+    adoptUnassignedTasks();
+    context.onStatusChange().run();
     placeAndSend();
   }
 
   /** Up to where the leader knows this shard. */
-  void onReportsSeen(ShardStatusAck seen) {
+  void onStatusAck(ShardStatusAck seen) {
     if (seen.getGrant() == grant.value() && seen.getLeaderTerm() >= seenTerm) {
-      reports.seen(seen.getSequence());
+      statusReporter.onAck(seen.getSequence());
     }
   }
 
-  private void take(TaskId id, AssignedJob job, AssignedTask item, ResourceRequest need) {
+  private void onAssigned(TaskId id, AssignedJob job, AssignedTask item, ResourceRequest need) {
     OwnedTask known = tasks.get(id);
     Attempt attempt = new Attempt(item.getAttempt());
     if (known == null || !known.attempt().equals(attempt)) {
@@ -241,7 +242,7 @@
               id, attempt, need, job.getSaveSeconds(), job.getRank(), item.getFresh(), loop.now());
       tasks.put(id, known);
       unplaced.add(known);
-      reports.changed(id);
+      statusReporter.markChanged(id);
     }
     // The leader may not know yet what this node does.
     if (item.getStop() || context.cancelled().test(id.job())) {
@@ -250,7 +251,7 @@
   }
 
   /** Tasks that machines reported before the leader's set arrived. */
-  private void adoptFromStrays() {
+  private void adoptUnassignedTasks() {
     for (OwnedMachine machine : machines.values()) {
       List<WorkerHeartbeat.Entry> left = new ArrayList<>();
       for (WorkerHeartbeat.Entry entry : machine.unassignedTasks()) {
@@ -258,17 +259,17 @@
         if (task == null) {
           left.add(entry);
         } else {
-          observe(machine, task, entry);
+          onTaskReported(machine, task, entry);
         }
       }
       machine.unassignedTasks(left);
-      tellIfOccupied(machine);
+      updateOccupied(machine);
     }
   }
 
-  private void tellIfOccupied(OwnedMachine machine) {
-    if (machine.occupiedBy(leftAlone)) {
-      news(machine.id());
+  private void updateOccupied(OwnedMachine machine) {
+    if (machine.updateOccupied(unreadableJobs)) {
+      onMachineChanged(machine.id());
     }
   }
 
@@ -291,7 +292,7 @@
       // may come first: under a higher token the worker drops the other.
       machine.raiseToken(loop.now());
     }
-    machine.ordersWaiting(true);
+    machine.commandsPending(true);
   }
 
   /** A job was cancelled: its tasks stop without waiting for the leader. */
@@ -305,17 +306,17 @@
   }
 
   /** The answer to a report, or none if this node must not give one. */
-  Optional<String> onReport(WorkerHeartbeat report) {
+  Optional<String> onHeartbeat(WorkerHeartbeat report) {
     OwnedMachine machine = machines.get(report.machine());
     if (machine == null) {
       return Optional.empty();
     }
-    if (machine.surelyCopy(report, loop.now())) {
+    if (machine.isDelayedDuplicate(report, loop.now())) {
       return Optional.empty();
     }
     // A report that may not be answered still shows that its worker is there and reaches this node.
-    machine.reached(loop.now());
-    if (!entitled.getAsBoolean()) {
+    machine.markReached(loop.now());
+    if (!mayAct.getAsBoolean()) {
       return Optional.empty();
     }
     if (report.highestToken().compareTo(machine.token()) > 0) {
@@ -325,35 +326,35 @@
       }
       machine.adoptToken(report.highestToken());
     }
-    absorb(machine, report);
-    machine.answered(loop.now());
+    applyHeartbeat(machine, report);
+    machine.markAnswered(loop.now());
     place();
-    String body = WorkerCodec.response(machine.token(), ordersFor(machine));
-    machine.ordersWaiting(false);
+    String body = WorkerCodec.response(machine.token(), commandsFor(machine));
+    machine.commandsPending(false);
     sendDirect();
     return Optional.of(body);
   }
 
-  private void absorb(OwnedMachine machine, WorkerHeartbeat report) {
-    if (!report.moment().isAfter(machine.moment())) {
+  private void applyHeartbeat(OwnedMachine machine, WorkerHeartbeat report) {
+    if (!report.version().isAfter(machine.lastHeartbeat())) {
       return;
     }
-    if (machine.repeats(report)) {
-      machine.heard(report, loop.now());
+    if (machine.isUnchanged(report)) {
+      machine.onHeartbeat(report, loop.now());
       return;
     }
-    boolean newSession = report.moment().session() > machine.moment().session();
-    if (newSession && machine.moment().session() > 0) {
-      LOG.info("{} began session {}", machine.id(), report.moment().session());
+    boolean newSession = report.version().epoch() > machine.lastHeartbeat().epoch();
+    if (newSession && machine.lastHeartbeat().epoch() > 0) {
+      LOG.info("{} began session {}", machine.id(), report.version().epoch());
       // It was answered and ended its session all the same: the answers may not reach it.
       machine.raiseToken(loop.now());
     }
     Set<TaskId> listed = new HashSet<>();
     List<WorkerHeartbeat.Entry> unassignedTasks = new ArrayList<>();
     boolean interrupted = machine.interrupted();
-    machine.heard(report, loop.now());
+    machine.onHeartbeat(report, loop.now());
     if (interrupted != machine.interrupted()) {
-      news(machine.id());
+      onMachineChanged(machine.id());
     }
     for (WorkerHeartbeat.Entry entry : report.tasks()) {
       OwnedTask task = matching(entry);
@@ -361,45 +362,45 @@
         unassignedTasks.add(entry);
       } else {
         listed.add(entry.task());
-        observe(machine, task, entry);
+        onTaskReported(machine, task, entry);
       }
     }
     machine.unassignedTasks(unassignedTasks);
-    tellIfOccupied(machine);
+    updateOccupied(machine);
     boolean knowsToken = report.highestToken().compareTo(machine.token()) >= 0;
-    moveMachine(machine, knowsToken ? MachinePhase.CONFIRMED : MachinePhase.HEARD);
+    moveMachine(machine, knowsToken ? MachinePhase.CONFIRMED : MachinePhase.REPORTING);
     for (OwnedTask task : machine.tasks()) {
       if (!listed.contains(task.task())) {
-        unlisted(machine, task, newSession, knowsToken);
+        onTaskMissing(machine, task, newSession, knowsToken);
       }
     }
-    machine.absorbed(report);
+    machine.markApplied(report);
   }
 
   /** A task that should be on the machine, but is not in its newest report. */
-  private void unlisted(
+  private void onTaskMissing(
       OwnedMachine machine, OwnedTask task, boolean newSession, boolean knowsToken) {
     if (task.phase() != TaskPhase.STARTING || newSession) {
       finish(task, task.stopRequested() ? TaskPhase.STOPPED : TaskPhase.LOST);
-    } else if (task.stopRequested() && knowsToken && !machine.directInFlight()) {
+    } else if (task.stopRequested() && knowsToken && !machine.directCommandInFlight()) {
       // Never started, and no order under an older token can start it any more.
       finish(task, TaskPhase.STOPPED);
     } else {
-      machine.ordersWaiting(true);
+      machine.commandsPending(true);
     }
   }
 
   private void moveMachine(OwnedMachine machine, MachinePhase next) {
-    if (machine.phase() == MachinePhase.CONFIRMED && next == MachinePhase.HEARD) {
+    if (machine.phase() == MachinePhase.CONFIRMED && next == MachinePhase.REPORTING) {
       return;
     }
     if (machine.phase() != next) {
       machine.transitionTo(next);
-      news(machine.id());
+      onMachineChanged(machine.id());
     }
   }
 
-  private void observe(OwnedMachine machine, OwnedTask task, WorkerHeartbeat.Entry entry) {
+  private void onTaskReported(OwnedMachine machine, OwnedTask task, WorkerHeartbeat.Entry entry) {
     if (task.bound() && !task.boundTo(machine.id())) {
       LOG.error("{} is on {} and on {}", task.task(), task.machine(), machine.id());
       return;
@@ -408,12 +409,12 @@
     if (phase == TaskPhase.RUNNING) {
       double cache =
           context.catalog().type(machine.record().type()).map(MachineType::cacheGb).orElse(0.0);
-      if (machine.addImage(task.need().image(), task.need().imageGb(), cache)) {
-        news(machine.id());
+      if (machine.addImage(task.request().image(), task.request().imageGb(), cache)) {
+        onMachineChanged(machine.id());
       }
     }
     if (task.phase() != phase) {
-      move(task, phase, machine.id());
+      transition(task, phase, machine.id());
     }
   }
 
@@ -421,7 +422,7 @@
    * Everything the machine still has to do, in one go: every order can be repeated. What must stop
    * comes first: an answer that reaches the worker then never keeps it alive without telling it so.
    */
-  private List<WorkerCommand> ordersFor(OwnedMachine machine) {
+  private List<WorkerCommand> commandsFor(OwnedMachine machine) {
     List<WorkerCommand> halts = new ArrayList<>();
     List<WorkerCommand> others = new ArrayList<>();
     for (WorkerHeartbeat.Entry unassignedTask : machine.unassignedTasks()) {
@@ -429,7 +430,9 @@
       if (!exited && mustStop(unassignedTask.task().job())) {
         halts.add(
             new WorkerCommand.Halt(unassignedTask.task(), unassignedTask.attempt(), Duration.ZERO));
-      } else if (exited && mayJudge(unassignedTask.task().job()) && !machine.directInFlight()) {
+      } else if (exited
+          && mayDecide(unassignedTask.task().job())
+          && !machine.directCommandInFlight()) {
         // An order that is still on its way would start a forgotten attempt again.
         others.add(new WorkerCommand.Forget(unassignedTask.task(), unassignedTask.attempt()));
       }
@@ -443,20 +446,20 @@
     }
     halts.addAll(others);
     // The rest comes with the next report; a machine may know thousands of ended tasks.
-    return halts.subList(0, Math.min(MAX_ORDERS, halts.size()));
+    return halts.subList(0, Math.min(MAX_COMMANDS, halts.size()));
   }
 
   /**
    * Without the leader's set it is not known which tasks belong here; of jobs that the leader can't
    * read it never is.
    */
-  private boolean mayJudge(JobId job) {
-    return seenTerm > 0 && !leftAlone.contains(job);
+  private boolean mayDecide(JobId job) {
+    return seenTerm > 0 && !unreadableJobs.contains(job);
   }
 
   /** Of a task that nobody assigned here. A cancelled job's are to stop, whoever leads. */
   private boolean mustStop(JobId job) {
-    return mayJudge(job) || context.cancelled().test(job);
+    return mayDecide(job) || context.cancelled().test(job);
   }
 
   private Duration graceOf(OwnedTask task) {
@@ -468,7 +471,7 @@
 
   /** Called a few times a second. */
   void tick() {
-    if (!entitled()) {
+    if (!mayAct()) {
       // Who may not answer hears nothing that counts: the machines may have gone to others.
       return;
     }
@@ -480,15 +483,15 @@
       boolean mayHaveTasks = machine.record().up() || machine.answeredAt().isPresent();
       if (mayHaveTasks
           && machine.phase() != MachinePhase.SILENT
-          && now.isAfter(workerLeaseOver(machine))) {
+          && now.isAfter(workerLeaseExpiry(machine))) {
         LOG.info("{} is silent: its lease is over", machine.id());
         moveMachine(machine, MachinePhase.SILENT);
         machine.unassignedTasks(List.of());
-        tellIfOccupied(machine);
-        loseTasksOf(machine);
+        updateOccupied(machine);
+        loseTasks(machine);
       }
-      if (machine.silence(silenceOf(machine, now))) {
-        news(machine.id());
+      if (machine.liveness(silenceOf(machine, now))) {
+        onMachineChanged(machine.id());
       }
     }
     placeAndSend();
@@ -496,17 +499,17 @@
 
   /** Most machines, most of the time: neither silent nor near the end of any lease. */
   private boolean justAnswered(OwnedMachine machine, MonotonicTime now) {
-    return machine.silence() == OwnedMachine.Silence.HEARD
+    return machine.liveness() == OwnedMachine.Liveness.ALIVE
         && machine.phase() == MachinePhase.CONFIRMED
         && machine.answeredAt().isPresent()
-        && now.since(machine.answeredAt().get()).compareTo(context.timing().report()) < 0;
+        && now.since(machine.answeredAt().get()).compareTo(context.timing().reportInterval()) < 0;
   }
 
   /**
    * When the worker has surely ended its session. Until it has shown that it knows our token, the
    * shard's earlier owner may have answered it, for as long as a shard lease lasts.
    */
-  private MonotonicTime workerLeaseOver(OwnedMachine machine) {
+  private MonotonicTime workerLeaseExpiry(OwnedMachine machine) {
     MonotonicTime last = machine.answeredAt().orElse(startedAt);
     if (machine.phase() != MachinePhase.CONFIRMED) {
       MonotonicTime others = startedAt.plus(context.shardLease());
@@ -517,7 +520,7 @@
   }
 
   /** Whoever reported while this process stood still was not heard: that was not their silence. */
-  void stoodStill() {
+  void onProcessPause() {
     listeningSince = loop.now();
   }
 
@@ -535,7 +538,7 @@
   }
 
   int silentMachines() {
-    return (int) expected().filter(m -> m.silence() != OwnedMachine.Silence.HEARD).count();
+    return (int) expected().filter(m -> m.liveness() != OwnedMachine.Liveness.ALIVE).count();
   }
 
   private void placeAndSend() {
@@ -544,11 +547,11 @@
   }
 
   private void place() {
-    if (unplaced.isEmpty() || !entitled.getAsBoolean()) {
+    if (unplaced.isEmpty() || !mayAct.getAsBoolean()) {
       return;
     }
     List<OwnedTask> waiting = new ArrayList<>();
-    boolean accounted = accounted();
+    boolean accounted = allMachinesAccountedFor();
     for (OwnedTask task : unplaced) {
       if (task.fresh() || accounted) {
         waiting.add(task);
@@ -559,7 +562,7 @@
     machines
         .values()
         .forEach(m -> m.unassignedTasks().forEach(entry -> straying.add(entry.task())));
-    Resources least = UnschedulableRequests.minOf(waiting, OwnedTask::need);
+    Resources least = UnschedulableRequests.minimumOf(waiting, OwnedTask::request);
     List<MachineCapacity> capacities = capacities(least);
     UnschedulableRequests unplaceable = new UnschedulableRequests();
     MonotonicTime now = loop.now();
@@ -568,16 +571,16 @@
         finish(task, TaskPhase.STOPPED);
       } else if (!straying.contains(task.task())) {
         Optional<MachineCapacity> capacity =
-            unplaceable.covers(task.need())
+            unplaceable.covers(task.request())
                 ? Optional.empty()
-                : BinPacker.choose(task.need(), capacities);
+                : BinPacker.best(task.request(), capacities);
         if (capacity.isPresent()) {
-          capacity.get().take(task.need());
-          move(task, TaskPhase.STARTING, capacity.get().machine());
-          machines.get(capacity.get().machine()).ordersWaiting(true);
+          capacity.get().allocate(task.request());
+          transition(task, TaskPhase.STARTING, capacity.get().machine());
+          machines.get(capacity.get().machine()).commandsPending(true);
         } else {
-          unplaceable.add(task.need());
-          if (now.isAfter(task.takenAt().plus(UNPLACEABLE))) {
+          unplaceable.add(task.request());
+          if (now.isAfter(task.receivedAt().plus(PLACEMENT_TIMEOUT))) {
             finish(task, TaskPhase.REJECTED);
           }
         }
@@ -586,7 +589,7 @@
   }
 
   /** A fresh owner knows where inherited tasks are not only once each machine is accounted for. */
-  private boolean accounted() {
+  private boolean allMachinesAccountedFor() {
     for (OwnedMachine machine : machines.values()) {
       boolean known =
           machine.phase() == MachinePhase.CONFIRMED || machine.phase() == MachinePhase.SILENT;
@@ -611,7 +614,7 @@
         continue;
       }
       Set<String> images = new HashSet<>(machine.images());
-      machine.tasks().forEach(task -> images.add(task.need().image()));
+      machine.tasks().forEach(task -> images.add(task.request().image()));
       capacities.add(
           new MachineCapacity(
               machine.id(), id, ANY_ZONE, type.get(), machine.record().spot(), free, images));
@@ -622,17 +625,17 @@
   private boolean usable(OwnedMachine machine, MonotonicTime now) {
     return machine.phase() == MachinePhase.CONFIRMED
         && machine.record().up()
-        && !closed.contains(machine.id())
+        && !cordoned.contains(machine.id())
         && !machine.interrupted()
-        && silenceOf(machine, now) == OwnedMachine.Silence.HEARD
+        && silenceOf(machine, now) == OwnedMachine.Liveness.ALIVE
         && machine.unassignedTasks().stream()
             .allMatch(entry -> entry.state() == WorkerHeartbeat.State.EXITED);
   }
 
-  private OwnedMachine.Silence silenceOf(OwnedMachine machine, MonotonicTime now) {
+  private OwnedMachine.Liveness silenceOf(OwnedMachine machine, MonotonicTime now) {
     MonotonicTime last = machine.reachedAt().orElse(startedAt);
     Duration silent = now.since(listeningSince.isAfter(last) ? listeningSince : last);
-    Duration quiet = context.timing().report().multipliedBy(5).dividedBy(2);
+    Duration quiet = context.timing().reportInterval().multipliedBy(5).dividedBy(2);
     Duration gone = context.timing().lease().plusSeconds(1);
     if (machine.reachedAt().isEmpty()) {
       // The shard's earlier owner may answer it for a shard lease; then it must find this node.
@@ -640,26 +643,26 @@
       Duration answered = context.shardLease().plus(quiet);
       gone = answered.compareTo(gone) > 0 ? answered : gone;
     }
-    Duration deaf = machine.deafSince().map(now::since).orElse(Duration.ZERO);
+    Duration deaf = machine.awaitingEchoSince().map(now::since).orElse(Duration.ZERO);
     if (silent.compareTo(gone) > 0
         || deaf.compareTo(context.timing().lease().multipliedBy(2)) > 0) {
-      return OwnedMachine.Silence.GONE;
+      return OwnedMachine.Liveness.LOST;
     }
-    boolean quietOrDeaf = silent.compareTo(quiet) >= 0 || machine.deafSince().isPresent();
-    return quietOrDeaf ? OwnedMachine.Silence.QUIET : OwnedMachine.Silence.HEARD;
+    boolean quietOrDeaf = silent.compareTo(quiet) >= 0 || machine.awaitingEchoSince().isPresent();
+    return quietOrDeaf ? OwnedMachine.Liveness.SUSPECTED : OwnedMachine.Liveness.ALIVE;
   }
 
   /** Orders that need not wait for the next report. */
   private void sendDirect() {
-    if (!entitled.getAsBoolean()) {
+    if (!mayAct.getAsBoolean()) {
       return;
     }
     for (OwnedMachine machine : machines.values()) {
-      if (machine.ordersWaiting()
-          && !machine.directInFlight()
+      if (machine.commandsPending()
+          && !machine.directCommandInFlight()
           && machine.phase() == MachinePhase.CONFIRMED) {
-        machine.ordersWaiting(false);
-        List<WorkerCommand> orders = ordersFor(machine);
+        machine.commandsPending(false);
+        List<WorkerCommand> orders = commandsFor(machine);
         Optional<InetSocketAddress> address = addressOf(machine);
         if (!orders.isEmpty() && address.isPresent()) {
           sendDirect(machine, address.get(), orders);
@@ -679,23 +682,23 @@
 
   private void sendDirect(
       OwnedMachine machine, InetSocketAddress address, List<WorkerCommand> orders) {
-    machine.directInFlight(true);
-    String body = WorkerCodec.direct(machine.token(), machine.moment().session(), orders);
+    machine.directCommandInFlight(true);
+    String body = WorkerCodec.direct(machine.token(), machine.lastHeartbeat().epoch(), orders);
     context
         .workers()
         .call(
             address,
-            HttpRequest.post(WorkerCodec.ORDERS, body, ORDERS_DEADLINE),
+            HttpRequest.post(WorkerCodec.COMMANDS, body, COMMAND_DEADLINE),
             reply -> directAnswered(machine, reply));
   }
 
   private void directAnswered(OwnedMachine machine, HttpResponse reply) {
-    machine.directInFlight(false);
+    machine.directCommandInFlight(false);
     if (reply.status() == 200 || reply.status() == 409) {
       try {
-        WorkerHeartbeat report = WorkerCodec.parseReport(reply.body());
+        WorkerHeartbeat report = WorkerCodec.parseHeartbeat(reply.body());
         if (report.machine().equals(machine.id()) && machines.get(machine.id()) == machine) {
-          absorb(machine, report);
+          applyHeartbeat(machine, report);
           placeAndSend();
         }
         return;
@@ -706,12 +709,12 @@
     // The orders may be carried out minutes later; under a higher token they no longer can. The
     // next report's answer repeats what still holds.
     machine.raiseToken(loop.now());
-    if (machine.silence(silenceOf(machine, loop.now()))) {
-      news(machine.id());
+    if (machine.liveness(silenceOf(machine, loop.now()))) {
+      onMachineChanged(machine.id());
     }
   }
 
-  ShardStatusReporter reports() {
-    return reports;
+  ShardStatusReporter statusReporter() {
+    return statusReporter;
   }
 }
--- a/src/main/java/org/mulleinshift/sharding/ShardStatusReporter.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardStatusReporter.java
@@ -20,15 +20,15 @@
   private final Revision grant;
   private final Map<MachineId, OwnedMachine> machines;
   private final Map<TaskId, OwnedTask> tasks;
-  private final Runnable onNews;
-  private final ChangeLog<TaskId> taskNews = new ChangeLog<>();
-  private final ChangeLog<MachineId> machineNews = new ChangeLog<>();
+  private final Runnable onStatusChange;
+  private final ChangeLog<TaskId> taskChanges = new ChangeLog<>();
+  private final ChangeLog<MachineId> machineChanges = new ChangeLog<>();
   private long seenTerm;
   private long seenVersion;
   private long sequence;
   private long confirmedSequence;
   private long regularSequence;
-  private long toldVersion;
+  private long sentAssignmentVersion;
   private boolean resend;
 
   ShardStatusReporter(
@@ -43,83 +43,83 @@
     this.grant = grant;
     this.machines = machines;
     this.tasks = tasks;
-    this.onNews = onNews;
+    this.onStatusChange = onNews;
   }
 
-  void changed(TaskId task) {
-    taskNews.changed(task, sequence + 1);
+  void markChanged(TaskId task) {
+    taskChanges.changed(task, sequence + 1);
   }
 
-  void changed(MachineId machine) {
-    machineNews.changed(machine, sequence + 1);
+  void markChanged(MachineId machine) {
+    machineChanges.changed(machine, sequence + 1);
   }
 
   /** A new leader knows nothing of this shard yet. */
-  void unknownToLeader() {
+  void resetForNewLeader() {
     confirmedSequence = 0;
   }
 
   /** The assignment that the next report confirms. */
-  void sawAssignment(long term, long version) {
+  void onAssignment(long term, long version) {
     seenTerm = term;
     seenVersion = version;
   }
 
   /** The leader knows the shard up to this report. */
-  void seen(long upTo) {
+  void onAck(long upTo) {
     boolean behind = upTo < confirmedSequence;
     confirmedSequence = upTo;
     if (behind || upTo == 0) {
       // Another leader, or one that missed a report: it is told again from there.
       regularSequence = sequence;
       resend = true;
-      onNews.run();
+      onStatusChange.run();
     } else {
-      taskNews.confirmed(confirmedSequence);
-      machineNews.confirmed(confirmedSequence);
+      taskChanges.confirmed(confirmedSequence);
+      machineChanges.confirmed(confirmedSequence);
     }
   }
 
   /** Whether there is anything to tell that was not yet sent. */
-  boolean hasNews() {
+  boolean hasUnsentChanges() {
     return resend
-        || seenVersion != toldVersion
-        || taskNews.anySince(sequence)
-        || machineNews.anySince(sequence);
+        || seenVersion != sentAssignmentVersion
+        || taskChanges.anySince(sequence)
+        || machineChanges.anySince(sequence);
   }
 
   /** What is new since the last report. */
-  ShardStatus newsReport() {
-    return report(resend ? confirmedSequence : sequence);
+  ShardStatus incrementalStatus() {
+    return buildStatus(resend ? confirmedSequence : sequence);
   }
 
   /** Sent even without news; tells again what has stayed unconfirmed since the one before. */
-  ShardStatus regularReport() {
+  ShardStatus periodicStatus() {
     boolean confirmed = confirmedSequence >= regularSequence && !resend;
-    ShardStatus report = report(confirmed ? sequence : confirmedSequence);
+    ShardStatus report = buildStatus(confirmed ? sequence : confirmedSequence);
     regularSequence = sequence;
     return report;
   }
 
-  private ShardStatus report(long base) {
+  private ShardStatus buildStatus(long base) {
     resend = false;
-    toldVersion = seenVersion;
+    sentAssignmentVersion = seenVersion;
     MonotonicTime now = loop.now();
     List<MachineStatus> machineReports = new ArrayList<>();
-    for (MachineId id : base == 0 ? List.copyOf(machines.keySet()) : machineNews.since(base)) {
+    for (MachineId id : base == 0 ? List.copyOf(machines.keySet()) : machineChanges.since(base)) {
       OwnedMachine machine = machines.get(id);
       if (machine != null) {
         machineReports.add(
             new MachineStatus(
                 id.value(),
-                machine.toldPhase(),
-                machine.silence().wireName(),
+                machine.reportedPhase(),
+                machine.liveness().wireName(),
                 machine.interrupted(),
                 new ArrayList<>(machine.images())));
       }
     }
     List<TaskStatus> taskReports = new ArrayList<>();
-    for (TaskId id : base == 0 ? List.copyOf(tasks.keySet()) : taskNews.since(base)) {
+    for (TaskId id : base == 0 ? List.copyOf(tasks.keySet()) : taskChanges.since(base)) {
       OwnedTask task = tasks.get(id);
       if (task != null) {
         taskReports.add(
--- a/src/main/java/org/mulleinshift/sharding/ShardView.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardView.java
@@ -37,15 +37,15 @@
   private final ShardId id;
   private final ZoneId zone;
   private final Map<MachineId, MachineRecord> machines = new TreeMap<>();
-  private final Map<MachineId, MachineStatus> reports = new HashMap<>();
-  private final Map<TaskId, TaskAssignment> told = new LinkedHashMap<>();
+  private final Map<MachineId, MachineStatus> statuses = new HashMap<>();
+  private final Map<TaskId, TaskAssignment> published = new LinkedHashMap<>();
   private final ChangeLog<TaskId> changes = new ChangeLog<>();
   private Optional<Grant> grant = Optional.empty();
   private Optional<NodeId> granting = Optional.empty();
-  private boolean reported;
+  private boolean onStatus;
   private long lastSequence;
   private long seenSequence;
-  private MonotonicTime reportedAt;
+  private MonotonicTime statusAt;
   private MonotonicTime heardAt;
   private MonotonicTime waitingSince;
   private long confirmedVersion;
@@ -53,7 +53,7 @@
   private long sentVersion;
   private long base;
   private boolean dirty = true;
-  private Optional<UnknownFields> beyond = Optional.empty();
+  private Optional<UnknownFields> unknownFields = Optional.empty();
   private Optional<NodeId> lastOwner = Optional.empty();
   private MonotonicTime grantedAt;
   private final Map<MachineId, MonotonicTime> suspicions = new HashMap<>();
@@ -61,7 +61,7 @@
   public ShardView(ShardId id, ZoneId zone, MonotonicTime now) {
     this.id = id;
     this.zone = zone;
-    this.reportedAt = now;
+    this.statusAt = now;
     this.heardAt = now;
     this.waitingSince = now;
     this.grantedAt = now;
@@ -80,19 +80,19 @@
   }
 
   @Override
-  public Duration without(MonotonicTime now) {
+  public Duration unownedFor(MonotonicTime now) {
     return grant.isPresent() ? Duration.ZERO : now.since(grantedAt);
   }
 
   /** Fields of its record that this build doesn't know. */
-  public void beyond(Optional<UnknownFields> fields) {
-    beyond = fields;
+  public void unknownFields(Optional<UnknownFields> fields) {
+    unknownFields = fields;
   }
 
   /** Its record as it is to be stored. */
-  public JsonNode stored() {
+  public JsonNode storedValue() {
     JsonNode node = ShardRecord.write(zone, machines, lastOwner);
-    beyond.ifPresent(fields -> fields.restore(node));
+    unknownFields.ifPresent(fields -> fields.restore(node));
     return node;
   }
 
@@ -102,10 +102,10 @@
       grantedAt = now;
       heardAt = now;
       heardVersion = 0;
-      reported = false;
+      onStatus = false;
       lastSequence = 0;
       seenSequence = 0;
-      reports.clear();
+      statuses.clear();
       suspicions.clear();
       // A new owner is sent the full set, under a higher version.
       confirmedVersion = 0;
@@ -116,29 +116,29 @@
   }
 
   /** Whether the report continues what is known; if not, the owner must tell again. */
-  public boolean continues(ShardStatus report) {
+  public boolean isContiguous(ShardStatus report) {
     return report.getBase() <= lastSequence;
   }
 
   /** Takes over the report's machines; tells which of them it named. */
-  public List<MachineId> reported(ShardStatus report, MonotonicTime now) {
-    reported = true;
+  public List<MachineId> onStatus(ShardStatus report, MonotonicTime now) {
+    onStatus = true;
     lastSequence = report.getSequence();
-    reportedAt = now;
+    statusAt = now;
     if (report.getBase() == 0) {
-      reports.clear();
+      statuses.clear();
     }
     List<MachineId> named = new ArrayList<>();
     for (MachineStatus machine : report.getMachines()) {
       MachineId key = new MachineId(machine.getMachine());
-      reports.put(key, machine);
+      statuses.put(key, machine);
       named.add(key);
     }
     return named;
   }
 
   /** The version up to which the owner knows the set of this term. */
-  public void confirmed(long version, MonotonicTime now) {
+  public void onAssignmentAck(long version, MonotonicTime now) {
     if (version > confirmedVersion) {
       confirmedVersion = version;
       waitingSince = now;
@@ -146,8 +146,8 @@
     }
   }
 
-  public boolean hasReported() {
-    return reported;
+  public boolean hasStatus() {
+    return onStatus;
   }
 
   public long lastSequence() {
@@ -155,39 +155,39 @@
   }
 
   /** Whether the owner should hear up to where it is known; asked once for each report. */
-  public boolean sequenceToConfirm() {
+  public boolean ackDue() {
     boolean news = seenSequence != lastSequence;
     seenSequence = lastSequence;
     return news;
   }
 
-  public Optional<MachineStatus> reportOf(MachineId machine) {
-    return Optional.ofNullable(reports.get(machine));
+  public Optional<MachineStatus> statusOf(MachineId machine) {
+    return Optional.ofNullable(statuses.get(machine));
   }
 
   /** A stored assignment that the owner is to hear of, or hear of again. */
-  public void tell(TaskAssignment assignment) {
-    told.put(assignment.task(), assignment);
+  public void publish(TaskAssignment assignment) {
+    published.put(assignment.task(), assignment);
     changes.changed(assignment.task(), sentVersion + 1);
     dirty = true;
   }
 
-  public void untell(TaskAssignment assignment) {
-    if (told.remove(assignment.task(), assignment)) {
+  public void retract(TaskAssignment assignment) {
+    if (published.remove(assignment.task(), assignment)) {
       changes.changed(assignment.task(), sentVersion + 1);
       dirty = true;
     }
   }
 
-  public Collection<TaskAssignment> told() {
-    return told.values();
+  public Collection<TaskAssignment> published() {
+    return published.values();
   }
 
-  public Optional<TaskAssignment> told(TaskId task) {
-    return Optional.ofNullable(told.get(task));
+  public Optional<TaskAssignment> published(TaskId task) {
+    return Optional.ofNullable(published.get(task));
   }
 
-  public void changed() {
+  public void markDirty() {
     dirty = true;
   }
 
@@ -197,7 +197,7 @@
   }
 
   /** Whether the owner has long not confirmed what was sent: it is sent from there again. */
-  public boolean lost(MonotonicTime now, Duration patience) {
+  public boolean resendDue(MonotonicTime now, Duration patience) {
     boolean lost =
         confirmedVersion < sentVersion && now.since(waitingSince).compareTo(patience) >= 0;
     if (lost) {
@@ -214,7 +214,7 @@
 
   /** Tasks to name in a message that builds on this version. */
   List<TaskId> changesSince(long version) {
-    return version == 0 ? List.copyOf(told.keySet()) : changes.since(version);
+    return version == 0 ? List.copyOf(published.keySet()) : changes.since(version);
   }
 
   /** A message is sent; tells its version. */
@@ -229,7 +229,7 @@
   }
 
   @Override
-  public Duration unheard(MonotonicTime now) {
+  public Duration unacknowledgedFor(MonotonicTime now) {
     boolean all = !dirty && confirmedVersion >= sentVersion;
     if (all || confirmedVersion > heardVersion || grant.isEmpty()) {
       heardAt = now;
@@ -239,7 +239,7 @@
   }
 
   /** A machine reported elsewhere, since its owner does not answer it. */
-  public void knocked(MachineId machine, MonotonicTime now) {
+  public void onSuspicion(MachineId machine, MonotonicTime now) {
     if (machines.containsKey(machine)) {
       suspicions.put(machine, now);
     }
@@ -255,8 +255,8 @@
   }
 
   private boolean heard(MachineId machine) {
-    return reportOf(machine)
-        .filter(report -> report.getLiveness().equals(OwnedMachine.Silence.HEARD.wireName()))
+    return statusOf(machine)
+        .filter(report -> report.getLiveness().equals(OwnedMachine.Liveness.ALIVE.wireName()))
         .isPresent();
   }
 
@@ -289,7 +289,7 @@
   }
 
   @Override
-  public Optional<NodeId> granting() {
+  public Optional<NodeId> pendingOwner() {
     return granting;
   }
 
@@ -297,7 +297,7 @@
     granting = next;
   }
 
-  public MonotonicTime reportedAt() {
-    return reportedAt;
+  public MonotonicTime statusAt() {
+    return statusAt;
   }
 }
--- a/src/main/java/org/mulleinshift/sharding/TaskPhase.java
+++ b/src/main/java/org/mulleinshift/sharding/TaskPhase.java
@@ -61,7 +61,7 @@
           switch (entry.cause()) {
             case DONE -> DONE;
             case STOPPED -> STOPPED;
-            case NO_CAPACITY, BUSY, GANG_BROKEN, UNKNOWN -> REJECTED;
+            case INSUFFICIENT_RESOURCES, BUSY, GANG_BROKEN, UNKNOWN -> REJECTED;
             case NONE, ERROR -> FAILED;
           };
     };
--- a/src/main/java/org/mulleinshift/store/KeyValueStore.java
+++ b/src/main/java/org/mulleinshift/store/KeyValueStore.java
@@ -10,8 +10,8 @@
 import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.StoreCodec;
-import org.mulleinshift.protocol.StoreCodec.Guard;
-import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.Compare;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.protocol.StoreCodec.Write;
 import org.mulleinshift.transport.AsyncHttpClient;
 import org.mulleinshift.transport.EventLoop;
@@ -52,53 +52,58 @@
   }
 
   /** What came of a call whose answer carries a value. */
-  public sealed interface Answer<T> {
-    record Found<T>(T value) implements Answer<T> {}
+  public sealed interface ReadResult<T> {
+    record Found<T>(T value) implements ReadResult<T> {}
 
     /** Certain: there is no such key, lease or change history. */
-    record Absent<T>() implements Answer<T> {}
+    record Absent<T>() implements ReadResult<T> {}
 
     /** Nothing is known; a write may have happened or may happen later. */
-    record Unknown<T>() implements Answer<T> {}
+    record Unknown<T>() implements ReadResult<T> {}
 
     /** Certain: not carried out. */
-    record Refused<T>() implements Answer<T> {}
+    record Refused<T>() implements ReadResult<T> {}
   }
 
   /** What came of a transaction. */
-  public sealed interface Outcome {
-    record Committed(Revision revision) implements Outcome {}
+  public sealed interface CommitResult {
+    record Committed(Revision revision) implements CommitResult {}
 
-    record Conflict() implements Outcome {}
+    record Conflict() implements CommitResult {}
 
-    record LeaseGone() implements Outcome {}
+    record LeaseExpired() implements CommitResult {}
 
     /** Certain: not carried out, and never will be in this form. */
-    record Unfit(String why) implements Outcome {}
+    record Rejected(String reason) implements CommitResult {}
 
-    record Unknown() implements Outcome {}
+    record Unknown() implements CommitResult {}
 
     /** Certain: not carried out, and not soon. */
-    record Refused() implements Outcome {}
+    record Refused() implements CommitResult {}
 
     /** Certain: not carried out, since the rate is used up for a moment. */
-    record Busy() implements Outcome {}
+    record Busy() implements CommitResult {}
   }
 
   /**
    * This node's shares of the service's rates.
    *
-   * @param requestsLeft the part of the request rate that is left once the service's limits fall
-   * @param writesLeft the same of the changes
+   * @param requestsShareAfterReduction the part of the request rate that is left once the service's
+   *     limits fall
+   * @param writesShareAfterReduction the same of the changes
    */
-  public record Rates(double requests, double writes, double requestsLeft, double writesLeft) {}
+  public record Rates(
+      double requests,
+      double writes,
+      double requestsShareAfterReduction,
+      double writesShareAfterReduction) {}
 
   private interface Parser<T> {
     T parse(String body) throws MalformedMessageException;
   }
 
   /** Hears how calls fare; not of watches, whose answers wait for news. */
-  public interface Fates {
+  public interface CallObserver {
     void sent();
 
     /** Answered; a refusal above the rate is an answer too. */
@@ -121,8 +126,8 @@
   private final Rates rates;
   private double requestRate;
   private double writeRate;
-  private boolean fallen;
-  private Optional<Fates> fates = Optional.empty();
+  private boolean reducedLimits;
+  private Optional<CallObserver> observer = Optional.empty();
 
   public KeyValueStore(
       EventLoop loop,
@@ -141,21 +146,21 @@
     this.writes = new RateLimiter(loop, writeRate);
   }
 
-  public void tell(Fates listener) {
-    fates = Optional.of(listener);
+  public void observe(CallObserver listener) {
+    observer = Optional.of(listener);
   }
 
-  private void ask(HttpRequest request, Consumer<HttpResponse> then) {
+  private void send(HttpRequest request, Consumer<HttpResponse> then) {
     MonotonicTime sentAt = loop.now();
-    fates.ifPresent(Fates::sent);
+    observer.ifPresent(CallObserver::sent);
     calls.call(
         address,
         request,
         reply -> {
           boolean served = reply.status() != 0 && reply.status() != 503;
-          fates.ifPresent(served ? Fates::served : listener -> listener.failed(sentAt));
+          observer.ifPresent(served ? CallObserver::served : listener -> listener.failed(sentAt));
           if (reply.status() == 429) {
-            refusedAboveRate();
+            onRateLimited();
           }
           then.accept(reply);
         });
@@ -163,28 +168,30 @@
 
   /** This node's share of the writes changes with its role. */
   public void writeRate(double next) {
-    writeRate = next * (fallen ? rates.writesLeft() : 1);
-    writes.rate(writeRate);
+    writeRate = next * (reducedLimits ? rates.writesShareAfterReduction() : 1);
+    writes.setRate(writeRate);
   }
 
   /** A refusal above the rate says that the limits may have fallen: they never rise again. */
-  private void refusedAboveRate() {
-    if (!fallen && (rates.requestsLeft() < 1 || rates.writesLeft() < 1)) {
-      fallen = true;
+  private void onRateLimited() {
+    if (!reducedLimits
+        && (rates.requestsShareAfterReduction() < 1 || rates.writesShareAfterReduction() < 1)) {
+      reducedLimits = true;
       LOG.info("refused above the rate: keeping to the state service's next limits");
-      writeRate *= rates.writesLeft();
-      requestRate *= rates.requestsLeft();
-      writes.rate(writeRate);
-      requests.rate(requestRate);
+      writeRate *= rates.writesShareAfterReduction();
+      requestRate *= rates.requestsShareAfterReduction();
+      writes.setRate(writeRate);
+      requests.setRate(requestRate);
     }
   }
 
-  public void get(String key, Urgency urgency, Consumer<Answer<Item>> then) {
+  public void get(String key, Urgency urgency, Consumer<ReadResult<KeyValue>> then) {
     call(HttpRequest.get(StoreCodec.keyPath(key), DEADLINE), urgency, StoreCodec::parseItem, then);
   }
 
   /** The keys with the prefix that come after the given one, as many as fit into an answer. */
-  public void page(String prefix, Optional<String> after, Consumer<Answer<StoreCodec.Range>> then) {
+  public void readPage(
+      String prefix, Optional<String> after, Consumer<ReadResult<StoreCodec.Range>> then) {
     call(
         HttpRequest.get(StoreCodec.rangePath(prefix, after), DEADLINE.multipliedBy(2)),
         Urgency.URGENT,
@@ -193,21 +200,21 @@
   }
 
   /** All keys with a prefix that few keys have; not one moment's picture. */
-  public void range(String prefix, Consumer<Answer<StoreCodec.Range>> then) {
-    rangeFrom(prefix, Optional.empty(), new ArrayList<>(), Optional.empty(), then);
+  public void readAll(String prefix, Consumer<ReadResult<StoreCodec.Range>> then) {
+    readAllFrom(prefix, Optional.empty(), new ArrayList<>(), Optional.empty(), then);
   }
 
-  private void rangeFrom(
+  private void readAllFrom(
       String prefix,
       Optional<String> after,
-      List<Item> found,
+      List<KeyValue> found,
       Optional<Revision> first,
-      Consumer<Answer<StoreCodec.Range>> then) {
-    page(
+      Consumer<ReadResult<StoreCodec.Range>> then) {
+    readPage(
         prefix,
         after,
         answer -> {
-          if (!(answer instanceof Answer.Found<StoreCodec.Range> page)) {
+          if (!(answer instanceof ReadResult.Found<StoreCodec.Range> page)) {
             then.accept(answer);
             return;
           }
@@ -216,81 +223,84 @@
           // The oldest page's revision: a watch from there misses nothing.
           Revision revision = first.orElse(range.revision());
           if (range.next().isPresent()) {
-            rangeFrom(prefix, range.next(), found, Optional.of(revision), then);
+            readAllFrom(prefix, range.next(), found, Optional.of(revision), then);
           } else {
-            then.accept(new Answer.Found<>(new StoreCodec.Range(found, false, revision)));
+            then.accept(new ReadResult.Found<>(new StoreCodec.Range(found, false, revision)));
           }
         });
   }
 
   public void commit(
-      List<Guard> guards, List<Write> changes, Urgency urgency, Consumer<Outcome> then) {
+      List<Compare> guards, List<Write> changes, Urgency urgency, Consumer<CommitResult> then) {
     double reserve = urgency.reserve * writeRate;
     if (urgency == Urgency.URGENT) {
-      writes.force(changes.size());
-    } else if (!writes.take(changes.size(), reserve)) {
-      loop.post(() -> then.accept(new Outcome.Busy()));
+      writes.acquireOverdraft(changes.size());
+    } else if (!writes.tryAcquire(changes.size(), reserve)) {
+      loop.post(() -> then.accept(new CommitResult.Busy()));
       return;
     }
-    requests.force(1);
-    ask(
+    requests.acquireOverdraft(1);
+    send(
         HttpRequest.post(StoreCodec.COMMIT, StoreCodec.commit(guards, changes), DEADLINE),
         reply -> then.accept(outcome(reply)));
   }
 
-  private static Outcome outcome(HttpResponse reply) {
+  private static CommitResult outcome(HttpResponse reply) {
     return switch (reply.status()) {
       case 200 -> committed(reply);
-      case 409 -> new Outcome.Conflict();
+      case 409 -> new CommitResult.Conflict();
       case 400 -> refused(reply);
-      case 429 -> new Outcome.Busy();
-      case 503 -> new Outcome.Refused();
-      default -> new Outcome.Unknown();
+      case 429 -> new CommitResult.Busy();
+      case 503 -> new CommitResult.Refused();
+      default -> new CommitResult.Unknown();
     };
   }
 
-  private static Outcome committed(HttpResponse reply) {
+  private static CommitResult committed(HttpResponse reply) {
     try {
-      return new Outcome.Committed(StoreCodec.parseRevision(reply.body()));
+      return new CommitResult.Committed(StoreCodec.parseRevision(reply.body()));
     } catch (MalformedMessageException e) {
-      return new Outcome.Unknown();
+      return new CommitResult.Unknown();
     }
   }
 
-  private static Outcome refused(HttpResponse reply) {
+  private static CommitResult refused(HttpResponse reply) {
     LOG.info("transaction refused: {}", reply.body());
     return reply.body().contains("no such lease")
-        ? new Outcome.LeaseGone()
-        : new Outcome.Unfit(reply.body());
+        ? new CommitResult.LeaseExpired()
+        : new CommitResult.Rejected(reply.body());
   }
 
-  public void grantHold(Duration ttl, Consumer<Answer<LeaseId>> then) {
+  public void grantLease(Duration ttl, Consumer<ReadResult<LeaseId>> then) {
     call(
-        HttpRequest.post(StoreCodec.HOLDS, StoreCodec.grant(ttl), DEADLINE),
+        HttpRequest.post(StoreCodec.LEASES, StoreCodec.grantLease(ttl), DEADLINE),
         Urgency.URGENT,
-        StoreCodec::parseHold,
+        StoreCodec::parseLease,
         then);
   }
 
-  public void renew(LeaseId hold, Consumer<Answer<Boolean>> then) {
+  public void renewLease(LeaseId hold, Consumer<ReadResult<Boolean>> then) {
     call(
-        HttpRequest.post(StoreCodec.renewPath(hold), "{}", DEADLINE),
+        HttpRequest.post(StoreCodec.renewLeasePath(hold), "{}", DEADLINE),
         Urgency.URGENT,
         body -> true,
         then);
   }
 
-  public void endHold(LeaseId hold, Consumer<Answer<Boolean>> then) {
+  public void revokeLease(LeaseId hold, Consumer<ReadResult<Boolean>> then) {
     call(
-        HttpRequest.delete(StoreCodec.holdPath(hold), DEADLINE),
+        HttpRequest.delete(StoreCodec.leasePath(hold), DEADLINE),
         Urgency.URGENT,
         body -> true,
         then);
   }
 
   /** All changes up to now, without waiting for any. */
-  public void changes(
-      String prefix, Revision from, Urgency urgency, Consumer<Answer<StoreCodec.Changes>> then) {
+  public void readChanges(
+      String prefix,
+      Revision from,
+      Urgency urgency,
+      Consumer<ReadResult<StoreCodec.Changes>> then) {
     call(
         HttpRequest.get(StoreCodec.watchPath(prefix, from, Duration.ZERO), PROOF_DEADLINE),
         urgency,
@@ -298,8 +308,8 @@
         then);
   }
 
-  public void watch(String prefix, Revision from, Consumer<Answer<StoreCodec.Changes>> then) {
-    requests.force(1);
+  public void watch(String prefix, Revision from, Consumer<ReadResult<StoreCodec.Changes>> then) {
+    requests.acquireOverdraft(1);
     watches.call(
         address,
         HttpRequest.get(StoreCodec.watchPath(prefix, from, WATCH), WATCH_DEADLINE),
@@ -307,32 +317,32 @@
   }
 
   private <T> void call(
-      HttpRequest request, Urgency urgency, Parser<T> parser, Consumer<Answer<T>> then) {
+      HttpRequest request, Urgency urgency, Parser<T> parser, Consumer<ReadResult<T>> then) {
     if (urgency == Urgency.URGENT) {
-      requests.force(1);
-    } else if (!requests.take(1, urgency.reserve * requestRate)) {
-      loop.post(() -> then.accept(new Answer.Refused<>()));
+      requests.acquireOverdraft(1);
+    } else if (!requests.tryAcquire(1, urgency.reserve * requestRate)) {
+      loop.post(() -> then.accept(new ReadResult.Refused<>()));
       return;
     }
-    ask(request, reply -> then.accept(answer(reply, parser)));
+    send(request, reply -> then.accept(answer(reply, parser)));
   }
 
-  private static <T> Answer<T> answer(HttpResponse reply, Parser<T> parser) {
+  private static <T> ReadResult<T> answer(HttpResponse reply, Parser<T> parser) {
     return switch (reply.status()) {
       case 200 -> found(reply, parser);
       // Too long: more changes than this node takes in one answer, as if they were no longer kept.
-      case 404, 410, HttpResponse.TOO_LONG -> new Answer.Absent<>();
-      case 429, 503 -> new Answer.Refused<>();
-      default -> new Answer.Unknown<>();
+      case 404, 410, HttpResponse.TOO_LONG -> new ReadResult.Absent<>();
+      case 429, 503 -> new ReadResult.Refused<>();
+      default -> new ReadResult.Unknown<>();
     };
   }
 
-  private static <T> Answer<T> found(HttpResponse reply, Parser<T> parser) {
+  private static <T> ReadResult<T> found(HttpResponse reply, Parser<T> parser) {
     try {
-      return new Answer.Found<>(parser.parse(reply.body()));
+      return new ReadResult.Found<>(parser.parse(reply.body()));
     } catch (MalformedMessageException e) {
       LOG.warn("answer of the state service: {}", e.getMessage());
-      return new Answer.Unknown<>();
+      return new ReadResult.Unknown<>();
     }
   }
 }
--- a/src/main/java/org/mulleinshift/store/StoreKeys.java
+++ b/src/main/java/org/mulleinshift/store/StoreKeys.java
@@ -31,16 +31,16 @@
   public static final String NODES = "c/n/";
   public static final String GRANTS = "c/g/";
   public static final String SHARDS = "c/b/";
-  public static final String ACTIVE = "a/";
-  public static final String ENDED = "t/";
+  public static final String ACTIVE_JOBS = "a/";
+  public static final String ENDED_JOBS = "t/";
   public static final String PROGRESS = "p/";
-  public static final String LOG = "l/";
-  public static final String RENTALS = "r/";
-  public static final String AWAITED = "w/";
-  public static final String BUILDS = "c/v/";
+  public static final String PROGRESS_LOG = "l/";
+  public static final String PROVISIONING_REQUESTS = "r/";
+  public static final String DEPENDENCY_LISTS = "w/";
+  public static final String FEATURE_LEVELS = "c/v/";
 
   /** What a key of progress says. */
-  public record ProgressKey(JobId job, Chunk part) {}
+  public record ProgressKey(JobId job, Chunk chunk) {}
 
   private StoreKeys() {}
 
@@ -51,7 +51,7 @@
       return Optional.empty();
     }
     JobId job = new JobId(key.substring(PROGRESS.length(), slash));
-    return Chunk.read(key.substring(slash + 1)).map(part -> new ProgressKey(job, part));
+    return Chunk.parse(key.substring(slash + 1)).map(part -> new ProgressKey(job, part));
   }
 
   public static String node(NodeId node) {
@@ -66,39 +66,39 @@
     return SHARDS + shard;
   }
 
-  public static String active(JobId job) {
-    return ACTIVE + job;
+  public static String activeJob(JobId job) {
+    return ACTIVE_JOBS + job;
   }
 
-  public static String ended(JobId job) {
-    return ENDED + job;
+  public static String endedJob(JobId job) {
+    return ENDED_JOBS + job;
   }
 
   public static String progress(JobId job, Chunk part) {
     return PROGRESS + job + "/" + part;
   }
 
-  public static String segment(int number) {
-    return LOG + number;
+  public static String logSegment(int number) {
+    return PROGRESS_LOG + number;
   }
 
   /** None if it is not a key of this build. */
-  public static OptionalInt segmentNumber(String key) {
-    String number = key.substring(LOG.length());
+  public static OptionalInt logSegmentNumber(String key) {
+    String number = key.substring(PROGRESS_LOG.length());
     return number.matches("[0-9]{1,6}")
         ? OptionalInt.of(Integer.parseInt(number))
         : OptionalInt.empty();
   }
 
-  public static String awaited(JobId job, String digest, int list) {
-    return AWAITED + job + "/" + digest + "/" + list;
+  public static String dependencyList(JobId job, String digest, int list) {
+    return DEPENDENCY_LISTS + job + "/" + digest + "/" + list;
   }
 
-  public static String build(NodeId node) {
-    return BUILDS + node;
+  public static String featureLevel(NodeId node) {
+    return FEATURE_LEVELS + node;
   }
 
-  public static String rental(String name) {
-    return RENTALS + name;
+  public static String provisioningRequest(String name) {
+    return PROVISIONING_REQUESTS + name;
   }
 }
--- a/src/main/java/org/mulleinshift/store/TransactionBatcher.java
+++ b/src/main/java/org/mulleinshift/store/TransactionBatcher.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.Set;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StoreCodec.Guard;
-import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.Compare;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.protocol.StoreCodec.Write;
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.MonotonicTime;
@@ -44,26 +44,26 @@
    * A change that must be stored as a whole. Its writes are made when it is sent; none means that
    * the change is no longer wanted.
    */
-  public interface Unit {
+  public interface Mutation {
     List<Write> writes();
 
-    void committed(Revision revision);
+    void onCommitted(Revision revision);
 
     /** Whether something waits for it to be stored; else it lets such units pass for a while. */
-    default boolean pressing() {
+    default boolean urgent() {
       return true;
     }
 
     /** Whether it goes before all others while something waits for it: few changes for many. */
-    default boolean first() {
+    default boolean takesPrecedence() {
       return false;
     }
 
     /** The service will never take the unit in the form that it had; it may be asked for anew. */
-    default void unfit() {}
+    default void onRejected() {}
 
     /** A key's current form after a conflict; the unit may adapt or give up. */
-    default void reread(String key, java.util.Optional<Item> item) {}
+    default void onReread(String key, java.util.Optional<KeyValue> item) {}
   }
 
   private final EventLoop loop;
@@ -72,12 +72,12 @@
   private final int maxOps;
   private final Duration spacing;
   private final Runnable onLost;
-  private final Map<String, Revision> versions = new HashMap<>();
-  private final Map<String, Unit> dirty = new LinkedHashMap<>();
-  private final Map<String, Unit> idle = new LinkedHashMap<>();
-  private final Map<String, MonotonicTime> askedAt = new HashMap<>();
-  private final Set<String> unfit = new HashSet<>();
-  private int alone;
+  private final Map<String, Revision> revisions = new HashMap<>();
+  private final Map<String, Mutation> pending = new LinkedHashMap<>();
+  private final Map<String, Mutation> whenIdle = new LinkedHashMap<>();
+  private final Map<String, MonotonicTime> submittedAt = new HashMap<>();
+  private final Set<String> rejected = new HashSet<>();
+  private int remainingSingles;
   private State state = State.IDLE;
   private boolean flushPlanned;
   private MonotonicTime sentAt;
@@ -110,13 +110,13 @@
    * Calls back if the term stands at a moment after this call: for acts that no guard of the store
    * covers. By the clock alone it may seem to stand after its lease was ended early.
    */
-  public void ifTermStands(Runnable then, Runnable otherwise) {
+  public void ifStillLeader(Runnable then, Runnable otherwise) {
     store.commit(
-        List.of(new Guard(StoreKeys.LEADER, term)),
+        List.of(new Compare(StoreKeys.LEADER, term)),
         List.of(),
         KeyValueStore.Urgency.PROMPT,
         outcome -> {
-          if (outcome instanceof KeyValueStore.Outcome.Committed && state != State.CLOSED) {
+          if (outcome instanceof KeyValueStore.CommitResult.Committed && state != State.CLOSED) {
             then.run();
           } else {
             otherwise.run();
@@ -124,41 +124,41 @@
         });
   }
 
-  public void known(String key, Revision version) {
-    versions.put(key, version);
+  public void recordRevision(String key, Revision version) {
+    revisions.put(key, version);
   }
 
-  public boolean knows(String key) {
-    return versions.containsKey(key);
+  public boolean hasRevision(String key) {
+    return revisions.containsKey(key);
   }
 
-  public void forgotten(String key) {
-    versions.remove(key);
+  public void forgetRevision(String key) {
+    revisions.remove(key);
   }
 
   /** Asks for a unit to be stored; one of the same name that is not yet on its way is replaced. */
-  public void submit(String name, Unit unit) {
+  public void submit(String name, Mutation unit) {
     if (state == State.CLOSED) {
       return;
     }
-    dirty.put(name, unit);
-    askedAt.putIfAbsent(name, loop.now());
+    pending.put(name, unit);
+    submittedAt.putIfAbsent(name, loop.now());
     planFlush(Duration.ZERO);
   }
 
   /** Asks for a unit to be stored when nothing else waits and the rate leaves room. */
-  public void submitIdle(String name, Unit unit) {
+  public void submitWhenIdle(String name, Mutation unit) {
     if (state != State.CLOSED) {
-      idle.put(name, unit);
+      whenIdle.put(name, unit);
       planFlush(Duration.ZERO);
     }
   }
 
   public void close() {
     transitionTo(State.CLOSED);
-    dirty.clear();
-    idle.clear();
-    askedAt.clear();
+    pending.clear();
+    whenIdle.clear();
+    submittedAt.clear();
   }
 
   /** The only place where the journal's state changes; closed is final. */
@@ -194,25 +194,27 @@
       return;
     }
     KeyValueStore.Urgency urgency = KeyValueStore.Urgency.NORMAL;
-    Map<String, Unit> source = dirty;
-    if (dirty.isEmpty()) {
+    Map<String, Mutation> source = pending;
+    if (pending.isEmpty()) {
       urgency = KeyValueStore.Urgency.LOW;
-      source = idle;
+      source = whenIdle;
     }
-    Map<String, Unit> taken = new LinkedHashMap<>();
+    Map<String, Mutation> taken = new LinkedHashMap<>();
     List<Write> writes = new ArrayList<>();
     int bytes = 0;
-    for (String name : turns(source)) {
-      Unit unit = source.get(name);
+    for (String name : inOrder(source)) {
+      Mutation unit = source.get(name);
       List<Write> unitWrites = unit.writes();
       if (unitWrites.isEmpty()) {
         source.remove(name);
-        askedAt.remove(name);
+        submittedAt.remove(name);
         continue;
       }
-      int size = unitWrites.stream().mapToInt(TransactionBatcher::roughSize).sum();
+      int size = unitWrites.stream().mapToInt(TransactionBatcher::estimatedSize).sum();
       boolean full =
-          alone > 0 || writes.size() + unitWrites.size() > maxOps || bytes + size > 48_000;
+          remainingSingles > 0
+              || writes.size() + unitWrites.size() > maxOps
+              || bytes + size > 48_000;
       if (!writes.isEmpty() && full) {
         break;
       }
@@ -224,25 +226,25 @@
     if (writes.isEmpty()) {
       return;
     }
-    alone = Math.max(0, alone - 1);
+    remainingSingles = Math.max(0, remainingSingles - 1);
     sentAt = loop.now();
     transitionTo(State.COMMITTING);
-    Map<String, Unit> from = source;
+    Map<String, Mutation> from = source;
     store.commit(
-        guards(writes), writes, urgency, outcome -> finished(from, taken, writes, outcome));
+        guards(writes), writes, urgency, outcome -> onResult(from, taken, writes, outcome));
   }
 
   /** Where writes are scarce, what nobody waits for lets the rest pass, but not for ever. */
-  private List<String> turns(Map<String, Unit> source) {
+  private List<String> inOrder(Map<String, Mutation> source) {
     List<String> order = new ArrayList<>();
     List<String> first = new ArrayList<>();
     List<String> later = new ArrayList<>();
     MonotonicTime late = loop.now().minus(PATIENCE);
     source.forEach(
         (name, unit) -> {
-          MonotonicTime since = askedAt.get(name);
-          boolean soon = unit.pressing() || since == null || late.isAfter(since);
-          boolean ahead = unit.first() && unit.pressing();
+          MonotonicTime since = submittedAt.get(name);
+          boolean soon = unit.urgent() || since == null || late.isAfter(since);
+          boolean ahead = unit.takesPrecedence() && unit.urgent();
           (ahead ? order : soon ? first : later).add(name);
         });
     order.addAll(first);
@@ -254,72 +256,74 @@
    * The service will never take this transaction. Whose fault that is shows when each unit is sent
    * alone; what is refused alone holds up only itself, until it is asked for anew.
    */
-  private void refusedForGood(Map<String, Unit> from, Map<String, Unit> taken, String why) {
+  private void onRejected(Map<String, Mutation> from, Map<String, Mutation> taken, String why) {
     transitionTo(State.IDLE);
     if (taken.size() > 1) {
-      alone = taken.size();
+      remainingSingles = taken.size();
       restore(from, taken);
     } else {
       String name = taken.keySet().iterator().next();
-      askedAt.remove(name);
-      if (unfit.size() < MAX_NAMED && unfit.add(name)) {
+      submittedAt.remove(name);
+      if (rejected.size() < MAX_NAMED && rejected.add(name)) {
         LOG.error("{} can't be stored: {}", name, why);
       }
-      taken.get(name).unfit();
+      taken.get(name).onRejected();
     }
     planFlush(RETRY);
   }
 
   /** Units that were asked for anew meanwhile stay as they are: they are newer. */
-  private static void restore(Map<String, Unit> from, Map<String, Unit> taken) {
-    Map<String, Unit> newer = new LinkedHashMap<>(from);
+  private static void restore(Map<String, Mutation> from, Map<String, Mutation> taken) {
+    Map<String, Mutation> newer = new LinkedHashMap<>(from);
     from.clear();
     from.putAll(taken);
     from.putAll(newer);
   }
 
-  private static int roughSize(Write write) {
+  private static int estimatedSize(Write write) {
     return 200 + write.key().length() + write.value().map(String::length).orElse(0);
   }
 
-  private List<Guard> guards(List<Write> writes) {
-    List<Guard> guards = new ArrayList<>();
-    guards.add(new Guard(StoreKeys.LEADER, term));
+  private List<Compare> guards(List<Write> writes) {
+    List<Compare> guards = new ArrayList<>();
+    guards.add(new Compare(StoreKeys.LEADER, term));
     Set<String> keys = new LinkedHashSet<>();
     writes.forEach(write -> keys.add(write.key()));
-    keys.forEach(key -> guards.add(new Guard(key, versions.getOrDefault(key, new Revision(0)))));
+    keys.forEach(key -> guards.add(new Compare(key, revisions.getOrDefault(key, new Revision(0)))));
     return guards;
   }
 
-  private void finished(
-      Map<String, Unit> from,
-      Map<String, Unit> taken,
+  private void onResult(
+      Map<String, Mutation> from,
+      Map<String, Mutation> taken,
       List<Write> writes,
-      KeyValueStore.Outcome outcome) {
+      KeyValueStore.CommitResult outcome) {
     if (state == State.CLOSED) {
       return;
     }
-    if (outcome instanceof KeyValueStore.Outcome.Committed committed) {
+    if (outcome instanceof KeyValueStore.CommitResult.Committed committed) {
       for (Write write : writes) {
         if (write.value().isPresent()) {
-          versions.put(write.key(), committed.revision());
+          revisions.put(write.key(), committed.revision());
         } else {
-          versions.remove(write.key());
+          revisions.remove(write.key());
         }
       }
       transitionTo(State.IDLE);
-      taken.keySet().stream().filter(name -> !dirty.containsKey(name)).forEach(askedAt::remove);
-      taken.values().forEach(unit -> unit.committed(committed.revision()));
+      taken.keySet().stream()
+          .filter(name -> !pending.containsKey(name))
+          .forEach(submittedAt::remove);
+      taken.values().forEach(unit -> unit.onCommitted(committed.revision()));
       planFlush(Duration.ZERO);
       return;
     }
-    if (outcome instanceof KeyValueStore.Outcome.Unfit refusal) {
-      refusedForGood(from, taken, refusal.why());
+    if (outcome instanceof KeyValueStore.CommitResult.Rejected refusal) {
+      onRejected(from, taken, refusal.reason());
       return;
     }
     restore(from, taken);
-    if (outcome instanceof KeyValueStore.Outcome.Refused
-        || outcome instanceof KeyValueStore.Outcome.Busy) {
+    if (outcome instanceof KeyValueStore.CommitResult.Refused
+        || outcome instanceof KeyValueStore.CommitResult.Busy) {
       transitionTo(State.IDLE);
       planFlush(RETRY);
       return;
@@ -333,7 +337,7 @@
   }
 
   /** After a conflict or silence nothing is known of the keys: read each before writing again. */
-  private void reread(List<String> keys, Map<String, Unit> taken) {
+  private void reread(List<String> keys, Map<String, Mutation> taken) {
     if (state == State.CLOSED) {
       return;
     }
@@ -350,20 +354,22 @@
           if (state == State.CLOSED) {
             return;
           }
-          if (answer instanceof KeyValueStore.Answer.Found<Item> found) {
-            if (key.equals(StoreKeys.LEADER) && !found.value().version().equals(term)) {
+          if (answer instanceof KeyValueStore.ReadResult.Found<KeyValue> found) {
+            if (key.equals(StoreKeys.LEADER) && !found.value().revision().equals(term)) {
               onLost.run();
               return;
             }
-            versions.put(key, found.value().version());
-            taken.values().forEach(unit -> unit.reread(key, java.util.Optional.of(found.value())));
-          } else if (answer instanceof KeyValueStore.Answer.Absent<Item>) {
+            revisions.put(key, found.value().revision());
+            taken
+                .values()
+                .forEach(unit -> unit.onReread(key, java.util.Optional.of(found.value())));
+          } else if (answer instanceof KeyValueStore.ReadResult.Absent<KeyValue>) {
             if (key.equals(StoreKeys.LEADER)) {
               onLost.run();
               return;
             }
-            versions.remove(key);
-            taken.values().forEach(unit -> unit.reread(key, java.util.Optional.empty()));
+            revisions.remove(key);
+            taken.values().forEach(unit -> unit.onReread(key, java.util.Optional.empty()));
           } else {
             loop.after(RETRY, () -> reread(keys, taken));
             return;
--- a/src/main/java/org/mulleinshift/store/WatchCache.java
+++ b/src/main/java/org/mulleinshift/store/WatchCache.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.StoreCodec;
-import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.MonotonicTime;
 
@@ -27,10 +27,10 @@
 
   /** Hears of every change, in order. An empty value: the key is gone. */
   public interface Listener {
-    void changed(String key, Optional<Item> item);
+    void onChange(String key, Optional<KeyValue> item);
 
     /** All changes known so far were told. */
-    void settled(Revision revision);
+    void onCaughtUp(Revision revision);
   }
 
   private static final Duration PAUSE = Duration.ofMillis(400);
@@ -40,12 +40,12 @@
   private final String prefix;
   private final Duration spacing;
   private final Listener listener;
-  private final Map<String, Revision> versions = new HashMap<>();
-  private List<Consumer<Boolean>> unproven = new ArrayList<>();
-  private MonotonicTime provenAt;
-  private Optional<MonotonicTime> knownAsOf = Optional.empty();
-  private boolean proving;
-  private boolean promptly;
+  private final Map<String, Revision> revisions = new HashMap<>();
+  private List<Consumer<Boolean>> awaitingConfirmation = new ArrayList<>();
+  private MonotonicTime confirmedAt;
+  private Optional<MonotonicTime> currentAsOf = Optional.empty();
+  private boolean confirming;
+  private boolean urgently;
   private boolean complete;
   private boolean reading;
   private State state = State.IDLE;
@@ -59,7 +59,7 @@
     this.prefix = prefix;
     this.spacing = spacing;
     this.listener = listener;
-    this.provenAt = loop.now().minus(spacing);
+    this.confirmedAt = loop.now().minus(spacing);
   }
 
   public void start() {
@@ -69,30 +69,30 @@
   /** Reads everything again, a page at a time; what an open watch still brings is ignored. */
   public void read() {
     reading = true;
-    readPage(Optional.empty(), Optional.empty(), new HashSet<>(versions.keySet()));
+    readPage(Optional.empty(), Optional.empty(), new HashSet<>(revisions.keySet()));
   }
 
   /** From where a watch misses nothing, and when the reading that shows that was asked for. */
-  private record First(Revision revision, MonotonicTime asked) {}
+  private record ReadStart(Revision revision, MonotonicTime requestedAt) {}
 
-  private void readPage(Optional<String> after, Optional<First> first, Set<String> unseen) {
+  private void readPage(Optional<String> after, Optional<ReadStart> first, Set<String> unseen) {
     long mine = enter(State.READING);
     MonotonicTime asked = loop.now();
-    store.page(
+    store.readPage(
         prefix,
         after,
         answer -> {
           if (mine != round) {
             return;
           }
-          if (!(answer instanceof KeyValueStore.Answer.Found<StoreCodec.Range> found)) {
+          if (!(answer instanceof KeyValueStore.ReadResult.Found<StoreCodec.Range> found)) {
             pause(() -> readPage(after, first, unseen));
             return;
           }
           StoreCodec.Range page = found.value();
           take(page.items(), unseen);
           // The oldest page's revision: a watch from there misses nothing.
-          First from = first.orElse(new First(page.revision(), asked));
+          ReadStart from = first.orElse(new ReadStart(page.revision(), asked));
           if (page.next().isPresent()) {
             readPage(page.next(), Optional.of(from), unseen);
           } else {
@@ -103,25 +103,25 @@
   }
 
   /** What is parsed is handed on at once, so that no more than a page is held. */
-  private void take(List<Item> items, Set<String> unseen) {
-    for (Item item : items) {
+  private void take(List<KeyValue> items, Set<String> unseen) {
+    for (KeyValue item : items) {
       unseen.remove(item.key());
-      if (!item.version().equals(versions.put(item.key(), item.version()))) {
-        listener.changed(item.key(), Optional.of(item));
+      if (!item.revision().equals(revisions.put(item.key(), item.revision()))) {
+        listener.onChange(item.key(), Optional.of(item));
       }
     }
   }
 
-  private void readToEnd(First from, Set<String> gone) {
+  private void readToEnd(ReadStart from, Set<String> gone) {
     for (String key : gone) {
-      versions.remove(key);
-      listener.changed(key, Optional.empty());
+      revisions.remove(key);
+      listener.onChange(key, Optional.empty());
     }
     revision = from.revision();
-    known(from.asked());
+    advanceCurrentAsOf(from.requestedAt());
     reading = false;
     complete = true;
-    listener.settled(revision);
+    listener.onCaughtUp(revision);
   }
 
   /**
@@ -129,69 +129,70 @@
    * now. A watch does not prove it, its news may be held back. Whoever asks before a proof is sent
    * shares it, so that many questions cost one request.
    */
-  public void prove(Consumer<Boolean> then) {
-    unproven.add(then);
-    proveSoon();
+  public void confirmCurrent(Consumer<Boolean> then) {
+    awaitingConfirmation.add(then);
+    scheduleConfirmation();
   }
 
   /** The same for one who can't wait for room at the state service's rate; tells the listener. */
-  public void provePromptly() {
-    promptly = true;
-    prove(known -> {});
+  public void confirmCurrentUrgently() {
+    urgently = true;
+    confirmCurrent(known -> {});
   }
 
-  private void known(MonotonicTime asked) {
-    knownAsOf = Optional.of(knownAsOf.filter(known -> known.isAfter(asked)).orElse(asked));
+  private void advanceCurrentAsOf(MonotonicTime asked) {
+    currentAsOf = Optional.of(currentAsOf.filter(known -> known.isAfter(asked)).orElse(asked));
   }
 
   /**
    * Every change stored before this moment was told to the listener: it is when a question was sent
    * that was answered since. None before all keys were read.
    */
-  public Optional<MonotonicTime> knownAsOf() {
-    return knownAsOf;
+  public Optional<MonotonicTime> currentAsOf() {
+    return currentAsOf;
   }
 
-  private void proveSoon() {
-    if (proving || unproven.isEmpty()) {
+  private void scheduleConfirmation() {
+    if (confirming || awaitingConfirmation.isEmpty()) {
       return;
     }
-    proving = true;
-    Duration since = loop.now().since(provenAt);
+    confirming = true;
+    Duration since = loop.now().since(confirmedAt);
     loop.after(
-        since.compareTo(spacing) >= 0 ? Duration.ZERO : spacing.minus(since), this::sendProof);
+        since.compareTo(spacing) >= 0 ? Duration.ZERO : spacing.minus(since),
+        this::sendConfirmation);
   }
 
-  private void sendProof() {
-    List<Consumer<Boolean>> asking = unproven;
-    unproven = new ArrayList<>();
+  private void sendConfirmation() {
+    List<Consumer<Boolean>> asking = awaitingConfirmation;
+    awaitingConfirmation = new ArrayList<>();
     MonotonicTime asked = loop.now();
-    provenAt = asked;
+    confirmedAt = asked;
     KeyValueStore.Urgency urgency =
-        promptly ? KeyValueStore.Urgency.URGENT : KeyValueStore.Urgency.NORMAL;
-    promptly = false;
+        urgently ? KeyValueStore.Urgency.URGENT : KeyValueStore.Urgency.NORMAL;
+    urgently = false;
     if (!complete) {
-      proven(asking, false);
+      onConfirmation(asking, false);
       return;
     }
-    store.changes(
+    store.readChanges(
         prefix,
         revision,
         urgency,
         answer -> {
           boolean found =
-              !reading && answer instanceof KeyValueStore.Answer.Found<StoreCodec.Changes>;
+              !reading && answer instanceof KeyValueStore.ReadResult.Found<StoreCodec.Changes>;
           if (found) {
-            apply(((KeyValueStore.Answer.Found<StoreCodec.Changes>) answer).value(), asked);
+            apply(((KeyValueStore.ReadResult.Found<StoreCodec.Changes>) answer).value(), asked);
           }
-          proven(asking, found);
+          onConfirmation(asking, found);
         });
   }
 
-  private void proven(List<Consumer<Boolean>> asking, boolean known) {
+  private void onConfirmation(List<Consumer<Boolean>> asking, boolean known) {
     asking.forEach(then -> then.accept(known));
-    proving = false;
-    proveSoon();
+    confirming = false;
+    scheduleConfirmation();
   }
 
   private long enter(State next) {
@@ -225,10 +226,10 @@
           if (mine != round) {
             return;
           }
-          if (answer instanceof KeyValueStore.Answer.Found<StoreCodec.Changes> found) {
+          if (answer instanceof KeyValueStore.ReadResult.Found<StoreCodec.Changes> found) {
             apply(found.value(), opened);
             watchAgain(opened);
-          } else if (answer instanceof KeyValueStore.Answer.Absent<StoreCodec.Changes>) {
+          } else if (answer instanceof KeyValueStore.ReadResult.Absent<StoreCodec.Changes>) {
             // 410: the service no longer keeps the changes since our revision.
             read();
           } else {
@@ -262,7 +263,7 @@
   /**
    * Changes since {@link #revision()} that came another way; false if they can't be taken now.
    *
-   * @param asked when they were asked for
+   * @param requestedAt when they were asked for
    */
   public boolean take(StoreCodec.Changes seen, MonotonicTime asked) {
     if (!complete || reading) {
@@ -276,23 +277,23 @@
     for (StoreCodec.Change change : seen.changes()) {
       // Answers to watches and proofs cross: what lies before our revision was told already, and a
       // key that is gone since must not come back by it.
-      Revision known = versions.getOrDefault(change.key(), revision);
-      if (known.compareTo(change.version()) >= 0 || revision.compareTo(change.version()) >= 0) {
+      Revision known = revisions.getOrDefault(change.key(), revision);
+      if (known.compareTo(change.revision()) >= 0 || revision.compareTo(change.revision()) >= 0) {
         continue;
       }
       if (change.value().isPresent()) {
-        versions.put(change.key(), change.version());
-        listener.changed(
+        revisions.put(change.key(), change.revision());
+        listener.onChange(
             change.key(),
-            Optional.of(new Item(change.key(), change.value().get(), change.version())));
-      } else if (versions.remove(change.key()) != null) {
-        listener.changed(change.key(), Optional.empty());
+            Optional.of(new KeyValue(change.key(), change.value().get(), change.revision())));
+      } else if (revisions.remove(change.key()) != null) {
+        listener.onChange(change.key(), Optional.empty());
       }
     }
     if (seen.revision().compareTo(revision) > 0) {
       revision = seen.revision();
     }
-    known(asked);
-    listener.settled(revision);
+    advanceCurrentAsOf(asked);
+    listener.onCaughtUp(revision);
   }
 }
--- a/src/main/java/org/mulleinshift/transport/EventLoop.java
+++ b/src/main/java/org/mulleinshift/transport/EventLoop.java
@@ -23,7 +23,7 @@
    * Calls the listener before anything else once the process has stood still for seconds while the
    * clocks ran on.
    */
-  void onStandstill(Consumer<Duration> listener);
+  void onProcessPause(Consumer<Duration> listener);
 
   /** A timer that can be called off. */
   interface Timer {
--- a/src/main/java/org/mulleinshift/transport/HttpResponse.java
+++ b/src/main/java/org/mulleinshift/transport/HttpResponse.java
@@ -2,7 +2,7 @@
 
 /** An answer, or the lack of one: then it is unknown whether the request was carried out. */
 public record HttpResponse(int status, String body) {
-  public static final HttpResponse NONE = new HttpResponse(0, "");
+  public static final HttpResponse NO_RESPONSE = new HttpResponse(0, "");
 
   /** Stands for the status of an answer that was longer than {@link #MAX_BODY}. */
   public static final int TOO_LONG = -1;
--- a/src/main/java/org/mulleinshift/transport/InFlightBytesLimiter.java
+++ b/src/main/java/org/mulleinshift/transport/InFlightBytesLimiter.java
@@ -12,7 +12,7 @@
   }
 
   /** Takes so many bytes, or none of them. One that is larger than the budget passes alone. */
-  boolean take(int bytes) {
+  boolean tryAcquire(int bytes) {
     long before = taken.getAndAdd(bytes);
     if (before > 0 && before + bytes > most) {
       taken.addAndGet(-bytes);
@@ -21,7 +21,7 @@
     return true;
   }
 
-  void give(int bytes) {
+  void release(int bytes) {
     taken.addAndGet(-bytes);
   }
 }
--- a/src/main/java/org/mulleinshift/transport/JdkAsyncHttpClient.java
+++ b/src/main/java/org/mulleinshift/transport/JdkAsyncHttpClient.java
@@ -50,11 +50,13 @@
           () -> {
             // A call that waited past its deadline is not sent: its caller has moved on.
             HttpResponse result =
-                System.nanoTime() - givenUpAt > 0 ? HttpResponse.NONE : exchange(target, request);
+                System.nanoTime() - givenUpAt > 0
+                    ? HttpResponse.NO_RESPONSE
+                    : exchange(target, request);
             loop.post(() -> reply.accept(result));
           });
     } catch (RejectedExecutionException e) {
-      loop.post(() -> reply.accept(HttpResponse.NONE));
+      loop.post(() -> reply.accept(HttpResponse.NO_RESPONSE));
     }
   }
 
@@ -80,7 +82,7 @@
       }
       int status = connection.getResponseCode();
       if (status < 0) {
-        return HttpResponse.NONE;
+        return HttpResponse.NO_RESPONSE;
       }
       String body = readBody(connection, status);
       if (body.length() > HttpResponse.MAX_BODY) {
@@ -93,7 +95,7 @@
       if (connection != null) {
         connection.disconnect();
       }
-      return HttpResponse.NONE;
+      return HttpResponse.NO_RESPONSE;
     }
   }
 
--- a/src/main/java/org/mulleinshift/transport/JdkHttpServer.java
+++ b/src/main/java/org/mulleinshift/transport/JdkHttpServer.java
@@ -111,7 +111,7 @@
     Responder responder = new ExchangeResponder(exchange);
     // Reports have a budget of their own: however much users send, workers are heard.
     InFlightBytesLimiter budget = report ? reportBodies : userBodies;
-    if (!budget.take(body.length)) {
+    if (!budget.tryAcquire(body.length)) {
       responder.respondLater(503, "{\"error\":\"try again\"}", 1);
       return;
     }
@@ -119,7 +119,7 @@
     int length = body.length;
     loop.post(
         () -> {
-          budget.give(length);
+          budget.release(length);
           try {
             handler.handle(method, path, text, responder);
           } catch (RuntimeException e) {
--- a/src/main/java/org/mulleinshift/transport/MonotonicTime.java
+++ b/src/main/java/org/mulleinshift/transport/MonotonicTime.java
@@ -28,7 +28,7 @@
     return nanos - other.nanos > 0;
   }
 
-  public MonotonicTime earlier(MonotonicTime other) {
+  public MonotonicTime earlierOf(MonotonicTime other) {
     return isAfter(other) ? other : this;
   }
 
--- a/src/main/java/org/mulleinshift/transport/RateLimiter.java
+++ b/src/main/java/org/mulleinshift/transport/RateLimiter.java
@@ -19,7 +19,7 @@
   }
 
   /** From now on the share is another one. */
-  public void rate(double next) {
+  public void setRate(double next) {
     refill();
     perSecond = next;
     burst = Math.max(1, next);
@@ -30,7 +30,7 @@
    * Takes from the budget if that leaves the reserve untouched. What is more than the budget ever
    * holds is let through when it is full, and borrows: else it would wait for ever.
    */
-  public boolean take(double amount, double reserve) {
+  public boolean tryAcquire(double amount, double reserve) {
     refill();
     if (tokens < Math.min(amount + reserve, burst)) {
       return false;
@@ -40,7 +40,7 @@
   }
 
   /** For calls that may not wait: they borrow from what comes later. */
-  public void force(double amount) {
+  public void acquireOverdraft(double amount) {
     refill();
     tokens -= amount;
   }
--- a/src/main/java/org/mulleinshift/transport/ThreadEventLoop.java
+++ b/src/main/java/org/mulleinshift/transport/ThreadEventLoop.java
@@ -16,7 +16,7 @@
 public final class ThreadEventLoop implements EventLoop {
   private static final long MAX_MICROS = 60_000_000;
   private static final long DESCRIBE_NANOS = 60_000_000_000L;
-  private static final Duration STANDSTILL = Duration.ofSeconds(2);
+  private static final Duration PAUSE_THRESHOLD = Duration.ofSeconds(2);
   private static final Logger LOG = LoggerFactory.getLogger(ThreadEventLoop.class);
 
   private final LinkedBlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
@@ -40,7 +40,7 @@
   }
 
   @Override
-  public void onStandstill(Consumer<Duration> listener) {
+  public void onProcessPause(Consumer<Duration> listener) {
     onStandstill = listener;
   }
 
@@ -64,7 +64,7 @@
     List<Runnable> batch = new ArrayList<>();
     MonotonicTime turnedAt = now();
     while (true) {
-      turnedAt = noticeStandstill(turnedAt);
+      turnedAt = detectProcessPause(turnedAt);
       runDueTimers();
       Runnable first = awaitStep();
       if (first != null) {
@@ -77,10 +77,10 @@
   }
 
   /** There are timers all the time, so a turn never takes this long unless the process stood. */
-  private MonotonicTime noticeStandstill(MonotonicTime turnedAt) {
+  private MonotonicTime detectProcessPause(MonotonicTime turnedAt) {
     MonotonicTime now = now();
     Duration gap = now.since(turnedAt);
-    if (gap.compareTo(STANDSTILL) > 0) {
+    if (gap.compareTo(PAUSE_THRESHOLD) > 0) {
       runGuarded(() -> onStandstill.accept(gap));
     }
     return now;
--- a/src/test/java/org/mulleinshift/CommandLineTest.java
+++ b/src/test/java/org/mulleinshift/CommandLineTest.java
@@ -99,14 +99,14 @@
             "next.toml",
             text.replace(
                 "txn_ops = 12", "txn_ops = 12\nnext = { value_kb = 2.0, write_rps = 25.0 }"));
-    PlatformSettings.State state = PlatformSettingsReader.read(file).cluster().state();
+    PlatformSettings.StoreLimits state = PlatformSettingsReader.read(file).cluster().store();
     assertEquals(2048, state.minValueBytes());
-    assertEquals(12, state.minTxnOps());
-    assertEquals(0.25, state.writesLeft());
-    assertEquals(1, state.requestsLeft());
-    PlatformSettings.State plain = PlatformSettingsReader.read(GOOD).cluster().state();
+    assertEquals(12, state.minTransactionOperations());
+    assertEquals(0.25, state.writesShareAfterReduction());
+    assertEquals(1, state.requestsShareAfterReduction());
+    PlatformSettings.StoreLimits plain = PlatformSettingsReader.read(GOOD).cluster().store();
     assertEquals(8192, plain.minValueBytes());
-    assertEquals(1, plain.writesLeft());
+    assertEquals(1, plain.writesShareAfterReduction());
   }
 
   @Test
--- a/src/test/java/org/mulleinshift/MemoryLimitsTest.java
+++ b/src/test/java/org/mulleinshift/MemoryLimitsTest.java
@@ -71,7 +71,7 @@
     }
 
     @Override
-    public void onStandstill(Consumer<Duration> listener) {
+    public void onProcessPause(Consumer<Duration> listener) {
       throw new UnsupportedOperationException();
     }
   }
@@ -124,7 +124,9 @@
         (method, path, body, responder) -> {
           try {
             int tasks =
-                path.equals(WorkerCodec.CHECKIN) ? WorkerCodec.parseReport(body).tasks().size() : 0;
+                path.equals(WorkerCodec.CHECKIN)
+                    ? WorkerCodec.parseHeartbeat(body).tasks().size()
+                    : 0;
             responder.respond(200, "{\"tasks\":" + tasks + "}");
           } catch (MalformedMessageException e) {
             responder.respond(400, "{}");
--- a/src/test/java/org/mulleinshift/fairness/MinimumSharesTest.java
+++ b/src/test/java/org/mulleinshift/fairness/MinimumSharesTest.java
@@ -149,7 +149,7 @@
       double use = used[i] / (double) SLOTS;
       parties.add(
           new ShareEntity(
-              party.name(), party.weight(), use, Math.max(use, party.demand()), party.reach()));
+              party.name(), party.weight(), use, Math.max(use, party.demand()), party.reachable()));
     }
     return parties;
   }
--- a/src/test/java/org/mulleinshift/membership/IndirectLeaseRenewalTest.java
+++ b/src/test/java/org/mulleinshift/membership/IndirectLeaseRenewalTest.java
@@ -74,10 +74,18 @@
           });
   private final ControllerSession session =
       new ControllerSession(
-          loop, store, SELF, LEASE, Duration.ofSeconds(2), () -> jobs().provePromptly(), () -> {});
+          loop,
+          store,
+          SELF,
+          LEASE,
+          Duration.ofSeconds(2),
+          () -> jobs().confirmCurrentUrgently(),
+          () -> {});
   private final WatchCache control = follow(StoreKeys.CONTROL, () -> {});
   private final WatchCache jobs =
-      follow(StoreKeys.ACTIVE, () -> jobs().knownAsOf().ifPresent(session::cancellationsKnown));
+      follow(
+          StoreKeys.ACTIVE_JOBS,
+          () -> jobs().currentAsOf().ifPresent(session::onCancellationsKnown));
   private final IndirectLeaseRenewal proofs =
       new IndirectLeaseRenewal(
           loop,
@@ -97,14 +105,14 @@
         Duration.ofMillis(40),
         new WatchCache.Listener() {
           @Override
-          public void changed(String key, Optional<StoreCodec.Item> item) {
+          public void onChange(String key, Optional<StoreCodec.KeyValue> item) {
             if (prefix.equals(StoreKeys.CONTROL)) {
               view.apply(key, item);
             }
           }
 
           @Override
-          public void settled(Revision revision) {
+          public void onCaughtUp(Revision revision) {
             settled.run();
           }
         });
@@ -116,7 +124,9 @@
 
   private void peerSpeaks() {
     loop.post(
-        () -> links.beat(PEER, new Heartbeat(1L, 0L, false, "WELL", "", 0L, "", false, List.of())));
+        () ->
+            links.onHeartbeat(
+                PEER, new Heartbeat(1L, 0L, false, "WELL", "", 0L, "", false, List.of())));
   }
 
   /** The state service until it is cut off; watches never answer. */
@@ -132,20 +142,20 @@
     boolean waits = path.startsWith("/changes") && !path.endsWith("hold_ms=0");
     boolean heldBack = newsHeldBack && path.startsWith("/changes");
     if (cut || heldBack) {
-      loop.after(request.deadline(), () -> reply.accept(HttpResponse.NONE));
+      loop.after(request.deadline(), () -> reply.accept(HttpResponse.NO_RESPONSE));
     } else if (!waits) {
       loop.post(() -> reply.accept(new HttpResponse(known ? 200 : 404, body)));
     }
   }
 
   private void served() {
-    store.tell(link);
+    store.observe(link);
     link.start();
     session.start();
     control.start();
     jobs.start();
     loop.runFor(1);
-    assertEquals(ControllerSession.State.HELD, session.state());
+    assertEquals(ControllerSession.State.ACTIVE, session.state());
   }
 
   private LeaseRenewalRequest cutOffAndAsked() {
@@ -183,36 +193,36 @@
     LeaseRenewalRequest asked = cutOffAndAsked();
     MonotonicTime askedBy = loop.now();
     loop.runFor(0.4);
-    proofs.onAnswer(PEER, answerTo(asked));
-    proofs.onAnswer(PEER, nothingCancelled(second()));
-    assertTrue(session.entitled(SHARD, GRANT));
+    proofs.onResponse(PEER, answerTo(asked));
+    proofs.onResponse(PEER, nothingCancelled(second()));
+    assertTrue(session.mayActFor(SHARD, GRANT));
     loop.runFor(LEASE.toMillis() / 1000.0 - 0.4 - 0.3);
     assertTrue(loop.now().since(askedBy).compareTo(LEASE) < 0);
     loop.runFor(0.3);
-    assertFalse(session.entitled(SHARD, GRANT), "a lease after the question, not the answer");
+    assertFalse(session.mayActFor(SHARD, GRANT), "a lease after the question, not the answer");
   }
 
   @Test
   void lateAnswerEntitlesToNothing() {
     LeaseRenewalRequest asked = cutOffAndAsked();
     loop.runFor(12);
-    proofs.onAnswer(PEER, answerTo(asked));
-    proofs.onAnswer(PEER, nothingCancelled(second()));
-    assertFalse(session.entitled(SHARD, GRANT));
+    proofs.onResponse(PEER, answerTo(asked));
+    proofs.onResponse(PEER, nothingCancelled(second()));
+    assertFalse(session.mayActFor(SHARD, GRANT));
   }
 
   @Test
   void leaseFoundOverEndsEverything() {
     LeaseRenewalRequest asked = cutOffAndAsked();
-    proofs.onAnswer(PEER, answerTo(asked));
-    assertTrue(session.entitled(SHARD, GRANT));
+    proofs.onResponse(PEER, answerTo(asked));
+    assertTrue(session.mayActFor(SHARD, GRANT));
     peerSpeaks();
     loop.runFor(1.2);
     LeaseRenewalRequest next = (LeaseRenewalRequest) sent.get(sent.size() - 2);
-    proofs.onAnswer(
+    proofs.onResponse(
         PEER, new LeaseRenewalResponse(next.getId(), next.getLease(), true, true, 0L, List.of()));
-    assertFalse(session.entitled(SHARD, GRANT));
-    assertEquals(Optional.empty(), session.hold());
+    assertFalse(session.mayActFor(SHARD, GRANT));
+    assertEquals(Optional.empty(), session.lease());
   }
 
   /**
@@ -222,7 +232,7 @@
     for (int i = 0; i < seconds; i++) {
       peerSpeaks();
       loop.runFor(1);
-      proofs.onAnswer(PEER, answerTo((LeaseRenewalRequest) sent.get(sent.size() - 2)));
+      proofs.onResponse(PEER, answerTo((LeaseRenewalRequest) sent.get(sent.size() - 2)));
     }
     return (LeaseRenewalRequest) sent.get(sent.size() - 1);
   }
@@ -231,9 +241,9 @@
   void sessionAndGrantsWithoutCancellationsEndTheRight() {
     cutOffAndAsked();
     LeaseRenewalRequest asked = renewedByPeerFor(12);
-    assertFalse(session.entitled(SHARD, GRANT), "a lease after cancellations were last known");
-    proofs.onAnswer(PEER, nothingCancelled(asked));
-    assertTrue(session.entitled(SHARD, GRANT));
+    assertFalse(session.mayActFor(SHARD, GRANT), "a lease after cancellations were last known");
+    proofs.onResponse(PEER, nothingCancelled(asked));
+    assertTrue(session.mayActFor(SHARD, GRANT));
   }
 
   @Test
@@ -241,10 +251,10 @@
     cutOffAndAsked();
     LeaseRenewalRequest asked = renewedByPeerFor(12);
     // It looks for a lease of that name, finds none, and says that it is over.
-    proofs.onAnswer(
+    proofs.onResponse(
         PEER, new LeaseRenewalResponse(asked.getId(), asked.getLease(), true, true, 0L, List.of()));
-    assertFalse(session.entitled(SHARD, GRANT));
-    assertEquals(ControllerSession.State.HELD, session.state(), "the session's own lease stands");
+    assertFalse(session.mayActFor(SHARD, GRANT));
+    assertEquals(ControllerSession.State.ACTIVE, session.state(), "the session's own lease stands");
   }
 
   @Test
@@ -266,11 +276,11 @@
     for (LeaseRenewalResponse answer : bad) {
       LeaseRenewalRequest open = renewedByPeerFor(1);
       answer.setId(open.getId());
-      proofs.onAnswer(PEER, answer);
-      assertFalse(session.entitled(SHARD, GRANT), answer.toString());
+      proofs.onResponse(PEER, answer);
+      assertFalse(session.mayActFor(SHARD, GRANT), answer.toString());
     }
-    proofs.onAnswer(PEER, nothingCancelled(renewedByPeerFor(1)));
-    assertTrue(session.entitled(SHARD, GRANT));
+    proofs.onResponse(PEER, nothingCancelled(renewedByPeerFor(1)));
+    assertTrue(session.mayActFor(SHARD, GRANT));
   }
 
   @Test
--- a/src/test/java/org/mulleinshift/membership/StandbyFailoverTest.java
+++ b/src/test/java/org/mulleinshift/membership/StandbyFailoverTest.java
@@ -12,7 +12,7 @@
 import org.mulleinshift.protocol.LeaseId;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.protocol.peer.Heartbeat;
 import org.mulleinshift.protocol.peer.PeerLastHeard;
 import org.mulleinshift.store.StoreKeys;
@@ -26,7 +26,7 @@
   private final VirtualEventLoop loop = new VirtualEventLoop();
   private final PeerFailureDetector links = new PeerFailureDetector(loop, SELF);
   private final ClusterView view = new ClusterView();
-  private final List<LeaderElection.Standing> ended = new ArrayList<>();
+  private final List<LeaderElection.TermLease> ended = new ArrayList<>();
   private boolean ownLinksWell = true;
   private boolean otherHearsLeader;
   private final StandbyFailover succession =
@@ -40,8 +40,8 @@
 
   @BeforeEach
   void leaderNamesUs() {
-    Item key =
-        new Item(
+    KeyValue key =
+        new KeyValue(
             StoreKeys.LEADER, ClusterView.leaderValue(LEADER, new LeaseId(9)), new Revision(4));
     view.apply(StoreKeys.LEADER, Optional.of(key));
     succession.start();
@@ -50,8 +50,8 @@
 
   private void leaderSpeaksFor(double seconds) {
     for (double past = 0; past < seconds; past += 0.1) {
-      links.heard(LEADER, true);
-      links.beat(
+      links.onMessage(LEADER, true);
+      links.onHeartbeat(
           LEADER, new Heartbeat(1L, 0L, false, "WELL", "node-1", 4L, "node-0", false, List.of()));
       loop.runFor(0.1);
     }
@@ -59,8 +59,8 @@
 
   private void otherSpeaks() {
     long silent = otherHearsLeader ? 50 : 1000;
-    links.heard(OTHER, true);
-    links.beat(
+    links.onMessage(OTHER, true);
+    links.onHeartbeat(
         OTHER,
         new Heartbeat(
             2L,
@@ -77,7 +77,7 @@
   @Test
   void silentLeaderIsReplacedOnce() {
     loop.runFor(1.5);
-    assertEquals(List.of(new LeaderElection.Standing(new Revision(4), new LeaseId(9))), ended);
+    assertEquals(List.of(new LeaderElection.TermLease(new Revision(4), new LeaseId(9))), ended);
   }
 
   @Test
--- a/src/test/java/org/mulleinshift/membership/VirtualEventLoop.java
+++ b/src/test/java/org/mulleinshift/membership/VirtualEventLoop.java
@@ -53,7 +53,7 @@
   }
 
   @Override
-  public void onStandstill(Consumer<Duration> listener) {
+  public void onProcessPause(Consumer<Duration> listener) {
     // Never stands still.
   }
 }
--- a/src/test/java/org/mulleinshift/model/ChunkLayoutTest.java
+++ b/src/test/java/org/mulleinshift/model/ChunkLayoutTest.java
@@ -17,7 +17,7 @@
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.StoreCodec;
-import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.store.StoreKeys;
 
@@ -33,7 +33,7 @@
        "flush_s":0.0},"at":5,"cancelled":false}""";
 
   private static Job job() throws MalformedMessageException {
-    Item item = new Item("a/run-1", Json.parseObject(RECORD), new Revision(3));
+    KeyValue item = new KeyValue("a/run-1", Json.parseObject(RECORD), new Revision(3));
     return new Job(JobRecord.read(item).get());
   }
 
@@ -41,7 +41,7 @@
   private static Job load(Map<String, JsonNode> store) throws MalformedMessageException {
     Job job = job();
     for (Map.Entry<String, JsonNode> entry : store.entrySet()) {
-      Chunk part = StoreKeys.progressKey(entry.getKey()).get().part();
+      Chunk part = StoreKeys.progressKey(entry.getKey()).get().chunk();
       job.load(part, entry.getValue(), shard -> new ZoneId("a"));
     }
     return job;
@@ -65,7 +65,7 @@
       if (kind > 0) {
         ShardId shard = new ShardId("a-" + random.nextInt(40));
         TaskAssignment assignment =
-            job.delegate(index, shard, new ZoneId("a"), new Attempt(7L << 20));
+            job.assign(index, shard, new ZoneId("a"), new Attempt(7L << 20));
         if (kind == 2) {
           job.taskDone(assignment, 1);
           job.stored(List.of(), List.of(assignment), new Revision(4));
@@ -79,7 +79,7 @@
   void eachStepOfTakingApartMayBeTheLast() throws MalformedMessageException {
     Job old = scattered(new Random(1));
     Map<String, JsonNode> store = new TreeMap<>();
-    for (Chunk chunk : old.parts().live()) {
+    for (Chunk chunk : old.chunks().live()) {
       store.put(key(chunk), old.progress(chunk));
     }
     List<String> expected = tasks(load(store));
@@ -89,29 +89,29 @@
       // A new leader each time: it writes one part that fits, and dies.
       Job job = load(store);
       assertEquals(expected, tasks(job));
-      for (Chunk part : List.copyOf(job.parts().live())) {
+      for (Chunk part : List.copyOf(job.chunks().live())) {
         cut(job, part);
       }
-      List<Chunk> uncovered = job.parts().uncovered();
+      List<Chunk> uncovered = job.chunks().uncovered();
       more = !uncovered.isEmpty();
       if (more) {
         Chunk part = uncovered.get(steps % uncovered.size());
         store.put(key(part), job.progress(part));
         assertTrue(StoreCodec.bytes(store.get(key(part))) <= VALUE_BYTES);
-        job.parts().stored(List.of(part));
+        job.chunks().stored(List.of(part));
       }
-      job.parts().outgrown(0).forEach(part -> store.remove(key(part)));
-      job.parts().outgrown(1).forEach(part -> store.remove(key(part)));
+      job.chunks().obsolete(0).forEach(part -> store.remove(key(part)));
+      job.chunks().obsolete(1).forEach(part -> store.remove(key(part)));
     }
     assertTrue(steps > 20, steps + " steps");
     assertTrue(store.values().stream().allMatch(v -> StoreCodec.bytes(v) <= VALUE_BYTES));
   }
 
   private static void cut(Job job, Chunk part) {
-    if (StoreCodec.bytes(job.progress(part)) > VALUE_BYTES && part.divisible()) {
+    if (StoreCodec.bytes(job.progress(part)) > VALUE_BYTES && part.canSplit()) {
       job.split(part);
       cut(job, part.half(0));
-      if (job.parts().exists(part.half(1))) {
+      if (job.chunks().exists(part.half(1))) {
         cut(job, part.half(1));
       }
     }
--- a/src/test/java/org/mulleinshift/model/StoredByEarlierBuildTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredByEarlierBuildTest.java
@@ -17,7 +17,7 @@
 import org.mulleinshift.protocol.Json;
 import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.Revision;
-import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.store.StoreKeys;
 
@@ -34,14 +34,17 @@
     Map<JobId, Job> jobs = new HashMap<>();
     ClusterView view = new ClusterView();
     for (Map.Entry<String, JsonNode> entry : sample.properties()) {
-      Item item = new Item(entry.getKey(), entry.getValue(), new Revision(9));
+      KeyValue item = new KeyValue(entry.getKey(), entry.getValue(), new Revision(9));
       String kind = entry.getKey().substring(0, 2);
       switch (kind) {
-        case StoreKeys.ACTIVE -> {
+        case StoreKeys.ACTIVE_JOBS -> {
           JobRecord record = JobRecord.read(item).get();
           JsonNode written =
               JobRecord.value(
-                  record.spec(), record.awaits(), record.acceptedMillis(), record.cancelled());
+                  record.spec(),
+                  record.dependencies(),
+                  record.acceptedMillis(),
+                  record.cancelled());
           assertEquals(Json.write(item.value()), Json.write(written));
           jobs.put(record.id(), new Job(record));
         }
@@ -49,10 +52,10 @@
         case StoreKeys.PROGRESS -> {
           StoreKeys.ProgressKey key = StoreKeys.progressKey(item.key()).get();
           Job job = jobs.get(key.job());
-          job.load(key.part(), item.value(), shard -> new ZoneId("a"));
-          assertEquals(Json.write(item.value()), Json.write(job.progress(key.part())));
+          job.load(key.chunk(), item.value(), shard -> new ZoneId("a"));
+          assertEquals(Json.write(item.value()), Json.write(job.progress(key.chunk())));
         }
-        case StoreKeys.ENDED -> {
+        case StoreKeys.ENDED_JOBS -> {
           assertEquals(
               item.key().endsWith("run-4") ? JobPhase.CANCELLED : JobPhase.DONE,
               JobRecord.endedPhase(item).get());
@@ -66,6 +69,6 @@
     assertEquals(16, view.grants().size());
     assertEquals(16, view.shards().size());
     assertTrue(view.unreadableShards().isEmpty() && view.unreadableGrants().isEmpty());
-    assertTrue(view.builds().isEmpty());
+    assertTrue(view.featureLevels().isEmpty());
   }
 }
--- a/src/test/java/org/mulleinshift/model/StoredRecordGoldenTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordGoldenTest.java
@@ -22,7 +22,7 @@
 import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.ShardId;
-import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.transport.MonotonicTime;
@@ -42,7 +42,7 @@
     return StoredRecordSamples.all().keySet();
   }
 
-  private static Item golden(String name) throws MalformedMessageException {
+  private static KeyValue golden(String name) throws MalformedMessageException {
     String[] keyAndValue = GoldenFile.text(file(name)).split(SEPARATOR, 2);
     return StoredRecordSamples.item(keyAndValue[0], keyAndValue[1]);
   }
@@ -57,97 +57,99 @@
   @ParameterizedTest
   @MethodSource("names")
   void isReadAndWrittenBackByteForByte(String name) throws MalformedMessageException {
-    Item item = golden(name);
+    KeyValue item = golden(name);
     assertEquals(GoldenFile.text(file(name)), item.key() + SEPARATOR + Json.write(rewritten(item)));
   }
 
   /** What this build writes of a record that it has read. */
-  private static JsonNode rewritten(Item item) throws MalformedMessageException {
+  private static JsonNode rewritten(KeyValue item) throws MalformedMessageException {
     String key = item.key();
     if (key.startsWith(StoreKeys.CONTROL)) {
       return rewrittenControl(item);
     }
     return switch (key.substring(0, 2)) {
-      case StoreKeys.ACTIVE -> rewrittenJob(item);
-      case StoreKeys.ENDED -> rewrittenEnd(item);
+      case StoreKeys.ACTIVE_JOBS -> rewrittenJob(item);
+      case StoreKeys.ENDED_JOBS -> rewrittenEnd(item);
       case StoreKeys.PROGRESS -> rewrittenProgress(item);
-      case StoreKeys.LOG -> LogSegment.write(LogSegment.read(item.value()));
-      case StoreKeys.RENTALS ->
+      case StoreKeys.PROGRESS_LOG -> LogSegment.write(LogSegment.read(item.value()));
+      case StoreKeys.PROVISIONING_REQUESTS ->
           ProvisioningRequest.read(
-                  key.substring(StoreKeys.RENTALS.length()), item.value(), new MonotonicTime(0))
+                  key.substring(StoreKeys.PROVISIONING_REQUESTS.length()),
+                  item.value(),
+                  new MonotonicTime(0))
               .write();
-      case StoreKeys.AWAITED -> JobDependencies.list(JobDependencies.readList(item.value()));
+      case StoreKeys.DEPENDENCY_LISTS ->
+          JobDependencies.list(JobDependencies.readList(item.value()));
       default -> throw new AssertionError(key);
     };
   }
 
-  private static JsonNode rewrittenControl(Item item) {
+  private static JsonNode rewrittenControl(KeyValue item) {
     String key = item.key();
     ClusterView view = new ClusterView();
     view.apply(key, Optional.of(item));
     if (key.equals(StoreKeys.LEADER)) {
       ClusterView.LeaderRecord leader = view.leader().orElseThrow();
-      assertEquals(item.version(), leader.term());
-      return ClusterView.leaderValue(leader.node(), leader.hold());
+      assertEquals(item.revision(), leader.term());
+      return ClusterView.leaderValue(leader.node(), leader.lease());
     } else if (key.startsWith(StoreKeys.NODES)) {
       NodeId node = new NodeId(key.substring(StoreKeys.NODES.length()));
-      return ClusterView.nodeValue(view.nodes().get(node).hold());
+      return ClusterView.nodeValue(view.nodes().get(node).lease());
     } else if (key.startsWith(StoreKeys.GRANTS)) {
       ShardId shard = new ShardId(key.substring(StoreKeys.GRANTS.length()));
       return ClusterView.grantValue(view.grants().get(shard).owner());
-    } else if (key.startsWith(StoreKeys.BUILDS)) {
-      NodeId node = new NodeId(key.substring(StoreKeys.BUILDS.length()));
-      return ClusterView.buildValue(view.builds().get(node));
+    } else if (key.startsWith(StoreKeys.FEATURE_LEVELS)) {
+      NodeId node = new NodeId(key.substring(StoreKeys.FEATURE_LEVELS.length()));
+      return ClusterView.featureLevelValue(view.featureLevels().get(node));
     }
     ShardRecord shard = view.shards().get(new ShardId(key.substring(StoreKeys.SHARDS.length())));
     JsonNode node = ShardRecord.write(shard.zone(), shard.machines(), shard.lastOwner());
-    shard.beyond().ifPresent(fields -> fields.restore(node));
+    shard.unknownFields().ifPresent(fields -> fields.restore(node));
     return node;
   }
 
-  private static JsonNode rewrittenJob(Item item) {
+  private static JsonNode rewrittenJob(KeyValue item) {
     JobRecord record = JobRecord.read(item).orElseThrow();
     JsonNode node =
         JobRecord.value(
-            record.spec(), record.awaits(), record.acceptedMillis(), record.cancelled());
-    record.beyond().ifPresent(fields -> fields.restore(node));
+            record.spec(), record.dependencies(), record.acceptedMillis(), record.cancelled());
+    record.unknownFields().ifPresent(fields -> fields.restore(node));
     return node;
   }
 
-  private static JsonNode rewrittenEnd(Item item) {
+  private static JsonNode rewrittenEnd(KeyValue item) {
     JobPhase phase = JobRecord.endedPhase(item).orElseThrow();
     OptionalLong at = JobRecord.endedMillis(item);
     ObjectNode node = (ObjectNode) JobRecord.endedValue(phase, at.orElse(0));
     return at.isPresent() ? node : node.without("at");
   }
 
-  private static JsonNode rewrittenProgress(Item item) throws MalformedMessageException {
+  private static JsonNode rewrittenProgress(KeyValue item) throws MalformedMessageException {
     StoreKeys.ProgressKey key = StoreKeys.progressKey(item.key()).orElseThrow();
     boolean awaiting = item.value().has("ready");
     Job job =
-        StoredRecordSamples.job(
-            awaiting ? StoredRecordSamples.namedJobs() : JobDependencies.NOTHING);
+        StoredRecordSamples.job(awaiting ? StoredRecordSamples.namedJobs() : JobDependencies.NONE);
     assertEquals(job.spec().id(), key.job());
-    job.load(key.part(), item.value(), shard -> new ZoneId("a"));
-    return job.progress(key.part());
+    job.load(key.chunk(), item.value(), shard -> new ZoneId("a"));
+    return job.progress(key.chunk());
   }
 
   @Test
   void jobsAreReadAsTheyWereMeant() throws MalformedMessageException {
     JobRecord record = JobRecord.read(golden("job-awaiting-named-jobs")).orElseThrow();
     assertEquals(StoredRecordSamples.shortSpec(), record.spec());
-    assertEquals(StoredRecordSamples.namedJobs(), record.awaits());
+    assertEquals(StoredRecordSamples.namedJobs(), record.dependencies());
     assertEquals(StoredRecordSamples.ACCEPTED_AT, record.acceptedMillis());
   }
 
   @Test
   void segmentsNameTheirJobsAndParts() throws MalformedMessageException {
-    Item item = golden("log-segment");
-    assertEquals(17, StoreKeys.segmentNumber(item.key()).orElseThrow());
+    KeyValue item = golden("log-segment");
+    assertEquals(17, StoreKeys.logSegmentNumber(item.key()).orElseThrow());
     assertEquals(
         "run-1 0, run-2 0/1",
         LogSegment.read(item.value()).stream()
-            .map(entry -> entry.job() + " " + entry.part())
+            .map(entry -> entry.job() + " " + entry.chunk())
             .collect(Collectors.joining(", ")));
   }
 
--- a/src/test/java/org/mulleinshift/model/StoredRecordSamples.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordSamples.java
@@ -25,7 +25,7 @@
 import org.mulleinshift.protocol.Priority;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.ShardId;
-import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.transport.MonotonicTime;
@@ -67,7 +67,7 @@
     add("leader", StoreKeys.LEADER, ClusterView.leaderValue(node, hold));
     add("node", StoreKeys.node(node), ClusterView.nodeValue(new LeaseId(7)));
     add("grant", StoreKeys.grant(SHARD), ClusterView.grantValue(node));
-    add("build", StoreKeys.build(node), ClusterView.buildValue(2));
+    add("build", StoreKeys.featureLevel(node), ClusterView.featureLevelValue(2));
     JsonNode shard = ShardRecord.write(ZONE, machines(), Optional.of(node));
     add("block", StoreKeys.shard(SHARD), shard);
     add(
@@ -97,32 +97,35 @@
       addActiveJob(
           "job-" + kind.wire(),
           JobSpecSamples.full(JOB, kind, Priority.NORMAL),
-          JobDependencies.NOTHING,
+          JobDependencies.NONE,
           false);
     }
     for (Priority priority : Priority.values()) {
       JobSpec spec = JobSpecSamples.full(JOB, JobKind.ARRAY, priority);
-      addActiveJob("job-" + priority.wire(), spec, JobDependencies.NOTHING, false);
+      addActiveJob("job-" + priority.wire(), spec, JobDependencies.NONE, false);
     }
     JobSpec spec = shortSpec();
-    addActiveJob("job-without-optional-fields", spec, JobDependencies.NOTHING, false);
-    addActiveJob("job-cancelled", spec, JobDependencies.NOTHING, true);
+    addActiveJob("job-without-optional-fields", spec, JobDependencies.NONE, false);
+    addActiveJob("job-cancelled", spec, JobDependencies.NONE, true);
     addActiveJob("job-awaiting-named-jobs", spec, namedJobs(), false);
     addActiveJob("job-awaiting-lists", spec, new JobDependencies(List.of(), 2, DIGEST), false);
     addActiveJob("job-awaiting-cancelled", spec, namedJobs(), true);
-    add("job-cancelled-with-unknown-fields", StoreKeys.active(JOB), cancelledOfNewerBuild(spec));
+    add("job-cancelled-with-unknown-fields", StoreKeys.activeJob(JOB), cancelledOfNewerBuild(spec));
   }
 
   private void addActiveJob(String name, JobSpec spec, JobDependencies awaits, boolean cancelled) {
-    add(name, StoreKeys.active(spec.id()), JobRecord.value(spec, awaits, ACCEPTED_AT, cancelled));
+    add(
+        name,
+        StoreKeys.activeJob(spec.id()),
+        JobRecord.value(spec, awaits, ACCEPTED_AT, cancelled));
   }
 
   private static JsonNode cancelledOfNewerBuild(JobSpec spec) {
     ObjectNode stored =
-        (ObjectNode) JobRecord.value(spec, JobDependencies.NOTHING, ACCEPTED_AT, false);
+        (ObjectNode) JobRecord.value(spec, JobDependencies.NONE, ACCEPTED_AT, false);
     stored.put("format", 2);
     ((ObjectNode) stored.get("spec")).put("colour", "red");
-    return JobRecord.read(new Item(StoreKeys.active(JOB), stored, new Revision(3)))
+    return JobRecord.read(new KeyValue(StoreKeys.activeJob(JOB), stored, new Revision(3)))
         .orElseThrow()
         .cancelledValue();
   }
@@ -138,23 +141,20 @@
   private void addEnds() {
     JsonNode done = JobRecord.endedValue(JobPhase.DONE, ACCEPTED_AT);
     JsonNode cancelled = JobRecord.endedValue(JobPhase.CANCELLED, ACCEPTED_AT);
-    add("ended-done", StoreKeys.ended(JOB), done);
-    add("ended-cancelled", StoreKeys.ended(JOB), cancelled);
+    add("ended-done", StoreKeys.endedJob(JOB), done);
+    add("ended-cancelled", StoreKeys.endedJob(JOB), cancelled);
     // As builds before chains stored it.
     ObjectNode older = done.deepCopy();
     older.remove("at");
-    add("ended-without-time", StoreKeys.ended(JOB), older);
+    add("ended-without-time", StoreKeys.endedJob(JOB), older);
   }
 
   private void addProgress() {
-    Chunk first = Chunk.chunk(0);
-    add(
-        "progress-none",
-        StoreKeys.progress(JOB, first),
-        job(JobDependencies.NOTHING).progress(first));
-    Job job = startedJob(JobDependencies.NOTHING);
+    Chunk first = Chunk.number(0);
+    add("progress-none", StoreKeys.progress(JOB, first), job(JobDependencies.NONE).progress(first));
+    Job job = startedJob(JobDependencies.NONE);
     add("progress-chunk", StoreKeys.progress(JOB, first), job.progress(first));
-    Chunk second = Chunk.chunk(1);
+    Chunk second = Chunk.number(1);
     add("progress-second-chunk", StoreKeys.progress(JOB, second), job.progress(second));
     Chunk half = first.half(0);
     add("progress-part", StoreKeys.progress(JOB, half), job.progress(half));
@@ -166,7 +166,7 @@
   }
 
   private static JsonNode progressOfNewerBuild(Job job) {
-    ObjectNode stored = (ObjectNode) job.progress(Chunk.chunk(0));
+    ObjectNode stored = (ObjectNode) job.progress(Chunk.number(0));
     stored.put("new", 9);
     return stored;
   }
@@ -182,27 +182,27 @@
     job.release(ACCEPTED_AT + 500, ACCEPTED_AT + 900);
     Attempt term = new Attempt(1L << 40);
     for (int index : new int[] {0, 1, 2, 9, 260, 499, 500, 729}) {
-      job.taskDone(job.delegate(index, SHARD, ZONE, term), 5);
+      job.taskDone(job.assign(index, SHARD, ZONE, term), 5);
     }
     for (int index : new int[] {3, 4, 10, 251, 498, 501}) {
-      job.delegate(index, SHARD, ZONE, term);
+      job.assign(index, SHARD, ZONE, term);
     }
-    job.delegate(11, new ShardId("b-1"), new ZoneId("b"), term);
-    job.taskReturned(job.delegate(12, SHARD, ZONE, term), Optional.<MonotonicTime>empty());
-    job.delegate(12, SHARD, ZONE, term);
+    job.assign(11, new ShardId("b-1"), new ZoneId("b"), term);
+    job.taskReturned(job.assign(12, SHARD, ZONE, term), Optional.<MonotonicTime>empty());
+    job.assign(12, SHARD, ZONE, term);
     return job;
   }
 
   private void addLog() {
-    Chunk first = Chunk.chunk(0);
+    Chunk first = Chunk.number(0);
     Chunk part = first.half(1);
-    Job job = startedJob(JobDependencies.NOTHING);
+    Job job = startedJob(JobDependencies.NONE);
     List<LogSegment.Entry> entries =
         List.of(
             LogSegment.Entry.of(JOB, first, job.progress(first)),
             LogSegment.Entry.of(new JobId("run-2"), part, job.progress(part)));
-    add("log-segment", StoreKeys.segment(17), LogSegment.write(entries));
-    add("log-segment-without-entries", StoreKeys.segment(0), LogSegment.write(List.of()));
+    add("log-segment", StoreKeys.logSegment(17), LogSegment.write(entries));
+    add("log-segment-without-entries", StoreKeys.logSegment(0), LogSegment.write(List.of()));
   }
 
   private void addOthers() {
@@ -215,13 +215,13 @@
             12,
             new MonotonicTime(0),
             ProvisioningRequest.State.PLANNED);
-    add("rental", StoreKeys.rental(rental.name()), rental.write());
+    add("rental", StoreKeys.provisioningRequest(rental.name()), rental.write());
     List<JobId> awaited = namedJobs().named();
-    add("awaited-list", StoreKeys.awaited(JOB, DIGEST, 1), JobDependencies.list(awaited));
+    add("awaited-list", StoreKeys.dependencyList(JOB, DIGEST, 1), JobDependencies.list(awaited));
   }
 
   /** The records as a reader of the store gets them. */
-  static Item item(String key, String value) throws MalformedMessageException {
-    return new Item(key, Json.parseObject(value), new Revision(9));
+  static KeyValue item(String key, String value) throws MalformedMessageException {
+    return new KeyValue(key, Json.parseObject(value), new Revision(9));
   }
 }
--- a/src/test/java/org/mulleinshift/model/StoredRecordsTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordsTest.java
@@ -16,7 +16,7 @@
 import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.ShardId;
-import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.transport.MonotonicTime;
 
@@ -34,7 +34,7 @@
   }
 
   private static Optional<JobRecord> read(JsonNode value) {
-    return JobRecord.read(new Item("a/run-1", value, new Revision(3)));
+    return JobRecord.read(new KeyValue("a/run-1", value, new Revision(3)));
   }
 
   @Test
@@ -45,7 +45,7 @@
     expected.put("cancelled", true);
     ((ObjectNode) expected.get("spec")).remove("yard");
     assertEquals(Json.write(expected), Json.write(read(stored).get().cancelledValue()));
-    assertTrue(read(job("", "")).get().beyond().isEmpty());
+    assertTrue(read(job("", "")).get().unknownFields().isEmpty());
   }
 
   @ParameterizedTest
@@ -63,7 +63,7 @@
     assertTrue(read(stored).isEmpty());
     JobRecord.Footprint footprint = JobRecord.footprint(stored);
     assertEquals("t", footprint.team().get().value());
-    assertEquals(16, footprint.most().cpus());
+    assertEquals(16, footprint.maximum().cpus());
   }
 
   @Test
@@ -72,8 +72,8 @@
     JsonNode stored =
         Json.parseObject(
             "{\"done\":\"0-2\",\"at\":[{\"b\":\"a-0\",\"n\":7,\"r\":\"3-4\"}],\"new\":9}");
-    job.load(Chunk.chunk(0), stored, shard -> new ZoneId("a"));
-    assertEquals(Json.write(stored), Json.write(job.progress(Chunk.chunk(0))));
+    job.load(Chunk.number(0), stored, shard -> new ZoneId("a"));
+    assertEquals(Json.write(stored), Json.write(job.progress(Chunk.number(0))));
   }
 
   @ParameterizedTest
@@ -93,7 +93,7 @@
     JsonNode value = Json.parseObject(stored);
     assertThrows(
         MalformedMessageException.class,
-        () -> job.load(Chunk.chunk(0), value, shard -> new ZoneId("a")));
+        () -> job.load(Chunk.number(0), value, shard -> new ZoneId("a")));
     assertEquals(8, job.waitingCount());
     assertEquals(0, job.doneCount());
   }
@@ -105,10 +105,10 @@
     JsonNode chained = JobRecord.value(read(job("", "")).get().spec(), awaits, 5, false);
     assertTrue(chained.path("at").isMissingNode());
     JobRecord record = read(chained).get();
-    assertEquals(awaits, record.awaits());
+    assertEquals(awaits, record.dependencies());
     assertEquals(5, record.acceptedMillis());
-    assertEquals(awaits, read(record.cancelledValue()).get().awaits());
-    assertEquals(Job.State.HELD, new Job(record).state());
+    assertEquals(awaits, read(record.cancelledValue()).get().dependencies());
+    assertEquals(Job.State.AWAITING_DEPENDENCIES, new Job(record).state());
     assertEquals("t", JobRecord.footprint(chained).team().get().value());
   }
 
@@ -133,8 +133,8 @@
   void anUnknownEndIsNoEnd() throws MalformedMessageException {
     JsonNode archived = Json.parseObject("{\"phase\":\"archived\"}");
     JsonNode running = Json.parseObject("{\"phase\":\"running\"}");
-    assertTrue(JobRecord.endedPhase(new Item("t/run-1", archived, new Revision(1))).isEmpty());
-    assertTrue(JobRecord.endedPhase(new Item("t/run-1", running, new Revision(1))).isEmpty());
+    assertTrue(JobRecord.endedPhase(new KeyValue("t/run-1", archived, new Revision(1))).isEmpty());
+    assertTrue(JobRecord.endedPhase(new KeyValue("t/run-1", running, new Revision(1))).isEmpty());
   }
 
   @Test
@@ -144,19 +144,19 @@
         Json.parseObject(
             "{\"zone\":\"a\",\"last\":\"n-1\",\"tier\":2,"
                 + "\"machines\":{\"i-1\":{\"type\":\"g8\",\"spot\":true,\"up\":false}}}");
-    view.apply("c/b/a-0", Optional.of(new Item("c/b/a-0", stored, new Revision(4))));
+    view.apply("c/b/a-0", Optional.of(new KeyValue("c/b/a-0", stored, new Revision(4))));
     ClusterView.ShardRecord record = view.shards().get(new ShardId("a-0"));
     JsonNode written =
         ClusterView.ShardRecord.write(record.zone(), record.machines(), record.lastOwner());
-    record.beyond().get().restore(written);
+    record.unknownFields().get().restore(written);
     assertEquals(stored.get("tier"), written.get("tier"));
     assertEquals(stored.size(), written.size());
     ObjectNode other = stored.deepCopy();
     other.put("machines", "elsewhere");
-    view.apply("c/b/a-0", Optional.of(new Item("c/b/a-0", other, new Revision(5))));
+    view.apply("c/b/a-0", Optional.of(new KeyValue("c/b/a-0", other, new Revision(5))));
     assertTrue(view.shards().isEmpty());
     assertTrue(view.unreadableShards().contains(new ShardId("a-0")));
-    view.apply("c/b/a-0", Optional.of(new Item("c/b/a-0", stored, new Revision(6))));
+    view.apply("c/b/a-0", Optional.of(new KeyValue("c/b/a-0", stored, new Revision(6))));
     assertTrue(view.unreadableShards().isEmpty());
   }
 
@@ -164,7 +164,7 @@
   void aGrantThatCantBeReadIsSomebodysGrant() throws MalformedMessageException {
     ClusterView view = new ClusterView();
     JsonNode stored = Json.parseObject("{\"holders\":[\"n-1\"]}");
-    view.apply("c/g/a-0", Optional.of(new Item("c/g/a-0", stored, new Revision(4))));
+    view.apply("c/g/a-0", Optional.of(new KeyValue("c/g/a-0", stored, new Revision(4))));
     assertTrue(view.grants().isEmpty());
     assertTrue(view.unreadableGrants().contains(new ShardId("a-0")));
     view.apply("c/g/a-0", Optional.empty());
--- a/src/test/java/org/mulleinshift/progress/ProgressLogTest.java
+++ b/src/test/java/org/mulleinshift/progress/ProgressLogTest.java
@@ -61,12 +61,12 @@
     }
 
     /** Of each part the image with the highest revision, as a new leader reads it. */
-    Map<ProgressLog.Image, String> newest() throws MalformedMessageException {
-      Map<ProgressLog.Image, Integer> at = new HashMap<>();
-      Map<ProgressLog.Image, String> found = new HashMap<>();
+    Map<ProgressLog.ChunkImage, String> newest() throws MalformedMessageException {
+      Map<ProgressLog.ChunkImage, Integer> at = new HashMap<>();
+      Map<ProgressLog.ChunkImage, String> found = new HashMap<>();
       for (Stored stored : keys.values()) {
         for (LogSegment.Entry entry : LogSegment.read(stored.value())) {
-          ProgressLog.Image image = new ProgressLog.Image(entry.job(), entry.part());
+          ProgressLog.ChunkImage image = new ProgressLog.ChunkImage(entry.job(), entry.chunk());
           if (stored.revision() > at.getOrDefault(image, 0)) {
             at.put(image, stored.revision());
             found.put(image, entry.progress().path("done").asText());
@@ -79,11 +79,11 @@
 
   private static LogSegment.Entry entry(int job, String done) {
     JsonNode progress = Json.object().put("done", done);
-    return LogSegment.Entry.of(new JobId("run-" + job), Chunk.chunk(0), progress);
+    return LogSegment.Entry.of(new JobId("run-" + job), Chunk.number(0), progress);
   }
 
-  private static ProgressLog.Image image(LogSegment.Entry entry) {
-    return new ProgressLog.Image(entry.job(), entry.part());
+  private static ProgressLog.ChunkImage image(LogSegment.Entry entry) {
+    return new ProgressLog.ChunkImage(entry.job(), entry.chunk());
   }
 
   /**
@@ -101,7 +101,7 @@
     Random random = new Random(seed);
     Store store = new Store();
     ProgressLog log = new ProgressLog(VALUE_BYTES);
-    Map<ProgressLog.Image, String> told = new HashMap<>();
+    Map<ProgressLog.ChunkImage, String> told = new HashMap<>();
     Map<Integer, String> pending = new TreeMap<>();
     Set<Integer> over = new HashSet<>();
     for (int round = 0; round < ROUNDS; round++) {
@@ -140,7 +140,7 @@
           }
           store.late.clear();
           told.keySet().removeIf(image -> over.contains(number(image.job())));
-          Map<ProgressLog.Image, String> newest = store.newest();
+          Map<ProgressLog.ChunkImage, String> newest = store.newest();
           newest.keySet().removeIf(image -> over.contains(number(image.job())));
           assertEquals(told, newest, "seed " + seed + ", round " + round);
         }
@@ -180,8 +180,8 @@
     int moved = 0;
     for (int step = 0; step < 10 && !log.toCompact().isEmpty(); step++) {
       ProgressLog.Batch batch = log.begin(1);
-      for (ProgressLog.Image image : log.toCompact()) {
-        assertTrue(batch.add(LogSegment.Entry.of(image.job(), image.part(), Json.object())));
+      for (ProgressLog.ChunkImage image : log.toCompact()) {
+        assertTrue(batch.add(LogSegment.Entry.of(image.job(), image.chunk(), Json.object())));
         moved++;
       }
       log.stored(batch);
@@ -199,9 +199,9 @@
       batch.add(entry(job, "0"));
       log.stored(batch);
     }
-    List<ProgressLog.Image> first = log.toCompact();
+    List<ProgressLog.ChunkImage> first = log.toCompact();
     assertFalse(first.isEmpty());
-    first.forEach(log::keep);
+    first.forEach(log::pinSlotOf);
     assertTrue(log.toCompact().stream().noneMatch(first::contains));
   }
 
--- a/src/test/java/org/mulleinshift/protocol/CloudMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/CloudMessageGoldenTest.java
@@ -30,8 +30,8 @@
 
   private static Map<String, String> messages() {
     Map<String, String> messages = new LinkedHashMap<>();
-    messages.put("rent-spot", CloudCodec.rent("r-417-1", TYPE, ZONE, true, 12));
-    messages.put("rent-ordinary", CloudCodec.rent("r-417-2", TYPE, ZONE, false, 50));
+    messages.put("rent-spot", CloudCodec.provision("r-417-1", TYPE, ZONE, true, 12));
+    messages.put("rent-ordinary", CloudCodec.provision("r-417-2", TYPE, ZONE, false, 50));
     messages.put("delete", CloudCodec.delete(MACHINES));
     messages.put("catalog", catalog());
     messages.put("rented", rented());
@@ -86,7 +86,7 @@
         String.join(
             "\n",
             CloudCodec.CATALOG,
-            CloudCodec.RENTALS,
+            CloudCodec.MACHINES,
             CloudCodec.DELETE,
             CloudCodec.listPath(Optional.empty()),
             CloudCodec.listPath(Optional.of(MACHINES.get(0)))));
@@ -109,7 +109,7 @@
 
   @Test
   void rentedMachinesAreReadAsTheyWereMeant() throws MalformedMessageException {
-    assertEquals(MACHINES, CloudCodec.parseRented(GoldenFile.text(file("rented"))));
+    assertEquals(MACHINES, CloudCodec.parseProvisioned(GoldenFile.text(file("rented"))));
   }
 
   @Test
