--- a/src/test/java/org/mulleinshift/protocol/StoreMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/StoreMessageGoldenTest.java
@@ -17,8 +17,8 @@
 import org.mulleinshift.GoldenFile;
 import org.mulleinshift.protocol.StoreCodec.Change;
 import org.mulleinshift.protocol.StoreCodec.Changes;
-import org.mulleinshift.protocol.StoreCodec.Guard;
-import org.mulleinshift.protocol.StoreCodec.Item;
+import org.mulleinshift.protocol.StoreCodec.Compare;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.protocol.StoreCodec.Range;
 import org.mulleinshift.protocol.StoreCodec.Write;
 
@@ -33,8 +33,8 @@
   }
 
   private static Map<String, String> messages() {
-    List<Guard> guards =
-        List.of(new Guard("a/b", new Revision(0)), new Guard("c/leader", new Revision(412)));
+    List<Compare> guards =
+        List.of(new Compare("a/b", new Revision(0)), new Compare("c/leader", new Revision(412)));
     List<Write> writes =
         List.of(
             Write.put("a/b", value()), Write.put("c/n/n-1", value(), HOLD), Write.delete("c/d"));
@@ -42,7 +42,7 @@
     messages.put("commit", StoreCodec.commit(guards, writes));
     messages.put("commit-comparing-only", StoreCodec.commit(guards, List.of()));
     messages.put("commit-without-guards", StoreCodec.commit(List.of(), writes));
-    messages.put("lease-request", StoreCodec.grant(Duration.ofSeconds(5)));
+    messages.put("lease-request", StoreCodec.grantLease(Duration.ofSeconds(5)));
     messages.put("lease", Json.write(Json.object().put("hold", 7)));
     messages.put("committed", Json.write(Json.object().put("epoch", 433)));
     messages.put("key", Json.write(row("a/b", 412).put("hold", 7)));
@@ -94,18 +94,18 @@
         String.join(
             "\n",
             StoreCodec.COMMIT,
-            StoreCodec.HOLDS,
+            StoreCodec.LEASES,
             StoreCodec.keyPath("c/n/n-1"),
             StoreCodec.rangePath("a/", Optional.empty()),
             StoreCodec.rangePath("a/", Optional.of("a/run-1")),
             StoreCodec.watchPath("c/", REVISION, Duration.ofSeconds(10)),
-            StoreCodec.renewPath(HOLD),
-            StoreCodec.holdPath(HOLD)));
+            StoreCodec.renewLeasePath(HOLD),
+            StoreCodec.leasePath(HOLD)));
   }
 
   @Test
   void aLeaseIsReadAsItWasMeant() throws MalformedMessageException {
-    assertEquals(HOLD, StoreCodec.parseHold(GoldenFile.text(file("lease"))));
+    assertEquals(HOLD, StoreCodec.parseLease(GoldenFile.text(file("lease"))));
   }
 
   @Test
@@ -115,16 +115,16 @@
 
   @Test
   void aKeyIsReadAsItWasMeant() throws MalformedMessageException {
-    Item expected = new Item("a/b", stored(), new Revision(412));
+    KeyValue expected = new KeyValue("a/b", stored(), new Revision(412));
     assertEquals(expected, StoreCodec.parseItem(GoldenFile.text(file("key"))));
   }
 
   @Test
   void aPageOfKeysIsReadAsItWasMeant() throws MalformedMessageException {
-    List<Item> items =
+    List<KeyValue> items =
         List.of(
-            new Item("a/b", stored(), new Revision(412)),
-            new Item("a/c", stored(), new Revision(413)));
+            new KeyValue("a/b", stored(), new Revision(412)),
+            new KeyValue("a/c", stored(), new Revision(413)));
     assertEquals(
         new Range(items, true, REVISION), StoreCodec.parseRange(GoldenFile.text(file("keys"))));
   }
--- a/src/test/java/org/mulleinshift/protocol/WorkerMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/WorkerMessageGoldenTest.java
@@ -38,7 +38,7 @@
           new Reported("exited", "done", State.EXITED, Cause.DONE),
           new Reported("exited", "halted", State.EXITED, Cause.STOPPED),
           new Reported("exited", "error", State.EXITED, Cause.ERROR),
-          new Reported("exited", "full", State.EXITED, Cause.NO_CAPACITY),
+          new Reported("exited", "full", State.EXITED, Cause.INSUFFICIENT_RESOURCES),
           new Reported("exited", "in_use", State.EXITED, Cause.BUSY),
           new Reported("exited", "peers", State.EXITED, Cause.GANG_BROKEN),
           new Reported("exited", "incomplete", State.EXITED, Cause.GANG_BROKEN),
@@ -80,7 +80,7 @@
 
   @Test
   void aReportOfAllTaskStatesIsReadAsItWasMeant() throws MalformedMessageException {
-    WorkerHeartbeat report = WorkerCodec.parseReport(GoldenFile.text(REPORT));
+    WorkerHeartbeat report = WorkerCodec.parseHeartbeat(GoldenFile.text(REPORT));
     assertEquals(expected(Optional.empty(), report.tasks()), report);
     assertEquals(REPORTED.size(), report.tasks().size());
     for (int i = 0; i < REPORTED.size(); i++) {
@@ -94,7 +94,7 @@
 
   @Test
   void aReportOfARecalledMachineIsReadAsItWasMeant() throws MalformedMessageException {
-    WorkerHeartbeat report = WorkerCodec.parseReport(GoldenFile.text(RECALLED));
+    WorkerHeartbeat report = WorkerCodec.parseHeartbeat(GoldenFile.text(RECALLED));
     assertEquals(expected(Optional.of(Duration.ofMillis(27_500)), List.of()), report);
   }
 
--- a/src/test/java/org/mulleinshift/scheduling/LongQueueTest.java
+++ b/src/test/java/org/mulleinshift/scheduling/LongQueueTest.java
@@ -60,9 +60,9 @@
   private static Job running(int number, double sinceSeconds) {
     Job job = job(number, Priority.NORMAL, RUNNING);
     for (int index = 0; index < RUNNING; index++) {
-      TaskAssignment assignment = job.delegate(index, new ShardId("a-0"), ZONE, new Attempt(1));
+      TaskAssignment assignment = job.assign(index, new ShardId("a-0"), ZONE, new Attempt(1));
       MonotonicTime since = new MonotonicTime(NOW.nanos() - (long) (sinceSeconds * 1e9));
-      assignment.running(new MachineId("i-" + index), since);
+      assignment.markRunning(new MachineId("i-" + index), since);
     }
     return job;
   }
@@ -78,19 +78,19 @@
     order.add(running(waiting, 5));
     int[] looks = new int[2];
     Preemption preemption = new Preemption(12, 20);
-    Preemption.Round round =
+    Preemption.Pass round =
         preemption
-        .new Round(
+        .new Pass(
             order,
             assignment -> {
               looks[0]++;
-              return Optional.of(new Preemption.Where(ZONE, new MachineTypeId("small"), false));
+              return Optional.of(new Preemption.Location(ZONE, new MachineTypeId("small"), false));
             },
             NOW);
     int stopped = 0;
     for (Job job : order.subList(0, waiting)) {
-      if (round.mayAsk("priority")) {
-        PreemptionPolicies.ByPriority rule = new PreemptionPolicies.ByPriority(job);
+      if (round.admit("priority")) {
+        PreemptionPolicies.LowerPriority rule = new PreemptionPolicies.LowerPriority(job);
         List<TaskAssignment> victims =
             preemption.victims(
                 job,
@@ -117,9 +117,9 @@
   void workThatRanForLongIsNotLookedAt(int seconds) {
     Job waiting = job(0, Priority.HIGH, 10);
     Preemption preemption = new Preemption(12, 20);
-    Preemption.Round round =
+    Preemption.Pass round =
         preemption
-        .new Round(
+        .new Pass(
             List.of(waiting, running(1, seconds)),
             assignment -> {
               throw new AssertionError("looked at " + assignment.task());
@@ -128,6 +128,6 @@
     assertEquals(
         List.of(),
         preemption.victims(
-            waiting, 10, round, new PreemptionPolicies.ByPriority(waiting), c -> true));
+            waiting, 10, round, new PreemptionPolicies.LowerPriority(waiting), c -> true));
   }
 }
--- a/src/test/java/org/mulleinshift/sharding/CommandsInFlightTest.java
+++ b/src/test/java/org/mulleinshift/sharding/CommandsInFlightTest.java
@@ -61,11 +61,11 @@
     catalog.start();
     owner =
         new ShardOwner(
-            new ShardOwner.Surroundings(
+            new ShardOwner.Context(
                 loop,
                 (to, request, reply) -> directs.add(new Direct(request.body().get(), reply)),
                 catalog,
-                new PlatformSettings.Workers(
+                new PlatformSettings.WorkerTiming(
                     Duration.ofSeconds(2), Duration.ofSeconds(12), Duration.ofSeconds(32)),
                 Duration.ofSeconds(14),
                 cancelled::contains,
@@ -95,7 +95,7 @@
   }
 
   private String answerTo(int tick, long token, String tasks) throws MalformedMessageException {
-    return owner.onReport(WorkerCodec.parseReport(report(tick, token, tasks))).orElseThrow();
+    return owner.onHeartbeat(WorkerCodec.parseHeartbeat(report(tick, token, tasks))).orElseThrow();
   }
 
   private void assign(long version, int index) {
--- a/src/test/java/org/mulleinshift/sharding/PeerPhaseGoldenTest.java
+++ b/src/test/java/org/mulleinshift/sharding/PeerPhaseGoldenTest.java
@@ -35,7 +35,7 @@
   private static final NodeId SENDER = new NodeId("n-1");
   private static final String PHASES = "peer/phases.hex";
   private static final String WORKER_LINKS = "peer/worker-links.hex";
-  private static final String HEARD = OwnedMachine.Silence.HEARD.wireName();
+  private static final String HEARD = OwnedMachine.Liveness.ALIVE.wireName();
 
   private final PeerCodec codec = new PeerCodec();
 
@@ -59,7 +59,7 @@
             WorkerHeartbeat.State.RUNNING,
             WorkerHeartbeat.Cause.NONE);
     machine.unassignedTasks(List.of(unassignedTask));
-    machine.occupiedBy(Set.of(job));
+    machine.updateOccupied(Set.of(job));
     return machine;
   }
 
@@ -69,10 +69,10 @@
     for (MachinePhase phase : MachinePhase.values()) {
       machines.add(machine(phase.wireName(), HEARD));
     }
-    for (OwnedMachine.Silence silence : OwnedMachine.Silence.values()) {
+    for (OwnedMachine.Liveness silence : OwnedMachine.Liveness.values()) {
       machines.add(machine(MachinePhase.CONFIRMED.wireName(), silence.wireName()));
     }
-    machines.add(machine(occupiedMachine().toldPhase(), HEARD));
+    machines.add(machine(occupiedMachine().reportedPhase(), HEARD));
     List<TaskStatus> tasks = new ArrayList<>();
     for (TaskPhase phase : TaskPhase.values()) {
       tasks.add(new TaskStatus("run-1", 0, 1L, phase.wireName(), "i-1", 0L));
@@ -107,7 +107,7 @@
   void workerLinksAreReadByTheirNames() throws MalformedMessageException {
     List<WorkerReachability.State> read =
         codec.read(GoldenFile.bytes(WORKER_LINKS)).getBodies().stream()
-            .map(beat -> PeerFailureDetector.workers((Heartbeat) beat))
+            .map(beat -> PeerFailureDetector.workerReachability((Heartbeat) beat))
             .toList();
     assertEquals(Arrays.asList(WorkerReachability.State.values()), read);
   }
@@ -119,7 +119,8 @@
 
   @Test
   void anUnknownWorkerLinkCountsAsWell() {
-    assertEquals(WorkerReachability.State.WELL, PeerFailureDetector.workers(heartbeat("PARKED")));
+    assertEquals(
+        WorkerReachability.State.WELL, PeerFailureDetector.workerReachability(heartbeat("PARKED")));
   }
 
   @Test
--- a/src/test/java/org/mulleinshift/sim/HttpConnection.java
+++ b/src/test/java/org/mulleinshift/sim/HttpConnection.java
@@ -43,7 +43,7 @@
     this.counter = counter;
   }
 
-  /** Asks; {@link HttpResponse#NONE} is the reply if the connection fails. */
+  /** Asks; {@link HttpResponse#NO_RESPONSE} is the reply if the connection fails. */
   synchronized void ask(
       InetSocketAddress address,
       String method,
@@ -90,7 +90,7 @@
             ChannelFuture unused = opened.writeAndFlush(request);
           } else {
             request.release();
-            answer(opened, HttpResponse.NONE);
+            answer(opened, HttpResponse.NO_RESPONSE);
           }
         });
   }
@@ -148,7 +148,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      answer(context.channel(), HttpResponse.NONE);
+      answer(context.channel(), HttpResponse.NO_RESPONSE);
     }
 
     @Override
--- a/src/test/java/org/mulleinshift/sim/ScaleCell.java
+++ b/src/test/java/org/mulleinshift/sim/ScaleCell.java
@@ -270,7 +270,7 @@
   private void askUsers(String method, String path, String body, Consumer<HttpResponse> reply) {
     List<ControllerProcess> ready = controllers.stream().filter(ControllerProcess::ready).toList();
     if (ready.isEmpty()) {
-      reply.accept(HttpResponse.NONE);
+      reply.accept(HttpResponse.NO_RESPONSE);
       return;
     }
     ControllerProcess chosen = ready.get((int) (world.random() * ready.size()));
@@ -299,7 +299,7 @@
                 (answer, failure) ->
                     reply.accept(
                         failure != null
-                            ? HttpResponse.NONE
+                            ? HttpResponse.NO_RESPONSE
                             : new HttpResponse(answer.statusCode(), answer.body())));
   }
 
--- a/src/test/java/org/mulleinshift/sim/Scenario.java
+++ b/src/test/java/org/mulleinshift/sim/Scenario.java
@@ -72,7 +72,7 @@
   private double reportSeconds = 2;
   private double leaseSeconds = 12;
   private double cancelSeconds = 32;
-  private PlatformSettings.State limits;
+  private PlatformSettings.StoreLimits limits;
   private Map<String, String> stateFields = Map.of();
   private Map<String, String> nextFields = Map.of();
   private int nodeCount = 3;
@@ -94,7 +94,7 @@
     }
     world = new World(seed);
     network = new Network(world);
-    PlatformSettings.State now = limits(stateFields, java.util.Optional.empty());
+    PlatformSettings.StoreLimits now = limits(stateFields, java.util.Optional.empty());
     limits =
         nextFields.isEmpty()
             ? now
@@ -102,7 +102,11 @@
                 stateFields, java.util.Optional.of(limits(nextFields, java.util.Optional.empty())));
     state =
         new SimState(
-            world, now.valueBytes(), now.txnOps(), now.requestsPerSecond(), now.writesPerSecond());
+            world,
+            now.valueBytes(),
+            now.transactionOperations(),
+            now.requestsPerSecond(),
+            now.writesPerSecond());
     rules = new RuleBook(world, teamLimits, cancelSeconds);
     cloud = new SimCloud(world, 4, this::startWorker);
     keptCopies = new KeptCopies(world, nodes);
@@ -202,9 +206,9 @@
   }
 
   /** {@code rps=200 writes=40 kb=8 ops=12}. */
-  private static PlatformSettings.State limits(
-      Map<String, String> fields, java.util.Optional<PlatformSettings.State> next) {
-    return new PlatformSettings.State(
+  private static PlatformSettings.StoreLimits limits(
+      Map<String, String> fields, java.util.Optional<PlatformSettings.StoreLimits> next) {
+    return new PlatformSettings.StoreLimits(
         Double.parseDouble(fields.getOrDefault("rps", "200")),
         Double.parseDouble(fields.getOrDefault("writes", "40")),
         (int) (1024 * Double.parseDouble(fields.getOrDefault("kb", "8"))),
@@ -302,10 +306,10 @@
             Duration.ofMillis(5),
             teams,
             aims,
-            new PlatformSettings.Workers(
+            new PlatformSettings.WorkerTiming(
                 millis(reportSeconds), millis(leaseSeconds), millis(cancelSeconds)),
             limits,
-            new PlatformSettings.Cloud(8, Duration.ofSeconds(4))),
+            new PlatformSettings.CloudLimits(8, Duration.ofSeconds(4))),
         new PlatformSettings.Limits(1, 200, 500));
   }
 
@@ -594,9 +598,12 @@
     return words.length > index ? words[index] : standard;
   }
 
-  private void fall(PlatformSettings.State next) {
+  private void fall(PlatformSettings.StoreLimits next) {
     state.limits(
-        next.valueBytes(), next.txnOps(), next.requestsPerSecond(), next.writesPerSecond());
+        next.valueBytes(),
+        next.transactionOperations(),
+        next.requestsPerSecond(),
+        next.writesPerSecond());
   }
 
   private void actOnCloud(String[] words) {
--- a/src/test/java/org/mulleinshift/sim/SimNode.java
+++ b/src/test/java/org/mulleinshift/sim/SimNode.java
@@ -85,7 +85,7 @@
               request.deadline().toNanos() / 1e9,
               () -> {
                 if (mine == life) {
-                  once.accept(HttpResponse.NONE);
+                  once.accept(HttpResponse.NO_RESPONSE);
                 }
               });
         };
@@ -93,7 +93,7 @@
         new Controller(
             settings,
             tunables,
-            new Controller.Outside(
+            new Controller.Ports(
                 loop,
                 caller,
                 caller,
@@ -243,7 +243,7 @@
     }
 
     @Override
-    public void onStandstill(Consumer<Duration> listener) {
+    public void onProcessPause(Consumer<Duration> listener) {
       onStandstill = listener;
     }
 
