--- /dev/null
+++ b/src/main/java/org/mulleinshift/autoscaling/AutoscalerSettings.java
@@ -0,0 +1,53 @@
+package org.mulleinshift.autoscaling;
+
+import java.time.Duration;
+import org.mulleinshift.settings.PlatformSettings;
+import org.mulleinshift.settings.Tunables;
+
+/**
+ * The settings of the autoscaler, read once.
+ *
+ * @param interval between two runs
+ * @param simulationSteps steps of a queue simulation
+ * @param resizeAtOnceShare a shortage above this share of the cluster is provisioned at once
+ * @param refusedPause before an offer that the cloud refused is asked for again
+ * @param defaultBootSeconds boot time of a type that lists none
+ * @param overdueBootFactor a boot that takes so many times the expected time is overdue
+ * @param idleSeconds after which an unused machine is released
+ * @param minimumHeldSeconds that a machine is kept at least
+ * @param surplusSeconds after which a machine whose tasks fit elsewhere is drained
+ * @param spotOnlySeconds for which low-priority work waits for spot machines
+ * @param maxShardMachines machines of one shard
+ */
+public record AutoscalerSettings(
+    Duration interval,
+    int simulationSteps,
+    double resizeAtOnceShare,
+    Duration refusedPause,
+    double defaultBootSeconds,
+    double overdueBootFactor,
+    double idleSeconds,
+    double minimumHeldSeconds,
+    double surplusSeconds,
+    double spotOnlySeconds,
+    int maxShardMachines) {
+  /** Longest stored form of one machine within its shard's record. */
+  private static final int MACHINE_RECORD_BYTES = 128;
+
+  /** The settings of a deployment. */
+  public static AutoscalerSettings of(PlatformSettings platform, Tunables tunables) {
+    int fittingMachines = platform.cluster().store().minValueBytes() / MACHINE_RECORD_BYTES;
+    return new AutoscalerSettings(
+        tunables.seconds(Tunables.Key.WALK_S),
+        tunables.count(Tunables.Key.WALK_STEPS),
+        tunables.number(Tunables.Key.RESIZE_AT_ONCE),
+        tunables.seconds(Tunables.Key.REFUSED_PAUSE_S),
+        tunables.number(Tunables.Key.BOOT_DEFAULT_S),
+        tunables.number(Tunables.Key.BOOT_OVERDUE_FACTOR),
+        tunables.number(Tunables.Key.IDLE_RETURN_S),
+        tunables.number(Tunables.Key.MINIMUM_HELD_S),
+        tunables.number(Tunables.Key.SPARE_S),
+        tunables.number(Tunables.Key.PATIENT_S),
+        Math.min(tunables.count(Tunables.Key.SHARD_MACHINES), fittingMachines));
+  }
+}
--- a/src/main/java/org/mulleinshift/autoscaling/CapacityPlanner.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CapacityPlanner.java
@@ -8,7 +8,6 @@
 import java.util.Optional;
 import java.util.Set;
 import org.mulleinshift.dependencies.DependencyResolver;
-import org.mulleinshift.leader.Leader;
 import org.mulleinshift.model.Job;
 import org.mulleinshift.model.Machine;
 import org.mulleinshift.model.ProvisioningRequest;
@@ -24,24 +23,34 @@
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.TeamId;
 import org.mulleinshift.protocol.peer.MachineStatus;
+import org.mulleinshift.scheduling.ClusterState;
 import org.mulleinshift.scheduling.RunTimeEstimator;
-import org.mulleinshift.settings.Tunables;
 import org.mulleinshift.sharding.OwnedMachine;
 import org.mulleinshift.sharding.ShardView;
 import org.mulleinshift.transport.EventLoop;
 
 /** What a walk starts from: the rooms of machines, booting ones and rentals, and who waits. */
 final class CapacityPlanner {
-  private final Autoscaler autoscaler;
-  private final Leader leader;
-  private final Leader.Context context;
   private final EventLoop loop;
+  private final ClusterState state;
+  private final Demand demand;
+  private final Provisioner provisioner;
+  private final BootTimeEstimator bootTimes;
+  private final AutoscalerSettings settings;
 
-  CapacityPlanner(Autoscaler fleet, Leader leader, Leader.Context context) {
-    this.autoscaler = fleet;
-    this.leader = leader;
-    this.context = context;
-    this.loop = context.loop();
+  CapacityPlanner(
+      EventLoop loop,
+      ClusterState state,
+      Demand demand,
+      Provisioner provisioner,
+      BootTimeEstimator bootTimes,
+      AutoscalerSettings settings) {
+    this.loop = loop;
+    this.state = state;
+    this.demand = demand;
+    this.provisioner = provisioner;
+    this.bootTimes = bootTimes;
+    this.settings = settings;
   }
 
   /** What a walk found: the shortage, the machines that it used, and the fleet's processors. */
@@ -55,7 +64,7 @@
     collectProvisioning(capacities, releases, horizon);
     double cpus = capacities.stream().mapToDouble(capacity -> capacity.size().cpus()).sum();
     collectRunning(byMachine, releases, horizon);
-    int steps = context.tunables().count(Tunables.Key.WALK_STEPS);
+    int steps = settings.simulationSteps();
     return new Plan(QueueSimulation.run(capacities, releases, waiting, horizon, steps), cpus);
   }
 
@@ -64,14 +73,14 @@
       List<QueueSimulation.Release> releases,
       Map<MachineId, MachineCapacity> byMachine,
       double horizon) {
-    for (ShardView shard : leader.shards().values()) {
+    for (ShardView shard : state.shards().all()) {
       shard
           .machines()
           .forEach(
               (id, record) -> {
-                Optional<MachineType> type = context.catalog().type(record.type());
+                Optional<MachineType> type = state.catalog().type(record.type());
                 if (type.isEmpty()
-                    || autoscaler.isCordoned(id)
+                    || state.machines().isCordoned(id)
                     || shard.statusOf(id).filter(OwnedMachine::occupied).isPresent()) {
                   return;
                 }
@@ -81,17 +90,18 @@
                   return;
                 }
                 Resources size = type.get().size();
-                Machine known = autoscaler.track(id);
+                Machine known = state.machines().track(id);
                 if (!record.up() && overdue(type.get(), known)) {
                   // It may never come, so it is no room.
                   return;
                 }
                 MachineCapacity capacity =
-                    MachineCapacity.on(
-                        shard,
+                    new MachineCapacity(
                         id,
-                        record,
+                        shard.id(),
+                        shard.zone(),
                         type.get(),
+                        record.spot(),
                         record.up() ? size : Resources.ZERO,
                         Set.of());
                 capacities.add(capacity);
@@ -99,8 +109,7 @@
                 if (!record.up()) {
                   // Within the horizon even if its type boots slower than that: a machine on its
                   // way that is no room is rented for again with every resize.
-                  double bootLeft =
-                      autoscaler.bootTimes().expected(type.get()) - known.heldSeconds(loop.now());
+                  double bootLeft = bootTimes.expected(type.get()) - known.heldSeconds(loop.now());
                   double at = Math.min(horizon, Math.max(0, bootLeft));
                   releases.add(new QueueSimulation.Release(at, capacity, size));
                 }
@@ -109,15 +118,16 @@
   }
 
   private boolean overdue(MachineType type, Machine machine) {
-    BootTimeEstimator.Outlook outlook = autoscaler.outlook(type, machine);
+    BootTimeEstimator.Outlook outlook =
+        bootTimes.outlook(type, machine.provisionedAt(), loop.now());
     return outlook == BootTimeEstimator.Outlook.OVERDUE
         || outlook == BootTimeEstimator.Outlook.ABANDONED;
   }
 
   private void collectProvisioning(
       List<MachineCapacity> capacities, List<QueueSimulation.Release> releases, double horizon) {
-    for (ProvisioningRequest request : autoscaler.provisioner().expected()) {
-      MachineType type = context.catalog().type(request.type()).orElse(null);
+    for (ProvisioningRequest request : provisioner.expected()) {
+      MachineType type = state.catalog().type(request.type()).orElse(null);
       if (type == null) {
         continue;
       }
@@ -145,7 +155,7 @@
       List<QueueSimulation.Release> releases,
       double horizon) {
     List<Unplaced> unplaced = new ArrayList<>();
-    for (Job job : leader.jobs().values()) {
+    for (Job job : state.jobs().all()) {
       if (!job.assignments().isEmpty()) {
         collectRunning(job, byMachine, releases, horizon, unplaced);
       }
@@ -187,7 +197,7 @@
       List<QueueSimulation.Release> releases,
       double horizon,
       List<Unplaced> unplaced) {
-    double expected = context.runTimes().expectedSeconds(job);
+    double expected = state.runTimes().expectedSeconds(job);
     ResourceRequest need = ResourceRequest.of(job.spec());
     int waiting = 0;
     for (TaskAssignment assignment : job.assignments()) {
@@ -220,13 +230,12 @@
   /** The queue, and in it, by their priority, jobs that should be let go within the horizon. */
   private List<Queued> queue(double horizon) {
     List<Queued> queue = new ArrayList<>();
-    for (Job job : leader.ranking().order()) {
+    for (Job job : demand.rankedJobs()) {
       if (job.state() == Job.State.ACTIVE && job.waitingCount() > 0) {
         queue.add(new Queued(job, 0));
       }
     }
-    for (DependencyResolver.ExpectedRelease soon :
-        leader.dependencies().expectedReleases(horizon)) {
+    for (DependencyResolver.ExpectedRelease soon : demand.expectedReleases(horizon)) {
       int place = 0;
       while (place < queue.size()
           && !soon.job().priority().above(queue.get(place).job().priority())) {
@@ -239,20 +248,20 @@
 
   /** Waiting tasks in order, without those that their team's limit holds back. */
   List<QueueSimulation.PendingGroup> pendingGroups(double horizon) {
-    Map<TeamId, Resources> use = leader.usageByTeam();
+    Map<TeamId, Resources> use = state.usageByTeam();
     List<QueueSimulation.PendingGroup> groups = new ArrayList<>();
     for (Queued queued : queue(horizon)) {
       Job job = queued.job();
       Resources used = use.getOrDefault(job.spec().team(), Resources.ZERO);
-      int count = Math.min(job.waitingCount(), leader.quota().tasksWithinLimit(job, used));
+      int count = Math.min(job.waitingCount(), state.quotas().tasksWithinLimit(job, used));
       // A job submitted with a mistake is no demand beyond its next try.
-      count = Math.min(count, leader.failures().allowedAttempts(job, loop.now()));
+      count = Math.min(count, state.failures().allowedAttempts(job, loop.now()));
       if (count > 0) {
         use.put(job.spec().team(), used.plus(job.spec().perTask().times(count)));
         groups.add(
             new QueueSimulation.PendingGroup(
                 ResourceRequest.of(job.spec()),
-                context.runTimes().expectedSeconds(job),
+                state.runTimes().expectedSeconds(job),
                 waitsForSpot(job),
                 count,
                 queued.fromSeconds()));
@@ -266,8 +275,8 @@
     if (job.priority() != Priority.LOW || !job.spec().spotAllowed()) {
       return false;
     }
-    double patience = context.tunables().number(Tunables.Key.PATIENT_S);
-    double latest = job.deadlineMillis() - 2000 * context.runTimes().expectedSeconds(job);
+    double patience = settings.spotOnlySeconds();
+    double latest = job.deadlineMillis() - 2000 * state.runTimes().expectedSeconds(job);
     double until = Math.min(latest, job.readyMillis() + 1000 * patience);
     return loop.wallMillis() < until;
   }
@@ -276,7 +285,7 @@
   Set<MachineTypeId> typesFor(List<QueueSimulation.PendingGroup> waiting) {
     Set<MachineTypeId> types = new HashSet<>();
     for (QueueSimulation.PendingGroup group : waiting) {
-      context.catalog().types().values().stream()
+      state.catalog().types().values().stream()
           .filter(type -> group.request().fits(type))
           .forEach(type -> types.add(type.id()));
     }
--- /dev/null
+++ b/src/main/java/org/mulleinshift/autoscaling/CloudClient.java
@@ -0,0 +1,21 @@
+package org.mulleinshift.autoscaling;
+
+import java.net.InetSocketAddress;
+import java.util.function.Consumer;
+import org.mulleinshift.transport.AsyncHttpClient;
+import org.mulleinshift.transport.HttpRequest;
+import org.mulleinshift.transport.HttpResponse;
+import org.mulleinshift.transport.RateLimiter;
+
+/**
+ * The cloud's API as one controller may use it.
+ *
+ * @param http sends the requests
+ * @param address where the API listens
+ * @param limiter this controller's share of the cloud's request rate
+ */
+public record CloudClient(AsyncHttpClient http, InetSocketAddress address, RateLimiter limiter) {
+  void call(HttpRequest request, Consumer<HttpResponse> onResponse) {
+    http.call(address, request, onResponse);
+  }
+}
--- /dev/null
+++ b/src/main/java/org/mulleinshift/autoscaling/Demand.java
@@ -0,0 +1,14 @@
+package org.mulleinshift.autoscaling;
+
+import java.util.List;
+import org.mulleinshift.dependencies.DependencyResolver;
+import org.mulleinshift.model.Job;
+
+/** The queue that the cluster is sized for. */
+public interface Demand {
+  /** Active jobs, the most urgent first. */
+  List<Job> rankedJobs();
+
+  /** Jobs whose dependencies should be done within the horizon. */
+  List<DependencyResolver.ExpectedRelease> expectedReleases(double horizonSeconds);
+}
--- a/src/main/java/org/mulleinshift/autoscaling/OfferSelector.java
+++ b/src/main/java/org/mulleinshift/autoscaling/OfferSelector.java
@@ -11,9 +11,8 @@
 import org.mulleinshift.protocol.CloudCodec;
 import org.mulleinshift.protocol.MachineType;
 import org.mulleinshift.protocol.MachineTypeId;
-import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.ZoneId;
-import org.mulleinshift.sharding.ShardView;
+import org.mulleinshift.sharding.ShardTable;
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.MonotonicTime;
 
@@ -34,7 +33,7 @@
 
   private final EventLoop loop;
   private final MachineTypeCatalog catalog;
-  private final Map<ShardId, ShardView> shards;
+  private final ShardTable shards;
   private final Duration pause;
   private final ToIntFunction<Offer> outstanding;
   private final Map<Offer, Refusals> refusals = new HashMap<>();
@@ -49,7 +48,7 @@
   OfferSelector(
       EventLoop loop,
       MachineTypeCatalog catalog,
-      Map<ShardId, ShardView> shards,
+      ShardTable shards,
       Duration pause,
       ToIntFunction<Offer> asked) {
     this.loop = loop;
@@ -145,7 +144,7 @@
 
   private Map<ZoneId, Integer> machinesByZone(Map<Offer, Integer> wanted) {
     Map<ZoneId, Integer> counts = new HashMap<>();
-    shards.values().forEach(b -> counts.merge(b.zone(), b.machines().size(), Integer::sum));
+    shards.all().forEach(b -> counts.merge(b.zone(), b.machines().size(), Integer::sum));
     wanted.forEach((offer, count) -> counts.merge(offer.zone(), count, Integer::sum));
     return counts;
   }
--- a/src/main/java/org/mulleinshift/autoscaling/Provisioner.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Provisioner.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.mulleinshift.leader.Leader;
+import org.mulleinshift.membership.LeadershipTerm;
 import org.mulleinshift.model.ProvisioningRequest;
 import org.mulleinshift.protocol.CloudCodec;
 import org.mulleinshift.protocol.MachineId;
@@ -37,26 +37,27 @@
     void onRefused(ProvisioningRequest request, boolean some);
   }
 
-  private final Leader leader;
-  private final Leader.Context context;
+  private final LeadershipTerm term;
+  private final TransactionBatcher batcher;
   private final EventLoop loop;
-  private final Autoscaler.Cloud cloud;
-  private final Revision term;
+  private final CloudClient cloud;
+  private final Revision termNumber;
   private final Listener listener;
   private final Map<String, ProvisioningRequest> requests = new LinkedHashMap<>();
   private long lastNumber;
 
   Provisioner(
-      Leader leader,
-      Leader.Context context,
-      Autoscaler.Cloud cloud,
-      Revision term,
+      EventLoop loop,
+      LeadershipTerm term,
+      Revision termNumber,
+      TransactionBatcher batcher,
+      CloudClient cloud,
       Listener listener) {
-    this.leader = leader;
-    this.context = context;
-    this.loop = context.loop();
-    this.cloud = cloud;
+    this.loop = loop;
     this.term = term;
+    this.termNumber = termNumber;
+    this.batcher = batcher;
+    this.cloud = cloud;
     this.listener = listener;
   }
 
@@ -83,7 +84,7 @@
   }
 
   /** A new leader asks again under the stored names: the same name never rents twice. */
-  public void load(List<KeyValue> items, TransactionBatcher batcher) {
+  public void load(List<KeyValue> items) {
     for (KeyValue item : items) {
       String name = item.key().substring(StoreKeys.PROVISIONING_REQUESTS.length());
       try {
@@ -103,7 +104,7 @@
   }
 
   private void provisionBatch(OfferSelector.Offer offer, int count) {
-    String name = "r-" + term + "-" + ++lastNumber;
+    String name = "r-" + termNumber + "-" + ++lastNumber;
     ProvisioningRequest request =
         new ProvisioningRequest(
             name,
@@ -114,35 +115,28 @@
             loop.now(),
             ProvisioningRequest.State.PLANNED);
     requests.put(name, request);
-    leader.batcher().submit(StoreKeys.provisioningRequest(name), new RequestMutation(request));
+    batcher.submit(StoreKeys.provisioningRequest(name), new RequestMutation(request));
   }
 
   private void send(ProvisioningRequest request) {
-    if (!leader.leading() || request.state() != ProvisioningRequest.State.SENT) {
+    if (!term.active() || request.state() != ProvisioningRequest.State.SENT) {
       return;
     }
-    if (!context.holdsValidLease().getAsBoolean() || !cloud.budget().tryAcquire(1, 0)) {
+    if (!term.holdsValidLease() || !cloud.limiter().tryAcquire(1, 0)) {
       loop.after(RETRY, () -> send(request));
       return;
     }
-    cloud
-        .calls()
-        .call(
-            cloud.address(),
-            HttpRequest.post(
-                CloudCodec.MACHINES,
-                CloudCodec.provision(
-                    request.name(),
-                    request.type(),
-                    request.zone(),
-                    request.spot(),
-                    request.count()),
-                DEADLINE),
-            reply -> onResponse(request, reply));
+    cloud.call(
+        HttpRequest.post(
+            CloudCodec.MACHINES,
+            CloudCodec.provision(
+                request.name(), request.type(), request.zone(), request.spot(), request.count()),
+            DEADLINE),
+        reply -> onResponse(request, reply));
   }
 
   private void onResponse(ProvisioningRequest request, HttpResponse reply) {
-    if (!leader.leading()) {
+    if (!term.active()) {
       return;
     }
     if (reply.ok()) {
@@ -181,21 +175,19 @@
   /** The rental's key goes only after its machines are stored. */
   private void complete(ProvisioningRequest request) {
     request.transitionTo(ProvisioningRequest.State.ANSWERED);
-    leader
-        .batcher()
-        .submit(
-            StoreKeys.provisioningRequest(request.name()),
-            new TransactionBatcher.Mutation() {
-              @Override
-              public List<Write> writes() {
-                return List.of(Write.delete(StoreKeys.provisioningRequest(request.name())));
-              }
-
-              @Override
-              public void onCommitted(Revision revision) {
-                requests.remove(request.name());
-              }
-            });
+    batcher.submit(
+        StoreKeys.provisioningRequest(request.name()),
+        new TransactionBatcher.Mutation() {
+          @Override
+          public List<Write> writes() {
+            return List.of(Write.delete(StoreKeys.provisioningRequest(request.name())));
+          }
+
+          @Override
+          public void onCommitted(Revision revision) {
+            requests.remove(request.name());
+          }
+        });
   }
 
   /** A rental's name, stored before the cloud hears it. */
--- a/src/main/java/org/mulleinshift/autoscaling/ScaleIn.java
+++ b/src/main/java/org/mulleinshift/autoscaling/ScaleIn.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.mulleinshift.leader.Leader;
+import java.util.function.Predicate;
 import org.mulleinshift.model.ClusterView.MachineRecord;
 import org.mulleinshift.model.Job;
 import org.mulleinshift.model.Machine;
@@ -20,7 +20,7 @@
 import org.mulleinshift.protocol.MachineTypeId;
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.scheduling.CapacityReservation;
-import org.mulleinshift.settings.Tunables;
+import org.mulleinshift.scheduling.ClusterState;
 import org.mulleinshift.sharding.ShardView;
 import org.mulleinshift.transport.EventLoop;
 import org.slf4j.Logger;
@@ -32,38 +32,46 @@
   private static final int DRAIN_FRACTION = 24;
   private static final int MAX_TRIALS = 16;
 
-  private final Autoscaler autoscaler;
-  private final CapacityPlanner plan;
-  private final Leader leader;
-  private final Leader.Context context;
   private final EventLoop loop;
+  private final ClusterState state;
+  private final CapacityPlanner planner;
+  private final MachineReleaser releaser;
+  private final Predicate<MachineTypeId> bootDelayed;
+  private final AutoscalerSettings settings;
 
-  ScaleIn(Autoscaler fleet, CapacityPlanner plan, Leader leader, Leader.Context context) {
-    this.autoscaler = fleet;
-    this.plan = plan;
-    this.leader = leader;
-    this.context = context;
-    this.loop = context.loop();
+  ScaleIn(
+      EventLoop loop,
+      ClusterState state,
+      CapacityPlanner planner,
+      MachineReleaser releaser,
+      Predicate<MachineTypeId> bootDelayed,
+      AutoscalerSettings settings) {
+    this.loop = loop;
+    this.state = state;
+    this.planner = planner;
+    this.releaser = releaser;
+    this.bootDelayed = bootDelayed;
+    this.settings = settings;
   }
 
   /** Returns machines that are idle, paid for their least time, and of no use to the walk. */
   void releaseIdle(Set<MachineId> used) {
-    double idle = context.tunables().number(Tunables.Key.IDLE_RETURN_S);
-    double held = context.tunables().number(Tunables.Key.MINIMUM_HELD_S);
-    for (ShardView shard : leader.shards().values()) {
+    double idle = settings.idleSeconds();
+    double held = settings.minimumHeldSeconds();
+    for (ShardView shard : state.shards().all()) {
       for (Map.Entry<MachineId, MachineRecord> entry : shard.machines().entrySet()) {
         MachineId id = entry.getKey();
-        Machine known = autoscaler.track(id);
+        Machine known = state.machines().track(id);
         boolean unused =
             known.state() == Machine.State.DRAINING
                 || (!used.contains(id) && known.idleSeconds(loop.now()) >= idle);
         if (entry.getValue().up()
             && unused
-            && !autoscaler.isBootDelayed(entry.getValue().type())
+            && !bootDelayed.test(entry.getValue().type())
             && known.state() != Machine.State.RETURNING
             && known.heldSeconds(loop.now()) >= held
-            && !leader.isBusy(id, shard.id())) {
-          autoscaler.release(id, "is idle");
+            && !state.isBusy(id, shard.id())) {
+          releaser.release(id, "is idle");
         }
       }
     }
@@ -71,18 +79,18 @@
 
   /** Room ran short: machines that were to go stay. */
   void uncordon(Set<MachineTypeId> wanted) {
-    for (ShardView shard : leader.shards().values()) {
+    for (ShardView shard : state.shards().all()) {
       for (Map.Entry<MachineId, MachineRecord> entry : shard.machines().entrySet()) {
         if (!wanted.contains(entry.getValue().type())) {
           continue;
         }
         MachineId id = entry.getKey();
-        Machine known = autoscaler.track(id);
+        Machine known = state.machines().track(id);
         known.surplusFor(false, loop.now());
         if (known.state() == Machine.State.DRAINING) {
           LOG.info("{} stays", id);
           known.reopen();
-          leader.markShardChanged(shard.id());
+          state.shards().markChanged(shard.id());
         }
       }
     }
@@ -94,15 +102,15 @@
    * tasks that only fit a large type, of which there are no more, do not keep the small ones up.
    */
   void consolidate(Set<MachineTypeId> wanted) {
-    if (wanted.containsAll(context.catalog().types().keySet())) {
+    if (wanted.containsAll(state.catalog().types().keySet())) {
       return;
     }
-    double held = context.tunables().number(Tunables.Key.MINIMUM_HELD_S);
-    double patience = context.tunables().number(Tunables.Key.SPARE_S);
+    double held = settings.minimumHeldSeconds();
+    double patience = settings.surplusSeconds();
     Map<MachineId, MachineCapacity> capacities = new HashMap<>();
-    plan.collectMachines(new ArrayList<>(), new ArrayList<>(), capacities, 0);
-    plan.collectRunning(capacities, new ArrayList<>(), 0);
-    for (CapacityReservation.Reservation kept : leader.reservation().reservations(loop.now())) {
+    planner.collectMachines(new ArrayList<>(), new ArrayList<>(), capacities, 0);
+    planner.collectRunning(capacities, new ArrayList<>(), 0);
+    for (CapacityReservation.Reservation kept : state.reservation().reservations(loop.now())) {
       if (BinPacker.fill(kept.request(), 2 * kept.count(), capacities.values())
           < 2 * kept.count()) {
         return;
@@ -119,14 +127,14 @@
     int trials = MAX_TRIALS;
     int most = 1 + candidates.size() / DRAIN_FRACTION;
     for (MachineCapacity candidate : candidates) {
-      Machine known = autoscaler.track(candidate.machine());
+      Machine known = state.machines().track(candidate.machine());
       boolean old = known.state() == Machine.State.UP && known.heldSeconds(loop.now()) >= held;
       boolean spare = old && most > 0 && trials-- > 0 && fitsElsewhere(candidate, capacities);
       most -= spare ? 1 : 0;
       if (known.surplusFor(spare, loop.now()) >= patience && spare) {
         LOG.info("{} is spare: it takes no new tasks", candidate.machine());
         known.drain();
-        autoscaler.markShardChanged(candidate.machine());
+        state.shards().markChanged(candidate.machine());
       }
     }
   }
@@ -136,8 +144,8 @@
       MachineCapacity candidate, Map<MachineId, MachineCapacity> capacities) {
     Map<MachineId, MachineCapacity> trial = new HashMap<>();
     Map<ResourceRequest, Integer> needs = new LinkedHashMap<>();
-    for (TaskAssignment assignment : leader.allocations().on(candidate.machine())) {
-      Job job = leader.jobs().get(assignment.task().job());
+    for (TaskAssignment assignment : state.allocations().on(candidate.machine())) {
+      Job job = state.jobs().find(assignment.task().job()).orElseThrow();
       needs.merge(ResourceRequest.of(job.spec()), 1, Integer::sum);
     }
     Resources least = UnschedulableRequests.minimumOf(needs.keySet(), need -> need);
--- a/src/main/java/org/mulleinshift/compatibility/package-info.java
+++ b/src/main/java/org/mulleinshift/compatibility/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Builds of different age side by side: what of the stored state this build can't read, and what is
- * then left alone. Knows jobs and shards by their ids only.
+ * Controllers of several builds side by side: which stored forms all of them read, and jobs whose
+ * stored form this build can't read.
  */
 package org.mulleinshift.compatibility;
--- a/src/main/java/org/mulleinshift/controller/Controller.java
+++ b/src/main/java/org/mulleinshift/controller/Controller.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.mulleinshift.api.JobApi;
 import org.mulleinshift.api.ReadinessProbe;
-import org.mulleinshift.autoscaling.Autoscaler;
+import org.mulleinshift.autoscaling.CloudClient;
 import org.mulleinshift.compatibility.FeatureGates;
 import org.mulleinshift.leader.EstimateReplicator;
 import org.mulleinshift.leader.Leader;
@@ -20,6 +20,8 @@
 import org.mulleinshift.membership.IndirectLeaseRenewal;
 import org.mulleinshift.membership.LeaderElection;
 import org.mulleinshift.membership.PeerFailureDetector;
+import org.mulleinshift.membership.PeerMessenger;
+import org.mulleinshift.membership.PeerStatus;
 import org.mulleinshift.membership.StandbyFailover;
 import org.mulleinshift.membership.StoreHealth;
 import org.mulleinshift.membership.WorkerReachability;
@@ -115,7 +117,7 @@
   private final JobApi jobApi;
   private final RunTimeEstimator runTimes = new RunTimeEstimator();
   private final EstimateReplicator estimates;
-  private final Autoscaler.Cloud cloud;
+  private final CloudClient cloud;
   private final List<NodeId> otherZoneFirst = new ArrayList<>();
   private final ReadinessProbe readiness;
   private Optional<Leader> leader = Optional.empty();
@@ -225,7 +227,7 @@
             ports.heapMonitor()::pressure,
             this::onCancelled);
     this.cloud =
-        new Autoscaler.Cloud(
+        new CloudClient(
             ports.cloud(),
             settings.cloud(),
             new RateLimiter(loop, cluster.cloud().requestsPerSecond() * 0.6));
@@ -667,14 +669,11 @@
                   runTimes,
                   estimates,
                   featureGates,
-                  failover::named,
-                  peers::silence,
-                  Controller.this::reachabilityOf,
-                  Controller.this::storeLost,
-                  Controller.this::send,
-                  election::holdsValidLease,
-                  () -> election.resign("another leader's term")),
-              cloud,
+                  failover,
+                  new Peers(),
+                  new Messenger(),
+                  election,
+                  cloud),
               term);
       leader = Optional.of(next);
       store.writeRate(rateLimits.writes(true));
@@ -689,4 +688,37 @@
       loop.after(Duration.ofMillis(500), Controller.this::observeElection);
     }
   }
+
+  /** The health of all controllers, as this one knows it. */
+  private final class Peers implements PeerStatus {
+    @Override
+    public Duration silence(NodeId node) {
+      return peers.silence(node);
+    }
+
+    @Override
+    public WorkerReachability.State workerReachability(NodeId node) {
+      return reachabilityOf(node);
+    }
+
+    @Override
+    public boolean storeLost(NodeId node) {
+      return Controller.this.storeLost(node);
+    }
+  }
+
+  private final class Messenger implements PeerMessenger {
+    @Override
+    public void send(NodeId receiver, Object message) {
+      Controller.this.send(receiver, message);
+    }
+
+    @Override
+    public void broadcast(Object message) {
+      Controller.this.send(self, message);
+      settings
+          .members()
+          .forEach(member -> Controller.this.send(new NodeId(member.label()), message));
+    }
+  }
 }
--- a/src/main/java/org/mulleinshift/dependencies/DependencyTracker.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyTracker.java
@@ -3,13 +3,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.mulleinshift.leader.Leader;
 import org.mulleinshift.memory.BoundedMap;
 import org.mulleinshift.model.Job;
 import org.mulleinshift.model.JobRecord;
+import org.mulleinshift.model.JobTable;
 import org.mulleinshift.model.TaskAssignment;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.scheduling.RunTimeEstimator;
+import org.mulleinshift.store.KeyValueStore;
+import org.mulleinshift.store.TransactionBatcher;
+import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
@@ -22,20 +25,47 @@
   /** Run times change; what jobs inherit follows them now and then. */
   private static final double INHERIT_SECONDS = 2;
 
-  private final Leader leader;
-  private final Leader.Context context;
+  /** The term that the jobs belong to. */
+  public interface Owner {
+    /** The term has loaded its state and has not ended. */
+    boolean active();
+
+    /** The term goes on, or will once it has loaded its state. */
+    boolean serving();
+
+    /** A job may run, or is to end. */
+    void onReady(Job job);
+
+    /** A job that was waiting is cancelled. */
+    void onCancelled(Job job);
+  }
+
+  private final EventLoop loop;
+  private final Owner owner;
+  private final JobTable jobs;
+  private final RunTimeEstimator runTimes;
+  private final TransactionBatcher batcher;
   private final DependencyResolver resolver;
   private final DependencyLoader loader;
   private final Map<JobId, DependencyResolver.End> ends = new BoundedMap<>(REMEMBERED_ENDS);
   private MonotonicTime inheritedAt;
 
-  public DependencyTracker(Leader leader, Leader.Context context) {
-    this.leader = leader;
-    this.context = context;
-    this.resolver = new DependencyResolver(this, context.loop()::wallMillis);
-    this.inheritedAt = context.loop().now();
-    this.loader =
-        new DependencyLoader(context.loop(), context.store(), leader::serving, resolver::onEnded);
+  /** A tracker for one term. */
+  public DependencyTracker(
+      EventLoop loop,
+      KeyValueStore store,
+      TransactionBatcher batcher,
+      JobTable jobs,
+      RunTimeEstimator runTimes,
+      Owner owner) {
+    this.loop = loop;
+    this.batcher = batcher;
+    this.jobs = jobs;
+    this.runTimes = runTimes;
+    this.owner = owner;
+    this.resolver = new DependencyResolver(this, loop::wallMillis);
+    this.inheritedAt = loop.now();
+    this.loader = new DependencyLoader(loop, store, owner::serving, resolver::onEnded);
   }
 
   public Optional<Job> waitingJob(JobId job) {
@@ -46,11 +76,11 @@
   public void admit(JobRecord record) {
     Job job = new Job(record);
     if (job.state() != Job.State.AWAITING_DEPENDENCIES) {
-      leader.addJob(job);
+      owner.onReady(job);
       return;
     }
     resolver.await(job);
-    if (leader.leading()) {
+    if (owner.active()) {
       loadDependencies(job);
     }
   }
@@ -62,7 +92,7 @@
         loadDependencies(job);
       } else {
         resolver.remove(job.spec().id());
-        leader.addJob(job);
+        owner.onReady(job);
       }
     }
   }
@@ -75,7 +105,7 @@
           job.spec().id(),
           job.dependencies(),
           awaited -> loadDependencies(job, awaited),
-          item -> leader.batcher().recordRevision(item.key(), item.revision()));
+          item -> batcher.recordRevision(item.key(), item.revision()));
     }
   }
 
@@ -90,7 +120,7 @@
   /** What is active is known to this leader, all else is over or will be shown by the watch. */
   private void resolve(JobId need) {
     DependencyResolver.End end = ends.get(need);
-    Optional<Job> open = leader.findJob(need);
+    Optional<Job> open = jobs.find(need).or(() -> resolver.waitingJobs(need));
     if (end != null) {
       resolver.onEnded(need, end);
     } else if (open.isEmpty()) {
@@ -126,32 +156,31 @@
 
   @Override
   public void onReleased(Job job) {
-    leader.addJob(job);
+    owner.onReady(job);
   }
 
   @Override
   public void onCancelled(Job job) {
-    leader.addJob(job);
-    leader.settle(job);
+    owner.onCancelled(job);
   }
 
   /** Before jobs are ranked. */
   public void propagatePriorities() {
-    MonotonicTime now = context.loop().now();
+    MonotonicTime now = loop.now();
     if (resolver.changed() || now.secondsSince(inheritedAt) >= INHERIT_SECONDS) {
       inheritedAt = now;
-      resolver.propagatePriorities(this::activeJob, context.runTimes()::expectedSeconds);
+      resolver.propagatePriorities(this::activeJob, runTimes::expectedSeconds);
     }
   }
 
   private Optional<Job> activeJob(JobId job) {
-    return Optional.ofNullable(leader.jobs().get(job));
+    return jobs.find(job);
   }
 
   /** Held jobs that should be let go within the horizon. */
   public List<DependencyResolver.ExpectedRelease> expectedReleases(double horizon) {
     return resolver.expectedReleases(
-        horizon, this::activeJob, this::endsIn, context.runTimes()::expectedSeconds);
+        horizon, this::activeJob, this::endsIn, runTimes::expectedSeconds);
   }
 
   /** The longest that any of the job's tasks should still take, if those that wait start now. */
@@ -159,9 +188,9 @@
     if (job.state() != Job.State.ACTIVE) {
       return Double.MAX_VALUE;
     }
-    double expected = context.runTimes().expectedSeconds(job);
+    double expected = runTimes.expectedSeconds(job);
     double left = job.waitingCount() > 0 ? expected : 0;
-    MonotonicTime now = context.loop().now();
+    MonotonicTime now = loop.now();
     for (TaskAssignment assignment : job.assignments()) {
       double ran = assignment.runningSince().map(now::secondsSince).orElse(0.0);
       left = Math.max(left, RunTimeEstimator.remaining(expected, ran));
--- a/src/main/java/org/mulleinshift/dependencies/package-info.java
+++ b/src/main/java/org/mulleinshift/dependencies/package-info.java
@@ -1,6 +1,5 @@
 /**
- * Jobs that await other jobs: who awaits whom, what is ready, what is cancelled with what, and what
- * a job inherits from those that need it. All of it follows from what is stored, so that every
- * leader concludes the same.
+ * Jobs that depend on other jobs: the dependency graph, what is released by which end, cascading
+ * cancellation, and what a job inherits from its dependents.
  */
 package org.mulleinshift.dependencies;
--- /dev/null
+++ b/src/main/java/org/mulleinshift/leader/JobLifecycle.java
@@ -0,0 +1,185 @@
+package org.mulleinshift.leader;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.Collection;
+import java.util.List;
+import java.util.Optional;
+import org.mulleinshift.compatibility.UnreadableJobs;
+import org.mulleinshift.dependencies.DependencyTracker;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.model.TaskAssignment;
+import org.mulleinshift.progress.JobDirectory;
+import org.mulleinshift.progress.ProgressListener;
+import org.mulleinshift.progress.ProgressPersister;
+import org.mulleinshift.progress.ProgressSettings;
+import org.mulleinshift.protocol.JobId;
+import org.mulleinshift.scheduling.ClusterState;
+import org.mulleinshift.scheduling.TaskActions;
+import org.mulleinshift.store.KeyValueStore;
+import org.mulleinshift.store.TransactionBatcher;
+
+/**
+ * Takes the jobs of a term from admission to their stored end: what is stored of them, which
+ * dependencies they await, and when their tasks are to stop.
+ */
+final class JobLifecycle
+    implements JobDirectory, ProgressListener, DependencyTracker.Owner, TaskActions {
+  /** The term that the jobs belong to. */
+  interface Term {
+    boolean active();
+
+    boolean serving();
+
+    void scheduleCycle();
+  }
+
+  private final ClusterState state;
+  private final Term term;
+  private final ProgressPersister progress;
+  private final DependencyTracker dependencies;
+
+  JobLifecycle(
+      ClusterState state,
+      Term term,
+      KeyValueStore store,
+      TransactionBatcher batcher,
+      ProgressSettings progressSettings) {
+    this.state = state;
+    this.term = term;
+    this.progress =
+        new ProgressPersister(
+            state.loop(),
+            batcher,
+            this,
+            state.shards(),
+            state.unreadable(),
+            this,
+            progressSettings);
+    this.dependencies =
+        new DependencyTracker(state.loop(), store, batcher, state.jobs(), state.runTimes(), this);
+  }
+
+  ProgressPersister progress() {
+    return progress;
+  }
+
+  DependencyTracker dependencies() {
+    return dependencies;
+  }
+
+  /** All that is stored was read: the jobs' assignments are published, dependencies resolved. */
+  void begin() {
+    state.jobs().all().forEach(this::restoreAssignments);
+    dependencies.begin();
+  }
+
+  /** Adopts what the store says of a job's tasks. */
+  private void restoreAssignments(Job job) {
+    job.assignments().forEach(state.allocations()::add);
+    job.assignments().forEach(state.shards()::publish);
+  }
+
+  @Override
+  public boolean active() {
+    return term.active();
+  }
+
+  @Override
+  public boolean serving() {
+    return term.serving();
+  }
+
+  @Override
+  public void onReady(Job job) {
+    state.jobs().add(job);
+    if (term.active()) {
+      restoreAssignments(job);
+      state.reservation().onJobArrived(job.spec(), state.loop().now());
+      term.scheduleCycle();
+    }
+  }
+
+  @Override
+  public void onCancelled(Job job) {
+    onReady(job);
+    settle(job);
+  }
+
+  @Override
+  public Optional<Job> findJob(JobId id) {
+    return state.jobs().find(id).or(() -> dependencies.waitingJob(id));
+  }
+
+  @Override
+  public Collection<Job> activeJobs() {
+    return state.jobs().all();
+  }
+
+  /** Owners hear no more of the job's tasks, and leave alone those that run. */
+  @Override
+  public void quarantineJob(JobId id, JsonNode record, String reason) {
+    UnreadableJobs unreadable = state.unreadable();
+    unreadable.add(id, record, reason);
+    Optional<Job> job = state.jobs().remove(id);
+    dependencies.remove(id);
+    for (TaskAssignment assignment : job.map(Job::assignments).orElse(List.of())) {
+      unreadable.addShard(assignment.shard());
+      if (term.active()) {
+        state.allocations().remove(assignment);
+        state.shards().retract(assignment);
+      }
+    }
+  }
+
+  /** Ends the job if none of its tasks is left; stops its tasks if it was cancelled. */
+  void settle(Job job) {
+    if (job.state() == Job.State.CANCELLING) {
+      dependencies.onCancelled(job.spec().id());
+      for (TaskAssignment assignment : job.assignments()) {
+        if (!assignment.stopRequested()) {
+          requestStop(assignment);
+        }
+      }
+    }
+    boolean over = job.state() == Job.State.ACTIVE ? job.complete() : job.drained();
+    if (over) {
+      progress.end(job);
+    }
+  }
+
+  /** A task has ended: this is to be stored, and may end the job. */
+  void onTaskEnded(Job job, int taskIndex) {
+    progress.store(job, taskIndex, false);
+    settle(job);
+  }
+
+  @Override
+  public void onProgressStored(Job job) {
+    settle(job);
+    term.scheduleCycle();
+  }
+
+  @Override
+  public void onJobEnded(Job job, List<TaskAssignment> remaining, long atMillis) {
+    JobId id = job.spec().id();
+    state.jobs().remove(id);
+    state.failures().onJobEnded(id);
+    remaining.forEach(state.allocations()::remove);
+    remaining.forEach(state.shards()::retract);
+    dependencies.onEnded(job, atMillis);
+    term.scheduleCycle();
+  }
+
+  @Override
+  public void onAssigned(Job job, int taskIndex) {
+    progress.store(job, taskIndex, true);
+  }
+
+  @Override
+  public void requestStop(TaskAssignment assignment) {
+    assignment.requestStop();
+    if (assignment.visibleToOwner()) {
+      state.shards().publish(assignment);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/org/mulleinshift/leader/ShardStatusHandler.java
@@ -0,0 +1,105 @@
+package org.mulleinshift.leader;
+
+import java.util.List;
+import java.util.Optional;
+import org.mulleinshift.autoscaling.Autoscaler;
+import org.mulleinshift.membership.PeerMessenger;
+import org.mulleinshift.protocol.MachineId;
+import org.mulleinshift.protocol.Revision;
+import org.mulleinshift.protocol.ShardId;
+import org.mulleinshift.protocol.peer.OwnerSuspicion;
+import org.mulleinshift.protocol.peer.ShardStatus;
+import org.mulleinshift.protocol.peer.ShardStatusAck;
+import org.mulleinshift.protocol.peer.TaskStatus;
+import org.mulleinshift.scheduling.ClusterState;
+import org.mulleinshift.sharding.ShardView;
+import org.mulleinshift.transport.MonotonicTime;
+
+/** Receives what shard owners report, and acknowledges it. */
+final class ShardStatusHandler {
+  private final ClusterState state;
+  private final Revision term;
+  private final TaskStatusHandler tasks;
+  private final Autoscaler autoscaler;
+  private final PeerMessenger messenger;
+
+  ShardStatusHandler(
+      ClusterState state,
+      Revision term,
+      TaskStatusHandler tasks,
+      Autoscaler autoscaler,
+      PeerMessenger messenger) {
+    this.state = state;
+    this.term = term;
+    this.tasks = tasks;
+    this.autoscaler = autoscaler;
+    this.messenger = messenger;
+  }
+
+  /** Applies a report of the shard's current owner; tells whether anything in it was new. */
+  boolean onStatus(ShardStatus status) {
+    ShardView shard = shardUnderGrant(status.getShard(), status.getGrant()).orElse(null);
+    if (shard == null) {
+      return false;
+    }
+    MonotonicTime now = state.loop().now();
+    if (status.getSeenTerm() == term.value()) {
+      shard.onAssignmentAck(status.getSeenVersion(), now);
+    }
+    if (!shard.isContiguous(status)) {
+      // A report went missing, or this leader is new: the owner reports again from what is known.
+      acknowledge(shard);
+      return false;
+    }
+    if (status.getSequence() <= shard.lastSequence()) {
+      return false;
+    }
+    List<MachineId> named = shard.onStatus(status, now);
+    for (TaskStatus task : status.getTasks()) {
+      tasks.onStatus(task);
+    }
+    named.forEach(machine -> autoscaler.onMachineStatus(shard, machine));
+    return !named.isEmpty() || !status.getTasks().isEmpty();
+  }
+
+  /** Machines of a shard reported to another controller, since the owner does not answer them. */
+  void onOwnerSuspicion(OwnerSuspicion suspicion) {
+    MonotonicTime now = state.loop().now();
+    shardUnderGrant(suspicion.getShard(), suspicion.getGrant())
+        .ifPresent(
+            shard ->
+                suspicion
+                    .getMachines()
+                    .forEach(machine -> shard.onSuspicion(new MachineId(machine), now)));
+  }
+
+  /** Tells owners up to which report their shard is known here. */
+  void acknowledgeAll() {
+    for (ShardView shard : state.shards().all()) {
+      if (shard.ackDue()) {
+        acknowledge(shard);
+      }
+    }
+  }
+
+  private void acknowledge(ShardView shard) {
+    shard
+        .grant()
+        .ifPresent(
+            grant ->
+                messenger.send(
+                    grant.owner(),
+                    new ShardStatusAck(
+                        term.value(),
+                        shard.id().value(),
+                        grant.revision().value(),
+                        shard.lastSequence())));
+  }
+
+  private Optional<ShardView> shardUnderGrant(String shard, long grant) {
+    return state
+        .shards()
+        .find(new ShardId(shard))
+        .filter(found -> found.grant().filter(g -> g.revision().value() == grant).isPresent());
+  }
+}
--- /dev/null
+++ b/src/main/java/org/mulleinshift/leader/SummaryBroadcaster.java
@@ -0,0 +1,73 @@
+package org.mulleinshift.leader;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import org.mulleinshift.autoscaling.Autoscaler;
+import org.mulleinshift.membership.LeadershipTerm;
+import org.mulleinshift.membership.PeerMessenger;
+import org.mulleinshift.membership.StandbyFailover;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.protocol.Revision;
+import org.mulleinshift.protocol.peer.JobSummary;
+import org.mulleinshift.protocol.peer.JobTaskCounts;
+import org.mulleinshift.scheduling.ClusterState;
+
+/** Tells all controllers the jobs' task counts, and the standby what the leader has learned. */
+final class SummaryBroadcaster {
+  private static final Duration INTERVAL = Duration.ofSeconds(1);
+
+  private final ClusterState state;
+  private final LeadershipTerm term;
+  private final Revision termNumber;
+  private final Autoscaler autoscaler;
+  private final EstimateReplicator estimates;
+  private final StandbyFailover failover;
+  private final PeerMessenger messenger;
+
+  SummaryBroadcaster(
+      ClusterState state,
+      LeadershipTerm term,
+      Revision termNumber,
+      Autoscaler autoscaler,
+      EstimateReplicator estimates,
+      StandbyFailover failover,
+      PeerMessenger messenger) {
+    this.state = state;
+    this.term = term;
+    this.termNumber = termNumber;
+    this.autoscaler = autoscaler;
+    this.estimates = estimates;
+    this.failover = failover;
+    this.messenger = messenger;
+  }
+
+  /** Sends now and then periodically, until the term ends. */
+  void start() {
+    if (!term.active()) {
+      return;
+    }
+    state.loop().after(INTERVAL, this::start);
+    failover
+        .named()
+        .ifPresent(
+            standby ->
+                estimates
+                    .next(termNumber.value(), autoscaler.bootTimes(), standby)
+                    .ifPresent(message -> messenger.send(standby, message)));
+    messenger.broadcast(new JobSummary(taskCounts()));
+  }
+
+  /** A job that waits has no task done and none running, without being named. */
+  private List<JobTaskCounts> taskCounts() {
+    List<JobTaskCounts> counts = new ArrayList<>();
+    for (Job job : state.jobs().all()) {
+      int done = job.doneCount();
+      int running = job.runningCount();
+      if (done + running > 0) {
+        counts.add(new JobTaskCounts(job.spec().id().value(), done, running));
+      }
+    }
+    return counts;
+  }
+}
--- /dev/null
+++ b/src/main/java/org/mulleinshift/leader/TaskStatusHandler.java
@@ -0,0 +1,89 @@
+package org.mulleinshift.leader;
+
+import java.time.Duration;
+import java.util.Optional;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.model.TaskAssignment;
+import org.mulleinshift.protocol.JobId;
+import org.mulleinshift.protocol.MachineId;
+import org.mulleinshift.protocol.peer.TaskStatus;
+import org.mulleinshift.scheduling.ClusterState;
+import org.mulleinshift.sharding.TaskPhase;
+import org.mulleinshift.transport.MonotonicTime;
+
+/** Applies what shard owners report of tasks to the jobs that they belong to. */
+final class TaskStatusHandler {
+  private static final double MILLIS_PER_SECOND = 1000;
+
+  /** Longest pause after a failure, in multiples of the first one. */
+  private static final double MAX_PAUSE_FACTOR = 12;
+
+  /** Before a task that found no capacity at its owner is assigned again. */
+  private static final Duration REJECTED_PAUSE = Duration.ofMillis(500);
+
+  private final ClusterState state;
+  private final JobLifecycle jobs;
+  private final double failurePauseSeconds;
+
+  TaskStatusHandler(ClusterState state, JobLifecycle jobs, double failurePauseSeconds) {
+    this.state = state;
+    this.jobs = jobs;
+    this.failurePauseSeconds = failurePauseSeconds;
+  }
+
+  /** A report of an attempt that is over, or that was never assigned, is out of date. */
+  void onStatus(TaskStatus status) {
+    Optional<Job> job = state.jobs().find(new JobId(status.getJob()));
+    Optional<TaskAssignment> assignment =
+        job.flatMap(found -> found.assignment(status.getIndex()))
+            .filter(found -> found.attempt().value() == status.getAttempt())
+            .filter(found -> found.state() != TaskAssignment.State.ENDED);
+    if (assignment.isEmpty()) {
+      return;
+    }
+    state.allocations().remove(assignment.get());
+    apply(status, job.get(), assignment.get());
+    state.allocations().add(assignment.get());
+  }
+
+  private void apply(TaskStatus status, Job job, TaskAssignment assignment) {
+    MachineId machine = new MachineId(status.getMachine());
+    MonotonicTime now = state.loop().now();
+    switch (TaskPhase.fromWireName(status.getPhase())) {
+      case NEW -> assignment.clearPlacement();
+      case STARTING, FETCHING -> assignment.markPlaced(machine);
+      case RUNNING, SAVING -> {
+        assignment.markRunning(machine, now.minus(Duration.ofMillis(status.getRanMs())));
+        job.markStarted(state.loop().wallMillis());
+      }
+      case DONE -> onDone(status, job, assignment, machine);
+      case FAILED -> onFailed(job, assignment, machine);
+      case REJECTED -> onReturned(job, assignment, Optional.of(now.plus(REJECTED_PAUSE)));
+      case STOPPED, LOST -> onReturned(job, assignment, Optional.empty());
+    }
+  }
+
+  private void onDone(TaskStatus status, Job job, TaskAssignment assignment, MachineId machine) {
+    state.failures().onSuccess(job, machine);
+    double seconds = status.getRanMs() / MILLIS_PER_SECOND;
+    state.runTimes().onTaskDone(job.spec(), seconds);
+    job.taskDone(assignment, seconds);
+    jobs.onTaskEnded(job, status.getIndex());
+  }
+
+  /** Retries are spaced out, so that a job that fails everywhere does not fill the cluster. */
+  private void onFailed(Job job, TaskAssignment assignment, MachineId machine) {
+    MonotonicTime now = state.loop().now();
+    state.failures().onFailure(job, machine, now);
+    state.shards().markChanged(assignment.shard());
+    job.countFailure();
+    double failuresPerTask = job.failures() / (double) job.spec().tasks();
+    double pause = failurePauseSeconds * Math.min(MAX_PAUSE_FACTOR, Math.max(1, failuresPerTask));
+    onReturned(job, assignment, Optional.of(now.plusMillis((long) (pause * MILLIS_PER_SECOND))));
+  }
+
+  private void onReturned(Job job, TaskAssignment assignment, Optional<MonotonicTime> notBefore) {
+    job.taskReturned(assignment, notBefore);
+    jobs.onTaskEnded(job, assignment.task().index());
+  }
+}
--- a/src/main/java/org/mulleinshift/membership/package-info.java
+++ b/src/main/java/org/mulleinshift/membership/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Who takes part and how well: links, sessions, election, which controllers can hold shards. Knows
- * nothing of jobs, placement or the fleet.
+ * Which controllers take part: the session lease at the store, leader election and failover,
+ * failure detection, lease renewal through a peer, and which controller should own which shard.
  */
 package org.mulleinshift.membership;
--- a/src/main/java/org/mulleinshift/memory/package-info.java
+++ b/src/main/java/org/mulleinshift/memory/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How much a controller may hold at once, and what it gives up first when that runs short. See
- * {@code docs/margin.md}.
+ * Memory limits: what the process may hold, and which requests are refused when the heap is nearly
+ * full.
  */
 package org.mulleinshift.memory;
--- a/src/main/java/org/mulleinshift/model/Chunk.java
+++ b/src/main/java/org/mulleinshift/model/Chunk.java
@@ -14,7 +14,7 @@
 public record Chunk(int number, String path) {
   private static final Pattern KEY = Pattern.compile("([0-9]{1,6})(?:/([01]{1,9}))?");
 
-  public static Chunk number(int number) {
+  public static Chunk whole(int number) {
     return new Chunk(number, "");
   }
 
--- a/src/main/java/org/mulleinshift/model/ChunkLayout.java
+++ b/src/main/java/org/mulleinshift/model/ChunkLayout.java
@@ -25,7 +25,7 @@
   ChunkLayout(int tasks) {
     this.tasks = tasks;
     for (int chunk = 0; chunk * Job.CHUNK < tasks; chunk++) {
-      live.put(chunk * Job.CHUNK, Chunk.number(chunk));
+      live.put(chunk * Job.CHUNK, Chunk.whole(chunk));
     }
   }
 
--- a/src/main/java/org/mulleinshift/placement/MachineCapacity.java
+++ b/src/main/java/org/mulleinshift/placement/MachineCapacity.java
@@ -3,14 +3,12 @@
 import java.util.Collection;
 import java.util.HashSet;
 import java.util.Set;
-import org.mulleinshift.model.ClusterView.MachineRecord;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.MachineType;
 import org.mulleinshift.protocol.MachineTypeId;
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.ZoneId;
-import org.mulleinshift.sharding.ShardView;
 
 /** Free room on one machine while a plan is made. */
 public final class MachineCapacity {
@@ -55,18 +53,6 @@
     this.cachedImages = images;
   }
 
-  /** Room on a machine of a shard. */
-  public static MachineCapacity on(
-      ShardView shard,
-      MachineId machine,
-      MachineRecord record,
-      MachineType type,
-      Resources free,
-      Collection<String> images) {
-    return new MachineCapacity(
-        machine, shard.id(), shard.zone(), type, record.spot(), free, images);
-  }
-
   boolean fits(ResourceRequest need) {
     return need.perTask().fitsInto(available) && allowedFor(need);
   }
--- a/src/main/java/org/mulleinshift/progress/ChunkUpdate.java
+++ b/src/main/java/org/mulleinshift/progress/ChunkUpdate.java
@@ -5,13 +5,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.mulleinshift.leader.Leader;
+import org.mulleinshift.compatibility.UnreadableJobs;
 import org.mulleinshift.model.Chunk;
+import org.mulleinshift.model.ChunkKey;
 import org.mulleinshift.model.Job;
 import org.mulleinshift.model.TaskAssignment;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.StoreCodec;
-import org.mulleinshift.store.StoreKeys;
+import org.mulleinshift.sharding.ShardTable;
 import org.mulleinshift.transport.EventLoop;
 
 /** The parts of a chunk of a job's progress that have changed, on their way to the store. */
@@ -19,7 +20,8 @@
   /** What is to be stored of a part. */
   record EncodedChunk(Chunk chunk, JsonNode progress, int bytes) {}
 
-  private final Leader leader;
+  private final ShardTable shards;
+  private final UnreadableJobs unreadable;
   private final EventLoop loop;
   private final Job job;
   private final int chunk;
@@ -27,8 +29,9 @@
   private List<TaskAssignment> written = List.of();
   private List<TaskAssignment> ended = List.of();
 
-  ChunkUpdate(Leader leader, EventLoop loop, Job job, int chunk) {
-    this.leader = leader;
+  ChunkUpdate(ShardTable shards, UnreadableJobs unreadable, EventLoop loop, Job job, int chunk) {
+    this.shards = shards;
+    this.unreadable = unreadable;
     this.loop = loop;
     this.job = job;
     this.chunk = chunk;
@@ -43,7 +46,7 @@
   }
 
   static String name(Job job, int chunk) {
-    return StoreKeys.progress(job.spec().id(), Chunk.number(chunk));
+    return ChunkKey.format(job.spec().id(), Chunk.whole(chunk));
   }
 
   boolean urgent() {
@@ -53,7 +56,7 @@
   /** Nothing of the job's progress is to be written any more. */
   boolean obsolete() {
     boolean ends = job.state() == Job.State.ENDING || job.state() == Job.State.ENDED;
-    return ends || leader.unreadable().contains(job.spec().id());
+    return ends || unreadable.contains(job.spec().id());
   }
 
   /** Of each part that waits; one that is longer is cut first, if it may be. */
@@ -115,8 +118,8 @@
       job.markFirstAssigned(loop.wallMillis());
     }
     // Ends first: a task that comes back to the same shard is told as a new one.
-    ended.forEach(leader::retract);
-    written.forEach(leader::publish);
+    ended.forEach(shards::retract);
+    written.forEach(shards::publish);
   }
 
   /** Whether more has changed since. */
--- /dev/null
+++ b/src/main/java/org/mulleinshift/progress/ProgressListener.java
@@ -0,0 +1,19 @@
+package org.mulleinshift.progress;
+
+import java.util.List;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.model.TaskAssignment;
+
+/** Told of what has been stored. */
+public interface ProgressListener {
+  /** Progress of the job is stored: it may end, and its tasks may be assigned anew. */
+  void onProgressStored(Job job);
+
+  /**
+   * The end of the job is stored.
+   *
+   * @param remaining assignments that the store still held
+   * @param atMillis time of day of the end
+   */
+  void onJobEnded(Job job, List<TaskAssignment> remaining, long atMillis);
+}
--- a/src/main/java/org/mulleinshift/progress/ProgressLoader.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressLoader.java
@@ -9,8 +9,10 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 import java.util.TreeMap;
-import org.mulleinshift.leader.Leader;
+import java.util.function.Consumer;
+import org.mulleinshift.compatibility.UnreadableJobs;
 import org.mulleinshift.model.Chunk;
+import org.mulleinshift.model.ChunkKey;
 import org.mulleinshift.model.Job;
 import org.mulleinshift.model.JobRecord;
 import org.mulleinshift.protocol.JobId;
@@ -18,6 +20,7 @@
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.StoreCodec;
 import org.mulleinshift.protocol.StoreCodec.KeyValue;
+import org.mulleinshift.sharding.ShardTable;
 import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.store.TransactionBatcher;
 import org.slf4j.Logger;
@@ -37,15 +40,27 @@
   private static final Comparator<Chunk> WHOLE_FIRST =
       Comparator.<Chunk>comparingInt(Chunk::number).thenComparing(Chunk::path);
 
-  private final Leader leader;
+  private final JobDirectory jobs;
+  private final ShardTable shards;
+  private final UnreadableJobs unreadable;
+  private final Consumer<String> deleteKey;
   private final TransactionBatcher batcher;
   private final ProgressLog log;
 
   /** Of jobs that the log has images of; those of the others are taken up page by page. */
   private final Map<JobId, Map<Chunk, FoundImage>> logged = new HashMap<>();
 
-  ProgressLoader(Leader leader, TransactionBatcher batcher, ProgressLog log) {
-    this.leader = leader;
+  ProgressLoader(
+      JobDirectory jobs,
+      ShardTable shards,
+      UnreadableJobs unreadable,
+      TransactionBatcher batcher,
+      ProgressLog log,
+      Consumer<String> deleteKey) {
+    this.jobs = jobs;
+    this.shards = shards;
+    this.unreadable = unreadable;
+    this.deleteKey = deleteKey;
     this.batcher = batcher;
     this.log = log;
   }
@@ -70,10 +85,10 @@
   }
 
   private void onEntry(LogSegment.Entry entry, KeyValue item, int slot) {
-    if (leader.unreadable().contains(entry.job())) {
-      leader.unreadable().addProgress(entry.progress());
+    if (unreadable.contains(entry.job())) {
+      unreadable.addProgress(entry.progress());
       log.pin(slot);
-    } else if (leader.findJob(entry.job()).isPresent()) {
+    } else if (jobs.findJob(entry.job()).isPresent()) {
       FoundImage found = new FoundImage(item.revision(), entry.progress(), OptionalInt.of(slot));
       logged
           .computeIfAbsent(entry.job(), key -> newParts())
@@ -94,8 +109,8 @@
     Optional<List<JobId>> named = LogSegment.jobsNamed(segment.value());
     List<Job> concerned =
         named.isPresent()
-            ? named.get().stream().flatMap(id -> leader.findJob(id).stream()).distinct().toList()
-            : leader.jobs().values().stream().filter(job -> mayBeIn(job, segment)).toList();
+            ? named.get().stream().flatMap(id -> jobs.findJob(id).stream()).distinct().toList()
+            : jobs.activeJobs().stream().filter(job -> mayBeIn(job, segment)).toList();
     LOG.warn("{}: {}; {} jobs are left alone", segment.key(), why, concerned.size());
     concerned.forEach(job -> quarantine(job, segment.value(), why));
   }
@@ -107,28 +122,28 @@
 
   private void quarantine(Job job, JsonNode progress, String why) {
     JsonNode record = JobRecord.value(job.spec(), job.dependencies(), job.acceptedMillis(), false);
-    leader.quarantineJob(job.spec().id(), record, why);
-    leader.unreadable().addProgress(progress);
+    jobs.quarantineJob(job.spec().id(), record, why);
+    unreadable.addProgress(progress);
   }
 
   /** A page of the keys of parts; the whole of a chunk comes before its parts. */
   public void loadParts(StoreCodec.Range page) {
     for (KeyValue item : page.items()) {
-      Optional<StoreKeys.ProgressKey> key = StoreKeys.progressKey(item.key());
+      Optional<ChunkKey> key = ChunkKey.parse(item.key());
       if (key.isEmpty()) {
         LOG.warn("{}: not a key of this build, left alone", item.key());
         continue;
       }
       JobId id = key.get().job();
-      if (leader.unreadable().contains(id)) {
-        leader.unreadable().addProgress(item.value());
+      if (unreadable.contains(id)) {
+        unreadable.addProgress(item.value());
         continue;
       }
       batcher.recordRevision(item.key(), item.revision());
-      Job job = leader.findJob(id).orElse(null);
+      Job job = jobs.findJob(id).orElse(null);
       if (job == null) {
         // Of a job that is over. Nobody waits for it.
-        leader.progress().removeKey(item.key());
+        deleteKey.accept(item.key());
       } else if (logged.containsKey(id)) {
         FoundImage found = new FoundImage(item.revision(), item.value(), OptionalInt.empty());
         logged.get(id).merge(key.get().chunk(), found, this::newer);
@@ -140,7 +155,7 @@
 
   private boolean load(Job job, Chunk part, JsonNode value) {
     try {
-      job.load(part, value, leader::zoneOf);
+      job.load(part, value, shards::zoneOf);
       return true;
     } catch (MalformedMessageException e) {
       quarantine(job, value, e.getMessage());
@@ -150,8 +165,8 @@
 
   /** All was read: takes up the progress of the jobs that the log has images of. */
   public void finish() {
-    logged.forEach((id, parts) -> leader.findJob(id).ifPresent(job -> restore(job, parts)));
-    logged.entrySet().removeIf(entry -> !leader.unreadable().contains(entry.getKey()));
+    logged.forEach((id, parts) -> jobs.findJob(id).ifPresent(job -> restore(job, parts)));
+    logged.entrySet().removeIf(entry -> !unreadable.contains(entry.getKey()));
     // Of jobs set aside meanwhile nothing may be overwritten.
     logged.values().forEach(parts -> parts.values().forEach(this::pin));
     logged.clear();
@@ -170,7 +185,7 @@
   }
 
   private void pin(FoundImage found) {
-    leader.unreadable().addProgress(found.progress());
+    unreadable.addProgress(found.progress());
     found.slot().ifPresent(log::pin);
   }
 }
--- a/src/main/java/org/mulleinshift/progress/ProgressPersister.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressPersister.java
@@ -9,8 +9,9 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import org.mulleinshift.compatibility.FeatureGates;
-import org.mulleinshift.leader.Leader;
+import org.mulleinshift.compatibility.UnreadableJobs;
 import org.mulleinshift.model.Chunk;
+import org.mulleinshift.model.ChunkKey;
 import org.mulleinshift.model.Job;
 import org.mulleinshift.model.JobRecord;
 import org.mulleinshift.model.TaskAssignment;
@@ -20,9 +21,10 @@
 import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.protocol.StoreCodec.Write;
 import org.mulleinshift.settings.PlatformSettings;
-import org.mulleinshift.settings.Tunables;
+import org.mulleinshift.sharding.ShardTable;
 import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.store.TransactionBatcher;
+import org.mulleinshift.transport.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -42,8 +44,12 @@
   /** Bytes of the log that one transaction writes at most: the rest is for what goes with it. */
   private static final int LOG_BYTES = 44_000;
 
-  private final Leader leader;
-  private final Leader.Context context;
+  private final EventLoop loop;
+  private final JobDirectory jobs;
+  private final ShardTable shards;
+  private final UnreadableJobs unreadable;
+  private final FeatureGates featureGates;
+  private final ProgressListener listener;
   private final TransactionBatcher batcher;
   private final int valueBytes;
   private final boolean limitsWillShrink;
@@ -55,23 +61,36 @@
   /** Parts by chunk whose last write under a key of their own may still be carried out. */
   private final Map<String, Set<Chunk>> uncertainKeys = new HashMap<>();
 
+  private final boolean logEnabled;
   private boolean splitAllowed;
   private boolean useLog;
 
+  /** A persister for one term. */
   public ProgressPersister(
-      Leader leader, Leader.Context context, TransactionBatcher batcher, int maxOps) {
-    this.leader = leader;
-    this.context = context;
+      EventLoop loop,
+      TransactionBatcher batcher,
+      JobDirectory jobs,
+      ShardTable shards,
+      UnreadableJobs unreadable,
+      ProgressListener listener,
+      ProgressSettings settings) {
+    this.loop = loop;
     this.batcher = batcher;
-    this.maxOps = maxOps;
-    PlatformSettings.StoreLimits limits = context.settings().cluster().store();
+    this.jobs = jobs;
+    this.shards = shards;
+    this.unreadable = unreadable;
+    this.listener = listener;
+    this.featureGates = settings.featureGates();
+    this.logEnabled = settings.logEnabled();
+    this.maxOps = settings.maxOperations();
+    PlatformSettings.StoreLimits limits = settings.limits();
     // Else no build has stored anything longer than what fits.
     this.limitsWillShrink = limits.minValueBytes() < limits.valueBytes();
     this.valueBytes = (int) (USED_OF_VALUE * limits.minValueBytes());
     this.log = new ProgressLog(valueBytes);
     int slots = Math.max(1, Math.min(maxOps / 2, LOG_BYTES / valueBytes));
-    this.logWriter = new ProgressLogWriter(context.loop(), batcher, log, slots, this);
-    this.loader = new ProgressLoader(leader, batcher, log);
+    this.logWriter = new ProgressLogWriter(loop, batcher, log, slots, this);
+    this.loader = new ProgressLoader(jobs, shards, unreadable, batcher, log, this::removeKey);
   }
 
   /** Reads what is stored, before anything is written. */
@@ -86,15 +105,14 @@
    * step may be the last.
    */
   public void maintain() {
-    if (!splitAllowed && context.featureGates().allSupport(FeatureGates.SPLIT_CHUNKS)) {
+    if (!splitAllowed && featureGates.allSupport(FeatureGates.SPLIT_CHUNKS)) {
       splitAllowed = true;
-      leader.jobs().values().forEach(this::rewriteOversized);
+      jobs.activeJobs().forEach(this::rewriteOversized);
     }
-    boolean wanted = context.tunables().number(Tunables.Key.PROGRESS_LOG) > 0;
-    if (!useLog && wanted && context.featureGates().allSupport(FeatureGates.PROGRESS_LOG)) {
+    if (!useLog && logEnabled && featureGates.allSupport(FeatureGates.PROGRESS_LOG)) {
       useLog = true;
     }
-    if (!wanted) {
+    if (!logEnabled) {
       migrateFromLog();
     }
   }
@@ -135,7 +153,7 @@
   }
 
   private ChunkUpdate chunkOf(Job job, Chunk part) {
-    return new ChunkUpdate(leader, context.loop(), job, part.number());
+    return new ChunkUpdate(shards, unreadable, loop, job, part.number());
   }
 
   /** Has the progress of a task stored; pressing if its start waits for that. */
@@ -172,8 +190,7 @@
   /** After a chunk's changes were stored: what is no longer read goes, and the job may end. */
   private void cleanUp(ChunkUpdate progress) {
     progress.obsoleteChunks().forEach(part -> remove(progress.job(), part));
-    leader.settle(progress.job());
-    leader.scheduleCycle();
+    listener.onProgressStored(progress.job());
   }
 
   /** Keeps the log short: what a new leader reads is bounded by what is live in it. */
@@ -189,7 +206,7 @@
   /** Images of jobs that this build can't read any more stay where they are. */
   private void rewrite(List<ProgressLog.ChunkImage> images, BiConsumer<Job, Chunk> writer) {
     for (ProgressLog.ChunkImage image : images) {
-      Optional<Job> job = leader.findJob(image.job());
+      Optional<Job> job = jobs.findJob(image.job());
       if (job.isPresent()) {
         job.get().chunks().markDirty(image.chunk(), false);
         writer.accept(job.get(), image.chunk());
@@ -231,7 +248,7 @@
       List<Write> writes = new ArrayList<>();
       for (ChunkUpdate.EncodedChunk form : chosen) {
         uncertainKeys.computeIfAbsent(progress.name(), key -> new HashSet<>()).add(form.chunk());
-        writes.add(Write.put(StoreKeys.progress(id(), form.chunk()), form.progress()));
+        writes.add(Write.put(ChunkKey.format(id(), form.chunk()), form.progress()));
       }
       return writes;
     }
@@ -266,7 +283,7 @@
 
   private void remove(Job job, Chunk part) {
     log.release(new ProgressLog.ChunkImage(job.spec().id(), part));
-    String key = StoreKeys.progress(job.spec().id(), part);
+    String key = ChunkKey.format(job.spec().id(), part);
     if (batcher.hasRevision(key)) {
       // Nobody reads it any more: it need not compete with what tasks wait for.
       batcher.submitWhenIdle(key, new DeleteKeyMutation(key, () -> job.chunks().onDeleted(part)));
@@ -293,10 +310,10 @@
     @Override
     public List<Write> writes() {
       JobId id = job.spec().id();
-      if (leader.unreadable().contains(id)) {
+      if (unreadable.contains(id)) {
         return List.of();
       }
-      atMillis = context.loop().wallMillis();
+      atMillis = loop.wallMillis();
       List<Write> writes = new ArrayList<>();
       writes.add(Write.delete(StoreKeys.activeJob(id)));
       writes.add(
@@ -327,7 +344,7 @@
       forgetUncertainWrites(job);
       job.finishEnding();
       batcher.forgetRevision(StoreKeys.endedJob(id));
-      leader.onJobEnded(job, left, atMillis);
+      listener.onJobEnded(job, left, atMillis);
     }
   }
 
--- a/src/main/java/org/mulleinshift/scheduling/AvailableCapacity.java
+++ b/src/main/java/org/mulleinshift/scheduling/AvailableCapacity.java
@@ -7,13 +7,11 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.mulleinshift.leader.Leader;
 import org.mulleinshift.model.ClusterView.MachineRecord;
 import org.mulleinshift.model.Job;
 import org.mulleinshift.model.TaskAssignment;
 import org.mulleinshift.placement.BinPacker;
 import org.mulleinshift.placement.MachineCapacity;
-import org.mulleinshift.placement.MachineTypeCatalog;
 import org.mulleinshift.placement.ResourceRequest;
 import org.mulleinshift.placement.UnschedulableRequests;
 import org.mulleinshift.protocol.JobId;
@@ -31,13 +29,12 @@
   /** Tasks that wait at an owner for room. */
   record QueuedAtOwner(ShardId shard, ResourceRequest request, int count) {}
 
-  private final Leader leader;
-  private final MachineTypeCatalog catalog;
+  private final ClusterState state;
   private final List<QueuedAtOwner> queuedAtOwners = new ArrayList<>();
 
-  public AvailableCapacity(Leader leader, MachineTypeCatalog catalog) {
-    this.leader = leader;
-    this.catalog = catalog;
+  /** What a term's cluster has available. */
+  public AvailableCapacity(ClusterState state) {
+    this.state = state;
   }
 
   /** What was assigned and found no room when the rooms were last asked for. */
@@ -52,19 +49,21 @@
   List<MachineCapacity> collect(Resources minAsked) {
     List<MachineCapacity> capacities = new ArrayList<>();
     queuedAtOwners.clear();
-    for (ShardView shard : leader.shards().values()) {
+    for (ShardView shard : state.shards().all()) {
       Map<JobId, Integer> unplaced = new LinkedHashMap<>();
-      for (TaskAssignment assignment : leader.allocations().unplaced(shard.id())) {
+      for (TaskAssignment assignment : state.allocations().unplaced(shard.id())) {
         unplaced.merge(assignment.task().job(), 1, Integer::sum);
       }
       Resources least = minAsked;
       for (JobId job : unplaced.keySet()) {
-        least = UnschedulableRequests.minimum(least, leader.jobs().get(job).spec().perTask());
+        least =
+            UnschedulableRequests.minimum(
+                least, state.jobs().find(job).orElseThrow().spec().perTask());
       }
       List<MachineCapacity> found = ofShard(shard, least);
       unplaced.forEach(
           (job, count) -> {
-            ResourceRequest need = ResourceRequest.of(leader.jobs().get(job).spec());
+            ResourceRequest need = ResourceRequest.of(state.jobs().find(job).orElseThrow().spec());
             int left = count - BinPacker.fill(need, count, found);
             if (left > 0) {
               queuedAtOwners.add(new QueuedAtOwner(shard.id(), need, left));
@@ -89,26 +88,29 @@
   /** What is left of a machine, if it may take tasks and has at least so much. */
   Optional<MachineCapacity> ofMachine(ShardView shard, MachineId id, Resources least) {
     MachineRecord record = shard.machines().get(id);
-    MachineType type = record == null ? null : catalog.type(record.type()).orElse(null);
+    MachineType type = record == null ? null : state.catalog().type(record.type()).orElse(null);
     if (type == null || !record.up() || !shard.hasStatus()) {
       return Optional.empty();
     }
     // Most machines of a busy fleet are full: what else it takes to know them is asked later.
-    Resources free = type.size().minus(leader.allocations().used(id));
+    Resources free = type.size().minus(state.allocations().used(id));
     if (!least.fitsInto(free)) {
       return Optional.empty();
     }
     return shard
         .statusOf(id)
         .filter(report -> usable(id, report))
-        .map(report -> MachineCapacity.on(shard, id, record, type, free, images(id, report)));
+        .map(
+            report ->
+                new MachineCapacity(
+                    id, shard.id(), shard.zone(), type, record.spot(), free, images(id, report)));
   }
 
   /** What the machine has, and what its tasks fetch: like tasks then share the fetch. */
   private Set<String> images(MachineId machine, MachineStatus report) {
     Set<String> images = new HashSet<>(report.getImages());
-    for (TaskAssignment assignment : leader.allocations().on(machine)) {
-      Job job = leader.jobs().get(assignment.task().job());
+    for (TaskAssignment assignment : state.allocations().on(machine)) {
+      Job job = state.jobs().find(assignment.task().job()).orElse(null);
       if (job != null) {
         images.add(job.spec().image());
       }
@@ -120,6 +122,6 @@
     return report.getPhase().equals(MachinePhase.CONFIRMED.wireName())
         && !report.getInterrupted()
         && report.getLiveness().equals(OwnedMachine.Liveness.ALIVE.wireName())
-        && !leader.isCordoned(machine);
+        && !state.isCordoned(machine);
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/MinimumShares.java
+++ b/src/main/java/org/mulleinshift/scheduling/MinimumShares.java
@@ -13,10 +13,8 @@
 import java.util.stream.Collectors;
 import org.mulleinshift.fairness.ShareClaims;
 import org.mulleinshift.fairness.ShareEntity;
-import org.mulleinshift.leader.Leader;
 import org.mulleinshift.model.ClusterView.MachineRecord;
 import org.mulleinshift.model.Job;
-import org.mulleinshift.placement.MachineTypeCatalog;
 import org.mulleinshift.placement.ResourceRequest;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.MachineType;
@@ -26,7 +24,6 @@
 import org.mulleinshift.protocol.TeamId;
 import org.mulleinshift.protocol.peer.MachineStatus;
 import org.mulleinshift.settings.PlatformSettings;
-import org.mulleinshift.settings.Tunables;
 import org.mulleinshift.sharding.OwnedMachine;
 import org.mulleinshift.sharding.ShardView;
 import org.mulleinshift.transport.MonotonicTime;
@@ -42,8 +39,7 @@
   private static final double LOOK_SECONDS = 1;
   private static final double TELL_SECONDS = 10;
 
-  private final Leader leader;
-  private final MachineTypeCatalog catalog;
+  private final ClusterState state;
   private final double minimumShare;
   private final Map<MachineTypeId, Resources> byType = new HashMap<>();
   private Resources clusterCapacity = Resources.ZERO;
@@ -51,10 +47,9 @@
   private MonotonicTime refreshedAt;
   private boolean refreshed;
 
-  MinimumShares(Leader leader, MachineTypeCatalog catalog, Tunables tunables, MonotonicTime now) {
-    this.leader = leader;
-    this.catalog = catalog;
-    this.minimumShare = tunables.number(Tunables.Key.FLOOR_SHARE);
+  MinimumShares(ClusterState state, double minimumShare, MonotonicTime now) {
+    this.state = state;
+    this.minimumShare = minimumShare;
     this.refreshedAt = now;
   }
 
@@ -153,15 +148,15 @@
         Resources used = use.getOrDefault(job.spec().team(), Resources.ZERO);
         int may =
             Math.min(
-                leader.quota().tasksWithinLimit(job, used),
-                leader.failures().allowedAttempts(job, now));
+                state.quotas().tasksWithinLimit(job, used),
+                state.failures().allowedAttempts(job, now));
         asked = share * Math.min(may, job.waitingCount());
       }
       Accumulator ofClass =
           classes.computeIfAbsent(
               job.spec().jobClass(), key -> new Accumulator(weight(job.spec().priority())));
       ResourceRequest need = ResourceRequest.of(job.spec());
-      for (MachineType type : catalog.types().values()) {
+      for (MachineType type : state.catalog().types().values()) {
         if (need.fits(type)) {
           ofClass.types.add(type.id());
         }
@@ -169,7 +164,7 @@
       Accumulator ofTeam =
           teams.computeIfAbsent(
               job.spec().team().value(), key -> new Accumulator(weight(job.spec().team())));
-      ofTeam.most = leader.quota().limit(job.spec().team()).shareOf(clusterCapacity);
+      ofTeam.most = state.quotas().limit(job.spec().team()).shareOf(clusterCapacity);
       ofClass.inUse += out;
       ofClass.demand += out + asked;
       ofTeam.inUse += out;
@@ -211,9 +206,9 @@
 
   /** Alike, and more by its part of all guarantees. */
   private double weight(TeamId team) {
-    Map<String, PlatformSettings.Team> all = leader.quota().teams();
+    Map<String, PlatformSettings.Team> all = state.quotas().teams();
     double sum = all.values().stream().mapToDouble(PlatformSettings.Team::cpus).sum();
-    double own = leader.quota().guaranteedCpus(team);
+    double own = state.quotas().guaranteedCpus(team);
     return 1.0 / Math.max(1, all.size()) + (sum > 0 ? own / sum : 0);
   }
 
@@ -230,13 +225,13 @@
     refreshed = true;
     byType.clear();
     clusterCapacity = Resources.ZERO;
-    for (ShardView shard : leader.shards().values()) {
+    for (ShardView shard : state.shards().all()) {
       for (Map.Entry<MachineId, MachineRecord> entry : shard.machines().entrySet()) {
         MachineStatus report = shard.statusOf(entry.getKey()).orElse(null);
         boolean silent =
             report != null && !report.getLiveness().equals(OwnedMachine.Liveness.ALIVE.wireName());
-        MachineType type = catalog.type(entry.getValue().type()).orElse(null);
-        if (type != null && !silent && !leader.isCordoned(entry.getKey())) {
+        MachineType type = state.catalog().type(entry.getValue().type()).orElse(null);
+        if (type != null && !silent && !state.isCordoned(entry.getKey())) {
           byType.merge(type.id(), type.size(), Resources::plus);
           clusterCapacity = clusterCapacity.plus(type.size());
         }
--- a/src/main/java/org/mulleinshift/scheduling/SchedulingCycle.java
+++ b/src/main/java/org/mulleinshift/scheduling/SchedulingCycle.java
@@ -6,7 +6,6 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Predicate;
-import org.mulleinshift.leader.Leader;
 import org.mulleinshift.model.Job;
 import org.mulleinshift.model.TaskAssignment;
 import org.mulleinshift.placement.BinPacker;
@@ -21,8 +20,6 @@
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.TeamId;
-import org.mulleinshift.settings.PlatformSettings;
-import org.mulleinshift.settings.Tunables;
 import org.mulleinshift.sharding.ShardView;
 import org.mulleinshift.transport.EventLoop;
 
@@ -36,8 +33,8 @@
   /** A job that begins at last starts one of so many of its tasks. */
   private static final int FIRST_PART = 16;
 
-  private final Leader leader;
-  private final Leader.Context context;
+  private final ClusterState state;
+  private final TaskActions actions;
   private final EventLoop loop;
   private final Revision term;
   private final AvailableCapacity availableCapacity;
@@ -52,36 +49,30 @@
   private Optional<MinimumShares.Snapshot> shares = Optional.empty();
   private UnschedulableRequests unschedulable = new UnschedulableRequests();
 
+  /** The cycles of one term. */
   public SchedulingCycle(
-      Leader leader, Leader.Context context, Revision term, AvailableCapacity freeCapacity) {
-    this.leader = leader;
-    this.context = context;
-    this.loop = context.loop();
+      EventLoop loop,
+      Revision term,
+      ClusterState state,
+      AvailableCapacity availableCapacity,
+      SchedulingSettings settings,
+      TaskActions actions) {
+    this.loop = loop;
     this.term = term;
-    this.availableCapacity = freeCapacity;
-    this.reservation = leader.reservation();
+    this.state = state;
+    this.availableCapacity = availableCapacity;
+    this.actions = actions;
+    this.reservation = state.reservation();
     this.preemption =
-        new Preemption(
-            context.tunables().number(Tunables.Key.PREEMPT_RAN_S),
-            context.tunables().number(Tunables.Key.PREEMPT_SLACK_S));
+        new Preemption(settings.preemptMaxRunSeconds(), settings.preemptSlackSeconds());
     // Room that frees first refills what is kept for classes with a start aim; tasks that wait at
     // owners would take it before.
-    this.aheadSeconds =
-        reservation.isActive() ? 0 : context.tunables().number(Tunables.Key.AHEAD_S);
-    this.starvation =
-        new StarvationPrevention(context.tunables().number(Tunables.Key.BEGIN_S), loop.now());
-    this.minimumShares =
-        new MinimumShares(leader, context.catalog(), context.tunables(), loop.now());
+    this.aheadSeconds = reservation.isActive() ? 0 : settings.assignAheadSeconds();
+    this.starvation = new StarvationPrevention(settings.startWithinSeconds(), loop.now());
+    this.minimumShares = new MinimumShares(state, settings.minimumShare(), loop.now());
     this.tardiness =
-        new Tardiness(
-            context.runTimes(),
-            context.settings().cluster().objectives(),
-            context.tunables().number(Tunables.Key.OVERDUE_S));
-    this.guaranteeWithin =
-        context.settings().cluster().objectives().stream()
-            .filter(objective -> objective.kind().equals("guarantee"))
-            .map(PlatformSettings.Objective::withinSeconds)
-            .findFirst();
+        new Tardiness(state.runTimes(), settings.objectives(), settings.overdueSeconds());
+    this.guaranteeWithin = settings.guaranteeWithinSeconds();
   }
 
   public void run() {
@@ -89,7 +80,7 @@
     shares = Optional.empty();
     List<Job> order = ranking().order();
     List<MachineCapacity> capacities = availableCapacity.collect(minAsked(order));
-    Map<TeamId, Resources> inUse = leader.usageByTeam();
+    Map<TeamId, Resources> inUse = state.usageByTeam();
     Attempt attempt = new Attempt((term.value() << ATTEMPT_BITS) + 1);
     unschedulable = new UnschedulableRequests();
     startStarvedJobs(capacities, inUse, attempt);
@@ -127,7 +118,7 @@
   /** A part of each of the largest jobs that waited too long, whatever the order says. */
   private void startStarvedJobs(
       List<MachineCapacity> capacities, Map<TeamId, Resources> inUse, Attempt attempt) {
-    for (Job job : starvation.jobsToStart(leader.jobs().values(), loop.now(), loop.wallMillis())) {
+    for (Job job : starvation.jobsToStart(state.jobs().all(), loop.now(), loop.wallMillis())) {
       assign(job, capacities, inUse, attempt, (job.spec().tasks() + FIRST_PART - 1) / FIRST_PART);
     }
   }
@@ -165,8 +156,8 @@
     Resources used = inUse.getOrDefault(team, Resources.ZERO);
     int allowed =
         Math.min(
-            leader.quota().tasksWithinLimit(job, used),
-            leader.failures().allowedAttempts(job, loop.now()));
+            state.quotas().tasksWithinLimit(job, used),
+            state.failures().allowedAttempts(job, loop.now()));
     // A gang takes room for all its tasks or for none.
     allowed = job.spec().kind() == JobKind.ARRAY ? Math.min(allowed, most) : allowed;
     if (allowed == 0 || job.waitingCount() == 0) {
@@ -188,8 +179,8 @@
         (capacity, count) -> {
           for (int i = 0; i < count; i++) {
             int index = waiting[next[0]++];
-            leader.allocations().add(job.assign(index, capacity.shard(), capacity.zone(), attempt));
-            leader.progress().store(job, index, true);
+            state.allocations().add(job.assign(index, capacity.shard(), capacity.zone(), attempt));
+            actions.onAssigned(job, index);
           }
         };
     int placed = 0;
@@ -253,7 +244,9 @@
 
   /** A machine's room that was left out since too little of it is left; none if it is unusable. */
   private MachineCapacity saturatedMachine(ShardId shard, MachineId machine) {
-    return Optional.ofNullable(leader.shards().get(shard))
+    return state
+        .shards()
+        .find(shard)
         .flatMap(found -> availableCapacity.ofMachine(found, machine, Resources.ZERO))
         .orElse(null);
   }
@@ -274,7 +267,7 @@
             .sorted(Comparator.comparing(assignment -> assignment.runningSince().get()))
             .toList();
     double ends =
-        running.size() * aheadSeconds / Math.max(1, context.runTimes().expectedSeconds(job));
+        running.size() * aheadSeconds / Math.max(1, state.runTimes().expectedSeconds(job));
     return running.subList(0, (int) Math.min(running.size(), Math.round(ends)));
   }
 
@@ -292,7 +285,7 @@
     for (Job job : order) {
       if (job.state() != Job.State.ACTIVE
           || job.waitingCount() == 0
-          || leader.failures().isJobFaulty(job)) {
+          || state.failures().isJobFaulty(job)) {
         continue;
       }
       if (Preemption.mayPreempt(job) && urgent(job) && round.admit("priority")) {
@@ -307,7 +300,7 @@
                 job,
                 ranking(),
                 other -> reservation.appliesTo(other.spec()),
-                leader.quota(),
+                state.quotas(),
                 inUse,
                 round));
       }
@@ -317,10 +310,10 @@
   private void preemptFor(
       Job job, Preemption.Pass round, Map<TeamId, Resources> inUse, Preemption.Policy rule) {
     Resources used = inUse.getOrDefault(job.spec().team(), Resources.ZERO);
-    int wanted = job.waiting(leader.quota().tasksWithinLimit(job, used), loop.now()).length;
+    int wanted = job.waiting(state.quotas().tasksWithinLimit(job, used), loop.now()).length;
     preemption
         .victims(job, wanted, round, rule, where -> canFreeCapacity(job, where))
-        .forEach(leader::requestStop);
+        .forEach(actions::requestStop);
   }
 
   private Preemption.Policy priorityPolicy(Job job, Preemption.Pass round) {
@@ -334,7 +327,7 @@
   }
 
   private boolean urgent(Job job) {
-    double expected = context.runTimes().expectedSeconds(job);
+    double expected = state.runTimes().expectedSeconds(job);
     return reservation.appliesTo(job.spec()) || preemption.urgent(job, expected, loop.wallMillis());
   }
 
@@ -345,7 +338,7 @@
     return guaranteeWithin.filter(within -> waited >= within).isPresent()
         && ranking().withinGuarantee(job)
         && used.plus(job.spec().perTask()).cpus()
-            <= leader.quota().guaranteedCpus(job.spec().team()) + 1e-6;
+            <= state.quotas().guaranteedCpus(job.spec().team()) + 1e-6;
   }
 
   private static boolean canFreeCapacity(Job job, Preemption.Location where) {
@@ -353,7 +346,7 @@
   }
 
   private Optional<Preemption.Location> locationOf(TaskAssignment assignment) {
-    ShardView shard = leader.shards().get(assignment.shard());
+    ShardView shard = state.shards().find(assignment.shard()).orElse(null);
     if (shard == null
         || assignment.state() == TaskAssignment.State.ENDED
         || !assignment.visibleToOwner()) {
@@ -375,8 +368,7 @@
   private MinimumShares.Snapshot shares() {
     if (shares.isEmpty()) {
       shares =
-          Optional.of(
-              minimumShares.snapshot(leader.jobs().values(), leader.usageByTeam(), loop.now()));
+          Optional.of(minimumShares.snapshot(state.jobs().all(), state.usageByTeam(), loop.now()));
     }
     return shares.get();
   }
@@ -387,9 +379,9 @@
       ranking =
           Optional.of(
               JobRanking.of(
-                  leader.jobs().values(),
-                  leader.failures()::isJobFaulty,
-                  leader.quota().teams(),
+                  state.jobs().all(),
+                  state.failures()::isJobFaulty,
+                  state.quotas().teams(),
                   tardiness,
                   shares(),
                   loop.wallMillis()));
--- /dev/null
+++ b/src/main/java/org/mulleinshift/settings/package-info.java
@@ -0,0 +1,2 @@
+/** The platform's settings file and the operators' own tunables, checked and typed. */
+package org.mulleinshift.settings;
--- /dev/null
+++ b/src/main/java/org/mulleinshift/sharding/AssignmentSender.java
@@ -0,0 +1,62 @@
+package org.mulleinshift.sharding;
+
+import java.time.Duration;
+import java.util.function.BiConsumer;
+import org.mulleinshift.membership.LeadershipTerm;
+import org.mulleinshift.protocol.NodeId;
+import org.mulleinshift.transport.EventLoop;
+
+/**
+ * Sends each shard's owner what has changed in its assignments; several changes of one step share a
+ * message, and one that stays unconfirmed is sent again.
+ */
+public final class AssignmentSender {
+  private static final Duration RESEND_AFTER = Duration.ofMillis(700);
+
+  private final EventLoop loop;
+  private final LeadershipTerm term;
+  private final ShardTable shards;
+  private final AssignmentWriter writer;
+  private final BiConsumer<NodeId, Object> send;
+  private boolean scheduled;
+
+  /** A sender for one term. */
+  public AssignmentSender(
+      EventLoop loop,
+      LeadershipTerm term,
+      ShardTable shards,
+      AssignmentWriter writer,
+      BiConsumer<NodeId, Object> send) {
+    this.loop = loop;
+    this.term = term;
+    this.shards = shards;
+    this.writer = writer;
+    this.send = send;
+  }
+
+  /** Sends at the end of the current step. */
+  public void schedule() {
+    if (scheduled) {
+      return;
+    }
+    scheduled = true;
+    loop.post(
+        () -> {
+          scheduled = false;
+          sendNow();
+        });
+  }
+
+  /** Sends what is due; nothing while the term may have ended. */
+  public void sendNow() {
+    if (!term.active() || !term.holdsValidLease()) {
+      return;
+    }
+    for (ShardView shard : shards.all()) {
+      if (shard.grant().isPresent()
+          && (shard.resendDue(loop.now(), RESEND_AFTER) || shard.dirty())) {
+        send.accept(shard.grant().get().owner(), writer.of(shard));
+      }
+    }
+  }
+}
--- a/src/main/java/org/mulleinshift/sharding/AssignmentWriter.java
+++ b/src/main/java/org/mulleinshift/sharding/AssignmentWriter.java
@@ -4,11 +4,15 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.mulleinshift.leader.Leader;
+import java.util.function.Predicate;
+import java.util.function.ToIntFunction;
+import org.mulleinshift.compatibility.UnreadableJobs;
+import org.mulleinshift.model.JobTable;
 import org.mulleinshift.model.TaskAssignment;
 import org.mulleinshift.placement.ResourceRequest;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.JobSpec;
+import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.TaskId;
 import org.mulleinshift.protocol.peer.AssignedJob;
@@ -19,12 +23,30 @@
 
 /** Writes what the owner of a shard is to hear. */
 public final class AssignmentWriter {
-  private final Leader leader;
+  private final JobTable jobs;
+  private final UnreadableJobs unreadable;
+  private final Predicate<MachineId> cordoned;
+  private final ToIntFunction<JobId> rank;
   private final EventLoop loop;
   private final Revision term;
 
-  public AssignmentWriter(Leader leader, EventLoop loop, Revision term) {
-    this.leader = leader;
+  /**
+   * A writer for one term.
+   *
+   * @param cordoned whether a machine must take no new task
+   * @param rank a job's place in the order of urgency
+   */
+  public AssignmentWriter(
+      EventLoop loop,
+      Revision term,
+      JobTable jobs,
+      UnreadableJobs unreadable,
+      Predicate<MachineId> cordoned,
+      ToIntFunction<JobId> rank) {
+    this.jobs = jobs;
+    this.unreadable = unreadable;
+    this.cordoned = cordoned;
+    this.rank = rank;
     this.loop = loop;
     this.term = term;
   }
@@ -51,12 +73,13 @@
       }
     }
     List<AssignedJob> assigned = new ArrayList<>();
-    byJob.forEach((id, tasks) -> assigned.add(assignedJob(leader.jobs().get(id).spec(), tasks)));
+    byJob.forEach(
+        (id, tasks) -> assigned.add(assignedJob(jobs.find(id).orElseThrow().spec(), tasks)));
     // A job without tasks: what runs of it is left alone. All of them, with each message.
-    leader.unreadable().jobs().forEach(id -> assigned.add(unreadableJob(id)));
+    unreadable.jobs().forEach(id -> assigned.add(unreadableJob(id)));
     List<String> closed = new ArrayList<>();
     shard.machines().keySet().stream()
-        .filter(machine -> leader.isCordoned(machine))
+        .filter(cordoned)
         .forEach(machine -> closed.add(machine.value()));
     return new ShardAssignment(
         term.value(),
@@ -93,7 +116,7 @@
         spec.checkpointSeconds() > 0 ? spec.saveSeconds() : 0,
         need.types().stream().map(type -> type.value()).toList(),
         need.spotAllowed(),
-        leader.ranking().rank(spec.id()),
+        rank.applyAsInt(spec.id()),
         tasks);
   }
 }
--- a/src/main/java/org/mulleinshift/store/StoreKeys.java
+++ b/src/main/java/org/mulleinshift/store/StoreKeys.java
@@ -1,8 +1,6 @@
 package org.mulleinshift.store;
 
-import java.util.Optional;
 import java.util.OptionalInt;
-import org.mulleinshift.model.Chunk;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.ShardId;
@@ -39,21 +37,8 @@
   public static final String DEPENDENCY_LISTS = "w/";
   public static final String FEATURE_LEVELS = "c/v/";
 
-  /** What a key of progress says. */
-  public record ProgressKey(JobId job, Chunk chunk) {}
-
   private StoreKeys() {}
 
-  /** None if it is not a key of this build. */
-  public static Optional<ProgressKey> progressKey(String key) {
-    int slash = key.indexOf('/', PROGRESS.length());
-    if (slash < 0) {
-      return Optional.empty();
-    }
-    JobId job = new JobId(key.substring(PROGRESS.length(), slash));
-    return Chunk.parse(key.substring(slash + 1)).map(part -> new ProgressKey(job, part));
-  }
-
   public static String node(NodeId node) {
     return NODES + node;
   }
@@ -74,10 +59,6 @@
     return ENDED_JOBS + job;
   }
 
-  public static String progress(JobId job, Chunk part) {
-    return PROGRESS + job + "/" + part;
-  }
-
   public static String logSegment(int number) {
     return PROGRESS_LOG + number;
   }
--- /dev/null
+++ b/src/main/java/org/mulleinshift/transport/package-info.java
@@ -0,0 +1,2 @@
+/** The event loop, HTTP, peer connections and rate limits. Only this package starts threads. */
+package org.mulleinshift.transport;
--- a/src/test/java/org/mulleinshift/model/ChunkLayoutTest.java
+++ b/src/test/java/org/mulleinshift/model/ChunkLayoutTest.java
@@ -19,7 +19,6 @@
 import org.mulleinshift.protocol.StoreCodec;
 import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.protocol.ZoneId;
-import org.mulleinshift.store.StoreKeys;
 
 /** A chunk that an older build left too long is taken apart; each step may be the last. */
 class ChunkLayoutTest {
@@ -41,7 +40,7 @@
   private static Job load(Map<String, JsonNode> store) throws MalformedMessageException {
     Job job = job();
     for (Map.Entry<String, JsonNode> entry : store.entrySet()) {
-      Chunk part = StoreKeys.progressKey(entry.getKey()).get().chunk();
+      Chunk part = ChunkKey.parse(entry.getKey()).get().chunk();
       job.load(part, entry.getValue(), shard -> new ZoneId("a"));
     }
     return job;
@@ -55,7 +54,7 @@
   }
 
   private static String key(Chunk part) {
-    return StoreKeys.progress(new JobId("run-1"), part);
+    return ChunkKey.format(new JobId("run-1"), part);
   }
 
   private static Job scattered(Random random) throws MalformedMessageException {
--- a/src/test/java/org/mulleinshift/model/StoredByEarlierBuildTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredByEarlierBuildTest.java
@@ -50,7 +50,7 @@
         }
         case StoreKeys.CONTROL -> view.apply(item.key(), Optional.of(item));
         case StoreKeys.PROGRESS -> {
-          StoreKeys.ProgressKey key = StoreKeys.progressKey(item.key()).get();
+          ChunkKey key = ChunkKey.parse(item.key()).get();
           Job job = jobs.get(key.job());
           job.load(key.chunk(), item.value(), shard -> new ZoneId("a"));
           assertEquals(Json.write(item.value()), Json.write(job.progress(key.chunk())));
--- a/src/test/java/org/mulleinshift/model/StoredRecordGoldenTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordGoldenTest.java
@@ -125,7 +125,7 @@
   }
 
   private static JsonNode rewrittenProgress(KeyValue item) throws MalformedMessageException {
-    StoreKeys.ProgressKey key = StoreKeys.progressKey(item.key()).orElseThrow();
+    ChunkKey key = ChunkKey.parse(item.key()).orElseThrow();
     boolean awaiting = item.value().has("ready");
     Job job =
         StoredRecordSamples.job(awaiting ? StoredRecordSamples.namedJobs() : JobDependencies.NONE);
--- a/src/test/java/org/mulleinshift/model/StoredRecordSamples.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordSamples.java
@@ -150,23 +150,23 @@
   }
 
   private void addProgress() {
-    Chunk first = Chunk.number(0);
-    add("progress-none", StoreKeys.progress(JOB, first), job(JobDependencies.NONE).progress(first));
+    Chunk first = Chunk.whole(0);
+    add("progress-none", ChunkKey.format(JOB, first), job(JobDependencies.NONE).progress(first));
     Job job = startedJob(JobDependencies.NONE);
-    add("progress-chunk", StoreKeys.progress(JOB, first), job.progress(first));
-    Chunk second = Chunk.number(1);
-    add("progress-second-chunk", StoreKeys.progress(JOB, second), job.progress(second));
+    add("progress-chunk", ChunkKey.format(JOB, first), job.progress(first));
+    Chunk second = Chunk.whole(1);
+    add("progress-second-chunk", ChunkKey.format(JOB, second), job.progress(second));
     Chunk half = first.half(0);
-    add("progress-part", StoreKeys.progress(JOB, half), job.progress(half));
+    add("progress-part", ChunkKey.format(JOB, half), job.progress(half));
     Chunk quarter = first.half(1).half(1);
-    add("progress-part-of-part", StoreKeys.progress(JOB, quarter), job.progress(quarter));
+    add("progress-part-of-part", ChunkKey.format(JOB, quarter), job.progress(quarter));
     Job chained = startedJob(namedJobs());
-    add("progress-awaiting", StoreKeys.progress(JOB, first), chained.progress(first));
-    add("progress-with-unknown-fields", StoreKeys.progress(JOB, first), progressOfNewerBuild(job));
+    add("progress-awaiting", ChunkKey.format(JOB, first), chained.progress(first));
+    add("progress-with-unknown-fields", ChunkKey.format(JOB, first), progressOfNewerBuild(job));
   }
 
   private static JsonNode progressOfNewerBuild(Job job) {
-    ObjectNode stored = (ObjectNode) job.progress(Chunk.number(0));
+    ObjectNode stored = (ObjectNode) job.progress(Chunk.whole(0));
     stored.put("new", 9);
     return stored;
   }
@@ -194,7 +194,7 @@
   }
 
   private void addLog() {
-    Chunk first = Chunk.number(0);
+    Chunk first = Chunk.whole(0);
     Chunk part = first.half(1);
     Job job = startedJob(JobDependencies.NONE);
     List<LogSegment.Entry> entries =
--- a/src/test/java/org/mulleinshift/model/StoredRecordsTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordsTest.java
@@ -72,8 +72,8 @@
     JsonNode stored =
         Json.parseObject(
             "{\"done\":\"0-2\",\"at\":[{\"b\":\"a-0\",\"n\":7,\"r\":\"3-4\"}],\"new\":9}");
-    job.load(Chunk.number(0), stored, shard -> new ZoneId("a"));
-    assertEquals(Json.write(stored), Json.write(job.progress(Chunk.number(0))));
+    job.load(Chunk.whole(0), stored, shard -> new ZoneId("a"));
+    assertEquals(Json.write(stored), Json.write(job.progress(Chunk.whole(0))));
   }
 
   @ParameterizedTest
@@ -93,7 +93,7 @@
     JsonNode value = Json.parseObject(stored);
     assertThrows(
         MalformedMessageException.class,
-        () -> job.load(Chunk.number(0), value, shard -> new ZoneId("a")));
+        () -> job.load(Chunk.whole(0), value, shard -> new ZoneId("a")));
     assertEquals(8, job.waitingCount());
     assertEquals(0, job.doneCount());
   }
--- a/src/test/java/org/mulleinshift/progress/ProgressLogTest.java
+++ b/src/test/java/org/mulleinshift/progress/ProgressLogTest.java
@@ -79,7 +79,7 @@
 
   private static LogSegment.Entry entry(int job, String done) {
     JsonNode progress = Json.object().put("done", done);
-    return LogSegment.Entry.of(new JobId("run-" + job), Chunk.number(0), progress);
+    return LogSegment.Entry.of(new JobId("run-" + job), Chunk.whole(0), progress);
   }
 
   private static ProgressLog.ChunkImage image(LogSegment.Entry entry) {
