--- a/src/main/java/org/mulleinshift/autoscaling/AutoscalerSettings.java
+++ b/src/main/java/org/mulleinshift/autoscaling/AutoscalerSettings.java
@@ -8,26 +8,26 @@
  * The settings of the autoscaler, read once.
  *
  * @param interval between two runs
- * @param simulationSteps steps of a queue simulation
- * @param resizeAtOnceShare a shortage above this share of the cluster is provisioned at once
- * @param refusedPause before an offer that the cloud refused is asked for again
- * @param defaultBootSeconds boot time of a type that lists none
+ * @param simulationSteps number of steps of a queue simulation
+ * @param immediateResizeShare a shortage above this share of the cluster is provisioned at once
+ * @param refusedPause before an offer that the cloud refused is requested again
+ * @param defaultBootSeconds boot time of a machine type whose catalog entry has none
  * @param overdueBootFactor a boot that takes so many times the expected time is overdue
  * @param idleSeconds after which an unused machine is released
- * @param minimumHeldSeconds that a machine is kept at least
+ * @param minimumRetentionSeconds a machine is kept at least that long
  * @param surplusSeconds after which a machine whose tasks fit elsewhere is drained
- * @param spotOnlySeconds for which low-priority work waits for spot machines
- * @param maxShardMachines machines of one shard
+ * @param spotOnlySeconds for which low-priority tasks wait for spot machines
+ * @param maxShardMachines machines of one shard at most
  */
 public record AutoscalerSettings(
     Duration interval,
     int simulationSteps,
-    double resizeAtOnceShare,
+    double immediateResizeShare,
     Duration refusedPause,
     double defaultBootSeconds,
     double overdueBootFactor,
     double idleSeconds,
-    double minimumHeldSeconds,
+    double minimumRetentionSeconds,
     double surplusSeconds,
     double spotOnlySeconds,
     int maxShardMachines) {
--- /dev/null
+++ b/src/main/java/org/mulleinshift/autoscaling/BootProbe.java
@@ -0,0 +1,66 @@
+package org.mulleinshift.autoscaling;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import org.mulleinshift.placement.ResourceRequest;
+import org.mulleinshift.protocol.MachineTypeId;
+import org.mulleinshift.transport.EventLoop;
+import org.mulleinshift.transport.MonotonicTime;
+
+/**
+ * Finds out whether delayed machine types come up again. While no machine of a type comes up, those
+ * that boot count as capacity, and only a few are provisioned, a boot time apart: more would be
+ * paid for in vain.
+ */
+final class BootProbe {
+  /** A probe provisions one machine, and one more for each so many delayed ones. */
+  private static final int DELAYED_PER_PROBE = 10;
+
+  private final EventLoop loop;
+  private final OfferSelector offers;
+  private final Provisioner provisioner;
+  private final BootMonitor boots;
+  private final Map<MachineTypeId, MonotonicTime> probedAt = new HashMap<>();
+
+  BootProbe(EventLoop loop, OfferSelector offers, Provisioner provisioner, BootMonitor boots) {
+    this.loop = loop;
+    this.offers = offers;
+    this.provisioner = provisioner;
+    this.boots = boots;
+  }
+
+  /** Provisions a few machines of each delayed type that some waiting task can use. */
+  void probe(List<PendingGroup> waiting, double horizonSeconds) {
+    for (MachineTypeId type : boots.typesWithDelays()) {
+      if (isDue(type, horizonSeconds)) {
+        probe(type, waiting);
+      }
+    }
+  }
+
+  private boolean isDue(MachineTypeId type, double horizonSeconds) {
+    MonotonicTime last = probedAt.get(type);
+    return boots.isDelayed(type)
+        && (last == null || loop.now().secondsSince(last) >= horizonSeconds);
+  }
+
+  private void probe(MachineTypeId type, List<PendingGroup> waiting) {
+    for (PendingGroup group : waiting) {
+      Optional<Offer> offer = offerOf(type, group);
+      if (offer.isPresent()) {
+        probedAt.put(type, loop.now());
+        provisioner.provision(offer.get(), 1 + boots.delayedCount(type) / DELAYED_PER_PROBE);
+        return;
+      }
+    }
+  }
+
+  private Optional<Offer> offerOf(MachineTypeId type, PendingGroup group) {
+    ResourceRequest restricted = group.request().restrictedTo(List.of(type));
+    return restricted.types().isEmpty()
+        ? Optional.empty()
+        : offers.bestOffer(group.withRequest(restricted).withCount(1), Map.of());
+  }
+}
--- a/src/main/java/org/mulleinshift/autoscaling/BootTimeEstimator.java
+++ b/src/main/java/org/mulleinshift/autoscaling/BootTimeEstimator.java
@@ -12,101 +12,136 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * The measured boot times, and what can be expected of a machine on its way. At times machines come
- * up at once, late, or not at all: neither a lucky run nor a bad one decides for the rest of the
- * day.
+ * Estimates boot times from the latest boots of each machine type, and what can be expected of a
+ * machine that boots. At times machines come up at once, late, or not at all: the estimates are
+ * bounded so that neither a few fast boots nor a few slow ones decide for long.
  */
 public final class BootTimeEstimator {
-  private static final int REMEMBERED = 12;
+  /** Boots of a type that the estimate is made from. */
+  private static final int MAX_SAMPLES = 12;
 
-  /** Boots are usually between this share of the listed time and the next one. */
-  private static final double MIN_SHARE = 0.6;
+  private static final double MILLIS_PER_SECOND = 1000.0;
 
-  private static final double ORDINARY_SHARE = 1.5;
-  private static final double EXCUSED_FACTOR = 8;
-  private static final double GRACE_SECONDS = 10;
+  /** Boots usually take between this share of the listed time and {@link #MAX_USUAL_SHARE}. */
+  private static final double MIN_USUAL_SHARE = 0.6;
+
+  private static final double MAX_USUAL_SHARE = 1.5;
+
+  /** At least so many usual times a machine is waited for while none of its type comes up. */
+  private static final double DELAYED_TYPE_FACTOR = 8;
+
+  private static final double ABANDON_GRACE_SECONDS = 10;
 
   /** What can be expected of a machine that is not up. */
   enum Outlook {
+    /** It has not taken longer than usual. */
     ON_TIME,
-    /** Late, but so is every machine of its type rented since: it may still come. */
+    /** Late, but so is every machine of its type provisioned since: it may still come up. */
     DELAYED,
-    /** Late, while younger ones are up: no room to count on. */
+    /** Late, while machines provisioned later are up: no capacity to count on. */
     OVERDUE,
     /** Not worth waiting for. */
     ABANDONED
   }
 
-  private static final class Seen {
+  /** The boots of one machine type. */
+  private static final class BootHistory {
     private final Deque<Double> seconds = new ArrayDeque<>();
-    private MonotonicTime youngestUp;
+    private Optional<MonotonicTime> latestProvisionedUp = Optional.empty();
+
+    /** Whether a machine that was provisioned after the given time is up. */
+    boolean hasUpProvisionedAfter(MonotonicTime provisionedAt) {
+      return latestProvisionedUp.filter(latest -> latest.isAfter(provisionedAt)).isPresent();
+    }
+
+    void onUp(MonotonicTime provisionedAt) {
+      if (latestProvisionedUp.isEmpty() || provisionedAt.isAfter(latestProvisionedUp.get())) {
+        latestProvisionedUp = Optional.of(provisionedAt);
+      }
+    }
+
+    void add(double bootSeconds) {
+      seconds.addLast(bootSeconds);
+      if (seconds.size() > MAX_SAMPLES) {
+        seconds.removeFirst();
+      }
+    }
   }
 
   private final double defaultSeconds;
   private final double overdueFactor;
-  private final Map<MachineTypeId, Seen> types = new HashMap<>();
+  private final Map<MachineTypeId, BootHistory> histories = new HashMap<>();
 
+  /**
+   * An estimator without samples.
+   *
+   * @param defaultSeconds boot time of a type that lists none
+   * @param overdueFactor a boot that takes so many times the usual time is abandoned
+   */
   BootTimeEstimator(double defaultSeconds, double overdueFactor) {
     this.defaultSeconds = defaultSeconds;
     this.overdueFactor = overdueFactor;
   }
 
-  /** A machine came up; how long that took is known only if its rental was seen. */
-  void onUp(MachineTypeId type, MonotonicTime rentedAt, Optional<Double> took) {
-    Seen seen = types.computeIfAbsent(type, key -> new Seen());
-    if (seen.youngestUp == null || rentedAt.isAfter(seen.youngestUp)) {
-      seen.youngestUp = rentedAt;
-    }
-    took.ifPresent(
-        seconds -> {
-          seen.seconds.addLast(seconds);
-          if (seen.seconds.size() > REMEMBERED) {
-            seen.seconds.removeFirst();
-          }
-        });
+  /**
+   * A machine came up.
+   *
+   * @param bootSeconds how long that took, known only if its provisioning was observed
+   */
+  void onUp(MachineTypeId type, MonotonicTime provisionedAt, Optional<Double> bootSeconds) {
+    BootHistory history = history(type);
+    history.onUp(provisionedAt);
+    bootSeconds.ifPresent(history::add);
   }
 
-  /** The latest boots of each type, oldest first. */
+  private BootHistory history(MachineTypeId type) {
+    return histories.computeIfAbsent(type, key -> new BootHistory());
+  }
+
+  /** The latest boot times of each type in seconds, oldest first. */
   public Map<MachineTypeId, List<Double>> latest() {
     Map<MachineTypeId, List<Double>> latest = new LinkedHashMap<>();
-    types.forEach((type, seen) -> latest.put(type, List.copyOf(seen.seconds)));
+    histories.forEach((type, history) -> latest.put(type, List.copyOf(history.seconds)));
     return latest;
   }
 
-  /** Boots that another leader saw; this one's own come after them. */
-  public void learn(MachineTypeId type, List<Double> seconds) {
-    Seen seen = types.computeIfAbsent(type, key -> new Seen());
-    if (seen.seconds.isEmpty()) {
-      seconds.stream().filter(s -> s >= 0).limit(REMEMBERED).forEach(seen.seconds::addLast);
+  /** Adds boot times that another leader measured, unless this one has measured its own. */
+  public void learn(MachineTypeId type, List<Double> bootSeconds) {
+    BootHistory history = history(type);
+    if (history.seconds.isEmpty()) {
+      bootSeconds.stream()
+          .filter(seconds -> seconds >= 0)
+          .limit(MAX_SAMPLES)
+          .forEach(history.seconds::addLast);
     }
   }
 
   private double listed(MachineType type) {
-    double seconds = type.boot().toMillis() / 1000.0;
+    double seconds = type.boot().toMillis() / MILLIS_PER_SECOND;
     return seconds > 0 ? seconds : defaultSeconds;
   }
 
-  /** The median of the latest boots, and never a small part of the listed time. */
+  /** The median of the latest boots in seconds, and at least the usual minimum. */
   double expected(MachineType type) {
-    Seen seen = types.get(type.id());
-    if (seen == null || seen.seconds.isEmpty()) {
+    BootHistory history = histories.get(type.id());
+    if (history == null || history.seconds.isEmpty()) {
       return listed(type);
     }
-    double[] sorted = seen.seconds.stream().mapToDouble(Double::doubleValue).sorted().toArray();
-    return Math.max(MIN_SHARE * listed(type), sorted[sorted.length / 2]);
+    double[] sorted = history.seconds.stream().mapToDouble(Double::doubleValue).sorted().toArray();
+    return Math.max(MIN_USUAL_SHARE * listed(type), sorted[sorted.length / 2]);
   }
 
-  Outlook outlook(MachineType type, MonotonicTime rentedAt, MonotonicTime now) {
-    double age = now.secondsSince(rentedAt);
-    double ordinary = Math.max(expected(type), listed(type));
-    if (age <= ORDINARY_SHARE * ordinary) {
+  /** What can be expected of a machine that is not up. */
+  Outlook outlook(MachineType type, MonotonicTime provisionedAt, MonotonicTime now) {
+    double bootingSeconds = now.secondsSince(provisionedAt);
+    double usualSeconds = Math.max(expected(type), listed(type));
+    if (bootingSeconds <= MAX_USUAL_SHARE * usualSeconds) {
       return Outlook.ON_TIME;
     }
-    Seen seen = types.get(type.id());
-    boolean overtaken =
-        seen != null && seen.youngestUp != null && seen.youngestUp.isAfter(rentedAt);
-    double factor = overtaken ? overdueFactor : Math.max(overdueFactor, EXCUSED_FACTOR);
-    if (age > GRACE_SECONDS + factor * ordinary) {
+    BootHistory history = histories.get(type.id());
+    boolean overtaken = history != null && history.hasUpProvisionedAfter(provisionedAt);
+    double factor = overtaken ? overdueFactor : Math.max(overdueFactor, DELAYED_TYPE_FACTOR);
+    if (bootingSeconds > ABANDON_GRACE_SECONDS + factor * usualSeconds) {
       return Outlook.ABANDONED;
     }
     return overtaken ? Outlook.OVERDUE : Outlook.DELAYED;
--- a/src/main/java/org/mulleinshift/autoscaling/CloudClient.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CloudClient.java
@@ -15,6 +15,7 @@
  * @param limiter this controller's share of the cloud's request rate
  */
 public record CloudClient(AsyncHttpClient http, InetSocketAddress address, RateLimiter limiter) {
+  /** Sends a request; the consumer gets the response, or the lack of one. */
   void call(HttpRequest request, Consumer<HttpResponse> onResponse) {
     http.call(address, request, onResponse);
   }
--- a/src/main/java/org/mulleinshift/autoscaling/CloudInventory.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CloudInventory.java
@@ -13,11 +13,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reads the cloud's list of machines now and then; it lags, and proves nothing alone. */
+/**
+ * Reads the cloud's list of machines periodically. The list lags: that a machine is not in it does
+ * not mean that the machine is gone.
+ */
 final class CloudInventory {
   private static final Logger LOG = LoggerFactory.getLogger(CloudInventory.class);
-  private static final Duration DEADLINE = Duration.ofSeconds(5);
-  private static final Duration LIST_EVERY = Duration.ofSeconds(10);
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
+  private static final Duration LIST_INTERVAL = Duration.ofSeconds(10);
 
   private final LeadershipTerm term;
   private final EventLoop loop;
@@ -32,11 +35,12 @@
     this.onListed = onListed;
   }
 
+  /** Lists the machines now, and again after each interval until the term ends. */
   void listPeriodically() {
     if (!term.active()) {
       return;
     }
-    loop.after(LIST_EVERY, this::listPeriodically);
+    loop.after(LIST_INTERVAL, this::listPeriodically);
     if (term.holdsValidLease()) {
       list(Optional.empty());
     }
@@ -47,20 +51,23 @@
       return;
     }
     cloud.call(
-        HttpRequest.get(CloudCodec.listPath(after), DEADLINE),
-        reply -> {
-          if (!reply.ok() || !term.active()) {
-            return;
-          }
-          try {
-            CloudCodec.Page page = CloudCodec.parseList(reply.body());
-            page.machines().forEach(onListed);
-            if (page.more() && !page.machines().isEmpty()) {
-              list(Optional.of(page.machines().get(page.machines().size() - 1).id()));
-            }
-          } catch (MalformedMessageException e) {
-            LOG.warn("machine list: {}", e.getMessage());
+        HttpRequest.get(CloudCodec.listPath(after), REQUEST_TIMEOUT),
+        response -> {
+          if (response.ok() && term.active()) {
+            onPage(response.body());
           }
         });
   }
+
+  private void onPage(String body) {
+    try {
+      CloudCodec.Page page = CloudCodec.parseList(body);
+      page.machines().forEach(onListed);
+      if (page.more() && !page.machines().isEmpty()) {
+        list(Optional.of(page.machines().get(page.machines().size() - 1).id()));
+      }
+    } catch (MalformedMessageException e) {
+      LOG.warn("machine list malformed, cause={}", e.getMessage());
+    }
+  }
 }
--- /dev/null
+++ b/src/main/java/org/mulleinshift/autoscaling/Consolidator.java
@@ -0,0 +1,173 @@
+package org.mulleinshift.autoscaling;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.model.Machine;
+import org.mulleinshift.model.TaskAssignment;
+import org.mulleinshift.placement.BinPacker;
+import org.mulleinshift.placement.MachineCapacity;
+import org.mulleinshift.placement.ResourceRequest;
+import org.mulleinshift.placement.UnschedulableRequests;
+import org.mulleinshift.protocol.MachineId;
+import org.mulleinshift.protocol.MachineTypeId;
+import org.mulleinshift.protocol.Resources;
+import org.mulleinshift.scheduling.CapacityReservation;
+import org.mulleinshift.scheduling.ClusterState;
+import org.mulleinshift.transport.EventLoop;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Drains the most expensive machines whose tasks would fit into the capacity that the others have
+ * left. Their tasks end where they are; nothing is moved.
+ */
+final class Consolidator {
+  private static final Logger LOG = LoggerFactory.getLogger(Consolidator.class);
+
+  /** A run drains one machine, and one more for each so many candidates. */
+  private static final int CANDIDATES_PER_DRAIN = 24;
+
+  /** Trials of one run: each costs as much as the cluster is large. */
+  private static final int MAX_TRIALS = 16;
+
+  /** Reserved capacity must be available so many times before a machine is surplus. */
+  private static final int RESERVATION_FACTOR = 2;
+
+  private final EventLoop loop;
+  private final ClusterState state;
+  private final CapacityPlanner planner;
+  private final AutoscalerSettings settings;
+
+  Consolidator(
+      EventLoop loop, ClusterState state, CapacityPlanner planner, AutoscalerSettings settings) {
+    this.loop = loop;
+    this.state = state;
+    this.planner = planner;
+    this.settings = settings;
+  }
+
+  /** How many machines one run may still try and find surplus. */
+  private static final class Budget {
+    private int trials = MAX_TRIALS;
+    private int drains;
+
+    Budget(int candidates) {
+      this.drains = 1 + candidates / CANDIDATES_PER_DRAIN;
+    }
+
+    boolean takeTrial() {
+      return drains > 0 && trials-- > 0;
+    }
+
+    void takeDrain() {
+      drains--;
+    }
+  }
+
+  /**
+   * Drains machines that are surplus for long enough. Types that tasks wait for are left alone;
+   * tasks that only fit a large type, of which there are no more, do not keep the small ones up.
+   *
+   * @param wanted types that waiting tasks could use
+   */
+  void run(Set<MachineTypeId> wanted) {
+    if (wanted.containsAll(state.catalog().types().keySet())) {
+      return;
+    }
+    Map<MachineId, MachineCapacity> capacities = planner.currentCapacity().byMachine();
+    if (!reserve(capacities)) {
+      return;
+    }
+    List<MachineCapacity> candidates = candidates(capacities, wanted);
+    Budget budget = new Budget(candidates.size());
+    for (MachineCapacity candidate : candidates) {
+      consider(candidate, capacities, budget);
+    }
+  }
+
+  /** Takes the reserved capacity; returns false if not all of it is available. */
+  private boolean reserve(Map<MachineId, MachineCapacity> capacities) {
+    for (CapacityReservation.Reservation reservation :
+        state.reservation().reservations(loop.now())) {
+      int count = RESERVATION_FACTOR * reservation.count();
+      if (BinPacker.fill(reservation.request(), count, capacities.values()) < count) {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  /** Machines of unwanted types, the most expensive first. */
+  private static List<MachineCapacity> candidates(
+      Map<MachineId, MachineCapacity> capacities, Set<MachineTypeId> wanted) {
+    List<MachineCapacity> candidates = new ArrayList<>(capacities.values());
+    candidates.removeIf(capacity -> wanted.contains(capacity.type()));
+    candidates.sort(
+        Comparator.comparingDouble(MachineCapacity::drainWeight)
+            .reversed()
+            .thenComparingDouble(capacity -> -capacity.available().cpus())
+            .thenComparing(MachineCapacity::machine));
+    return candidates;
+  }
+
+  private void consider(
+      MachineCapacity candidate, Map<MachineId, MachineCapacity> capacities, Budget budget) {
+    Machine machine = state.machines().track(candidate.machine());
+    boolean surplus =
+        isDrainable(machine) && budget.takeTrial() && fitsElsewhere(candidate, capacities);
+    if (surplus) {
+      budget.takeDrain();
+    }
+    double surplusSeconds = machine.surplusFor(surplus, loop.now());
+    if (surplus && surplusSeconds >= settings.surplusSeconds()) {
+      LOG.info("machine drained, machine={} surplus_s={}", candidate.machine(), surplusSeconds);
+      machine.drain();
+      state.shards().markChanged(candidate.machine());
+    }
+  }
+
+  private boolean isDrainable(Machine machine) {
+    return machine.state() == Machine.State.UP
+        && machine.heldSeconds(loop.now()) >= settings.minimumRetentionSeconds();
+  }
+
+  /**
+   * Whether the others have capacity for its tasks; if so, it is taken, and the machine removed.
+   */
+  private boolean fitsElsewhere(
+      MachineCapacity candidate, Map<MachineId, MachineCapacity> capacities) {
+    Map<ResourceRequest, Integer> requests = requestsOn(candidate.machine());
+    Resources minimumRequest =
+        UnschedulableRequests.minimumOf(requests.keySet(), request -> request);
+    Map<MachineId, MachineCapacity> trial = new HashMap<>();
+    for (MachineCapacity capacity : capacities.values()) {
+      if (capacity != candidate && minimumRequest.fitsInto(capacity.available())) {
+        trial.put(capacity.machine(), capacity.copy());
+      }
+    }
+    for (Map.Entry<ResourceRequest, Integer> entry : requests.entrySet()) {
+      if (BinPacker.fill(entry.getKey(), entry.getValue(), trial.values()) < entry.getValue()) {
+        return false;
+      }
+    }
+    capacities.remove(candidate.machine());
+    capacities.putAll(trial);
+    return true;
+  }
+
+  /** How often each request occurs among the tasks on a machine. */
+  private Map<ResourceRequest, Integer> requestsOn(MachineId machine) {
+    Map<ResourceRequest, Integer> requests = new LinkedHashMap<>();
+    for (TaskAssignment assignment : state.allocations().on(machine)) {
+      Job job = state.jobs().find(assignment.task().job()).orElseThrow();
+      requests.merge(ResourceRequest.of(job.spec()), 1, Integer::sum);
+    }
+    return requests;
+  }
+}
--- a/src/main/java/org/mulleinshift/autoscaling/Demand.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Demand.java
@@ -9,6 +9,6 @@
   /** Active jobs, the most urgent first. */
   List<Job> rankedJobs();
 
-  /** Jobs whose dependencies should be done within the horizon. */
+  /** Jobs that should be released by the end of their dependencies within the horizon. */
   List<DependencyResolver.ExpectedRelease> expectedReleases(double horizonSeconds);
 }
--- /dev/null
+++ b/src/main/java/org/mulleinshift/autoscaling/MachineRegistrar.java
@@ -0,0 +1,98 @@
+package org.mulleinshift.autoscaling;
+
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import org.mulleinshift.model.ClusterView.MachineRecord;
+import org.mulleinshift.model.ProvisioningRequest;
+import org.mulleinshift.protocol.MachineId;
+import org.mulleinshift.protocol.MachineTypeId;
+import org.mulleinshift.protocol.ShardId;
+import org.mulleinshift.protocol.ZoneId;
+import org.mulleinshift.scheduling.ClusterState;
+import org.mulleinshift.sharding.ShardView;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Registers machines with a shard of their zone, those that nobody expected too. */
+final class MachineRegistrar {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineRegistrar.class);
+
+  private final ClusterState state;
+  private final MachineReleaser releaser;
+  private final int maxShardMachines;
+
+  /**
+   * A registrar for one term.
+   *
+   * @param maxShardMachines machines of one shard at most: its record must stay below the store's
+   *     limit for a value
+   */
+  MachineRegistrar(ClusterState state, MachineReleaser releaser, int maxShardMachines) {
+    this.state = state;
+    this.releaser = releaser;
+    this.maxShardMachines = maxShardMachines;
+  }
+
+  /** Registers the machines that the cloud provisioned for a request. */
+  void registerProvisioned(ProvisioningRequest request, List<MachineId> machines) {
+    Set<ShardView> changed = new LinkedHashSet<>();
+    for (MachineId machine : machines) {
+      if (!releaser.isDeleted(machine) && !state.shards().contains(machine)) {
+        ShardView shard = shardWithSpace(request.zone());
+        shard.machines().put(machine, new MachineRecord(request.type(), request.spot(), false));
+        state.machines().addProvisioned(machine, request.plannedAt());
+        changed.add(shard);
+      }
+    }
+    changed.forEach(state.shards()::store);
+  }
+
+  /**
+   * Registers a machine that nobody expected, unless it is in a shard already: one that was
+   * provisioned late, or by a request whose answer was lost.
+   */
+  void registerUnexpected(MachineId id, MachineTypeId type, ZoneId zone, boolean spot) {
+    if (state.shards().contains(id)) {
+      return;
+    }
+    // It may belong to a shard that this build can't read, and then has an owner already.
+    if (state.catalog().type(type).isEmpty() || !state.view().unreadableShards().isEmpty()) {
+      return;
+    }
+    LOG.info("unexpected machine adopted, machine={}", id);
+    ShardView shard = shardWithSpace(zone);
+    shard.machines().put(id, new MachineRecord(type, spot, false));
+    state.machines().track(id);
+    state.shards().store(shard);
+  }
+
+  private ShardView shardWithSpace(ZoneId zone) {
+    int shardsInZone = 0;
+    for (ShardView shard : state.shards().all()) {
+      if (shard.zone().equals(zone)) {
+        if (shard.machines().size() < maxShardMachines) {
+          return shard;
+        }
+        shardsInZone++;
+      }
+    }
+    return addShard(zone, shardsInZone);
+  }
+
+  private ShardView addShard(ZoneId zone, int firstNumber) {
+    int number = firstNumber;
+    ShardId id = shardId(zone, number);
+    while (state.view().unreadableShards().contains(id)) {
+      number++;
+      id = shardId(zone, number);
+    }
+    ShardView shard = new ShardView(id, zone, state.loop().now());
+    state.shards().add(shard);
+    return shard;
+  }
+
+  private static ShardId shardId(ZoneId zone, int number) {
+    return new ShardId(zone + "-" + number);
+  }
+}
--- a/src/main/java/org/mulleinshift/autoscaling/MachineReleaser.java
+++ b/src/main/java/org/mulleinshift/autoscaling/MachineReleaser.java
@@ -15,18 +15,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Gives machines back to the cloud, a batch at a time. */
+/** Releases machines: marks them, and deletes them in the cloud a batch at a time. */
 final class MachineReleaser {
   private static final Logger LOG = LoggerFactory.getLogger(MachineReleaser.class);
-  private static final Duration DEADLINE = Duration.ofSeconds(5);
-  private static final int MAX_REMEMBERED = 5000;
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
+  private static final int MAX_DELETED_REMEMBERED = 5000;
 
   private final ClusterState state;
   private final LeadershipTerm term;
   private final TransactionBatcher batcher;
   private final CloudClient cloud;
   private final Set<MachineId> deleting = new LinkedHashSet<>();
-  private final Set<MachineId> deleted = BoundedMap.set(MAX_REMEMBERED);
+  private final Set<MachineId> deleted = BoundedMap.set(MAX_DELETED_REMEMBERED);
   private boolean inFlight;
 
   MachineReleaser(
@@ -38,7 +38,7 @@
   }
 
   /** The machine takes no new task from now on, and is deleted with the next batch. */
-  void release(MachineId machine, String reason) {
+  void release(MachineId machine, ReleaseReason reason) {
     if (state.machines().track(machine).release()) {
       deleting.add(machine);
       LOG.info("machine released, machine={} reason={}", machine, reason);
@@ -46,7 +46,7 @@
     }
   }
 
-  /** Whether the machine was given back by this leader. */
+  /** Whether this leader released the machine, deleted or not. */
   boolean isReleased(MachineId machine) {
     return deleted.contains(machine) || deleting.contains(machine);
   }
@@ -56,23 +56,24 @@
     return deleted.contains(machine);
   }
 
-  /** Deletes a batch of the released machines, if the rate of calls leaves room. */
+  /** Deletes a batch of the released machines, if the rate limit permits a call. */
   void deleteBatch() {
     if (deleting.isEmpty() || inFlight || !cloud.limiter().tryAcquire(1, 0)) {
       return;
     }
     List<MachineId> batch = deleting.stream().limit(CloudCodec.MAX_DELETED).toList();
     inFlight = true;
-    // A deposed leader's state is old: a machine that it drained may have tasks by now.
+    // The state of a leader that was replaced is stale: a machine that it drained may have tasks
+    // by now.
     batcher.ifStillLeader(() -> delete(batch), () -> inFlight = false);
   }
 
   private void delete(List<MachineId> batch) {
     cloud.call(
-        HttpRequest.post(CloudCodec.DELETE, CloudCodec.delete(batch), DEADLINE),
+        HttpRequest.post(CloudCodec.DELETE, CloudCodec.delete(batch), REQUEST_TIMEOUT),
         response -> {
           inFlight = false;
-          // Only a 200 proves that the machines and all on them are gone.
+          // Only a 200 confirms that the machines and all on them are gone.
           if (response.ok() && term.active()) {
             onDeleted(batch);
           }
--- a/src/main/java/org/mulleinshift/autoscaling/Provisioner.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Provisioner.java
@@ -1,5 +1,6 @@
 package org.mulleinshift.autoscaling;
 
+import java.net.HttpURLConnection;
 import java.time.Duration;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -21,20 +22,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Asks the cloud for machines. A rental's name is stored before it is used and never used again;
- * the key goes only after the machines are stored.
+ * Requests machines from the cloud. The name of a provisioning request is stored before it is used
+ * and never used again; its key is deleted only after the machines are stored.
  */
 public final class Provisioner {
   private static final Logger LOG = LoggerFactory.getLogger(Provisioner.class);
-  private static final Duration DEADLINE = Duration.ofSeconds(5);
-  private static final Duration RETRY = Duration.ofSeconds(1);
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
+  private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
-  /** Hears what came of rentals. */
+  /** After so many timeouts the machines of a request are no longer counted on. */
+  private static final int EXPECTED_TIMEOUTS = 2;
+
+  /** The cloud's answer if it is out of machines, as opposed to unavailable. */
+  private static final String NO_CAPACITY = "no capacity";
+
+  /** Is notified of what became of provisioning requests. */
   interface Listener {
+    /** The machines were provisioned, perhaps fewer than requested. */
     void onProvisioned(ProvisioningRequest request, List<MachineId> machines);
 
-    /** Some, but not all, or none of the machines are to be had. */
-    void onRefused(ProvisioningRequest request, boolean some);
+    /** The cloud had fewer machines than requested, or none. */
+    void onRefused(ProvisioningRequest request, Refusal refusal);
   }
 
   private final LeadershipTerm term;
@@ -61,29 +69,36 @@
     this.listener = listener;
   }
 
+  /** Sends the requests that an earlier leader stored. */
   void start() {
     requests.values().forEach(this::send);
   }
 
-  /** Rentals whose machines may still be counted on. */
+  /** Requests whose machines may still be counted on. */
   List<ProvisioningRequest> expected() {
+    long maxSeconds = REQUEST_TIMEOUT.toSeconds() * EXPECTED_TIMEOUTS;
     return requests.values().stream()
-        .filter(request -> request.state() != ProvisioningRequest.State.ANSWERED)
-        .filter(request -> loop.now().secondsSince(request.plannedAt()) <= DEADLINE.toSeconds() * 2)
+        .filter(Provisioner::isOpen)
+        .filter(request -> loop.now().secondsSince(request.plannedAt()) <= maxSeconds)
         .toList();
   }
 
-  /** Machines of an offer that were planned or asked for and not answered. */
-  int outstanding(OfferSelector.Offer offer) {
-    int count = 0;
-    for (ProvisioningRequest request : requests.values()) {
-      boolean open = request.state() != ProvisioningRequest.State.ANSWERED;
-      count += open && OfferSelector.Offer.of(request).equals(offer) ? request.count() : 0;
-    }
-    return count;
+  /** Machines of an offer that are planned or requested and not answered. */
+  int outstanding(Offer offer) {
+    return requests.values().stream()
+        .filter(request -> isOpen(request) && Offer.of(request).equals(offer))
+        .mapToInt(ProvisioningRequest::count)
+        .sum();
   }
 
-  /** A new leader asks again under the stored names: the same name never rents twice. */
+  private static boolean isOpen(ProvisioningRequest request) {
+    return request.state() != ProvisioningRequest.State.ANSWERED;
+  }
+
+  /**
+   * Loads stored requests. A new leader sends them again under their stored names: the same name
+   * never provisions twice.
+   */
   public void load(List<KeyValue> items) {
     for (KeyValue item : items) {
       String name = item.key().substring(StoreKeys.PROVISIONING_REQUESTS.length());
@@ -91,20 +106,22 @@
         requests.put(name, ProvisioningRequest.read(name, item.value(), loop.now()));
         batcher.recordRevision(item.key(), item.revision());
       } catch (MalformedMessageException e) {
-        // Not ours to ask again or to end. Its machines, if any come, are adopted as unexpected.
-        LOG.warn("{}: this build can't read it: {}", item.key(), e.getMessage());
+        // Neither sent again nor ended here. Its machines, if any come, are adopted as unexpected.
+        LOG.warn("stored record unreadable, key={} cause={}", item.key(), e.getMessage());
       }
     }
   }
 
-  void provision(OfferSelector.Offer offer, int count) {
-    for (int left = count; left > 0; left -= CloudCodec.MAX_PROVISIONED) {
-      provisionBatch(offer, Math.min(left, CloudCodec.MAX_PROVISIONED));
+  /** Requests so many machines of an offer. */
+  void provision(Offer offer, int count) {
+    for (int remaining = count; remaining > 0; remaining -= CloudCodec.MAX_PROVISIONED) {
+      provisionBatch(offer, Math.min(remaining, CloudCodec.MAX_PROVISIONED));
     }
   }
 
-  private void provisionBatch(OfferSelector.Offer offer, int count) {
-    String name = "r-" + termNumber + "-" + ++lastNumber;
+  private void provisionBatch(Offer offer, int count) {
+    lastNumber++;
+    String name = "r-" + termNumber + "-" + lastNumber;
     ProvisioningRequest request =
         new ProvisioningRequest(
             name,
@@ -115,7 +132,7 @@
             loop.now(),
             ProvisioningRequest.State.PLANNED);
     requests.put(name, request);
-    batcher.submit(StoreKeys.provisioningRequest(name), new RequestMutation(request));
+    batcher.submit(StoreKeys.provisioningRequest(name), new StoreRequest(request));
   }
 
   private void send(ProvisioningRequest request) {
@@ -123,78 +140,80 @@
       return;
     }
     if (!term.holdsValidLease() || !cloud.limiter().tryAcquire(1, 0)) {
-      loop.after(RETRY, () -> send(request));
+      loop.after(RETRY_DELAY, () -> send(request));
       return;
     }
+    String body =
+        CloudCodec.provision(
+            request.name(), request.type(), request.zone(), request.spot(), request.count());
     cloud.call(
-        HttpRequest.post(
-            CloudCodec.MACHINES,
-            CloudCodec.provision(
-                request.name(), request.type(), request.zone(), request.spot(), request.count()),
-            DEADLINE),
-        reply -> onResponse(request, reply));
+        HttpRequest.post(CloudCodec.MACHINES, body, REQUEST_TIMEOUT),
+        response -> onResponse(request, response));
   }
 
-  private void onResponse(ProvisioningRequest request, HttpResponse reply) {
+  private void onResponse(ProvisioningRequest request, HttpResponse response) {
     if (!term.active()) {
       return;
     }
-    if (reply.ok()) {
+    if (response.ok()) {
       try {
-        rented(request, CloudCodec.parseProvisioned(reply.body()));
+        onProvisioned(request, CloudCodec.parseProvisioned(response.body()));
         return;
       } catch (MalformedMessageException e) {
-        LOG.warn("answer to rental {}: {}", request.name(), e.getMessage());
+        LOG.warn(
+            "provisioning response malformed, request={} cause={}", request.name(), e.getMessage());
       }
     }
-    if (reply.status() == 400 || (reply.status() == 503 && reply.body().contains("no capacity"))) {
-      LOG.info("rental {} of {} in {} refused", request.name(), request.type(), request.zone());
-      listener.onRefused(request, false);
-      complete(request);
+    if (isRefusal(response)) {
+      onRefused(request);
       return;
     }
-    // No clear answer: the cloud may have rented. The same name asks again.
-    loop.after(RETRY, () -> send(request));
+    // No clear answer: the cloud may have provisioned. The retry uses the same name.
+    loop.after(RETRY_DELAY, () -> send(request));
+  }
+
+  private static boolean isRefusal(HttpResponse response) {
+    return response.status() == HttpURLConnection.HTTP_BAD_REQUEST
+        || (response.status() == HttpURLConnection.HTTP_UNAVAILABLE
+            && response.body().contains(NO_CAPACITY));
   }
 
-  private void rented(ProvisioningRequest request, List<MachineId> machines) {
+  private void onRefused(ProvisioningRequest request) {
     LOG.info(
-        "rental {}: {} of {} {} in {}",
+        "provisioning refused, request={} type={} zone={}",
+        request.name(),
+        request.type(),
+        request.zone());
+    listener.onRefused(request, Refusal.TOTAL);
+    complete(request);
+  }
+
+  private void onProvisioned(ProvisioningRequest request, List<MachineId> machines) {
+    LOG.info(
+        "machines provisioned, request={} count={} requested={} type={} zone={}",
         request.name(),
         machines.size(),
         request.count(),
         request.type(),
         request.zone());
     if (machines.size() < request.count()) {
-      listener.onRefused(request, !machines.isEmpty());
+      listener.onRefused(request, machines.isEmpty() ? Refusal.TOTAL : Refusal.PARTIAL);
     }
     listener.onProvisioned(request, machines);
     complete(request);
   }
 
-  /** The rental's key goes only after its machines are stored. */
+  /** The request's key is deleted only after its machines are stored. */
   private void complete(ProvisioningRequest request) {
     request.transitionTo(ProvisioningRequest.State.ANSWERED);
-    batcher.submit(
-        StoreKeys.provisioningRequest(request.name()),
-        new TransactionBatcher.Mutation() {
-          @Override
-          public List<Write> writes() {
-            return List.of(Write.delete(StoreKeys.provisioningRequest(request.name())));
-          }
-
-          @Override
-          public void onCommitted(Revision revision) {
-            requests.remove(request.name());
-          }
-        });
-  }
-
-  /** A rental's name, stored before the cloud hears it. */
-  private final class RequestMutation implements TransactionBatcher.Mutation {
+    batcher.submit(StoreKeys.provisioningRequest(request.name()), new DeleteRequest(request));
+  }
+
+  /** Stores the name of a request before the cloud receives it. */
+  private final class StoreRequest implements TransactionBatcher.Mutation {
     private final ProvisioningRequest request;
 
-    RequestMutation(ProvisioningRequest request) {
+    StoreRequest(ProvisioningRequest request) {
       this.request = request;
     }
 
@@ -211,4 +230,23 @@
       send(request);
     }
   }
+
+  /** Deletes the key of a request that was answered. */
+  private final class DeleteRequest implements TransactionBatcher.Mutation {
+    private final ProvisioningRequest request;
+
+    DeleteRequest(ProvisioningRequest request) {
+      this.request = request;
+    }
+
+    @Override
+    public List<Write> writes() {
+      return List.of(Write.delete(StoreKeys.provisioningRequest(request.name())));
+    }
+
+    @Override
+    public void onCommitted(Revision revision) {
+      requests.remove(request.name());
+    }
+  }
 }
--- a/src/main/java/org/mulleinshift/autoscaling/QueueSimulation.java
+++ b/src/main/java/org/mulleinshift/autoscaling/QueueSimulation.java
@@ -1,126 +1,160 @@
 package org.mulleinshift.autoscaling;
 
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
 import org.mulleinshift.placement.BinPacker;
 import org.mulleinshift.placement.MachineCapacity;
-import org.mulleinshift.placement.ResourceRequest;
 import org.mulleinshift.placement.UnschedulableRequests;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.Resources;
 
 /**
- * The forward walk over one boot time: tasks due to end free their room, machines that boot bring
- * theirs, and waiting tasks take it. What still waits at the end is the shortage.
+ * The resource estimation of the paper "Autoscaling High-Throughput Workloads on Container
+ * Orchestrators", section IV-B and algorithm 1: simulates the queue step by step over one resource
+ * initialization time (the horizon). Tasks that end release their capacity, machines that boot add
+ * theirs, and waiting tasks are packed into what is available. The tasks that still wait at the
+ * horizon are the shortage.
  */
 final class QueueSimulation {
-  /** Room that becomes free later. */
-  record Release(double atSeconds, MachineCapacity capacity, Resources amount) {}
+  /** Keeps a step that is far beyond the horizon within the range of an int. */
+  private static final double MAX_STEP = 1e6;
 
   /**
-   * Waiting tasks of one job that may start.
+   * The outcome of a simulation.
    *
-   * @param spotOnly waits for cheap machines rather than rent dear ones
-   * @param fromSeconds before that they may not start, since what they await is not over
+   * @param shortage the tasks that still wait at the horizon, in queue order
+   * @param used the machines that waiting tasks were packed onto
    */
-  record PendingGroup(
-      ResourceRequest request, double runSeconds, boolean spotOnly, int count, double fromSeconds) {
-    PendingGroup(ResourceRequest need, double runSeconds, boolean patient, int count) {
-      this(need, runSeconds, patient, count, 0);
-    }
+  record Result(List<PendingGroup> shortage, Set<MachineId> used) {}
 
-    PendingGroup with(ResourceRequest other) {
-      return new PendingGroup(other, runSeconds, spotOnly, count, fromSeconds);
-    }
+  private final Collection<MachineCapacity> capacities;
+  private final List<PendingGroup> waiting;
+  private final double horizonSeconds;
+  private final int steps;
+  private final List<List<CapacityRelease>> releasesByStep = new ArrayList<>();
+  private final Resources minimumRequest;
+  private final int[] remainingCounts;
+  private final Set<MachineId> used = new HashSet<>();
 
-    PendingGroup with(int left) {
-      return new PendingGroup(request, runSeconds, spotOnly, left, fromSeconds);
+  private QueueSimulation(
+      Collection<MachineCapacity> capacities,
+      List<PendingGroup> waiting,
+      double horizonSeconds,
+      int steps) {
+    this.capacities = capacities;
+    this.waiting = waiting;
+    this.horizonSeconds = horizonSeconds;
+    this.steps = steps;
+    this.minimumRequest = UnschedulableRequests.minimumOf(waiting, PendingGroup::request);
+    this.remainingCounts = waiting.stream().mapToInt(PendingGroup::count).toArray();
+    for (int step = 0; step <= steps; step++) {
+      releasesByStep.add(new ArrayList<>());
     }
+  }
 
-    /** Whether they join the queue between the two moments. */
-    boolean joins(double after, double until) {
-      return fromSeconds > after && fromSeconds <= until;
+  /**
+   * Simulates the queue; the capacities and releases of the snapshot are used up.
+   *
+   * @param snapshot capacity now, and what becomes available within the horizon
+   * @param waiting the queue, the most urgent tasks first
+   * @param steps how many steps the horizon is divided into
+   */
+  static Result run(CapacitySnapshot snapshot, List<PendingGroup> waiting, int steps) {
+    QueueSimulation simulation =
+        new QueueSimulation(snapshot.capacities(), waiting, snapshot.horizonSeconds(), steps);
+    snapshot.releases().forEach(release -> simulation.scheduleRelease(release, 0));
+    for (int step = 0; step <= steps; step++) {
+      simulation.simulateStep(step);
     }
+    return new Result(simulation.shortage(), simulation.used);
   }
 
-  /** What is left waiting, and which machines the walk made use of. */
-  record Result(List<PendingGroup> shortage, Set<MachineId> used) {}
-
-  private QueueSimulation() {}
+  private double secondsAt(int step) {
+    return horizonSeconds * step / steps;
+  }
 
-  static Result run(
-      List<MachineCapacity> capacities,
-      List<Release> releases,
-      List<PendingGroup> waiting,
-      double horizon,
-      int steps) {
-    List<List<Release>> due = new ArrayList<>();
-    for (int step = 0; step <= steps; step++) {
-      due.add(new ArrayList<>());
+  private void simulateStep(int step) {
+    Set<MachineCapacity> increased = applyReleases(step);
+    // Tasks that found no capacity before can only find it where some was released since. Tasks
+    // that join the queue now have not looked at any machine yet.
+    boolean searchAll = step == 0 || anyJoins(step);
+    List<MachineCapacity> candidates = new ArrayList<>();
+    for (MachineCapacity capacity : searchAll ? capacities : increased) {
+      if (minimumRequest.fitsInto(capacity.available())) {
+        candidates.add(capacity);
+      }
     }
-    for (Release release : releases) {
-      put(release, due, horizon, 0);
+    if (!candidates.isEmpty()) {
+      packWaiting(step, candidates);
     }
-    Resources least = UnschedulableRequests.minimumOf(waiting, PendingGroup::request);
-    int[] left = waiting.stream().mapToInt(PendingGroup::count).toArray();
-    Set<MachineId> used = new HashSet<>();
-    for (int step = 0; step <= steps; step++) {
-      double time = horizon * step / steps;
-      // What found no room before can only find it where some became free since.
-      Set<MachineCapacity> grown = new LinkedHashSet<>();
-      for (Release release : due.get(step)) {
-        release.capacity().free(release.amount());
-        grown.add(release.capacity());
-      }
-      double before = horizon * (step - 1) / steps;
-      // Who joins the queue only now has looked at no room yet.
-      boolean joined = waiting.stream().anyMatch(group -> group.joins(before, time));
-      List<MachineCapacity> open = new ArrayList<>();
-      for (MachineCapacity capacity : step == 0 || joined ? capacities : grown) {
-        if (least.fitsInto(capacity.available())) {
-          open.add(capacity);
-        }
-      }
-      UnschedulableRequests unplaceable = new UnschedulableRequests();
-      int next = step + 1;
-      for (int i = 0; i < left.length && !open.isEmpty(); i++) {
-        PendingGroup group = waiting.get(i);
-        if (left[i] > 0 && group.fromSeconds <= time && !unplaceable.covers(group.request)) {
-          left[i] -=
-              BinPacker.fill(
-                  group.request,
-                  left[i],
-                  open,
-                  (capacity, count) -> {
-                    used.add(capacity.machine());
-                    Resources freed = group.request.perTask().times(count);
-                    put(new Release(time + group.runSeconds, capacity, freed), due, horizon, next);
-                  });
-          if (left[i] > 0) {
-            unplaceable.add(group.request);
-          }
+  }
+
+  private Set<MachineCapacity> applyReleases(int step) {
+    Set<MachineCapacity> increased = new LinkedHashSet<>();
+    for (CapacityRelease release : releasesByStep.get(step)) {
+      release.capacity().free(release.amount());
+      increased.add(release.capacity());
+    }
+    return increased;
+  }
+
+  private boolean anyJoins(int step) {
+    double previous = secondsAt(step - 1);
+    double now = secondsAt(step);
+    return waiting.stream().anyMatch(group -> group.joinsBetween(previous, now));
+  }
+
+  private void packWaiting(int step, List<MachineCapacity> candidates) {
+    double now = secondsAt(step);
+    UnschedulableRequests unschedulable = new UnschedulableRequests();
+    for (int i = 0; i < remainingCounts.length; i++) {
+      PendingGroup group = waiting.get(i);
+      if (remainingCounts[i] > 0
+          && group.fromSeconds() <= now
+          && !unschedulable.covers(group.request())) {
+        remainingCounts[i] -= pack(group, remainingCounts[i], step, candidates);
+        if (remainingCounts[i] > 0) {
+          unschedulable.add(group.request());
         }
       }
     }
-    List<PendingGroup> shortage = new ArrayList<>();
-    for (int i = 0; i < left.length; i++) {
-      if (left[i] > 0) {
-        shortage.add(waiting.get(i).with(left[i]));
-      }
+  }
+
+  private int pack(PendingGroup group, int count, int step, List<MachineCapacity> candidates) {
+    double endSeconds = secondsAt(step) + group.runSeconds();
+    return BinPacker.fill(
+        group.request(),
+        count,
+        candidates,
+        (capacity, packed) -> {
+          used.add(capacity.machine());
+          Resources amount = group.request().perTask().times(packed);
+          scheduleRelease(new CapacityRelease(endSeconds, capacity, amount), step + 1);
+        });
+  }
+
+  /**
+   * Adds the release to the first step that is not before it; one beyond the horizon is of no use.
+   */
+  private void scheduleRelease(CapacityRelease release, int earliestStep) {
+    double share = horizonSeconds > 0 ? release.atSeconds() / horizonSeconds : 0;
+    int step = (int) Math.max(earliestStep, Math.ceil(Math.min(MAX_STEP, share * steps)));
+    if (release.atSeconds() <= horizonSeconds && step <= steps) {
+      releasesByStep.get(step).add(release);
     }
-    return new Result(shortage, used);
   }
 
-  /** Into the first step from then on; what ends beyond the horizon is of no use. */
-  private static void put(Release release, List<List<Release>> due, double horizon, int earliest) {
-    int last = due.size() - 1;
-    double share = horizon > 0 ? release.atSeconds() / horizon : 0;
-    int step = (int) Math.max(earliest, Math.ceil(Math.min(1e6, share * last)));
-    if (release.atSeconds() <= horizon && step <= last) {
-      due.get(step).add(release);
+  private List<PendingGroup> shortage() {
+    List<PendingGroup> shortage = new ArrayList<>();
+    for (int i = 0; i < remainingCounts.length; i++) {
+      if (remainingCounts[i] > 0) {
+        shortage.add(waiting.get(i).withCount(remainingCounts[i]));
+      }
     }
+    return shortage;
   }
 }
