--- a/src/main/java/org/mulleinshift/leader/EstimateReplicator.java
+++ b/src/main/java/org/mulleinshift/leader/EstimateReplicator.java
@@ -17,9 +17,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What a leader learns and nobody stores: run times by class, boot times by type. It tells its
- * standby, so that a new leader's first walks need not guess. Advice only: whatever a rule hangs on
- * is read from the store.
+ * Replicates what a leader learns and nobody stores, run times by job class and boot times by
+ * machine type, to its standby, so that a new leader's first scheduling cycles need not guess.
+ * Estimates only: whatever a guarantee depends on is read from the store.
  */
 public final class EstimateReplicator {
   private static final Logger LOG = LoggerFactory.getLogger(EstimateReplicator.class);
@@ -36,6 +36,12 @@
   private Optional<NodeId> sentTo = Optional.empty();
   private MonotonicTime sentAt;
 
+  /**
+   * A replicator that has received and sent nothing.
+   *
+   * @param loop the event loop, for its clock
+   * @param runTimes learned run times, which outlive a term
+   */
   public EstimateReplicator(EventLoop loop, RunTimeEstimator runTimes) {
     this.loop = loop;
     this.runTimes = runTimes;
@@ -43,53 +49,68 @@
     this.sentAt = receivedAt;
   }
 
-  /** A leader's message; one of an earlier term than the last is out of date. */
-  public void onEstimates(LearnedEstimates advice) {
-    if (received.filter(known -> known.getTerm() > advice.getTerm()).isEmpty()) {
-      received = Optional.of(advice);
+  /** Keeps a leader's estimates; those of an earlier term than the last are out of date. */
+  public void onEstimates(LearnedEstimates estimates) {
+    if (received.filter(known -> known.getTerm() > estimates.getTerm()).isEmpty()) {
+      received = Optional.of(estimates);
       receivedAt = loop.now();
     }
   }
 
   /** A new leader starts from what the last one learned, if that is not too old. */
-  void apply(BootTimeEstimator boots) {
+  void apply(BootTimeEstimator bootTimes) {
     Duration age = loop.now().since(receivedAt);
     if (received.isEmpty() || age.compareTo(MAX_AGE) > 0) {
-      LOG.info("no advice of an earlier leader");
+      LOG.info("no estimates of an earlier leader applied");
       return;
     }
-    LearnedEstimates advice = received.get();
-    advice.getRunTimeRatios().forEach(item -> runTimes.learn(item.getName(), item.getRatio()));
-    advice
+    LearnedEstimates estimates = received.get();
+    estimates.getRunTimeRatios().forEach(item -> runTimes.learn(item.getName(), item.getRatio()));
+    estimates
         .getBootTimes()
-        .forEach(item -> boots.learn(new MachineTypeId(item.getMachineType()), item.getSeconds()));
+        .forEach(
+            item -> bootTimes.learn(new MachineTypeId(item.getMachineType()), item.getSeconds()));
     LOG.info(
-        "advice of term {}, {} ms old: {} classes, {} types",
-        advice.getTerm(),
+        "estimates of an earlier leader applied, term={} age_ms={} classes={} machine_types={}",
+        estimates.getTerm(),
         age.toMillis(),
-        advice.getRunTimeRatios().size(),
-        advice.getBootTimes().size());
+        estimates.getRunTimeRatios().size(),
+        estimates.getBootTimes().size());
   }
 
-  /** What the standby should hear now; none if it knows. */
-  Optional<LearnedEstimates> next(long term, BootTimeEstimator boots, NodeId standby) {
-    List<RunTimeRatio> classes = new ArrayList<>();
-    runTimes.ratios(MAX_CLASSES).forEach((name, r) -> classes.add(new RunTimeRatio(name, r)));
-    List<BootTimeSamples> seen = new ArrayList<>();
-    boots.latest().entrySet().stream()
-        .limit(MAX_TYPES)
-        .forEach(e -> seen.add(new BootTimeSamples(e.getKey().value(), e.getValue())));
-    Optional<LearnedEstimates> advice = Optional.of(new LearnedEstimates(term, classes, seen));
-    boolean known =
-        advice.equals(sent)
-            && sentTo.equals(Optional.of(standby))
-            && loop.now().since(sentAt).compareTo(RESEND_INTERVAL) < 0;
-    if (known) {
+  /** The estimates to send to the standby now; empty if it received the same ones recently. */
+  Optional<LearnedEstimates> next(long term, BootTimeEstimator bootTimes, NodeId standby) {
+    LearnedEstimates estimates =
+        new LearnedEstimates(term, runTimeRatios(), bootTimeSamples(bootTimes));
+    if (recentlySent(estimates, standby)) {
       return Optional.empty();
     }
-    sent = advice;
+    sent = Optional.of(estimates);
     sentTo = Optional.of(standby);
     sentAt = loop.now();
-    return advice;
+    return sent;
+  }
+
+  private List<RunTimeRatio> runTimeRatios() {
+    List<RunTimeRatio> ratios = new ArrayList<>();
+    runTimes
+        .ratios(MAX_CLASSES)
+        .forEach((jobClass, ratio) -> ratios.add(new RunTimeRatio(jobClass, ratio)));
+    return ratios;
+  }
+
+  private static List<BootTimeSamples> bootTimeSamples(BootTimeEstimator bootTimes) {
+    List<BootTimeSamples> samples = new ArrayList<>();
+    bootTimes.latest().entrySet().stream()
+        .limit(MAX_TYPES)
+        .forEach(
+            entry -> samples.add(new BootTimeSamples(entry.getKey().value(), entry.getValue())));
+    return samples;
+  }
+
+  private boolean recentlySent(LearnedEstimates estimates, NodeId standby) {
+    return sent.equals(Optional.of(estimates))
+        && sentTo.equals(Optional.of(standby))
+        && loop.now().since(sentAt).compareTo(RESEND_INTERVAL) < 0;
   }
 }
--- a/src/main/java/org/mulleinshift/leader/JobLifecycle.java
+++ b/src/main/java/org/mulleinshift/leader/JobLifecycle.java
@@ -67,13 +67,13 @@
     return dependencies;
   }
 
-  /** All that is stored was read: the jobs' assignments are published, dependencies resolved. */
-  void begin() {
+  /** All that is stored was read: publishes the jobs' assignments, resolves dependencies. */
+  void start() {
     state.jobs().all().forEach(this::restoreAssignments);
     dependencies.begin();
   }
 
-  /** Adopts what the store says of a job's tasks. */
+  /** Restores the assignments of a job's tasks that are stored. */
   private void restoreAssignments(Job job) {
     job.assignments().forEach(state.allocations()::add);
     job.assignments().forEach(state.shards()::publish);
@@ -115,7 +115,7 @@
     return state.jobs().all();
   }
 
-  /** Owners hear no more of the job's tasks, and leave alone those that run. */
+  /** Owners receive no more assignments of the job, and don't stop its running tasks. */
   @Override
   public void quarantineJob(JobId id, JsonNode record, String reason) {
     UnreadableJobs unreadable = state.unreadable();
@@ -131,7 +131,7 @@
     }
   }
 
-  /** Ends the job if none of its tasks is left; stops its tasks if it was cancelled. */
+  /** Ends the job if none of its tasks remains; stops its tasks if it was cancelled. */
   void settle(Job job) {
     if (job.state() == Job.State.CANCELLING) {
       dependencies.onCancelled(job.spec().id());
--- a/src/main/java/org/mulleinshift/leader/Leader.java
+++ b/src/main/java/org/mulleinshift/leader/Leader.java
@@ -3,30 +3,20 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.time.Duration;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
 import org.mulleinshift.autoscaling.Autoscaler;
-import org.mulleinshift.autoscaling.AutoscalerSettings;
 import org.mulleinshift.autoscaling.CloudClient;
-import org.mulleinshift.autoscaling.Demand;
 import org.mulleinshift.compatibility.FeatureGates;
-import org.mulleinshift.compatibility.UnreadableJobs;
-import org.mulleinshift.dependencies.DependencyResolver;
 import org.mulleinshift.membership.LeaderElection;
-import org.mulleinshift.membership.LeadershipTerm;
 import org.mulleinshift.membership.PeerMessenger;
 import org.mulleinshift.membership.PeerStatus;
-import org.mulleinshift.membership.ShardAssigner;
 import org.mulleinshift.membership.StandbyFailover;
 import org.mulleinshift.model.ClusterView;
 import org.mulleinshift.model.Job;
 import org.mulleinshift.model.JobRecord;
-import org.mulleinshift.model.JobTable;
 import org.mulleinshift.placement.MachineTypeCatalog;
 import org.mulleinshift.progress.ProgressLoader;
-import org.mulleinshift.progress.ProgressSettings;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Resources;
@@ -34,26 +24,16 @@
 import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.StoreCodec;
 import org.mulleinshift.protocol.StoreCodec.KeyValue;
-import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.protocol.peer.OwnerSuspicion;
 import org.mulleinshift.protocol.peer.ShardStatus;
 import org.mulleinshift.protocol.peer.UnknownWorkerReport;
-import org.mulleinshift.scheduling.AllocationIndex;
 import org.mulleinshift.scheduling.AvailableCapacity;
-import org.mulleinshift.scheduling.CapacityReservation;
 import org.mulleinshift.scheduling.ClusterState;
-import org.mulleinshift.scheduling.FailureAttribution;
 import org.mulleinshift.scheduling.RunTimeEstimator;
-import org.mulleinshift.scheduling.SchedulingCycle;
-import org.mulleinshift.scheduling.SchedulingSettings;
-import org.mulleinshift.scheduling.TeamQuotas;
 import org.mulleinshift.settings.PlatformSettings;
 import org.mulleinshift.settings.Tunables;
 import org.mulleinshift.sharding.AssignmentSender;
-import org.mulleinshift.sharding.AssignmentWriter;
-import org.mulleinshift.sharding.MachineTable;
 import org.mulleinshift.sharding.ShardGrants;
-import org.mulleinshift.sharding.ShardTable;
 import org.mulleinshift.sharding.ShardView;
 import org.mulleinshift.store.KeyValueStore;
 import org.mulleinshift.store.StoreKeys;
@@ -79,7 +59,7 @@
   }
 
   /**
-   * The parts of a controller that a term works with.
+   * The components of a controller that a term works with.
    *
    * @param loop owns all state of the term
    * @param store holds what outlives the term
@@ -122,7 +102,6 @@
   private final JobLifecycle jobs;
   private final TermLoader loader;
   private final AvailableCapacity availableCapacity;
-  private final SchedulingCycle scheduling;
   private final CycleScheduler cycles;
   private final Autoscaler autoscaler;
   private final ShardGrants grants;
@@ -133,130 +112,28 @@
   private State state = State.LOADING;
   private Revision loadedAt = new Revision(0);
 
-  /** A term that this controller was elected for; the term is the revision of the leader's key. */
+  /**
+   * A term that this controller was elected for.
+   *
+   * @param context the components of the controller
+   * @param term the revision of the leader's key
+   */
   public Leader(Context context, Revision term) {
     this.context = context;
     this.loop = context.loop();
     this.term = term;
-    Term self = new Term();
-    Tunables tunables = context.tunables();
-    PlatformSettings.StoreLimits limits = context.settings().cluster().store();
-    BatchLimits batch = BatchLimits.of(limits);
-    this.batcher =
-        new TransactionBatcher(
-            loop,
-            context.store(),
-            term,
-            batch.maxOperations(),
-            batch.spacing(),
-            () -> context.election().resign("another leader's term"));
-    this.cluster = clusterState(self);
-    this.loader = new TermLoader(loop, context.store(), () -> state == State.LOADING);
-    boolean logEnabled = tunables.number(Tunables.Key.PROGRESS_LOG) > 0;
-    this.jobs =
-        new JobLifecycle(
-            cluster,
-            self,
-            context.store(),
-            batcher,
-            new ProgressSettings(
-                limits, batch.maxOperations(), context.featureGates(), logEnabled));
-    this.availableCapacity = new AvailableCapacity(cluster);
-    this.scheduling =
-        new SchedulingCycle(
-            loop,
-            term,
-            cluster,
-            availableCapacity,
-            SchedulingSettings.of(context.settings(), tunables),
-            jobs);
-    this.cycles =
-        new CycleScheduler(loop, self, tunables.millis(Tunables.Key.CYCLE_MS), this::runCycle);
-    this.autoscaler =
-        new Autoscaler(
-            cluster,
-            self,
-            term,
-            batcher,
-            context.cloud(),
-            new Queue(),
-            AutoscalerSettings.of(context.settings(), tunables));
-    this.assignments = assignmentSender(self);
-    this.grants = shardGrants(self);
-    this.shardStatus = shardStatusHandler();
-    this.summaries =
-        new SummaryBroadcaster(
-            cluster,
-            self,
-            term,
-            autoscaler,
-            context.estimates(),
-            context.failover(),
-            context.messenger());
-  }
-
-  private ClusterState clusterState(Term self) {
-    Tunables tunables = context.tunables();
-    PlatformSettings.Cluster settings = context.settings().cluster();
-    ShardTable shards = new ShardTable(batcher, self);
-    return new ClusterState(
-        loop,
-        new JobTable(),
-        shards,
-        new MachineTable(loop, shards),
-        new AllocationIndex(),
-        new TeamQuotas(settings.teams()),
-        new FailureAttribution(
-            tunables.count(Tunables.Key.FAULTY_AFTER),
-            tunables.seconds(Tunables.Key.ERROR_PAUSE_S)),
-        new CapacityReservation(
-            settings.objectives(),
-            tunables.number(Tunables.Key.HEADROOM_JOBS),
-            tunables.seconds(Tunables.Key.HEADROOM_LASTS_S)),
-        new UnreadableJobs(),
-        context.catalog(),
-        context.runTimes(),
-        context.view());
-  }
-
-  private AssignmentSender assignmentSender(Term self) {
-    AssignmentWriter writer =
-        new AssignmentWriter(
-            loop,
-            term,
-            cluster.jobs(),
-            cluster.unreadable(),
-            cluster::isCordoned,
-            job -> scheduling.ranking().rank(job));
-    return new AssignmentSender(loop, self, cluster.shards(), writer, context.messenger()::send);
-  }
-
-  private ShardGrants shardGrants(Term self) {
-    Map<NodeId, ZoneId> zones = new HashMap<>();
-    zones.put(context.self(), new ZoneId(context.settings().zone()));
-    context
-        .settings()
-        .members()
-        .forEach(member -> zones.put(new NodeId(member.label()), new ZoneId(member.zone())));
-    return new ShardGrants(
-        loop,
-        self,
-        batcher,
-        cluster.shards(),
-        context.view(),
-        context.peers(),
-        new ShardAssigner(context.self(), zones, loop.now()),
-        context.tunables().seconds(Tunables.Key.PEER_SILENT_S));
-  }
-
-  private ShardStatusHandler shardStatusHandler() {
-    double failurePause = context.tunables().number(Tunables.Key.ERROR_PAUSE_S);
-    return new ShardStatusHandler(
-        cluster,
-        term,
-        new TaskStatusHandler(cluster, jobs, failurePause),
-        autoscaler,
-        context.messenger());
+    TermComponents components = new TermComponents(context, term, new Term());
+    this.batcher = components.batcher();
+    this.cluster = components.cluster();
+    this.jobs = components.jobs();
+    this.loader = components.loader();
+    this.availableCapacity = components.availableCapacity();
+    this.cycles = components.cycles();
+    this.autoscaler = components.autoscaler();
+    this.grants = components.grants();
+    this.assignments = components.assignments();
+    this.shardStatus = components.shardStatus();
+    this.summaries = components.summaries();
   }
 
   /** The only place where the state changes. */
@@ -320,14 +197,14 @@
     loader.load(
         StoreKeys.PROVISIONING_REQUESTS,
         page -> autoscaler.provisioner().load(page.items()),
-        this::begin);
+        this::startLeading);
   }
 
-  private void begin() {
+  private void startLeading() {
     jobs.progress().loader().finish();
     transitionTo(State.LEADING);
     context.estimates().apply(autoscaler.bootTimes());
-    jobs.begin();
+    jobs.start();
     onControlChange();
     arrivedWhileLoading.forEach(this::onJob);
     arrivedWhileLoading.clear();
@@ -381,18 +258,19 @@
     }
   }
 
-  /** The control keys changed: grants may stand, or have gone with a controller's session. */
+  /** The control keys changed: grants may be there, or have gone with a controller's session. */
   public void onControlChange() {
     if (state != State.LEADING) {
       return;
     }
     for (ShardView shard : cluster.shards().all()) {
-      Optional<ClusterView.GrantRecord> seen =
+      Optional<ClusterView.GrantRecord> grantInView =
           Optional.ofNullable(context.view().grants().get(shard.id()));
       shard.grant(
-          seen.map(grant -> new ShardView.Grant(grant.owner(), grant.revision())), loop.now());
+          grantInView.map(grant -> new ShardView.Grant(grant.owner(), grant.revision())),
+          loop.now());
       String key = StoreKeys.grant(shard.id());
-      seen.ifPresentOrElse(
+      grantInView.ifPresentOrElse(
           grant -> batcher.recordRevision(key, grant.revision()),
           () -> batcher.forgetRevision(key));
     }
@@ -450,13 +328,13 @@
     }
   }
 
-  private void runCycle() {
-    jobs.dependencies().propagatePriorities();
-    scheduling.run();
-  }
+  /** This term as its components see it. */
+  private final class Term implements TermState {
+    @Override
+    public boolean loading() {
+      return state == State.LOADING;
+    }
 
-  /** This term as its parts see it. */
-  private final class Term implements LeadershipTerm, JobLifecycle.Term, ShardTable.Listener {
     @Override
     public boolean active() {
       return state == State.LEADING;
@@ -487,17 +365,4 @@
       cycles.schedule();
     }
   }
-
-  /** The queue as the autoscaler sees it. */
-  private final class Queue implements Demand {
-    @Override
-    public List<Job> rankedJobs() {
-      return scheduling.ranking().order();
-    }
-
-    @Override
-    public List<DependencyResolver.ExpectedRelease> expectedReleases(double horizonSeconds) {
-      return jobs.dependencies().expectedReleases(horizonSeconds);
-    }
-  }
 }
--- a/src/main/java/org/mulleinshift/leader/ShardStatusHandler.java
+++ b/src/main/java/org/mulleinshift/leader/ShardStatusHandler.java
@@ -15,7 +15,7 @@
 import org.mulleinshift.sharding.ShardView;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Receives what shard owners report, and acknowledges it. */
+/** Receives the statuses that shard owners report, and acknowledges them. */
 final class ShardStatusHandler {
   private final ClusterState state;
   private final Revision term;
@@ -36,7 +36,11 @@
     this.messenger = messenger;
   }
 
-  /** Applies a report of the shard's current owner; tells whether anything in it was new. */
+  /**
+   * Applies a status of the shard's current owner.
+   *
+   * @return whether it reports a machine or a task that an earlier one did not
+   */
   boolean onStatus(ShardStatus status) {
     ShardView shard = shardUnderGrant(status.getShard(), status.getGrant()).orElse(null);
     if (shard == null) {
@@ -47,22 +51,23 @@
       shard.onAssignmentAck(status.getSeenVersion(), now);
     }
     if (!shard.isContiguous(status)) {
-      // A report went missing, or this leader is new: the owner reports again from what is known.
+      // A status was lost, or this leader is new: the owner reports again from the acknowledged
+      // one.
       acknowledge(shard);
       return false;
     }
     if (status.getSequence() <= shard.lastSequence()) {
       return false;
     }
-    List<MachineId> named = shard.onStatus(status, now);
+    List<MachineId> reportedMachines = shard.onStatus(status, now);
     for (TaskStatus task : status.getTasks()) {
       tasks.onStatus(task);
     }
-    named.forEach(machine -> autoscaler.onMachineStatus(shard, machine));
-    return !named.isEmpty() || !status.getTasks().isEmpty();
+    reportedMachines.forEach(machine -> autoscaler.onMachineStatus(shard, machine));
+    return !reportedMachines.isEmpty() || !status.getTasks().isEmpty();
   }
 
-  /** Machines of a shard reported to another controller, since the owner does not answer them. */
+  /** Machines of a shard sent heartbeats to another controller: their owner doesn't answer them. */
   void onOwnerSuspicion(OwnerSuspicion suspicion) {
     MonotonicTime now = state.loop().now();
     shardUnderGrant(suspicion.getShard(), suspicion.getGrant())
@@ -73,7 +78,7 @@
                     .forEach(machine -> shard.onSuspicion(new MachineId(machine), now)));
   }
 
-  /** Tells owners up to which report their shard is known here. */
+  /** Acknowledges to owners up to which status their shard is known here. */
   void acknowledgeAll() {
     for (ShardView shard : state.shards().all()) {
       if (shard.ackDue()) {
--- a/src/main/java/org/mulleinshift/leader/SummaryBroadcaster.java
+++ b/src/main/java/org/mulleinshift/leader/SummaryBroadcaster.java
@@ -13,7 +13,7 @@
 import org.mulleinshift.protocol.peer.JobTaskCounts;
 import org.mulleinshift.scheduling.ClusterState;
 
-/** Tells all controllers the jobs' task counts, and the standby what the leader has learned. */
+/** Publishes the jobs' task counts to all controllers, and learned estimates to the standby. */
 final class SummaryBroadcaster {
   private static final Duration INTERVAL = Duration.ofSeconds(1);
 
@@ -58,7 +58,7 @@
     messenger.broadcast(new JobSummary(taskCounts()));
   }
 
-  /** A job that waits has no task done and none running, without being named. */
+  /** Counts of the jobs with any task done or running; a job that is absent has none. */
   private List<JobTaskCounts> taskCounts() {
     List<JobTaskCounts> counts = new ArrayList<>();
     for (Job job : state.jobs().all()) {
--- /dev/null
+++ b/src/main/java/org/mulleinshift/leader/TermComponents.java
@@ -0,0 +1,273 @@
+package org.mulleinshift.leader;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.mulleinshift.autoscaling.Autoscaler;
+import org.mulleinshift.autoscaling.AutoscalerSettings;
+import org.mulleinshift.autoscaling.Demand;
+import org.mulleinshift.compatibility.UnreadableJobs;
+import org.mulleinshift.dependencies.DependencyResolver;
+import org.mulleinshift.membership.ShardAssigner;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.model.JobTable;
+import org.mulleinshift.progress.ProgressSettings;
+import org.mulleinshift.protocol.NodeId;
+import org.mulleinshift.protocol.Revision;
+import org.mulleinshift.protocol.ZoneId;
+import org.mulleinshift.scheduling.AllocationIndex;
+import org.mulleinshift.scheduling.AvailableCapacity;
+import org.mulleinshift.scheduling.CapacityReservation;
+import org.mulleinshift.scheduling.ClusterState;
+import org.mulleinshift.scheduling.FailureAttribution;
+import org.mulleinshift.scheduling.SchedulingCycle;
+import org.mulleinshift.scheduling.SchedulingSettings;
+import org.mulleinshift.scheduling.TeamQuotas;
+import org.mulleinshift.settings.PlatformSettings;
+import org.mulleinshift.settings.Tunables;
+import org.mulleinshift.sharding.AssignmentSender;
+import org.mulleinshift.sharding.AssignmentWriter;
+import org.mulleinshift.sharding.MachineTable;
+import org.mulleinshift.sharding.ShardGrants;
+import org.mulleinshift.sharding.ShardTable;
+import org.mulleinshift.store.TransactionBatcher;
+
+/** Builds the components of one term and joins them; all of them last as long as the term. */
+final class TermComponents {
+  private final Leader.Context context;
+  private final Revision term;
+  private final TermState state;
+  private final BatchLimits batchLimits;
+  private final TransactionBatcher batcher;
+  private final ClusterState cluster;
+  private final TermLoader loader;
+  private final JobLifecycle jobs;
+  private final AvailableCapacity availableCapacity;
+  private final SchedulingCycle scheduling;
+  private final CycleScheduler cycles;
+  private final Autoscaler autoscaler;
+  private final AssignmentSender assignments;
+  private final ShardGrants grants;
+  private final ShardStatusHandler shardStatus;
+  private final SummaryBroadcaster summaries;
+
+  /** Builds each component after those that it works with. */
+  TermComponents(Leader.Context context, Revision term, TermState state) {
+    this.context = context;
+    this.term = term;
+    this.state = state;
+    this.batchLimits = BatchLimits.of(context.settings().cluster().store());
+    this.batcher = createBatcher();
+    this.cluster = createClusterState();
+    this.loader = new TermLoader(context.loop(), context.store(), state::loading);
+    this.jobs = createJobLifecycle();
+    this.availableCapacity = new AvailableCapacity(cluster);
+    this.scheduling = createScheduling();
+    this.cycles = createCycleScheduler();
+    this.autoscaler = createAutoscaler();
+    this.assignments = createAssignmentSender();
+    this.grants = createShardGrants();
+    this.shardStatus = createShardStatusHandler();
+    this.summaries = createSummaryBroadcaster();
+  }
+
+  /** Stores changes of this term, each guarded by the leader's key. */
+  TransactionBatcher batcher() {
+    return batcher;
+  }
+
+  /** What the term knows of the cluster. */
+  ClusterState cluster() {
+    return cluster;
+  }
+
+  /** Reads what is stored when the term starts. */
+  TermLoader loader() {
+    return loader;
+  }
+
+  /** The jobs' way from admission to their stored end. */
+  JobLifecycle jobs() {
+    return jobs;
+  }
+
+  /** Which machines may take tasks. */
+  AvailableCapacity availableCapacity() {
+    return availableCapacity;
+  }
+
+  /** When scheduling cycles run. */
+  CycleScheduler cycles() {
+    return cycles;
+  }
+
+  /** Provisions and releases machines. */
+  Autoscaler autoscaler() {
+    return autoscaler;
+  }
+
+  /** Sends assignments to the owners of shards. */
+  AssignmentSender assignments() {
+    return assignments;
+  }
+
+  /** Grants shards to controllers. */
+  ShardGrants grants() {
+    return grants;
+  }
+
+  /** Receives the statuses that owners report. */
+  ShardStatusHandler shardStatus() {
+    return shardStatus;
+  }
+
+  /** Publishes the jobs' task counts. */
+  SummaryBroadcaster summaries() {
+    return summaries;
+  }
+
+  private TransactionBatcher createBatcher() {
+    return new TransactionBatcher(
+        context.loop(),
+        context.store(),
+        term,
+        batchLimits.maxOperations(),
+        batchLimits.spacing(),
+        () -> context.election().resign("another leader's term"));
+  }
+
+  private ClusterState createClusterState() {
+    Tunables tunables = context.tunables();
+    PlatformSettings.Cluster settings = context.settings().cluster();
+    ShardTable shards = new ShardTable(batcher, state);
+    return new ClusterState(
+        context.loop(),
+        new JobTable(),
+        shards,
+        new MachineTable(context.loop(), shards),
+        new AllocationIndex(),
+        new TeamQuotas(settings.teams()),
+        new FailureAttribution(
+            tunables.count(Tunables.Key.FAULTY_AFTER),
+            tunables.seconds(Tunables.Key.ERROR_PAUSE_S)),
+        new CapacityReservation(
+            settings.objectives(),
+            tunables.number(Tunables.Key.HEADROOM_JOBS),
+            tunables.seconds(Tunables.Key.HEADROOM_LASTS_S)),
+        new UnreadableJobs(),
+        context.catalog(),
+        context.runTimes(),
+        context.view());
+  }
+
+  private JobLifecycle createJobLifecycle() {
+    boolean logEnabled = context.tunables().number(Tunables.Key.PROGRESS_LOG) > 0;
+    ProgressSettings settings =
+        new ProgressSettings(
+            context.settings().cluster().store(),
+            batchLimits.maxOperations(),
+            context.featureGates(),
+            logEnabled);
+    return new JobLifecycle(cluster, state, context.store(), batcher, settings);
+  }
+
+  private SchedulingCycle createScheduling() {
+    return new SchedulingCycle(
+        context.loop(),
+        term,
+        cluster,
+        availableCapacity,
+        SchedulingSettings.of(context.settings(), context.tunables()),
+        jobs);
+  }
+
+  private CycleScheduler createCycleScheduler() {
+    return new CycleScheduler(
+        context.loop(), state, context.tunables().millis(Tunables.Key.CYCLE_MS), this::runCycle);
+  }
+
+  private void runCycle() {
+    jobs.dependencies().propagatePriorities();
+    scheduling.run();
+  }
+
+  private Autoscaler createAutoscaler() {
+    return new Autoscaler(
+        cluster,
+        state,
+        term,
+        batcher,
+        context.cloud(),
+        new QueuedDemand(),
+        AutoscalerSettings.of(context.settings(), context.tunables()));
+  }
+
+  private AssignmentSender createAssignmentSender() {
+    AssignmentWriter writer =
+        new AssignmentWriter(
+            context.loop(),
+            term,
+            cluster.jobs(),
+            cluster.unreadable(),
+            cluster::isCordoned,
+            job -> scheduling.ranking().rank(job));
+    return new AssignmentSender(
+        context.loop(), state, cluster.shards(), writer, context.messenger()::send);
+  }
+
+  private ShardGrants createShardGrants() {
+    return new ShardGrants(
+        context.loop(),
+        state,
+        batcher,
+        cluster.shards(),
+        context.view(),
+        context.peers(),
+        new ShardAssigner(context.self(), zonesOfControllers(), context.loop().now()),
+        context.tunables().seconds(Tunables.Key.PEER_SILENT_S));
+  }
+
+  private Map<NodeId, ZoneId> zonesOfControllers() {
+    Map<NodeId, ZoneId> zones = new HashMap<>();
+    zones.put(context.self(), new ZoneId(context.settings().zone()));
+    context
+        .settings()
+        .members()
+        .forEach(member -> zones.put(new NodeId(member.label()), new ZoneId(member.zone())));
+    return zones;
+  }
+
+  private ShardStatusHandler createShardStatusHandler() {
+    double failurePauseSeconds = context.tunables().number(Tunables.Key.ERROR_PAUSE_S);
+    return new ShardStatusHandler(
+        cluster,
+        term,
+        new TaskStatusHandler(cluster, jobs, failurePauseSeconds),
+        autoscaler,
+        context.messenger());
+  }
+
+  private SummaryBroadcaster createSummaryBroadcaster() {
+    return new SummaryBroadcaster(
+        cluster,
+        state,
+        term,
+        autoscaler,
+        context.estimates(),
+        context.failover(),
+        context.messenger());
+  }
+
+  /** The queue as the autoscaler sees it. */
+  private final class QueuedDemand implements Demand {
+    @Override
+    public List<Job> rankedJobs() {
+      return scheduling.ranking().order();
+    }
+
+    @Override
+    public List<DependencyResolver.ExpectedRelease> expectedReleases(double horizonSeconds) {
+      return jobs.dependencies().expectedReleases(horizonSeconds);
+    }
+  }
+}
