--- /dev/null
+++ b/src/main/java/org/mulleinshift/controller/ControlKeysListener.java
@@ -0,0 +1,44 @@
+package org.mulleinshift.controller;
+
+import java.util.Optional;
+import org.mulleinshift.model.ClusterView;
+import org.mulleinshift.protocol.Revision;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
+import org.mulleinshift.store.StoreKeys;
+import org.mulleinshift.store.WatchCache;
+
+/** Applies changes of the control keys to the view, and notifies of them once it is consistent. */
+final class ControlKeysListener implements WatchCache.Listener {
+  private final ClusterView view;
+  private final Runnable onGrantsChanged;
+  private final Runnable onViewChanged;
+  private boolean grantsChanged;
+
+  /**
+   * A listener.
+   *
+   * @param view is kept up to date
+   * @param onGrantsChanged runs first where a change concerns grants of shards
+   * @param onViewChanged runs after each group of changes
+   */
+  ControlKeysListener(ClusterView view, Runnable onGrantsChanged, Runnable onViewChanged) {
+    this.view = view;
+    this.onGrantsChanged = onGrantsChanged;
+    this.onViewChanged = onViewChanged;
+  }
+
+  @Override
+  public void onChange(String key, Optional<KeyValue> item) {
+    view.apply(key, item);
+    grantsChanged |= key.startsWith(StoreKeys.GRANTS);
+  }
+
+  @Override
+  public void onCaughtUp(Revision revision) {
+    if (grantsChanged) {
+      grantsChanged = false;
+      onGrantsChanged.run();
+    }
+    onViewChanged.run();
+  }
+}
--- /dev/null
+++ b/src/main/java/org/mulleinshift/controller/ControllerComponents.java
@@ -0,0 +1,391 @@
+package org.mulleinshift.controller;
+
+import java.time.Duration;
+import org.mulleinshift.api.JobApi;
+import org.mulleinshift.api.ReadinessProbe;
+import org.mulleinshift.autoscaling.CloudClient;
+import org.mulleinshift.compatibility.FeatureGates;
+import org.mulleinshift.leader.EstimateReplicator;
+import org.mulleinshift.leader.Leader;
+import org.mulleinshift.membership.ControllerSession;
+import org.mulleinshift.membership.IndirectLeaseRenewal;
+import org.mulleinshift.membership.LeaderElection;
+import org.mulleinshift.membership.PeerFailureDetector;
+import org.mulleinshift.membership.StandbyFailover;
+import org.mulleinshift.membership.StoreHealth;
+import org.mulleinshift.model.ClusterView;
+import org.mulleinshift.placement.MachineTypeCatalog;
+import org.mulleinshift.protocol.Revision;
+import org.mulleinshift.scheduling.RunTimeEstimator;
+import org.mulleinshift.settings.Leases;
+import org.mulleinshift.settings.PlatformSettings;
+import org.mulleinshift.settings.Tunables;
+import org.mulleinshift.sharding.OwnedShards;
+import org.mulleinshift.sharding.ShardOwner;
+import org.mulleinshift.store.KeyValueStore;
+import org.mulleinshift.store.StoreKeys;
+import org.mulleinshift.store.WatchCache;
+import org.mulleinshift.transport.EventLoop;
+import org.mulleinshift.transport.RateLimiter;
+import org.mulleinshift.transport.RequestHandler;
+
+/**
+ * Builds the components of one controller and joins them. A component that works with one built
+ * later gets a callback, which isn't called before {@link #start}.
+ */
+final class ControllerComponents {
+  /** A session's lease is renewed at least so often while it lasts. */
+  private static final int RENEWALS_PER_LEASE = 5;
+
+  /** Share of the cloud's rate of requests that this controller uses. */
+  private static final double CLOUD_REQUEST_SHARE = 0.6;
+
+  private final PlatformSettings settings;
+  private final PlatformSettings.Cluster cluster;
+  private final Tunables tunables;
+  private final Controller.Ports ports;
+  private final EventLoop loop;
+  private final ClusterMembers members;
+  private final Duration shardLease;
+  private final ClusterView view = new ClusterView();
+  private final RunTimeEstimator runTimes = new RunTimeEstimator();
+  private final ComponentEvents events = new ComponentEvents(this);
+  private final PeerMessageDispatcher dispatcher = new PeerMessageDispatcher();
+  private final EstimateReplicator estimates;
+  private final StoreRateLimits rateLimits;
+  private final KeyValueStore store;
+  private final CancelledJobs cancelledJobs;
+  private final CurrentTerm currentTerm;
+  private final WatchCache controlKeys;
+  private final ActiveJobsListener activeJobsListener;
+  private final WatchCache activeJobs;
+  private final PeerFailureDetector failureDetector;
+  private final FrameMessenger messenger;
+  private final StoreHealth storeHealth;
+  private final ControllerSession session;
+  private final LeaderElection election;
+  private final StandbyFailover failover;
+  private final IndirectLeaseRenewal indirectRenewal;
+  private final MachineTypeCatalog catalog;
+  private final ControllerStatus status;
+  private final OwnedShards ownedShards;
+  private final FeatureGates featureGates;
+  private final JobApi jobApi;
+  private final CloudClient cloud;
+  private final ControllerReadiness readiness;
+  private final LeaderLocator locator;
+  private final LeadershipCoordinator leadership;
+  private final HeartbeatExchange heartbeats;
+  private final RequestRouter router;
+
+  /** Builds each component after those that it works with from its start. */
+  ControllerComponents(PlatformSettings settings, Tunables tunables, Controller.Ports ports) {
+    this.settings = settings;
+    this.cluster = settings.cluster();
+    this.tunables = tunables;
+    this.ports = ports;
+    this.loop = ports.loop();
+    this.members = ClusterMembers.of(settings);
+    this.shardLease = Leases.shard(cluster.workers(), tunables);
+    this.estimates = new EstimateReplicator(loop, runTimes);
+    this.rateLimits = new StoreRateLimits(cluster);
+    this.store = createStore();
+    this.cancelledJobs = new CancelledJobs(events::onJobCancelled);
+    this.currentTerm =
+        new CurrentTerm(loop, store, rateLimits, this::createLeader, events::onCandidacyChange);
+    this.controlKeys = createControlKeys();
+    this.activeJobsListener = new ActiveJobsListener(cancelledJobs, currentTerm, events);
+    this.activeJobs = createActiveJobs();
+    this.failureDetector = new PeerFailureDetector(loop, members.self());
+    this.messenger =
+        new FrameMessenger(loop, ports.peers(), members, failureDetector, dispatcher::dispatch);
+    this.storeHealth = createStoreHealth();
+    this.session = createSession();
+    this.election = createElection();
+    this.failover = createFailover();
+    this.indirectRenewal = createIndirectRenewal();
+    this.catalog =
+        new MachineTypeCatalog(loop, ports.cloud(), settings.cloud(), events::onPreconditionChange);
+    this.status = createStatus();
+    this.ownedShards = createOwnedShards();
+    this.featureGates = new FeatureGates(loop, store, members.self(), members.all(), view);
+    this.jobApi = createJobApi();
+    this.cloud = createCloudClient();
+    this.readiness = createReadiness();
+    this.locator = new LeaderLocator(view, storeHealth, failureDetector);
+    this.leadership = createLeadership();
+    this.heartbeats = createHeartbeats();
+    this.router =
+        new RequestRouter(ownedShards, jobApi, new ReadinessProbe(loop, readiness::canServe));
+    PeerMessageHandlers.register(dispatcher, this);
+  }
+
+  /** Handles HTTP requests. */
+  RequestHandler router() {
+    return router;
+  }
+
+  /** Exchanges frames with the other controllers. */
+  FrameMessenger messenger() {
+    return messenger;
+  }
+
+  /** The leader, while this controller leads. */
+  CurrentTerm currentTerm() {
+    return currentTerm;
+  }
+
+  /** Keeps this controller's copy of the active jobs. */
+  WatchCache activeJobs() {
+    return activeJobs;
+  }
+
+  /** Knows from which controllers heartbeats arrive. */
+  PeerFailureDetector failureDetector() {
+    return failureDetector;
+  }
+
+  /** Holds this controller's lease of its shards. */
+  ControllerSession session() {
+    return session;
+  }
+
+  /** Renews leases by way of other controllers. */
+  IndirectLeaseRenewal indirectRenewal() {
+    return indirectRenewal;
+  }
+
+  /** The shards that this controller owns. */
+  OwnedShards ownedShards() {
+    return ownedShards;
+  }
+
+  /** Answers users. */
+  JobApi jobApi() {
+    return jobApi;
+  }
+
+  /** What this controller learns from leaders. */
+  EstimateReplicator estimates() {
+    return estimates;
+  }
+
+  /** Decides when this controller stands for election or resigns. */
+  LeadershipCoordinator leadership() {
+    return leadership;
+  }
+
+  /** Exchanges heartbeats. */
+  HeartbeatExchange heartbeats() {
+    return heartbeats;
+  }
+
+  /** Starts all components, in the order in which they come to depend on each other. */
+  void start() {
+    ports.heapMonitor().start();
+    storeHealth.start();
+    session.start();
+    featureGates.start();
+    controlKeys.start();
+    activeJobs.start();
+    catalog.start();
+    ownedShards.start();
+    failover.start();
+    loop.onProcessPause(events::onProcessPause);
+    heartbeats.start();
+  }
+
+  private KeyValueStore createStore() {
+    return new KeyValueStore(
+        loop,
+        ports.store(),
+        ports.watches(),
+        settings.store(),
+        new KeyValueStore.Rates(
+            rateLimits.requests(),
+            rateLimits.followerWrites(),
+            cluster.store().requestsShareAfterReduction(),
+            cluster.store().writesShareAfterReduction()));
+  }
+
+  private WatchCache createControlKeys() {
+    ControlKeysListener listener =
+        new ControlKeysListener(view, events::onGrantsChange, events::onViewChange);
+    return new WatchCache(loop, store, StoreKeys.CONTROL, rateLimits.watchSpacing(), listener);
+  }
+
+  private WatchCache createActiveJobs() {
+    return new WatchCache(
+        loop, store, StoreKeys.ACTIVE_JOBS, rateLimits.watchSpacing(), activeJobsListener);
+  }
+
+  private StoreHealth createStoreHealth() {
+    StoreHealth health =
+        new StoreHealth(
+            loop,
+            tunables.seconds(Tunables.Key.STATE_LOST_S),
+            rateLimits.probeSpacing(),
+            this::probeStore,
+            events);
+    store.observe(health);
+    return health;
+  }
+
+  /** A call whose answer shows whether the store serves this controller. */
+  private void probeStore() {
+    store.get(StoreKeys.LEADER, KeyValueStore.Urgency.URGENT, answer -> {});
+  }
+
+  private ControllerSession createSession() {
+    return new ControllerSession(
+        loop,
+        store,
+        members.self(),
+        shardLease,
+        shorter(tunables.seconds(Tunables.Key.RENEW_S), shardLease.dividedBy(RENEWALS_PER_LEASE)),
+        activeJobs::confirmCurrentUrgently,
+        events::onPreconditionChange);
+  }
+
+  private static Duration shorter(Duration one, Duration other) {
+    return one.compareTo(other) < 0 ? one : other;
+  }
+
+  private LeaderElection createElection() {
+    return new LeaderElection(
+        loop,
+        store,
+        members.self(),
+        tunables.seconds(Tunables.Key.LEADER_LEASE_S),
+        currentTerm,
+        () -> failover.yields());
+  }
+
+  private StandbyFailover createFailover() {
+    return new StandbyFailover(
+        loop,
+        members.self(),
+        tunables.seconds(Tunables.Key.LEADER_SILENT_S),
+        tunables.seconds(Tunables.Key.LEADER_LEASE_S),
+        new StandbyFailover.Parts(
+            failureDetector,
+            view,
+            () -> readiness.linksHealthy(),
+            () -> heartbeats.requestReplies(),
+            failed -> leadership.depose(failed)));
+  }
+
+  private IndirectLeaseRenewal createIndirectRenewal() {
+    return new IndirectLeaseRenewal(
+        loop,
+        members.self(),
+        new IndirectLeaseRenewal.Parts(
+            store, storeHealth, failureDetector, session, view, controlKeys, activeJobs),
+        messenger::send);
+  }
+
+  private ControllerStatus createStatus() {
+    return new ControllerStatus(
+        members.self(), failureDetector, storeHealth, () -> ownedShards.reachability());
+  }
+
+  private OwnedShards createOwnedShards() {
+    ShardOwner.Context context =
+        new ShardOwner.Context(
+            loop,
+            ports.workers(),
+            catalog,
+            cluster.workers(),
+            shardLease,
+            cancelledJobs::contains,
+            () -> ownedShards.reportStatusSoon());
+    return new OwnedShards(
+        members.self(),
+        view,
+        session,
+        context,
+        new OwnedShards.Peers(
+            members.others(), status::answersWorkers, events::onReachabilityChange),
+        message -> leadership.sendToLeader(message));
+  }
+
+  private JobApi createJobApi() {
+    return new JobApi(
+        loop,
+        store,
+        catalog,
+        cluster,
+        tunables.count(Tunables.Key.RETRY_AFTER_S),
+        activeJobs::confirmCurrent,
+        ports.heapMonitor()::pressure,
+        cancelledJobs::add);
+  }
+
+  private CloudClient createCloudClient() {
+    double requestsPerSecond = cluster.cloud().requestsPerSecond() * CLOUD_REQUEST_SHARE;
+    return new CloudClient(
+        ports.cloud(), settings.cloud(), new RateLimiter(loop, requestsPerSecond));
+  }
+
+  private ControllerReadiness createReadiness() {
+    return new ControllerReadiness(
+        session,
+        storeHealth,
+        controlKeys,
+        activeJobsListener::loaded,
+        catalog,
+        ownedShards::reachability);
+  }
+
+  private LeadershipCoordinator createLeadership() {
+    return new LeadershipCoordinator(
+        new LeadershipCoordinator.Context(
+            members.self(),
+            election,
+            currentTerm,
+            locator,
+            readiness,
+            storeHealth,
+            failureDetector,
+            view,
+            messenger));
+  }
+
+  private HeartbeatExchange createHeartbeats() {
+    return new HeartbeatExchange(
+        new HeartbeatExchange.Context(
+            loop,
+            store,
+            members,
+            session,
+            storeHealth,
+            ownedShards::reachability,
+            locator,
+            election,
+            failover,
+            failureDetector,
+            leadership,
+            messenger));
+  }
+
+  private Leader createLeader(Revision term) {
+    Leader.Context context =
+        new Leader.Context(
+            loop,
+            store,
+            settings,
+            tunables,
+            members.self(),
+            view,
+            catalog,
+            runTimes,
+            estimates,
+            featureGates,
+            failover,
+            status,
+            messenger,
+            election,
+            cloud);
+    return new Leader(context, term);
+  }
+}
--- /dev/null
+++ b/src/main/java/org/mulleinshift/controller/ControllerStatus.java
@@ -0,0 +1,66 @@
+package org.mulleinshift.controller;
+
+import java.time.Duration;
+import java.util.function.Supplier;
+import org.mulleinshift.membership.PeerFailureDetector;
+import org.mulleinshift.membership.PeerStatus;
+import org.mulleinshift.membership.StoreHealth;
+import org.mulleinshift.membership.WorkerReachability;
+import org.mulleinshift.protocol.NodeId;
+import org.mulleinshift.protocol.peer.Heartbeat;
+
+/** The health of all controllers: this one's own, and that of the others by their heartbeats. */
+final class ControllerStatus implements PeerStatus {
+  private final NodeId self;
+  private final PeerFailureDetector failureDetector;
+  private final StoreHealth storeHealth;
+  private final Supplier<WorkerReachability.State> ownReachability;
+
+  /**
+   * The status of all controllers.
+   *
+   * @param self this controller
+   * @param failureDetector the heartbeats of the others
+   * @param storeHealth this controller's link to the store
+   * @param ownReachability whether this controller reaches its workers
+   */
+  ControllerStatus(
+      NodeId self,
+      PeerFailureDetector failureDetector,
+      StoreHealth storeHealth,
+      Supplier<WorkerReachability.State> ownReachability) {
+    this.self = self;
+    this.failureDetector = failureDetector;
+    this.storeHealth = storeHealth;
+    this.ownReachability = ownReachability;
+  }
+
+  @Override
+  public Duration silence(NodeId node) {
+    return failureDetector.silence(node);
+  }
+
+  @Override
+  public WorkerReachability.State workerReachability(NodeId node) {
+    if (node.equals(self)) {
+      return ownReachability.get();
+    }
+    return failureDetector
+        .freshHeartbeat(node)
+        .map(PeerFailureDetector::workerReachability)
+        .orElse(WorkerReachability.State.WELL);
+  }
+
+  @Override
+  public boolean storeLost(NodeId node) {
+    return node.equals(self)
+        ? storeHealth.state() == StoreHealth.State.LOST
+        : failureDetector.freshHeartbeat(node).filter(Heartbeat::getStoreLost).isPresent();
+  }
+
+  /** Whether workers may be sent to the node: its heartbeats arrive, and its workers reach it. */
+  boolean answersWorkers(NodeId node) {
+    return silence(node).compareTo(PeerFailureDetector.FRESH) < 0
+        && workerReachability(node).compareTo(WorkerReachability.State.DOUBTED) <= 0;
+  }
+}
--- /dev/null
+++ b/src/main/java/org/mulleinshift/controller/PeerMessageHandlers.java
@@ -0,0 +1,67 @@
+package org.mulleinshift.controller;
+
+import org.mulleinshift.protocol.peer.Heartbeat;
+import org.mulleinshift.protocol.peer.JobSummary;
+import org.mulleinshift.protocol.peer.LeadershipTransfer;
+import org.mulleinshift.protocol.peer.LearnedEstimates;
+import org.mulleinshift.protocol.peer.LeaseRenewalRequest;
+import org.mulleinshift.protocol.peer.LeaseRenewalResponse;
+import org.mulleinshift.protocol.peer.OwnerSuspicion;
+import org.mulleinshift.protocol.peer.RelayedFrame;
+import org.mulleinshift.protocol.peer.ShardAssignment;
+import org.mulleinshift.protocol.peer.ShardStatus;
+import org.mulleinshift.protocol.peer.ShardStatusAck;
+import org.mulleinshift.protocol.peer.UnknownWorkerReport;
+
+/** Which component handles which type of peer message. */
+final class PeerMessageHandlers {
+  private PeerMessageHandlers() {}
+
+  /** Registers the handlers of all types of messages. */
+  static void register(PeerMessageDispatcher dispatcher, ControllerComponents components) {
+    registerForController(dispatcher, components);
+    registerForOwner(dispatcher, components);
+    registerForLeader(dispatcher, components.currentTerm());
+  }
+
+  /** Messages that concern every controller. */
+  private static void registerForController(
+      PeerMessageDispatcher dispatcher, ControllerComponents components) {
+    dispatcher.register(Heartbeat.class, components.heartbeats()::onHeartbeat);
+    dispatcher.register(
+        RelayedFrame.class, (sender, frame) -> components.messenger().onRelayedFrame(frame));
+    dispatcher.register(LeaseRenewalRequest.class, components.indirectRenewal()::onRequest);
+    dispatcher.register(LeaseRenewalResponse.class, components.indirectRenewal()::onResponse);
+    dispatcher.register(
+        LeadershipTransfer.class,
+        (sender, transfer) -> components.leadership().onLeadershipTransfer(transfer));
+    dispatcher.register(
+        LearnedEstimates.class,
+        (sender, estimates) -> components.estimates().onEstimates(estimates));
+    dispatcher.register(
+        JobSummary.class, (sender, summary) -> components.jobApi().onSummary(summary));
+  }
+
+  /** Messages of the leader to the owners of shards. */
+  private static void registerForOwner(
+      PeerMessageDispatcher dispatcher, ControllerComponents components) {
+    dispatcher.register(
+        ShardAssignment.class,
+        (sender, assignment) -> components.ownedShards().onAssignment(assignment));
+    dispatcher.register(
+        ShardStatusAck.class, (sender, ack) -> components.ownedShards().onStatusAck(ack));
+  }
+
+  /** Messages to the leader; they are ignored while this controller doesn't lead. */
+  private static void registerForLeader(PeerMessageDispatcher dispatcher, CurrentTerm currentTerm) {
+    dispatcher.register(
+        ShardStatus.class,
+        (sender, status) -> currentTerm.ifLeading(leader -> leader.onShardStatus(status)));
+    dispatcher.register(
+        UnknownWorkerReport.class,
+        (sender, report) -> currentTerm.ifLeading(leader -> leader.onUnknownWorker(report)));
+    dispatcher.register(
+        OwnerSuspicion.class,
+        (sender, suspicion) -> currentTerm.ifLeading(leader -> leader.onOwnerSuspicion(suspicion)));
+  }
+}
--- /dev/null
+++ b/src/main/java/org/mulleinshift/controller/RequestRouter.java
@@ -0,0 +1,80 @@
+package org.mulleinshift.controller;
+
+import java.net.HttpURLConnection;
+import org.mulleinshift.api.JobApi;
+import org.mulleinshift.api.ReadinessProbe;
+import org.mulleinshift.protocol.JobCodec;
+import org.mulleinshift.protocol.JobId;
+import org.mulleinshift.protocol.WorkerCodec;
+import org.mulleinshift.sharding.OwnedShards;
+import org.mulleinshift.transport.RequestHandler;
+import org.mulleinshift.transport.Responder;
+
+/** Routes HTTP requests to their handlers by path, and refuses other methods. */
+final class RequestRouter implements RequestHandler {
+  private static final String READINESS_PATH = "/ready";
+
+  /** Below a job's path: the job is to be cancelled. */
+  private static final String CANCEL_SUFFIX = "/withdraw";
+
+  private static final String GET = "GET";
+  private static final String POST = "POST";
+
+  private final OwnedShards ownedShards;
+  private final JobApi jobApi;
+  private final ReadinessProbe readiness;
+
+  /**
+   * A router.
+   *
+   * @param ownedShards answers workers
+   * @param jobApi answers users
+   * @param readiness answers the platform
+   */
+  RequestRouter(OwnedShards ownedShards, JobApi jobApi, ReadinessProbe readiness) {
+    this.ownedShards = ownedShards;
+    this.jobApi = jobApi;
+    this.readiness = readiness;
+  }
+
+  @Override
+  public void handle(String method, String path, String body, Responder responder) {
+    if (path.equals(WorkerCodec.CHECKIN)) {
+      handleOnly(POST, method, responder, () -> ownedShards.onHeartbeat(body, responder));
+    } else if (path.equals(JobCodec.RUNS)) {
+      handleOnly(POST, method, responder, () -> jobApi.submit(body, responder));
+    } else if (path.startsWith(JobCodec.RUNS + "/")) {
+      handleJob(method, path.substring(JobCodec.RUNS.length() + 1), responder);
+    } else if (path.equals(READINESS_PATH)) {
+      handleOnly(GET, method, responder, () -> readiness.answer(responder));
+    } else {
+      refuseUnknownPath(responder);
+    }
+  }
+
+  private void handleJob(String method, String pathBelowJobs, Responder responder) {
+    int slash = pathBelowJobs.indexOf('/');
+    if (slash < 0) {
+      JobId job = new JobId(pathBelowJobs);
+      handleOnly(GET, method, responder, () -> jobApi.poll(job, responder));
+    } else if (pathBelowJobs.substring(slash).equals(CANCEL_SUFFIX)) {
+      JobId job = new JobId(pathBelowJobs.substring(0, slash));
+      handleOnly(POST, method, responder, () -> jobApi.cancelJob(job, responder));
+    } else {
+      refuseUnknownPath(responder);
+    }
+  }
+
+  private static void handleOnly(
+      String allowed, String method, Responder responder, Runnable handler) {
+    if (method.equals(allowed)) {
+      handler.run();
+    } else {
+      responder.respond(HttpURLConnection.HTTP_BAD_METHOD, JobCodec.error("method not allowed"));
+    }
+  }
+
+  private static void refuseUnknownPath(Responder responder) {
+    responder.respond(HttpURLConnection.HTTP_NOT_FOUND, JobCodec.error("no such path"));
+  }
+}
--- a/src/main/java/org/mulleinshift/controller/StoreRateLimits.java
+++ b/src/main/java/org/mulleinshift/controller/StoreRateLimits.java
@@ -3,64 +3,71 @@
 import java.time.Duration;
 import org.mulleinshift.settings.PlatformSettings;
 
-/** How the controllers of a cluster share the rates of the state service. */
+/** How the controllers of a cluster share the store's rates of requests and writes. */
 final class StoreRateLimits {
-  private static final double LEADER_WRITES = 0.75;
-  private static final double OTHER_WRITES = 0.4;
+  private static final double LEADER_WRITE_SHARE = 0.75;
+  private static final double FOLLOWERS_WRITE_SHARE = 0.4;
 
   /** Users come in bursts: a share of a few writes a second would refuse them all the time. */
-  private static final double MIN_WRITES = 0.2;
+  private static final double MIN_WRITE_SHARE = 0.2;
 
-  /** Each may use more than its even share, since not all do at the same time. */
-  private static final double ABOVE_EVEN_SHARE = 1.4;
+  /** Each may use more than its even share of requests, since not all do at the same time. */
+  private static final double EVEN_SHARE_FACTOR = 1.4;
 
+  /** Share of the store's requests that watches may use. */
   private static final double WATCH_SHARE = 0.25;
 
-  /** Jobs and control. */
+  /** Watches of one controller: active jobs and control keys. */
   private static final double WATCHES = 2;
 
-  /** Calls of its own by which a node learns of its link: this share of the state's requests. */
+  /** Share of the store's requests that probes of all controllers' links may use. */
   private static final double PROBE_SHARE = 0.05;
 
-  private static final Duration MIN_PROBE = Duration.ofMillis(500);
+  private static final Duration MIN_PROBE_SPACING = Duration.ofMillis(500);
+
+  private static final double MILLIS_PER_SECOND = 1000;
 
   private final PlatformSettings.Cluster cluster;
 
+  /** The limits of a cluster's controllers. */
   StoreRateLimits(PlatformSettings.Cluster cluster) {
     this.cluster = cluster;
   }
 
   /** Requests a second of one controller. */
   double requests() {
-    double share = 1.0 / Math.max(1, cluster.size());
-    return cluster.store().requestsPerSecond() * Math.min(1, share * ABOVE_EVEN_SHARE);
+    double evenShare = 1.0 / Math.max(1, cluster.size());
+    return cluster.store().requestsPerSecond() * Math.min(1, evenShare * EVEN_SHARE_FACTOR);
   }
 
-  /**
-   * Changes a second of one controller. The leader writes most: all progress of jobs and machines.
-   * The others accept and cancel.
-   */
-  double writes(boolean leading) {
-    int others = Math.max(1, cluster.size() - 1);
-    double share =
-        leading || cluster.size() == 1
-            ? LEADER_WRITES
-            : Math.max(MIN_WRITES, OTHER_WRITES / others);
+  /** Writes a second of the leader, which stores all progress of jobs and machines. */
+  double leaderWrites() {
+    return cluster.store().writesPerSecond() * LEADER_WRITE_SHARE;
+  }
+
+  /** Writes a second of one of the others, which accept and cancel jobs. */
+  double followerWrites() {
+    if (cluster.size() == 1) {
+      return leaderWrites();
+    }
+    int followers = Math.max(1, cluster.size() - 1);
+    double share = Math.max(MIN_WRITE_SHARE, FOLLOWERS_WRITE_SHARE / followers);
     return cluster.store().writesPerSecond() * share;
   }
 
   /**
-   * Every change that is watched costs each controller a request: they share a part of the rate.
+   * Time between two requests of a watch. Every change that is watched costs each controller a
+   * request: they share a part of the rate.
    */
   Duration watchSpacing() {
     double seconds = WATCHES * cluster.size() / (WATCH_SHARE * cluster.store().requestsPerSecond());
-    return Duration.ofMillis((long) (1000 * seconds));
+    return Duration.ofMillis((long) (MILLIS_PER_SECOND * seconds));
   }
 
-  /** Time between two probes of a node's link to the state service. */
+  /** Time between two probes of one controller's link to the store. */
   Duration probeSpacing() {
-    double probes = PROBE_SHARE * cluster.store().requestsPerSecond() / cluster.size();
-    Duration spacing = Duration.ofMillis((long) (1000 / probes));
-    return spacing.compareTo(MIN_PROBE) < 0 ? MIN_PROBE : spacing;
+    double probesPerSecond = PROBE_SHARE * cluster.store().requestsPerSecond() / cluster.size();
+    Duration spacing = Duration.ofMillis((long) (MILLIS_PER_SECOND / probesPerSecond));
+    return spacing.compareTo(MIN_PROBE_SPACING) < 0 ? MIN_PROBE_SPACING : spacing;
   }
 }
--- a/src/main/java/org/mulleinshift/controller/package-info.java
+++ b/src/main/java/org/mulleinshift/controller/package-info.java
@@ -1,2 +1,5 @@
-/** One controller process: joins all parts and dispatches requests and peer messages to them. */
+/**
+ * One controller process: builds and joins all components, routes requests, exchanges messages and
+ * heartbeats with the other controllers, and starts and ends this controller's terms as leader.
+ */
 package org.mulleinshift.controller;
