--- a/src/main/java/org/mulleinshift/leader/Leader.java
+++ b/src/main/java/org/mulleinshift/leader/Leader.java
@@ -241,7 +241,6 @@
     return new ShardGrants(
         loop,
         self,
-        batcher,
         cluster.shards(),
         context.view(),
         context.peers(),
--- a/src/main/java/org/mulleinshift/sharding/AssignmentSender.java
+++ b/src/main/java/org/mulleinshift/sharding/AssignmentSender.java
@@ -1,6 +1,7 @@
 package org.mulleinshift.sharding;
 
 import java.time.Duration;
+import java.util.Optional;
 import java.util.function.BiConsumer;
 import org.mulleinshift.membership.LeadershipTerm;
 import org.mulleinshift.protocol.NodeId;
@@ -8,7 +9,7 @@
 
 /**
  * Sends each shard's owner what has changed in its assignments; several changes of one step share a
- * message, and one that stays unconfirmed is sent again.
+ * message, and one that stays unacknowledged is sent again.
  */
 public final class AssignmentSender {
   private static final Duration RESEND_AFTER = Duration.ofMillis(700);
@@ -20,7 +21,11 @@
   private final BiConsumer<NodeId, Object> send;
   private boolean scheduled;
 
-  /** A sender for one term. */
+  /**
+   * A sender for one term.
+   *
+   * @param send sends a message to a controller
+   */
   public AssignmentSender(
       EventLoop loop,
       LeadershipTerm term,
@@ -53,9 +58,11 @@
       return;
     }
     for (ShardView shard : shards.all()) {
-      if (shard.grant().isPresent()
-          && (shard.resendDue(loop.now(), RESEND_AFTER) || shard.dirty())) {
-        send.accept(shard.grant().get().owner(), writer.of(shard));
+      Optional<NodeId> owner = shard.owner();
+      PublishedAssignments assignments = shard.assignments();
+      if (owner.isPresent()
+          && (assignments.resendDue(loop.now(), RESEND_AFTER) || assignments.dirty())) {
+        send.accept(owner.get(), writer.of(shard));
       }
     }
   }
--- a/src/main/java/org/mulleinshift/sharding/AssignmentWriter.java
+++ b/src/main/java/org/mulleinshift/sharding/AssignmentWriter.java
@@ -21,18 +21,22 @@
 import org.mulleinshift.protocol.peer.ShardAssignment;
 import org.mulleinshift.transport.EventLoop;
 
-/** Writes what the owner of a shard is to hear. */
+/** Writes the assignment messages to the owners of shards. */
 public final class AssignmentWriter {
+  private final EventLoop loop;
+  private final Revision term;
   private final JobTable jobs;
   private final UnreadableJobs unreadable;
   private final Predicate<MachineId> cordoned;
   private final ToIntFunction<JobId> rank;
-  private final EventLoop loop;
-  private final Revision term;
 
   /**
    * A writer for one term.
    *
+   * @param loop for its clock
+   * @param term revision of the leader's key
+   * @param jobs jobs that may run
+   * @param unreadable jobs that this build can't read
    * @param cordoned whether a machine must take no new task
    * @param rank a job's place in the order of urgency
    */
@@ -43,53 +47,56 @@
       UnreadableJobs unreadable,
       Predicate<MachineId> cordoned,
       ToIntFunction<JobId> rank) {
+    this.loop = loop;
+    this.term = term;
     this.jobs = jobs;
     this.unreadable = unreadable;
     this.cordoned = cordoned;
     this.rank = rank;
-    this.loop = loop;
-    this.term = term;
   }
 
-  /** Marks the shard's changes as sent. */
+  /**
+   * Writes what has changed since the version that the shard's next message builds on, and marks
+   * the changes as sent. The shard must have a grant.
+   */
   public ShardAssignment of(ShardView shard) {
-    Revision grant = shard.grant().get().revision();
-    long base = shard.base();
+    Revision grant = shard.grant().orElseThrow().revision();
+    PublishedAssignments assignments = shard.assignments();
+    long base = assignments.base();
     Map<JobId, List<AssignedTask>> byJob = new LinkedHashMap<>();
     List<RemovedTask> removed = new ArrayList<>();
-    for (TaskId task : shard.changesSince(base)) {
-      TaskAssignment assignment = shard.published(task).orElse(null);
-      if (assignment == null) {
-        removed.add(new RemovedTask(task.job().value(), task.index()));
-      } else {
-        byJob
-            .computeIfAbsent(task.job(), key -> new ArrayList<>())
-            .add(
-                new AssignedTask(
-                    task.index(),
-                    assignment.attempt().value(),
-                    assignment.storedAt().compareTo(grant) > 0,
-                    mustNotStart(assignment)));
-      }
+    for (TaskId task : assignments.changesSince(base)) {
+      assignments
+          .find(task)
+          .ifPresentOrElse(
+              assignment ->
+                  byJob
+                      .computeIfAbsent(task.job(), key -> new ArrayList<>())
+                      .add(assignedTask(assignment, grant)),
+              () -> removed.add(new RemovedTask(task.job().value(), task.index())));
     }
     List<AssignedJob> assigned = new ArrayList<>();
     byJob.forEach(
         (id, tasks) -> assigned.add(assignedJob(jobs.find(id).orElseThrow().spec(), tasks)));
     // A job without tasks: what runs of it is left alone. All of them, with each message.
     unreadable.jobs().forEach(id -> assigned.add(unreadableJob(id)));
-    List<String> closed = new ArrayList<>();
-    shard.machines().keySet().stream()
-        .filter(cordoned)
-        .forEach(machine -> closed.add(machine.value()));
+    List<String> cordonedMachines =
+        shard.machines().keySet().stream().filter(cordoned).map(MachineId::value).toList();
     return new ShardAssignment(
         term.value(),
         shard.id().value(),
         grant.value(),
         base,
-        shard.send(loop.now()),
+        assignments.send(loop.now()),
         removed,
         assigned,
-        closed);
+        cordonedMachines);
+  }
+
+  private static AssignedTask assignedTask(TaskAssignment assignment, Revision grant) {
+    boolean fresh = assignment.storedAt().compareTo(grant) > 0;
+    return new AssignedTask(
+        assignment.task().index(), assignment.attempt().value(), fresh, mustNotStart(assignment));
   }
 
   /**
@@ -105,17 +112,17 @@
   }
 
   private AssignedJob assignedJob(JobSpec spec, List<AssignedTask> tasks) {
-    ResourceRequest need = ResourceRequest.of(spec);
+    ResourceRequest request = ResourceRequest.of(spec);
     return new AssignedJob(
         spec.id().value(),
-        need.perTask().cpus(),
-        need.perTask().gpus(),
-        need.perTask().memoryGb(),
-        need.image(),
-        need.imageGb(),
+        request.perTask().cpus(),
+        request.perTask().gpus(),
+        request.perTask().memoryGb(),
+        request.image(),
+        request.imageGb(),
         spec.checkpointSeconds() > 0 ? spec.saveSeconds() : 0,
-        need.types().stream().map(type -> type.value()).toList(),
-        need.spotAllowed(),
+        request.types().stream().map(type -> type.value()).toList(),
+        request.spotAllowed(),
         rank.applyAsInt(spec.id()),
         tasks);
   }
--- /dev/null
+++ b/src/main/java/org/mulleinshift/sharding/HeartbeatRouter.java
@@ -0,0 +1,119 @@
+package org.mulleinshift.sharding;
+
+import static java.net.HttpURLConnection.HTTP_OK;
+import static java.net.HttpURLConnection.HTTP_UNAVAILABLE;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.mulleinshift.model.ClusterView;
+import org.mulleinshift.model.ClusterView.GrantRecord;
+import org.mulleinshift.protocol.JobCodec;
+import org.mulleinshift.protocol.NodeId;
+import org.mulleinshift.protocol.ShardId;
+import org.mulleinshift.protocol.WorkerCodec;
+import org.mulleinshift.protocol.WorkerHeartbeat;
+import org.mulleinshift.protocol.peer.UnknownWorkerReport;
+import org.mulleinshift.transport.Responder;
+
+/** Has heartbeats answered by the owner of the machine's shard, here or on another controller. */
+final class HeartbeatRouter {
+  /** "Misdirected request": another controller is to be asked. */
+  private static final int HTTP_MISDIRECTED = 421;
+
+  private static final String NO_REDIRECT = "{}";
+
+  private final NodeId self;
+  private final ClusterView view;
+  private final OwnedShards.Peers peers;
+  private final Map<ShardId, ShardOwner> owned;
+  private final Consumer<Object> toLeader;
+  private final WorkerProber prober;
+  private final SuspicionReporter suspicions;
+
+  /**
+   * A router of one controller.
+   *
+   * @param owned the shards that it owns, as of now at any time
+   */
+  HeartbeatRouter(
+      NodeId self,
+      ClusterView view,
+      ShardOwner.Context context,
+      OwnedShards.Peers peers,
+      Map<ShardId, ShardOwner> owned,
+      Consumer<Object> toLeader) {
+    this.self = self;
+    this.view = view;
+    this.peers = peers;
+    this.owned = owned;
+    this.toLeader = toLeader;
+    this.prober = new WorkerProber(context.workers());
+    this.suspicions = new SuspicionReporter(context.loop(), view, toLeader);
+  }
+
+  /** Answers the heartbeat, or names the controller that should. */
+  void route(WorkerHeartbeat heartbeat, Responder responder) {
+    Optional<ShardId> shard = view.shardOf(heartbeat.machine());
+    if (shard.isEmpty()) {
+      prober.probe(heartbeat, () -> reportUnknownWorker(heartbeat));
+      responder.respond(HTTP_MISDIRECTED, NO_REDIRECT);
+      return;
+    }
+    ShardOwner owner = owned.get(shard.get());
+    if (owner == null) {
+      Optional<NodeId> next = redirectTarget(shard.get(), heartbeat);
+      responder.respond(HTTP_MISDIRECTED, next.map(WorkerCodec::redirect).orElse(NO_REDIRECT));
+      return;
+    }
+    Optional<String> answer = owner.onHeartbeat(heartbeat);
+    if (answer.isPresent()) {
+      responder.respond(HTTP_OK, answer.get());
+    } else {
+      responder.respond(HTTP_UNAVAILABLE, JobCodec.error("not entitled"));
+    }
+  }
+
+  private void reportUnknownWorker(WorkerHeartbeat heartbeat) {
+    toLeader.accept(
+        new UnknownWorkerReport(
+            heartbeat.machine().value(),
+            heartbeat.address(),
+            heartbeat.type().value(),
+            heartbeat.zone().value(),
+            heartbeat.spot()));
+  }
+
+  /** The controller that should answer a machine of a shard that is not owned here. */
+  private Optional<NodeId> redirectTarget(ShardId shard, WorkerHeartbeat heartbeat) {
+    GrantRecord grant = view.grants().get(shard);
+    if (grant == null || grant.owner().equals(self)) {
+      return Optional.empty();
+    }
+    if (peers.answersWorkers().test(grant.owner())) {
+      return Optional.of(grant.owner());
+    }
+    prober.probe(heartbeat, () -> suspicions.report(shard, heartbeat.machine()));
+    return redirectPast(grant.owner());
+  }
+
+  /**
+   * A worker that is sent nowhere tries the next controller by itself. Where that is the very one
+   * that does not answer it, the one after is named: each attempt there costs a third of its lease.
+   */
+  private Optional<NodeId> redirectPast(NodeId unresponsive) {
+    List<NodeId> all = new ArrayList<>(peers.nodes());
+    all.add(self);
+    all.sort(Comparator.comparing(NodeId::value));
+    int own = all.indexOf(self);
+    if (!all.get((own + 1) % all.size()).equals(unresponsive)) {
+      return Optional.empty();
+    }
+    NodeId following = all.get((own + 2) % all.size());
+    return Optional.of(following)
+        .filter(node -> !node.equals(self) && peers.answersWorkers().test(node));
+  }
+}
--- /dev/null
+++ b/src/main/java/org/mulleinshift/sharding/LivenessMonitor.java
@@ -0,0 +1,155 @@
+package org.mulleinshift.sharding;
+
+import java.time.Duration;
+import java.util.List;
+import java.util.stream.Stream;
+import org.mulleinshift.settings.PlatformSettings.WorkerTiming;
+import org.mulleinshift.transport.EventLoop;
+import org.mulleinshift.transport.MonotonicTime;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Tells from the heartbeats that came, and those that did not, which machines of a shard are alive
+ * and on which nothing can run any more.
+ */
+final class LivenessMonitor {
+  private static final Logger LOG = LoggerFactory.getLogger(LivenessMonitor.class);
+
+  /** Clocks may run apart by this fraction of a worker's lease. */
+  private static final int CLOCK_DRIFT_DIVISOR = 500;
+
+  private static final Duration EXPIRY_MARGIN = Duration.ofMillis(500);
+  private static final Duration LOST_MARGIN = Duration.ofSeconds(1);
+
+  /** A machine is suspected after two and a half report intervals. */
+  private static final int SUSPECTED_AFTER_HALF_INTERVALS = 5;
+
+  private final EventLoop loop;
+  private final WorkerTiming timing;
+  private final Duration shardLease;
+  private final ShardState state;
+  private final AssignmentReceiver assignments;
+  private final MonotonicTime startedAt;
+  private MonotonicTime listeningSince;
+
+  /**
+   * A monitor that starts with the grant.
+   *
+   * @param timing of workers
+   * @param shardLease for how long an earlier owner may still act
+   */
+  LivenessMonitor(
+      EventLoop loop,
+      WorkerTiming timing,
+      Duration shardLease,
+      ShardState state,
+      AssignmentReceiver assignments) {
+    this.loop = loop;
+    this.timing = timing;
+    this.shardLease = shardLease;
+    this.state = state;
+    this.assignments = assignments;
+    this.startedAt = loop.now();
+    this.listeningSince = startedAt;
+  }
+
+  /** Checks all machines; to be called only by an owner that may act. */
+  void tick() {
+    MonotonicTime now = loop.now();
+    for (OwnedMachine machine : state.machines()) {
+      if (justAnswered(machine, now)) {
+        continue;
+      }
+      boolean mayHaveTasks = machine.record().up() || machine.answeredAt().isPresent();
+      if (mayHaveTasks
+          && machine.phase() != MachinePhase.EXPIRED
+          && now.isAfter(workerLeaseExpiry(machine))) {
+        expire(machine);
+      }
+      state.updateLiveness(machine, livenessOf(machine, now));
+    }
+  }
+
+  private void expire(OwnedMachine machine) {
+    LOG.info("worker lease expired, machine={}", machine.id());
+    state.transition(machine, MachinePhase.EXPIRED);
+    machine.unassignedTasks(List.of());
+    state.updateOccupied(machine, assignments.unreadableJobs());
+    state.finishAllOn(machine);
+  }
+
+  /** Most machines, most of the time: neither silent nor near the end of any lease. */
+  private boolean justAnswered(OwnedMachine machine, MonotonicTime now) {
+    return machine.liveness() == OwnedMachine.Liveness.ALIVE
+        && machine.phase() == MachinePhase.CONFIRMED
+        && machine.answeredAt().isPresent()
+        && now.since(machine.answeredAt().get()).compareTo(timing.reportInterval()) < 0;
+  }
+
+  /**
+   * When the worker has surely ended its epoch. Until it has shown that it knows our token, the
+   * shard's earlier owner may have answered it, for as long as a shard lease lasts.
+   */
+  private MonotonicTime workerLeaseExpiry(OwnedMachine machine) {
+    MonotonicTime lastAnswer = machine.answeredAt().orElse(startedAt);
+    if (machine.phase() != MachinePhase.CONFIRMED) {
+      MonotonicTime earlierOwner = startedAt.plus(shardLease);
+      lastAnswer = earlierOwner.isAfter(lastAnswer) ? earlierOwner : lastAnswer;
+    }
+    Duration lease = timing.lease();
+    return lastAnswer.plus(lease).plus(lease.dividedBy(CLOCK_DRIFT_DIVISOR)).plus(EXPIRY_MARGIN);
+  }
+
+  /** Whoever reported while this process stood still was not heard: they were not silent. */
+  void onProcessPause() {
+    listeningSince = loop.now();
+  }
+
+  /** How many machines should be heard by now. */
+  int expectedMachines() {
+    return (int) expected().count();
+  }
+
+  /** How many of those are not heard. */
+  int unreachableMachines() {
+    return (int) expected().filter(m -> m.liveness() != OwnedMachine.Liveness.ALIVE).count();
+  }
+
+  /** Machines that should be heard by now: none that may still be looking for this node. */
+  private Stream<OwnedMachine> expected() {
+    Duration owned = loop.now().since(startedAt);
+    boolean settled = owned.compareTo(timing.lease()) > 0 && owned.compareTo(shardLease) > 0;
+    return state.machines().stream()
+        .filter(m -> m.record().up() && (settled || m.reachedAt().isPresent()));
+  }
+
+  /** Whether the machine is alive now, by what was heard of it and what it heard. */
+  OwnedMachine.Liveness livenessOf(OwnedMachine machine, MonotonicTime now) {
+    MonotonicTime lastHeard = machine.reachedAt().orElse(startedAt);
+    Duration silence = now.since(listeningSince.isAfter(lastHeard) ? listeningSince : lastHeard);
+    Duration awaitingEcho = machine.awaitingEchoSince().map(now::since).orElse(Duration.ZERO);
+    if (silence.compareTo(lostAfter(machine)) > 0
+        || awaitingEcho.compareTo(timing.lease().multipliedBy(2)) > 0) {
+      return OwnedMachine.Liveness.LOST;
+    }
+    boolean suspected =
+        silence.compareTo(suspectedAfter()) >= 0 || machine.awaitingEchoSince().isPresent();
+    return suspected ? OwnedMachine.Liveness.SUSPECTED : OwnedMachine.Liveness.ALIVE;
+  }
+
+  private Duration suspectedAfter() {
+    return timing.reportInterval().multipliedBy(SUSPECTED_AFTER_HALF_INTERVALS).dividedBy(2);
+  }
+
+  private Duration lostAfter(OwnedMachine machine) {
+    Duration lost = timing.lease().plus(LOST_MARGIN);
+    if (machine.reachedAt().isPresent()) {
+      return lost;
+    }
+    // The shard's earlier owner may answer it for a shard lease; then it must find this node.
+    // No longer than that: an unreachable zone's machines are replaced during the outage.
+    Duration answeredElsewhere = shardLease.plus(suspectedAfter());
+    return answeredElsewhere.compareTo(lost) > 0 ? answeredElsewhere : lost;
+  }
+}
--- a/src/main/java/org/mulleinshift/sharding/MachinePhase.java
+++ b/src/main/java/org/mulleinshift/sharding/MachinePhase.java
@@ -1,15 +1,15 @@
 package org.mulleinshift.sharding;
 
-/** How an owner stands with a machine of its shard. */
+/** What an owner knows of a machine of its shard. */
 public enum MachinePhase {
-  /** No report under this grant yet. */
+  /** No heartbeat under this grant yet. */
   UNSEEN("UNSEEN"),
-  /** It reports, but has not yet shown that it knows the token. */
+  /** It reports, but has not yet shown that it has received the token. */
   REPORTING("HEARD"),
-  /** It knows the token: what it reports is all that is on it. */
+  /** It has received the token: what it reports is all that is on it. */
   CONFIRMED("CONFIRMED"),
-  /** Its worker lease is surely over: nothing runs on it. */
-  SILENT("SILENT");
+  /** Its worker lease has certainly expired: nothing runs on it. */
+  EXPIRED("SILENT");
 
   private final String wireName;
 
--- a/src/main/java/org/mulleinshift/sharding/MachineTable.java
+++ b/src/main/java/org/mulleinshift/sharding/MachineTable.java
@@ -9,13 +9,13 @@
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** The rented machines as the leader of a term tracks them, by id. */
+/** The provisioned machines as the leader of a term tracks them, by id. */
 public final class MachineTable {
   private final EventLoop loop;
   private final ShardTable shards;
   private final Map<MachineId, Machine> machines = new HashMap<>();
 
-  /** An empty table; the shards tell which machines are stored as up. */
+  /** An empty table; the shards know which machines are stored as up. */
   public MachineTable(EventLoop loop, ShardTable shards) {
     this.loop = loop;
     this.shards = shards;
--- a/src/main/java/org/mulleinshift/sharding/OwnedMachine.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedMachine.java
@@ -2,7 +2,6 @@
 
 import java.time.Duration;
 import java.util.ArrayList;
-import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -20,45 +19,46 @@
 import org.mulleinshift.protocol.peer.MachineStatus;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** A machine of a held shard. */
+/** A machine of an owned shard, as its owner knows it. */
 public final class OwnedMachine {
-  /** Low bits of a token, for raising it on one machine without a new grant. */
-  static final int LOCAL_TOKEN_BITS = 20;
+  /** A worker takes no answer later than 4 s after its heartbeat; and more for drift. */
+  private static final Duration ANSWER_AWAITED = Duration.ofMillis(4500);
 
-  /** A worker takes no answer later than 4 s after its report; and more for drift. */
-  private static final Duration ANSWERS_AWAITED = Duration.ofMillis(4500);
+  /** Reported in place of a phase: tasks run on it that this build must leave alone. */
+  private static final String OCCUPIED = "OCCUPIED";
 
   private final MachineId id;
+  private final MachineToken token;
+  private final ImageCache imageCache = new ImageCache();
+  private final Map<TaskId, OwnedTask> tasks = new LinkedHashMap<>();
   private MachineRecord record;
   private MachinePhase phase = MachinePhase.UNSEEN;
-  private FencingToken token;
+  private Liveness liveness = Liveness.ALIVE;
   private HeartbeatVersion lastHeartbeat = HeartbeatVersion.NEVER;
   private MonotonicTime lastHeartbeatAt;
   private String address = "";
   private Optional<MonotonicTime> answeredAt = Optional.empty();
   private Optional<MonotonicTime> reachedAt = Optional.empty();
-  private Optional<MonotonicTime> awaitingEchoSince = Optional.empty();
   private Optional<Duration> interruptionNotice = Optional.empty();
-  private static final String OCCUPIED = "OCCUPIED";
-
-  private boolean occupied;
   private List<WorkerHeartbeat.Entry> unassignedTasks = new ArrayList<>();
-  private final Map<String, Double> images = new LinkedHashMap<>();
-  private final Map<TaskId, OwnedTask> tasks = new LinkedHashMap<>();
+  private boolean occupied;
   private Resources used = Resources.ZERO;
-  private List<WorkerHeartbeat.Entry> markApplied = List.of();
+
+  /** Counts changes of the tasks bound to it. */
   private long bindings;
+
+  private List<WorkerHeartbeat.Entry> appliedEntries = List.of();
   private long appliedBindings = -1;
-  private Liveness liveness = Liveness.ALIVE;
   private boolean directCommandInFlight;
   private boolean commandsPending;
 
   /** For how long a machine has not been heard, as far as it matters to the leader. */
   public enum Liveness {
+    /** It reports, and receives the answers. */
     ALIVE("HEARD"),
-    /** Reports are missing, or it may not hear this node: it takes nothing new. */
+    /** Heartbeats are missing, or it may not receive answers: it takes nothing new. */
     SUSPECTED("QUIET"),
-    /** For longer than its lease. */
+    /** Not heard for longer than its lease. */
     LOST("GONE");
 
     private final String wireName;
@@ -73,20 +73,17 @@
     }
   }
 
+  /**
+   * A machine of which nothing was heard under this grant.
+   *
+   * @param record of the machine, as stored
+   * @param grant under which this node owns its shard
+   */
   OwnedMachine(MachineId id, MachineRecord record, Revision grant, MonotonicTime now) {
     this.lastHeartbeatAt = now;
     this.id = id;
     this.record = record;
-    this.token = firstToken(grant);
-  }
-
-  /** Rises with every grant, since the store's revisions do. */
-  static FencingToken firstToken(Revision grant) {
-    return new FencingToken(grant.value() << LOCAL_TOKEN_BITS);
-  }
-
-  static boolean belongsTo(FencingToken token, Revision grant) {
-    return token.value() >> LOCAL_TOKEN_BITS == grant.value();
+    this.token = new MachineToken(grant);
   }
 
   /** The only place where the phase changes. */
@@ -94,25 +91,24 @@
     phase = next;
   }
 
-  /**
-   * Orders were not answered: from now on whatever was sent under the old token is dropped by a
-   * worker that hears the new one. Until it shows that it does, nobody knows whether it hears
-   * anything, whatever it says.
-   */
+  /** Commands under the old token may not have arrived, and must not count any more. */
   void raiseToken(MonotonicTime now) {
-    token = new FencingToken(token.value() + 1);
-    awaitingEchoSince = Optional.of(awaitingEchoSince.orElse(now));
+    token.raise(now);
+  }
+
+  /** The worker knows a higher token of the same grant. */
+  void adoptToken(FencingToken reported) {
+    token.adopt(reported);
   }
 
-  /** Since when it has shown no sign that it hears this node; empty if it has. */
+  /** Since when it has shown no sign that it receives from this node; empty if it has. */
   Optional<MonotonicTime> awaitingEchoSince() {
-    return awaitingEchoSince;
+    return token.awaitingEchoSince();
   }
 
-  void adoptToken(FencingToken seen) {
-    if (seen.compareTo(token) > 0) {
-      token = seen;
-    }
+  /** Whether the worker that sent the heartbeat has received the current token. */
+  boolean isTokenKnownBy(WorkerHeartbeat heartbeat) {
+    return token.isKnownBy(heartbeat.highestToken());
   }
 
   /**
@@ -120,77 +116,86 @@
    * its worker waits for no answer to it any more. Such a one shows no sign of life, and an answer
    * to it renews nothing.
    */
-  boolean isDelayedDuplicate(WorkerHeartbeat report, MonotonicTime now) {
-    return !report.version().isAfter(lastHeartbeat)
-        && now.since(lastHeartbeatAt).compareTo(ANSWERS_AWAITED) > 0;
+  boolean isDelayedDuplicate(WorkerHeartbeat heartbeat, MonotonicTime now) {
+    return !heartbeat.version().isAfter(lastHeartbeat)
+        && now.since(lastHeartbeatAt).compareTo(ANSWER_AWAITED) > 0;
   }
 
-  void onHeartbeat(WorkerHeartbeat report, MonotonicTime now) {
-    lastHeartbeat = report.version();
+  /** Notes what a newer heartbeat tells of the machine itself. */
+  void onHeartbeat(WorkerHeartbeat heartbeat, MonotonicTime now) {
+    lastHeartbeat = heartbeat.version();
     lastHeartbeatAt = now;
-    address = report.address();
-    interruptionNotice = report.interruptionNotice();
-    if (report.highestToken().compareTo(token) >= 0) {
-      awaitingEchoSince = Optional.empty();
-    }
+    address = heartbeat.address();
+    interruptionNotice = heartbeat.interruptionNotice();
+    token.onReported(heartbeat.highestToken());
   }
 
-  /** All that the report says was taken over. */
-  void markApplied(WorkerHeartbeat report) {
-    markApplied = report.tasks();
+  /** All that the heartbeat reports was taken over. */
+  void markApplied(WorkerHeartbeat heartbeat) {
+    appliedEntries = heartbeat.tasks();
     appliedBindings = bindings;
   }
 
   /**
-   * Whether the report says what the last one did, of a machine that is as it should be: then
-   * nothing follows from it but that the machine is there. Most reports are such.
+   * Whether the heartbeat reports what the last one did, of a machine that is as it should be: then
+   * nothing follows from it but that the machine is there. Most heartbeats are such.
    */
-  boolean isUnchanged(WorkerHeartbeat report) {
+  boolean isUnchanged(WorkerHeartbeat heartbeat) {
+    return isSettled()
+        && heartbeat.version().epoch() == lastHeartbeat.epoch()
+        && heartbeat.interruptionNotice().isPresent() == interruptionNotice.isPresent()
+        && isTokenKnownBy(heartbeat)
+        && heartbeat.tasks().size() == tasks.size()
+        && heartbeat.tasks().equals(appliedEntries);
+  }
+
+  private boolean isSettled() {
     return bindings == appliedBindings
         && phase == MachinePhase.CONFIRMED
-        && awaitingEchoSince.isEmpty()
-        && unassignedTasks.isEmpty()
-        && report.version().epoch() == lastHeartbeat.epoch()
-        && report.interruptionNotice().isPresent() == interruptionNotice.isPresent()
-        && report.highestToken().compareTo(token) >= 0
-        && report.tasks().size() == tasks.size()
-        && report.tasks().equals(markApplied);
+        && awaitingEchoSince().isEmpty()
+        && unassignedTasks.isEmpty();
   }
 
-  /** A report came, whether or not this node may answer it. */
+  /** A heartbeat came, whether or not this node may answer it. */
   void markReached(MonotonicTime now) {
     reachedAt = Optional.of(now);
   }
 
+  /** When a heartbeat last came. */
   Optional<MonotonicTime> reachedAt() {
     return reachedAt;
   }
 
+  /** A heartbeat is answered, which renews the worker's lease. */
   void markAnswered(MonotonicTime now) {
     answeredAt = Optional.of(now);
   }
 
+  /** When a heartbeat was last answered. */
+  Optional<MonotonicTime> answeredAt() {
+    return answeredAt;
+  }
+
   /**
-   * A task runs from the image, so the machine has it; those used longest ago no longer fit. False
-   * if it was known already.
+   * A task runs from the image, so the machine has it.
+   *
+   * @return whether the set of images changed
    */
-  boolean addImage(String image, double gb, double cacheGb) {
-    boolean news = images.remove(image) == null;
-    images.put(image, gb);
-    double total = images.values().stream().mapToDouble(Double::doubleValue).sum();
-    Iterator<Double> oldest = images.values().iterator();
-    while (images.size() > 1 && total > cacheGb) {
-      total -= oldest.next();
-      oldest.remove();
-      news = true;
-    }
-    return news;
+  boolean addImage(String image, double sizeGb, double cacheGb) {
+    return imageCache.use(image, sizeGb, cacheGb);
+  }
+
+  /** The images that its cache holds. */
+  Set<String> images() {
+    return imageCache.images();
   }
 
+  /** Takes over the machine's record as stored now. */
   void update(MachineRecord next) {
     record = next;
   }
 
+  /** The task is, or possibly is, on it. */
   void bind(OwnedTask task) {
     bindings++;
     if (tasks.put(task.task(), task) == null) {
@@ -198,6 +203,7 @@
     }
   }
 
+  /** The task is no longer on it. */
   void release(OwnedTask task) {
     bindings++;
     if (tasks.remove(task.task(), task)) {
@@ -210,18 +216,23 @@
     return new ArrayList<>(tasks.values());
   }
 
-  /** What those tasks take of it. */
+  /** What those tasks use of it. */
   Resources used() {
     return used;
   }
 
-  /** Notes how long it has been silent; tells whether that is news. */
-  boolean liveness(Liveness now) {
-    boolean news = liveness != now;
-    liveness = now;
-    return news;
+  /**
+   * Notes how long it has not been heard.
+   *
+   * @return whether that differs from before
+   */
+  boolean updateLiveness(Liveness next) {
+    boolean changed = liveness != next;
+    liveness = next;
+    return changed;
   }
 
+  /** For how long it has not been heard, as last noted. */
   Liveness liveness() {
     return liveness;
   }
@@ -239,74 +250,84 @@
   }
 
   FencingToken token() {
-    return token;
+    return token.value();
   }
 
   HeartbeatVersion lastHeartbeat() {
     return lastHeartbeat;
   }
 
+  /** Where its worker takes direct commands; empty before the first heartbeat. */
   String address() {
     return address;
   }
 
-  Optional<MonotonicTime> answeredAt() {
-    return answeredAt;
-  }
-
   /** The cloud takes it away soon. */
   boolean interrupted() {
     return interruptionNotice.isPresent();
   }
 
+  /** What its last heartbeat reports of attempts that are not assigned here. */
   List<WorkerHeartbeat.Entry> unassignedTasks() {
     return unassignedTasks;
   }
 
-  void unassignedTasks(List<WorkerHeartbeat.Entry> found) {
-    unassignedTasks = found;
+  /** Replaces what is known of unassigned attempts on it. */
+  void unassignedTasks(List<WorkerHeartbeat.Entry> reported) {
+    unassignedTasks = reported;
   }
 
   /**
-   * Whether tasks run on it that are not this build's to judge; then it takes no others. Tells
-   * whether that is new.
+   * Notes whether tasks run on it that are not this build's to judge; then it takes no others.
+   *
+   * @return whether that differs from before
    */
-  boolean updateOccupied(Set<JobId> leftAlone) {
+  boolean updateOccupied(Set<JobId> unreadableJobs) {
     boolean before = occupied;
     occupied =
         unassignedTasks.stream()
             .filter(entry -> entry.state() != WorkerHeartbeat.State.EXITED)
-            .anyMatch(entry -> leftAlone.contains(entry.task().job()));
+            .anyMatch(entry -> unreadableJobs.contains(entry.task().job()));
     return before != occupied;
   }
 
-  /** Whether such tasks run on it, as its owner told. */
-  public static boolean occupied(MachineStatus report) {
-    return report.getPhase().equals(OCCUPIED);
+  /** Whether such tasks run on it, as its owner reported. */
+  public static boolean occupied(MachineStatus status) {
+    return status.getPhase().equals(OCCUPIED);
   }
 
-  /** What the leader hears of the machine's phase. */
+  /** What is reported to the leader as the machine's phase. */
   String reportedPhase() {
     return occupied ? OCCUPIED : phase().wireName();
   }
 
-  Set<String> images() {
-    return images.keySet();
-  }
-
+  /** Whether a direct message was sent that is not answered yet and may still arrive in time. */
   boolean directCommandInFlight() {
     return directCommandInFlight;
   }
 
-  void directCommandInFlight(boolean value) {
-    directCommandInFlight = value;
+  /** A direct message is sent; no other one is until it has ended. */
+  void markDirectCommandSent() {
+    directCommandInFlight = true;
+  }
+
+  /** The direct message was answered, or its deadline has passed. */
+  void markDirectCommandEnded() {
+    directCommandInFlight = false;
   }
 
+  /** Whether there may be commands that were not sent yet. */
   boolean commandsPending() {
     return commandsPending;
   }
 
-  void commandsPending(boolean value) {
-    commandsPending = value;
+  /** There may be commands that were not sent yet. */
+  void markCommandsPending() {
+    commandsPending = true;
+  }
+
+  /** All commands that are known now are being sent. */
+  void clearCommandsPending() {
+    commandsPending = false;
   }
 }
--- a/src/main/java/org/mulleinshift/sharding/OwnedShards.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedShards.java
@@ -1,16 +1,13 @@
 package org.mulleinshift.sharding;
 
+import static java.net.HttpURLConnection.HTTP_BAD_REQUEST;
+
 import java.net.InetSocketAddress;
 import java.time.Duration;
-import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
-import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import org.mulleinshift.membership.ControllerSession;
@@ -19,52 +16,56 @@
 import org.mulleinshift.model.ClusterView.GrantRecord;
 import org.mulleinshift.protocol.JobCodec;
 import org.mulleinshift.protocol.JobId;
-import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.WorkerCodec;
 import org.mulleinshift.protocol.WorkerHeartbeat;
-import org.mulleinshift.protocol.peer.OwnerSuspicion;
 import org.mulleinshift.protocol.peer.ShardAssignment;
 import org.mulleinshift.protocol.peer.ShardStatusAck;
-import org.mulleinshift.protocol.peer.UnknownWorkerReport;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.HttpRequest;
 import org.mulleinshift.transport.Responder;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The shards that this node holds; sends workers of other shards to their owners. */
+/** The shards that this controller owns: adopts and releases them as they are granted. */
 public final class OwnedShards {
   private static final Logger LOG = LoggerFactory.getLogger(OwnedShards.class);
   private static final Duration TICK = Duration.ofMillis(250);
-  private static final Duration REPORT_SPACING = Duration.ofMillis(80);
-  private static final Duration REPORT_AT_LEAST = Duration.ofSeconds(1);
-
-  private static final Duration SUSPICION_BATCHING = Duration.ofMillis(400);
-  private static final Duration PROBE_DEADLINE = Duration.ofMillis(1200);
-  private static final int MAX_PROBES = 64;
+  private static final int MALFORMED_PER_LOG_LINE = 100;
 
-  /** What the desk asks of the other controllers. */
+  /**
+   * What the owner of shards uses of the other controllers.
+   *
+   * @param nodes the other controllers
+   * @param answersWorkers whether a controller answers its workers, as far as is known
+   * @param onReachabilityChange run when this controller's reachability by workers has changed
+   */
   public record Peers(
-      List<NodeId> nodes, Predicate<NodeId> answersWorkers, Runnable sendHeartbeat) {}
+      List<NodeId> nodes, Predicate<NodeId> answersWorkers, Runnable onReachabilityChange) {}
 
   private final EventLoop loop;
   private final NodeId self;
   private final ClusterView view;
   private final ControllerSession session;
   private final ShardOwner.Context context;
-  private final Peers peers;
-  private final Consumer<Object> toLeader;
   private final Map<ShardId, ShardOwner> owned = new HashMap<>();
-  private final Set<MachineId> probing = new HashSet<>();
-  private final Map<ShardId, Set<MachineId>> suspect = new HashMap<>();
-  private final WorkerReachability workers;
-  private boolean reportPlanned;
+  private final WorkerReachability reachability;
+  private final HeartbeatRouter router;
+  private final StatusPublisher statuses;
   private long malformedHeartbeats;
 
+  /**
+   * A controller that owns no shard yet.
+   *
+   * @param self this controller
+   * @param view control keys as last shown
+   * @param session the lease under which it owns shards
+   * @param context for each owned shard
+   * @param peers the other controllers
+   * @param toLeader sends a peer message to the leader
+   */
   public OwnedShards(
       NodeId self,
       ClusterView view,
@@ -77,20 +78,21 @@
     this.view = view;
     this.session = session;
     this.context = context;
-    this.peers = peers;
-    this.toLeader = toLeader;
-    this.workers =
+    this.router = new HeartbeatRouter(self, view, context, peers, owned, toLeader);
+    this.statuses = new StatusPublisher(loop, owned.values(), toLeader);
+    this.reachability =
         new WorkerReachability(
             loop,
             context.timing().reportInterval(),
             new WorkerReachability.Parts(
-                context.workers(), this::count, this::addresses, peers.sendHeartbeat()));
+                context.workers(), this::count, this::addresses, peers.onReachabilityChange()));
   }
 
+  /** Starts the timers. */
   public void start() {
-    workers.start();
+    reachability.start();
     loop.after(TICK, this::tick);
-    loop.after(REPORT_AT_LEAST, this::reportStatusPeriodically);
+    statuses.start();
   }
 
   private void tick() {
@@ -102,219 +104,111 @@
   }
 
   /**
-   * Shards that this node may no longer act for say nothing: their machines may have gone to
+   * Shards that this node may no longer act for are not counted: their machines may have gone to
    * others.
    */
   private WorkerReachability.Count count() {
-    int known = 0;
-    int silent = 0;
+    int expected = 0;
+    int unreachable = 0;
     for (ShardOwner owner : owned.values()) {
       if (owner.mayAct()) {
-        known += owner.knownMachines();
-        silent += owner.silentMachines();
+        expected += owner.expectedMachines();
+        unreachable += owner.unreachableMachines();
       }
     }
-    return new WorkerReachability.Count(known, silent);
+    return new WorkerReachability.Count(expected, unreachable);
   }
 
   private List<InetSocketAddress> addresses() {
     return owned.values().stream().flatMap(owner -> owner.addresses().stream()).toList();
   }
 
+  /** Whether this controller is reached by its workers. */
   public WorkerReachability.State reachability() {
-    return workers.state();
-  }
-
-  private void reportStatusPeriodically() {
-    loop.after(REPORT_AT_LEAST, this::reportStatusPeriodically);
-    owned.values().forEach(owner -> toLeader.accept(owner.statusReporter().periodicStatus()));
+    return reachability.state();
   }
 
-  /** Something that the leader should know; several changes share a report. */
+  /** Something that the leader should know has changed; several changes share a status. */
   public void reportStatusSoon() {
-    if (!reportPlanned) {
-      reportPlanned = true;
-      loop.after(
-          REPORT_SPACING,
-          () -> {
-            reportPlanned = false;
-            sendReports();
-          });
-    }
-  }
-
-  private void sendReports() {
-    for (ShardOwner owner : owned.values()) {
-      if (owner.statusReporter().hasUnsentChanges()) {
-        toLeader.accept(owner.statusReporter().incrementalStatus());
-      }
-    }
+    statuses.publishSoon();
   }
 
-  /** Takes up and gives up shards as the store says. */
+  /** The store shows other grants or shards: adopts and releases shards accordingly. */
   public void onControlChange() {
     Map<ShardId, Revision> verified = session.grants();
-    owned
-        .entrySet()
-        .removeIf(
-            entry -> {
-              boolean lost = !entry.getValue().grant().equals(verified.get(entry.getKey()));
-              if (lost) {
-                LOG.info("block {} given up", entry.getKey());
-              }
-              return lost;
-            });
+    releaseLost(verified);
     for (Map.Entry<ShardId, GrantRecord> entry : view.grants().entrySet()) {
       ShardId shard = entry.getKey();
       GrantRecord grant = entry.getValue();
-      // Both the reading and the watch must show the grant: the watch then also shows the shard's
+      // Both the read and the watch must show the grant: the watch then also shows the shard's
       // machines as of the grant or later.
       if (grant.owner().equals(self)
           && grant.revision().equals(verified.get(shard))
           && !owned.containsKey(shard)) {
-        LOG.info("block {} taken, grant {}", shard, grant.revision());
-        Revision revision = grant.revision();
-        owned.put(
-            shard,
-            new ShardOwner(context, shard, revision, () -> session.mayActFor(shard, revision)));
+        adopt(shard, grant.revision());
       }
     }
     owned.forEach(
         (shard, owner) -> Optional.ofNullable(view.shards().get(shard)).ifPresent(owner::onRecord));
   }
 
+  private void releaseLost(Map<ShardId, Revision> verified) {
+    owned
+        .entrySet()
+        .removeIf(
+            entry -> {
+              Revision grant = entry.getValue().grant();
+              boolean lost = !grant.equals(verified.get(entry.getKey()));
+              if (lost) {
+                LOG.info("shard released, shard={} grant={}", entry.getKey(), grant);
+              }
+              return lost;
+            });
+  }
+
+  private void adopt(ShardId shard, Revision grant) {
+    LOG.info("shard adopted, shard={} grant={}", shard, grant);
+    owned.put(shard, new ShardOwner(context, shard, grant, () -> session.mayActFor(shard, grant)));
+  }
+
+  /** The leader changed the assignments of a shard; left out if it is not owned here. */
   public void onAssignment(ShardAssignment assignment) {
-    ShardOwner owner = owned.get(new ShardId(assignment.getShard()));
-    if (owner != null) {
-      owner.onAssignment(assignment);
-    }
+    find(assignment.getShard()).ifPresent(owner -> owner.onAssignment(assignment));
   }
 
-  public void onStatusAck(ShardStatusAck seen) {
-    ShardOwner owner = owned.get(new ShardId(seen.getShard()));
-    if (owner != null) {
-      owner.onStatusAck(seen);
-    }
+  /** The leader acknowledged a shard's status. */
+  public void onStatusAck(ShardStatusAck ack) {
+    find(ack.getShard()).ifPresent(owner -> owner.onStatusAck(ack));
   }
 
+  private Optional<ShardOwner> find(String shard) {
+    return Optional.ofNullable(owned.get(new ShardId(shard)));
+  }
+
+  /** The process stood still until now: what could not be heard meanwhile counts for nothing. */
   public void onProcessPause() {
-    workers.stoodStill();
+    reachability.stoodStill();
     owned.values().forEach(ShardOwner::onProcessPause);
   }
 
+  /** A job was cancelled: its tasks stop without waiting for the leader. */
   public void onCancelled(JobId job) {
     owned.values().forEach(owner -> owner.onCancelled(job));
   }
 
+  /** A worker's heartbeat came: it is answered, or sent to the owner of its shard. */
   public void onHeartbeat(String body, Responder responder) {
-    WorkerHeartbeat report;
+    WorkerHeartbeat heartbeat;
     try {
-      report = WorkerCodec.parseHeartbeat(body);
+      heartbeat = WorkerCodec.parseHeartbeat(body);
     } catch (MalformedMessageException e) {
-      if (malformedHeartbeats++ % 100 == 0) {
-        LOG.warn("malformed report: {}", e.getMessage());
-      }
-      responder.respond(400, JobCodec.error(e.getMessage()));
-      return;
-    }
-    workers.reported();
-    Optional<ShardId> shard = view.shardOf(report.machine());
-    if (shard.isEmpty()) {
-      probe(
-          report,
-          () ->
-              toLeader.accept(
-                  new UnknownWorkerReport(
-                      report.machine().value(),
-                      report.address(),
-                      report.type().value(),
-                      report.zone().value(),
-                      report.spot())));
-      responder.respond(421, "{}");
-      return;
-    }
-    ShardOwner owner = owned.get(shard.get());
-    if (owner != null) {
-      Optional<String> answer = owner.onHeartbeat(report);
-      if (answer.isPresent()) {
-        responder.respond(200, answer.get());
-      } else {
-        responder.respond(503, JobCodec.error("not entitled"));
+      if (malformedHeartbeats++ % MALFORMED_PER_LOG_LINE == 0) {
+        LOG.warn("malformed heartbeat, error={} malformed={}", e.getMessage(), malformedHeartbeats);
       }
+      responder.respond(HTTP_BAD_REQUEST, JobCodec.error(e.getMessage()));
       return;
     }
-    GrantRecord grant = view.grants().get(shard.get());
-    Optional<NodeId> next = Optional.empty();
-    if (grant != null && !grant.owner().equals(self)) {
-      if (peers.answersWorkers().test(grant.owner())) {
-        next = Optional.of(grant.owner());
-      } else {
-        probe(report, () -> suspect(shard.get(), report.machine()));
-        next = redirectAround(grant.owner());
-      }
-    }
-    responder.respond(421, next.map(WorkerCodec::redirect).orElse("{}"));
-  }
-
-  /**
-   * A worker that is sent nowhere tries the next controller by itself. Where that is the very one
-   * that does not answer it, the one after is named: each attempt there costs a third of its lease.
-   */
-  private Optional<NodeId> redirectAround(NodeId silent) {
-    List<NodeId> all = new ArrayList<>(peers.nodes());
-    all.add(self);
-    all.sort(Comparator.comparing(NodeId::value));
-    int own = all.indexOf(self);
-    if (!all.get((own + 1) % all.size()).equals(silent)) {
-      return Optional.empty();
-    }
-    NodeId after = all.get((own + 2) % all.size());
-    return Optional.of(after)
-        .filter(node -> !node.equals(self) && peers.answersWorkers().test(node));
-  }
-
-  /**
-   * The report of a machine that nobody knows, or that its owner does not answer, may be a late
-   * copy, and the machine long gone: only one that can be asked is there.
-   */
-  private void probe(WorkerHeartbeat report, Runnable ifThere) {
-    Optional<InetSocketAddress> address = WorkerAddress.parse(report.address());
-    if (address.isEmpty() || probing.size() >= MAX_PROBES || !probing.add(report.machine())) {
-      return;
-    }
-    context
-        .workers()
-        .call(
-            address.get(),
-            HttpRequest.get(WorkerCodec.STATUS, PROBE_DEADLINE),
-            reply -> {
-              probing.remove(report.machine());
-              if (reply.ok()) {
-                ifThere.run();
-              }
-            });
-  }
-
-  /** The leader hears of machines whose owner does not answer them; several share a message. */
-  private void suspect(ShardId shard, MachineId machine) {
-    if (suspect.isEmpty()) {
-      loop.after(SUSPICION_BATCHING, this::sendSuspicions);
-    }
-    suspect.computeIfAbsent(shard, key -> new TreeSet<>()).add(machine);
-  }
-
-  private void sendSuspicions() {
-    suspect.forEach(
-        (shard, machines) -> {
-          GrantRecord grant = view.grants().get(shard);
-          if (grant != null) {
-            toLeader.accept(
-                new OwnerSuspicion(
-                    shard.value(),
-                    grant.revision().value(),
-                    machines.stream().map(MachineId::value).toList()));
-          }
-        });
-    suspect.clear();
+    reachability.reported();
+    router.route(heartbeat, responder);
   }
 }
--- a/src/main/java/org/mulleinshift/sharding/OwnedTask.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedTask.java
@@ -20,32 +20,44 @@
   private Optional<MachineId> machine = Optional.empty();
   private Optional<MonotonicTime> runningSince = Optional.empty();
   private long ranMillis;
-  private boolean stop;
-
+  private boolean stopRequested;
+
+  /**
+   * A task that is on no machine yet.
+   *
+   * @param saveSeconds how long it may take to save its progress when it is stopped
+   * @param rank its job's place in the order of urgency
+   * @param fresh whether it was assigned under the shard's current grant
+   * @param receivedAt when the leader's message about it came
+   */
   OwnedTask(
       TaskId task,
       Attempt attempt,
-      ResourceRequest need,
+      ResourceRequest request,
       double saveSeconds,
       int rank,
       boolean fresh,
-      MonotonicTime takenAt) {
+      MonotonicTime receivedAt) {
     this.task = task;
     this.attempt = attempt;
-    this.request = need;
+    this.request = request;
     this.saveSeconds = saveSeconds;
     this.rank = rank;
     this.fresh = fresh;
-    this.receivedAt = takenAt;
+    this.receivedAt = receivedAt;
   }
 
-  /** The only place where the phase changes; a final phase stays. */
-  void transitionTo(TaskPhase next, MachineId where, MonotonicTime now) {
+  /**
+   * The only place where the phase changes; a final phase stays.
+   *
+   * @param where the machine, if that changes or becomes known
+   */
+  void transitionTo(TaskPhase next, Optional<MachineId> where, MonotonicTime now) {
     if (phase.isFinal()) {
       return;
     }
-    if (where != null) {
-      machine = Optional.of(where);
+    if (where.isPresent()) {
+      machine = where;
     }
     if (next == TaskPhase.RUNNING && runningSince.isEmpty()) {
       runningSince = Optional.of(now);
@@ -61,6 +73,7 @@
     return machine.isPresent() && phase != TaskPhase.NEW && !phase.isFinal();
   }
 
+  /** On that machine, or possibly so. */
   boolean boundTo(MachineId where) {
     return bound() && machine.get().equals(where);
   }
@@ -70,12 +83,13 @@
     return bound() ? machine : Optional.empty();
   }
 
+  /** It is to stop, or not to start. */
   void requestStop() {
-    stop = true;
+    stopRequested = true;
   }
 
   boolean stopRequested() {
-    return stop;
+    return stopRequested;
   }
 
   TaskId task() {
@@ -112,10 +126,12 @@
     return phase;
   }
 
+  /** The machine on which it is, possibly is, or last was. */
   Optional<MachineId> machine() {
     return machine;
   }
 
+  /** For how long it has run, or ran until it ended. */
   long ranMillis(MonotonicTime now) {
     if (phase.isFinal()) {
       return ranMillis;
--- a/src/main/java/org/mulleinshift/sharding/ShardGrants.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardGrants.java
@@ -22,7 +22,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Grants shards of machines to controllers, and has the grants stored. */
+/** Grants shards to controllers, and has the grants stored. */
 public final class ShardGrants {
   private static final Logger LOG = LoggerFactory.getLogger(ShardGrants.class);
   private static final Duration SUSPICION_WINDOW = Duration.ofSeconds(5);
@@ -33,20 +33,23 @@
   private final PeerStatus peers;
   private final ShardTable shards;
   private final Duration silenceLimit;
-  private final TransactionBatcher batcher;
   private final ShardAssigner assigner;
   private final OwnerEligibility eligibility;
 
   /**
    * Grants of one term.
    *
-   * @param zones the zone of each controller, this one included
-   * @param silenceLimit a controller that is silent for longer owns nothing
+   * @param loop for its clock
+   * @param term under which grants are written
+   * @param shards all shards
+   * @param view control keys as last shown
+   * @param peers health of all controllers
+   * @param assigner decides which shard goes where
+   * @param silenceLimit a controller that was not heard for longer owns nothing
    */
   public ShardGrants(
       EventLoop loop,
       LeadershipTerm term,
-      TransactionBatcher batcher,
       ShardTable shards,
       ClusterView view,
       PeerStatus peers,
@@ -54,7 +57,6 @@
       Duration silenceLimit) {
     this.loop = loop;
     this.term = term;
-    this.batcher = batcher;
     this.shards = shards;
     this.view = view;
     this.peers = peers;
@@ -63,41 +65,58 @@
     this.assigner = assigner;
   }
 
-  /**
-   * A controller that is silent for long, or has no session or no workers, holds nothing. One that
-   * lost the state service, or says that its workers are silent, keeps what it holds but gets no
-   * more: it could not take it up.
-   */
+  /** Grants the shards that have no owner, or should have another one. */
   public void assign() {
     if (!term.holdsValidLease()) {
       // Whoever leads by now would have to undo it.
       return;
     }
+    List<NodeId> owners = eligibleOwners();
+    List<NodeId> candidates = candidates(owners);
+    // Owned by somebody that this build can't read: not its to give to others.
+    List<ShardView> known = new ArrayList<>(shards.all());
+    known.removeIf(shard -> view.unreadableGrants().contains(shard.id()));
+    Duration unacknowledgedLimit = silenceLimit.multipliedBy(2);
+    for (ShardAssigner.Move move :
+        assigner.moves(known, owners, candidates, unacknowledgedLimit, loop.now())) {
+      grant(shards.find(move.shard().id()).orElseThrow(), move.owner());
+    }
+  }
+
+  /**
+   * Controllers that may keep the shards they own: all but those that were not heard for long, have
+   * no session or are not reached by workers.
+   */
+  private List<NodeId> eligibleOwners() {
     List<NodeId> live = new ArrayList<>(view.nodes().keySet());
     live.removeIf(node -> peers.silence(node).compareTo(silenceLimit) > 0);
-    Set<NodeId> unfit = eligibility.ineligible(suspicionsByOwner(), live, loop.now());
-    if (!unfit.containsAll(live)) {
-      live.removeAll(unfit);
+    Set<NodeId> ineligible = eligibility.ineligible(suspicionsByOwner(), live, loop.now());
+    if (!ineligible.containsAll(live)) {
+      live.removeAll(ineligible);
     }
-    List<NodeId> takers = new ArrayList<>(live);
-    takers.removeIf(
+    return live;
+  }
+
+  /**
+   * Controllers that may be granted more shards. One that lost the store, or reports that its
+   * workers don't reach it, keeps what it owns but gets no more: it could not adopt it.
+   */
+  private List<NodeId> candidates(List<NodeId> owners) {
+    List<NodeId> candidates = new ArrayList<>(owners);
+    candidates.removeIf(
         node ->
             peers.storeLost(node)
                 || peers.workerReachability(node) != WorkerReachability.State.WELL);
-    takers = takers.isEmpty() ? live : takers;
-    // Held by somebody that this build can't read: not its to give to others.
-    List<ShardView> known = new ArrayList<>(shards.all());
-    known.removeIf(shard -> view.unreadableGrants().contains(shard.id()));
-    for (ShardAssigner.Move move :
-        assigner.moves(known, live, takers, silenceLimit.multipliedBy(2), loop.now())) {
-      ShardView shard = shards.find(move.shard().id()).orElseThrow();
-      LOG.info("granting {} to {}", shard.id(), move.owner());
-      shard.granting(Optional.of(move.owner()));
-      batcher.submit(StoreKeys.grant(shard.id()), new GrantMutation(shard, move.owner()));
-    }
+    return candidates.isEmpty() ? owners : candidates;
+  }
+
+  private void grant(ShardView shard, NodeId owner) {
+    LOG.info("granting shard, shard={} owner={}", shard.id(), owner);
+    shard.pendingOwner(Optional.of(owner));
+    shards.storeGrant(shard.id(), new GrantMutation(shard, owner));
   }
 
-  /** How many machines of each owner reported elsewhere lately. */
+  /** How many machines of each owner have recently reported elsewhere. */
   private Map<NodeId, Integer> suspicionsByOwner() {
     Map<NodeId, Integer> suspicions = new HashMap<>();
     for (ShardView shard : shards.all()) {
@@ -121,20 +140,19 @@
     public List<Write> writes() {
       ClusterView.NodeRecord node = view.nodes().get(owner);
       if (node == null) {
-        shard.granting(Optional.empty());
+        shard.pendingOwner(Optional.empty());
+        return List.of();
       }
-      return node == null
-          ? List.of()
-          : List.of(
-              Write.put(StoreKeys.grant(shard.id()), ClusterView.grantValue(owner), node.lease()));
+      return List.of(
+          Write.put(StoreKeys.grant(shard.id()), ClusterView.grantValue(owner), node.lease()));
     }
 
     @Override
     public void onCommitted(Revision revision) {
-      shard.granting(Optional.empty());
+      shard.pendingOwner(Optional.empty());
       shard.grant(Optional.of(new ShardView.Grant(owner, revision)), loop.now());
-      if (shard.lastOwner(Optional.of(owner)) && batcher.hasRevision(StoreKeys.shard(shard.id()))) {
-        // Only the next fall of many asks for it.
+      if (shard.lastOwner(Optional.of(owner)) && shards.isStored(shard.id())) {
+        // Only a later failure of several controllers reads it.
         shards.storeWhenIdle(shard);
       }
       shards.notifyChanged();
--- a/src/main/java/org/mulleinshift/sharding/ShardStatusReporter.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardStatusReporter.java
@@ -1,8 +1,10 @@
 package org.mulleinshift.sharding;
 
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.ShardId;
@@ -11,9 +13,8 @@
 import org.mulleinshift.protocol.peer.ShardStatus;
 import org.mulleinshift.protocol.peer.TaskStatus;
 import org.mulleinshift.transport.EventLoop;
-import org.mulleinshift.transport.MonotonicTime;
 
-/** What an owner tells the leader of its shard: each report holds what is new since another one. */
+/** Writes the statuses of an owned shard: each holds what has changed since another one. */
 final class ShardStatusReporter {
   private final EventLoop loop;
   private final ShardId id;
@@ -26,61 +27,75 @@
   private long seenTerm;
   private long seenVersion;
   private long sequence;
-  private long confirmedSequence;
-  private long regularSequence;
+  private long acknowledgedSequence;
+
+  /** The sequence number of the last periodic status, or of the last before a resend. */
+  private long periodicSequence;
+
   private long sentAssignmentVersion;
+
+  /** The leader does not know what it was sent: the next status is built on what it does know. */
   private boolean resend;
 
+  /**
+   * A reporter for one shard under one grant.
+   *
+   * @param machines of the shard, as of now at any time
+   * @param tasks assigned to it, as of now at any time
+   * @param onStatusChange run when the leader should receive a status soon
+   */
   ShardStatusReporter(
       EventLoop loop,
       ShardId id,
       Revision grant,
       Map<MachineId, OwnedMachine> machines,
       Map<TaskId, OwnedTask> tasks,
-      Runnable onNews) {
+      Runnable onStatusChange) {
     this.loop = loop;
     this.id = id;
     this.grant = grant;
     this.machines = machines;
     this.tasks = tasks;
-    this.onStatusChange = onNews;
+    this.onStatusChange = onStatusChange;
   }
 
+  /** The next status holds the task. */
   void markChanged(TaskId task) {
     taskChanges.changed(task, sequence + 1);
   }
 
+  /** The next status holds the machine. */
   void markChanged(MachineId machine) {
     machineChanges.changed(machine, sequence + 1);
   }
 
   /** A new leader knows nothing of this shard yet. */
   void resetForNewLeader() {
-    confirmedSequence = 0;
+    acknowledgedSequence = 0;
   }
 
-  /** The assignment that the next report confirms. */
+  /** The assignment that the next status acknowledges. */
   void onAssignment(long term, long version) {
     seenTerm = term;
     seenVersion = version;
   }
 
-  /** The leader knows the shard up to this report. */
+  /** The leader knows the shard up to this status. */
   void onAck(long upTo) {
-    boolean behind = upTo < confirmedSequence;
-    confirmedSequence = upTo;
+    boolean behind = upTo < acknowledgedSequence;
+    acknowledgedSequence = upTo;
     if (behind || upTo == 0) {
-      // Another leader, or one that missed a report: it is told again from there.
-      regularSequence = sequence;
+      // Another leader, or one that missed a status: it is sent everything since once more.
+      periodicSequence = sequence;
       resend = true;
       onStatusChange.run();
     } else {
-      taskChanges.confirmed(confirmedSequence);
-      machineChanges.confirmed(confirmedSequence);
+      taskChanges.acknowledged(acknowledgedSequence);
+      machineChanges.acknowledged(acknowledgedSequence);
     }
   }
 
-  /** Whether there is anything to tell that was not yet sent. */
+  /** Whether anything has changed that was not sent yet. */
   boolean hasUnsentChanges() {
     return resend
         || seenVersion != sentAssignmentVersion
@@ -88,58 +103,70 @@
         || machineChanges.anySince(sequence);
   }
 
-  /** What is new since the last report. */
+  /** What has changed since the last status. */
   ShardStatus incrementalStatus() {
-    return buildStatus(resend ? confirmedSequence : sequence);
+    return buildStatus(resend ? acknowledgedSequence : sequence);
   }
 
-  /** Sent even without news; tells again what has stayed unconfirmed since the one before. */
+  /** Sent even without changes; repeats what has stayed unacknowledged since the one before. */
   ShardStatus periodicStatus() {
-    boolean confirmed = confirmedSequence >= regularSequence && !resend;
-    ShardStatus report = buildStatus(confirmed ? sequence : confirmedSequence);
-    regularSequence = sequence;
-    return report;
+    boolean acknowledged = acknowledgedSequence >= periodicSequence && !resend;
+    ShardStatus status = buildStatus(acknowledged ? sequence : acknowledgedSequence);
+    periodicSequence = sequence;
+    return status;
   }
 
   private ShardStatus buildStatus(long base) {
     resend = false;
     sentAssignmentVersion = seenVersion;
-    MonotonicTime now = loop.now();
-    List<MachineStatus> machineReports = new ArrayList<>();
-    for (MachineId id : base == 0 ? List.copyOf(machines.keySet()) : machineChanges.since(base)) {
-      OwnedMachine machine = machines.get(id);
-      if (machine != null) {
-        machineReports.add(
-            new MachineStatus(
-                id.value(),
-                machine.reportedPhase(),
-                machine.liveness().wireName(),
-                machine.interrupted(),
-                new ArrayList<>(machine.images())));
-      }
-    }
-    List<TaskStatus> taskReports = new ArrayList<>();
-    for (TaskId id : base == 0 ? List.copyOf(tasks.keySet()) : taskChanges.since(base)) {
-      OwnedTask task = tasks.get(id);
-      if (task != null) {
-        taskReports.add(
-            new TaskStatus(
-                id.job().value(),
-                id.index(),
-                task.attempt().value(),
-                task.phase().wireName(),
-                task.machine().map(MachineId::value).orElse(""),
-                task.ranMillis(now)));
-      }
-    }
+    List<MachineStatus> machineStatuses = machineStatusesSince(base);
+    List<TaskStatus> taskStatuses = taskStatusesSince(base);
+    sequence++;
     return new ShardStatus(
         id.value(),
         grant.value(),
         base,
-        ++sequence,
+        sequence,
         seenTerm,
         seenVersion,
-        machineReports,
-        taskReports);
+        machineStatuses,
+        taskStatuses);
+  }
+
+  private List<MachineStatus> machineStatusesSince(long base) {
+    Collection<MachineId> changed = base == 0 ? machines.keySet() : machineChanges.since(base);
+    List<MachineStatus> statuses = new ArrayList<>();
+    for (MachineId machine : changed) {
+      Optional.ofNullable(machines.get(machine)).map(this::statusOf).ifPresent(statuses::add);
+    }
+    return statuses;
+  }
+
+  private MachineStatus statusOf(OwnedMachine machine) {
+    return new MachineStatus(
+        machine.id().value(),
+        machine.reportedPhase(),
+        machine.liveness().wireName(),
+        machine.interrupted(),
+        new ArrayList<>(machine.images()));
+  }
+
+  private List<TaskStatus> taskStatusesSince(long base) {
+    Collection<TaskId> changed = base == 0 ? tasks.keySet() : taskChanges.since(base);
+    List<TaskStatus> statuses = new ArrayList<>();
+    for (TaskId task : changed) {
+      Optional.ofNullable(tasks.get(task)).map(this::statusOf).ifPresent(statuses::add);
+    }
+    return statuses;
+  }
+
+  private TaskStatus statusOf(OwnedTask task) {
+    return new TaskStatus(
+        task.task().job().value(),
+        task.task().index(),
+        task.attempt().value(),
+        task.phase().wireName(),
+        task.machine().map(MachineId::value).orElse(""),
+        task.ranMillis(loop.now()));
   }
 }
--- a/src/main/java/org/mulleinshift/sharding/ShardTable.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardTable.java
@@ -14,11 +14,11 @@
 import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.store.TransactionBatcher;
 
-/** All shards as the leader of a term knows them, and the way their records get stored. */
+/** All shards as the leader of a term knows them; has their records and grants stored. */
 public final class ShardTable {
-  /** Told of changes that others have to act on. */
+  /** Notified of changes that others have to act on. */
   public interface Listener {
-    /** An owner has to hear something new. */
+    /** Something new is to be sent to an owner. */
     void onShardChanged();
 
     /** A shard's record is stored: its machines may take tasks. */
@@ -29,7 +29,11 @@
   private final Listener listener;
   private final Map<ShardId, ShardView> shards = new TreeMap<>();
 
-  /** An empty table. */
+  /**
+   * An empty table.
+   *
+   * @param batcher stores records and grants
+   */
   public ShardTable(TransactionBatcher batcher, Listener listener) {
     this.batcher = batcher;
     this.listener = listener;
@@ -60,27 +64,27 @@
     return find(id).map(ShardView::zone).orElseGet(() -> new ZoneId(id.value()));
   }
 
-  /** The owner of the assignment's shard is to hear of it, or hear of it again. */
+  /** The owner of the assignment's shard is to receive it, or to receive it again. */
   public void publish(TaskAssignment assignment) {
     find(assignment.shard())
         .ifPresent(
             shard -> {
-              shard.publish(assignment);
+              shard.assignments().publish(assignment);
               listener.onShardChanged();
             });
   }
 
-  /** The owner of the assignment's shard is to hear that the task is no longer its own. */
+  /** The owner of the assignment's shard is to learn that the task is no longer its own. */
   public void retract(TaskAssignment assignment) {
     find(assignment.shard())
         .ifPresent(
             shard -> {
-              shard.retract(assignment);
+              shard.assignments().retract(assignment);
               listener.onShardChanged();
             });
   }
 
-  /** Something else that the shard's owner is told has changed. */
+  /** Something else that the shard's owner receives has changed. */
   public void markChanged(ShardId id) {
     find(id)
         .ifPresent(
@@ -90,14 +94,14 @@
             });
   }
 
-  /** The owner of the machine's shard hears which machines take no new task. */
+  /** The owner of the machine's shard is to learn which machines take no new task. */
   public void markChanged(MachineId machine) {
     shards.values().stream()
         .filter(shard -> shard.machines().containsKey(machine))
         .forEach(shard -> markChanged(shard.id()));
   }
 
-  /** Something that an owner has to hear has changed. */
+  /** Something that is to be sent to an owner has changed. */
   void notifyChanged() {
     listener.onShardChanged();
   }
@@ -107,11 +111,21 @@
     batcher.submit(StoreKeys.shard(shard.id()), new ShardMutation(shard));
   }
 
-  /** Has the shard's record stored once nothing else waits. */
+  /** Has the shard's record stored once nothing else is to be stored. */
   public void storeWhenIdle(ShardView shard) {
     batcher.submitWhenIdle(StoreKeys.shard(shard.id()), new ShardMutation(shard));
   }
 
+  /** Has a grant of the shard stored. */
+  void storeGrant(ShardId id, TransactionBatcher.Mutation grant) {
+    batcher.submit(StoreKeys.grant(id), grant);
+  }
+
+  /** Whether the shard's record is known to be stored. */
+  boolean isStored(ShardId id) {
+    return batcher.hasRevision(StoreKeys.shard(id));
+  }
+
   private final class ShardMutation implements TransactionBatcher.Mutation {
     private final ShardView shard;
 
--- a/src/main/java/org/mulleinshift/sharding/ShardView.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardView.java
@@ -5,7 +5,6 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -26,62 +25,61 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * A shard as the leader knows it: its machines, what its owner reported, and which tasks the owner
- * was or will be told of. Both directions carry only what has changed since a version that the
- * other side confirmed, so that a message costs what changed and not the size of the shard.
+ * A shard as the leader knows it: its machines, its grant, what its owner reported, and which tasks
+ * are assigned to it. Both directions carry only what has changed since a version that the other
+ * side acknowledged, so that a message costs what changed and not the size of the shard.
  */
 public final class ShardView implements AssignableShard {
-  /** A shard's standing grant. */
+  /**
+   * A shard's current grant.
+   *
+   * @param revision of the store at which it was written: rises with every grant
+   */
   public record Grant(NodeId owner, Revision revision) {}
 
   private final ShardId id;
   private final ZoneId zone;
   private final Map<MachineId, MachineRecord> machines = new TreeMap<>();
   private final Map<MachineId, MachineStatus> statuses = new HashMap<>();
-  private final Map<TaskId, TaskAssignment> published = new LinkedHashMap<>();
-  private final ChangeLog<TaskId> changes = new ChangeLog<>();
-  private Optional<Grant> grant = Optional.empty();
-  private Optional<NodeId> granting = Optional.empty();
-  private boolean onStatus;
-  private long lastSequence;
-  private long seenSequence;
-  private MonotonicTime statusAt;
-  private MonotonicTime heardAt;
-  private MonotonicTime waitingSince;
-  private long confirmedVersion;
-  private long heardVersion;
-  private long sentVersion;
-  private long base;
-  private boolean dirty = true;
+  private final Map<MachineId, MonotonicTime> suspicions = new HashMap<>();
+  private final PublishedAssignments assignments;
   private Optional<UnknownFields> unknownFields = Optional.empty();
+  private Optional<Grant> grant = Optional.empty();
+  private MonotonicTime grantChangedAt;
+  private Optional<NodeId> pendingOwner = Optional.empty();
   private Optional<NodeId> lastOwner = Optional.empty();
-  private MonotonicTime grantedAt;
-  private final Map<MachineId, MonotonicTime> suspicions = new HashMap<>();
+  private boolean statusReceived;
+  private MonotonicTime statusAt;
+  private long lastSequence;
+  private long acknowledgedSequence;
 
+  /** A shard without machines and without an owner. */
   public ShardView(ShardId id, ZoneId zone, MonotonicTime now) {
     this.id = id;
     this.zone = zone;
     this.statusAt = now;
-    this.heardAt = now;
-    this.waitingSince = now;
-    this.grantedAt = now;
+    this.grantChangedAt = now;
+    this.assignments = new PublishedAssignments(now);
   }
 
-  /** Who held the shard last, by its record or by its grants since; tells whether that is new. */
-  public boolean lastOwner(Optional<NodeId> owner) {
-    boolean news = owner.isPresent() && !owner.equals(lastOwner);
-    lastOwner = news ? owner : lastOwner;
-    return news;
+  @Override
+  public ShardId id() {
+    return id;
   }
 
   @Override
-  public Optional<NodeId> lastOwner() {
-    return lastOwner;
+  public ZoneId zone() {
+    return zone;
   }
 
   @Override
-  public Duration unownedFor(MonotonicTime now) {
-    return grant.isPresent() ? Duration.ZERO : now.since(grantedAt);
+  public int size() {
+    return machines.size();
+  }
+
+  /** Its machines, which the caller may change; the change counts once it is stored. */
+  public Map<MachineId, MachineRecord> machines() {
+    return machines;
   }
 
   /** Fields of its record that this build doesn't know. */
@@ -96,40 +94,76 @@
     return node;
   }
 
+  /** Its current grant, if it has one. */
+  public Optional<Grant> grant() {
+    return grant;
+  }
+
+  /** Its grant as stored now. What an earlier owner reported and acknowledged no longer counts. */
   public void grant(Optional<Grant> next, MonotonicTime now) {
     if (!next.equals(grant)) {
       grant = next;
-      grantedAt = now;
-      heardAt = now;
-      heardVersion = 0;
-      onStatus = false;
+      grantChangedAt = now;
+      statusReceived = false;
       lastSequence = 0;
-      seenSequence = 0;
+      acknowledgedSequence = 0;
       statuses.clear();
       suspicions.clear();
-      // A new owner is sent the full set, under a higher version.
-      confirmedVersion = 0;
-      changes.clear();
-      dirty = true;
-      base = 0;
+      assignments.resetForNewOwner(now);
     }
   }
 
-  /** Whether the report continues what is known; if not, the owner must tell again. */
-  public boolean isContiguous(ShardStatus report) {
-    return report.getBase() <= lastSequence;
+  @Override
+  public Optional<NodeId> owner() {
+    return grant.map(Grant::owner);
+  }
+
+  @Override
+  public Optional<NodeId> pendingOwner() {
+    return pendingOwner;
+  }
+
+  /** The owner whose grant is being stored; empty once it is stored or refused. */
+  void pendingOwner(Optional<NodeId> next) {
+    pendingOwner = next;
+  }
+
+  @Override
+  public Optional<NodeId> lastOwner() {
+    return lastOwner;
+  }
+
+  /**
+   * Notes who owned the shard last, by its record or by its grants since.
+   *
+   * @return whether that differs from before
+   */
+  public boolean lastOwner(Optional<NodeId> owner) {
+    boolean changed = owner.isPresent() && !owner.equals(lastOwner);
+    lastOwner = changed ? owner : lastOwner;
+    return changed;
+  }
+
+  @Override
+  public Duration unownedFor(MonotonicTime now) {
+    return grant.isPresent() ? Duration.ZERO : now.since(grantChangedAt);
   }
 
-  /** Takes over the report's machines; tells which of them it named. */
-  public List<MachineId> onStatus(ShardStatus report, MonotonicTime now) {
-    onStatus = true;
-    lastSequence = report.getSequence();
+  /** Whether the status continues what is known; if not, the owner must send it from there. */
+  public boolean isContiguous(ShardStatus status) {
+    return status.getBase() <= lastSequence;
+  }
+
+  /** Takes over the machines of a status; returns which of them it named. */
+  public List<MachineId> onStatus(ShardStatus status, MonotonicTime now) {
+    statusReceived = true;
+    lastSequence = status.getSequence();
     statusAt = now;
-    if (report.getBase() == 0) {
+    if (status.getBase() == 0) {
       statuses.clear();
     }
     List<MachineId> named = new ArrayList<>();
-    for (MachineStatus machine : report.getMachines()) {
+    for (MachineStatus machine : status.getMachines()) {
       MachineId key = new MachineId(machine.getMachine());
       statuses.put(key, machine);
       named.add(key);
@@ -137,105 +171,61 @@
     return named;
   }
 
-  /** The version up to which the owner knows the set of this term. */
-  public void onAssignmentAck(long version, MonotonicTime now) {
-    if (version > confirmedVersion) {
-      confirmedVersion = version;
-      waitingSince = now;
-      changes.confirmed(version);
-    }
+  /** Whether the current owner has sent a status. */
+  public boolean hasStatus() {
+    return statusReceived;
   }
 
-  public boolean hasStatus() {
-    return onStatus;
+  /** When the last status came. */
+  public MonotonicTime statusAt() {
+    return statusAt;
   }
 
+  /** The sequence number of the owner's last status. */
   public long lastSequence() {
     return lastSequence;
   }
 
-  /** Whether the owner should hear up to where it is known; asked once for each report. */
+  /** Whether the owner should hear up to where it is known; asked once for each status. */
   public boolean ackDue() {
-    boolean news = seenSequence != lastSequence;
-    seenSequence = lastSequence;
-    return news;
+    boolean due = acknowledgedSequence != lastSequence;
+    acknowledgedSequence = lastSequence;
+    return due;
   }
 
+  /** What the owner last reported of the machine. */
   public Optional<MachineStatus> statusOf(MachineId machine) {
     return Optional.ofNullable(statuses.get(machine));
   }
 
-  /** A stored assignment that the owner is to hear of, or hear of again. */
-  public void publish(TaskAssignment assignment) {
-    published.put(assignment.task(), assignment);
-    changes.changed(assignment.task(), sentVersion + 1);
-    dirty = true;
-  }
-
-  public void retract(TaskAssignment assignment) {
-    if (published.remove(assignment.task(), assignment)) {
-      changes.changed(assignment.task(), sentVersion + 1);
-      dirty = true;
-    }
-  }
-
-  public Collection<TaskAssignment> published() {
-    return published.values();
-  }
-
-  public Optional<TaskAssignment> published(TaskId task) {
-    return Optional.ofNullable(published.get(task));
+  /** What the owner has received or is to receive. */
+  PublishedAssignments assignments() {
+    return assignments;
   }
 
+  /** Something that the owner receives has changed, so that a message is due. */
   public void markDirty() {
-    dirty = true;
-  }
-
-  /** Whether something is to be sent that was not sent yet. */
-  public boolean dirty() {
-    return dirty;
-  }
-
-  /** Whether the owner has long not confirmed what was sent: it is sent from there again. */
-  public boolean resendDue(MonotonicTime now, Duration patience) {
-    boolean lost =
-        confirmedVersion < sentVersion && now.since(waitingSince).compareTo(patience) >= 0;
-    if (lost) {
-      base = confirmedVersion;
-      waitingSince = now;
-    }
-    return lost;
+    assignments.markDirty();
   }
 
-  /** The version on which the next message builds; 0: it holds the full set. */
-  long base() {
-    return base;
+  /** The version up to which the owner knows the set of this term. */
+  public void onAssignmentAck(long version, MonotonicTime now) {
+    assignments.onAck(version, now);
   }
 
-  /** Tasks to name in a message that builds on this version. */
-  List<TaskId> changesSince(long version) {
-    return version == 0 ? List.copyOf(published.keySet()) : changes.since(version);
+  /** The stored assignments that the owner has received or is to receive. */
+  public Collection<TaskAssignment> published() {
+    return assignments.all();
   }
 
-  /** A message is sent; tells its version. */
-  long send(MonotonicTime now) {
-    dirty = false;
-    if (confirmedVersion >= sentVersion) {
-      waitingSince = now;
-    }
-    sentVersion++;
-    base = sentVersion;
-    return sentVersion;
+  /** The stored assignment of the task, if the owner has received or is to receive one. */
+  public Optional<TaskAssignment> published(TaskId task) {
+    return assignments.find(task);
   }
 
   @Override
   public Duration unacknowledgedFor(MonotonicTime now) {
-    boolean all = !dirty && confirmedVersion >= sentVersion;
-    if (all || confirmedVersion > heardVersion || grant.isEmpty()) {
-      heardAt = now;
-      heardVersion = confirmedVersion;
-    }
-    return now.since(heardAt);
+    return assignments.unacknowledgedFor(now, grant.isPresent());
   }
 
   /** A machine reported elsewhere, since its owner does not answer it. */
@@ -246,58 +236,17 @@
   }
 
   /**
-   * How many machines knocked elsewhere within that time, of those that their owner does not say it
-   * hears: copies of reports come late, also of machines that are well.
+   * How many machines reported elsewhere within that time, of those that their owner does not
+   * report as alive: copies of heartbeats come late, also of machines that are well.
    */
   int suspicions(Duration within, MonotonicTime now) {
     suspicions.values().removeIf(at -> now.since(at).compareTo(within) > 0);
-    return (int) suspicions.keySet().stream().filter(machine -> !heard(machine)).count();
+    return (int) suspicions.keySet().stream().filter(machine -> !isAlive(machine)).count();
   }
 
-  private boolean heard(MachineId machine) {
+  private boolean isAlive(MachineId machine) {
     return statusOf(machine)
-        .filter(report -> report.getLiveness().equals(OwnedMachine.Liveness.ALIVE.wireName()))
+        .filter(status -> status.getLiveness().equals(OwnedMachine.Liveness.ALIVE.wireName()))
         .isPresent();
   }
-
-  @Override
-  public ShardId id() {
-    return id;
-  }
-
-  @Override
-  public ZoneId zone() {
-    return zone;
-  }
-
-  @Override
-  public int size() {
-    return machines.size();
-  }
-
-  public Map<MachineId, MachineRecord> machines() {
-    return machines;
-  }
-
-  public Optional<Grant> grant() {
-    return grant;
-  }
-
-  @Override
-  public Optional<NodeId> owner() {
-    return grant.map(Grant::owner);
-  }
-
-  @Override
-  public Optional<NodeId> pendingOwner() {
-    return granting;
-  }
-
-  void granting(Optional<NodeId> next) {
-    granting = next;
-  }
-
-  public MonotonicTime statusAt() {
-    return statusAt;
-  }
 }
--- /dev/null
+++ b/src/main/java/org/mulleinshift/sharding/SuspicionReporter.java
@@ -0,0 +1,54 @@
+package org.mulleinshift.sharding;
+
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.function.Consumer;
+import org.mulleinshift.model.ClusterView;
+import org.mulleinshift.model.ClusterView.GrantRecord;
+import org.mulleinshift.protocol.MachineId;
+import org.mulleinshift.protocol.ShardId;
+import org.mulleinshift.protocol.peer.OwnerSuspicion;
+import org.mulleinshift.transport.EventLoop;
+
+/** Reports to the leader machines whose owner does not answer them; several share a message. */
+final class SuspicionReporter {
+  private static final Duration BATCHING_DELAY = Duration.ofMillis(400);
+
+  private final EventLoop loop;
+  private final ClusterView view;
+  private final Consumer<Object> toLeader;
+  private final Map<ShardId, Set<MachineId>> pending = new HashMap<>();
+
+  /** A reporter with nothing to report. */
+  SuspicionReporter(EventLoop loop, ClusterView view, Consumer<Object> toLeader) {
+    this.loop = loop;
+    this.view = view;
+    this.toLeader = toLeader;
+  }
+
+  /** The machine is there, and the shard's owner does not answer it. */
+  void report(ShardId shard, MachineId machine) {
+    if (pending.isEmpty()) {
+      loop.after(BATCHING_DELAY, this::send);
+    }
+    pending.computeIfAbsent(shard, key -> new TreeSet<>()).add(machine);
+  }
+
+  private void send() {
+    pending.forEach(
+        (shard, machines) -> {
+          GrantRecord grant = view.grants().get(shard);
+          if (grant != null) {
+            toLeader.accept(
+                new OwnerSuspicion(
+                    shard.value(),
+                    grant.revision().value(),
+                    machines.stream().map(MachineId::value).toList()));
+          }
+        });
+    pending.clear();
+  }
+}
--- a/src/main/java/org/mulleinshift/sharding/TaskPhase.java
+++ b/src/main/java/org/mulleinshift/sharding/TaskPhase.java
@@ -8,7 +8,9 @@
 
 /** The phases in which an owner reports a task. The last five are final for the attempt. */
 public enum TaskPhase {
+  /** Assigned to the shard; no machine was chosen yet. */
   NEW("NEW"),
+  /** A machine was chosen; its worker has not reported the task yet. */
   STARTING("STARTING"),
   FETCHING("FETCHING"),
   RUNNING("RUNNING"),
@@ -16,7 +18,9 @@
   DONE("DONE"),
   STOPPED("STOPPED"),
   FAILED("FAILED"),
+  /** It did not start, and is to be assigned again. */
   REJECTED("REJECTED"),
+  /** It was on a machine, and is provably absent from it. */
   LOST("LOST");
 
   private static final Map<String, TaskPhase> BY_WIRE_NAME =
@@ -47,11 +51,12 @@
     return phase;
   }
 
+  /** Whether the attempt has ended. */
   boolean isFinal() {
     return compareTo(DONE) >= 0;
   }
 
-  /** What a worker reports of a task. */
+  /** The phase of a task that a worker reports so. */
   static TaskPhase of(WorkerHeartbeat.Entry entry) {
     return switch (entry.state()) {
       case FETCHING, WAITING -> FETCHING;
--- a/src/main/java/org/mulleinshift/sharding/WorkerAddress.java
+++ b/src/main/java/org/mulleinshift/sharding/WorkerAddress.java
@@ -3,11 +3,11 @@
 import java.net.InetSocketAddress;
 import java.util.Optional;
 
-/** Where a worker takes direct orders and questions. */
+/** Where a worker takes direct commands and probes. */
 final class WorkerAddress {
   private WorkerAddress() {}
 
-  /** By the text of its reports; none if that is not an address. */
+  /** Parses the address that its heartbeats name; empty if that is none. */
   static Optional<InetSocketAddress> parse(String text) {
     int colon = text.lastIndexOf(':');
     try {
--- /dev/null
+++ b/src/test/java/org/mulleinshift/sharding/ShardOwnerFixture.java
@@ -0,0 +1,170 @@
+package org.mulleinshift.sharding;
+
+import java.net.InetSocketAddress;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import org.mulleinshift.membership.VirtualEventLoop;
+import org.mulleinshift.model.ClusterView.MachineRecord;
+import org.mulleinshift.model.ClusterView.ShardRecord;
+import org.mulleinshift.placement.MachineTypeCatalog;
+import org.mulleinshift.protocol.JobId;
+import org.mulleinshift.protocol.MachineId;
+import org.mulleinshift.protocol.MachineTypeId;
+import org.mulleinshift.protocol.MalformedMessageException;
+import org.mulleinshift.protocol.Revision;
+import org.mulleinshift.protocol.ShardId;
+import org.mulleinshift.protocol.WorkerCodec;
+import org.mulleinshift.protocol.ZoneId;
+import org.mulleinshift.protocol.peer.AssignedJob;
+import org.mulleinshift.protocol.peer.AssignedTask;
+import org.mulleinshift.protocol.peer.RemovedTask;
+import org.mulleinshift.protocol.peer.ShardAssignment;
+import org.mulleinshift.settings.PlatformSettings;
+import org.mulleinshift.transport.HttpResponse;
+
+/** An owner of a shard in virtual time, with its workers and its leader played by the test. */
+final class ShardOwnerFixture {
+  static final String MACHINE = "i-000001";
+  static final Revision GRANT = new Revision(7);
+  static final long TOKEN = MachineToken.first(GRANT).value();
+  static final JobId JOB = new JobId("run-1");
+  static final Duration WORKER_LEASE = Duration.ofSeconds(12);
+
+  private static final InetSocketAddress CLOUD = new InetSocketAddress("10.2.0.2", 8443);
+  private static final long LEADER_TERM = 3;
+  private static final String CATALOG =
+      "{\"builds\":[{\"label\":\"small\",\"cpus\":8,\"cards\":0,\"ram_gb\":64,\"local_gb\":100,"
+          + "\"pull_gb_per_s\":1,\"rate\":1,\"market_price\":0.4,\"startup_s\":8,"
+          + "\"yards\":[\"a\"]}]}";
+
+  /** Whether an earlier owner of the shard may have placed a task. */
+  enum Origin {
+    FRESH,
+    INHERITED
+  }
+
+  /** A direct command message that nobody has answered yet. */
+  record DirectMessage(String body, Consumer<HttpResponse> reply) {}
+
+  private final VirtualEventLoop loop = new VirtualEventLoop();
+  private final List<DirectMessage> directMessages = new ArrayList<>();
+  private final Set<JobId> cancelled = new HashSet<>();
+  private final ShardOwner owner;
+
+  /** An owner whose shard has these machines. */
+  ShardOwnerFixture(String... machines) {
+    MachineTypeCatalog catalog =
+        new MachineTypeCatalog(
+            loop,
+            (to, request, reply) -> reply.accept(new HttpResponse(200, CATALOG)),
+            CLOUD,
+            () -> {});
+    catalog.start();
+    owner =
+        new ShardOwner(
+            new ShardOwner.Context(
+                loop,
+                (to, request, reply) ->
+                    directMessages.add(new DirectMessage(request.body().orElseThrow(), reply)),
+                catalog,
+                new PlatformSettings.WorkerTiming(
+                    Duration.ofSeconds(2), WORKER_LEASE, Duration.ofSeconds(32)),
+                Duration.ofSeconds(14),
+                cancelled::contains,
+                () -> {}),
+            new ShardId("a-0"),
+            GRANT,
+            () -> true);
+    MachineRecord record = new MachineRecord(new MachineTypeId("small"), false, true);
+    Map<MachineId, MachineRecord> records =
+        Stream.of(machines).collect(Collectors.toMap(MachineId::new, machine -> record));
+    owner.onRecord(
+        new ShardRecord(
+            new ZoneId("a"), records, new Revision(8), Optional.empty(), Optional.empty()));
+  }
+
+  ShardOwner owner() {
+    return owner;
+  }
+
+  List<DirectMessage> directMessages() {
+    return directMessages;
+  }
+
+  DirectMessage lastDirectMessage() {
+    return directMessages.get(directMessages.size() - 1);
+  }
+
+  void runFor(Duration time) {
+    loop.runFor(time.toMillis() / 1000.0);
+  }
+
+  void cancel(JobId job) {
+    cancelled.add(job);
+    owner.onCancelled(job);
+  }
+
+  /** The heartbeat of a worker, as it is on the wire. */
+  static String heartbeat(String machine, int tick, long token, String tasks) {
+    return "{\"host\":\""
+        + machine
+        + "\",\"addr\":\"10.1.0.1:9000\",\"build\":\"small\",\"yard\":\"a\","
+        + "\"loaner\":false,\"shift\":1,\"tick\":"
+        + tick
+        + ",\"baton\":"
+        + token
+        + ",\"pieces\":["
+        + tasks
+        + "]}";
+  }
+
+  /** A task in a heartbeat, as it is on the wire. */
+  static String entry(String task, String phase) {
+    return "{\"piece\":\"" + task + "\",\"try\":1,\"phase\":\"" + phase + "\"}";
+  }
+
+  /** The owner's answer to a heartbeat; empty if it gives none. */
+  Optional<String> answerTo(String machine, int tick, long token, String tasks)
+      throws MalformedMessageException {
+    return owner.onHeartbeat(WorkerCodec.parseHeartbeat(heartbeat(machine, tick, token, tasks)));
+  }
+
+  /** Two heartbeats, of which the second shows that the worker has received the token. */
+  void confirm(String machine) throws MalformedMessageException {
+    answerTo(machine, 1, 0, "");
+    answerTo(machine, 2, TOKEN, "");
+  }
+
+  /** The leader assigns a task of the job, in a message that builds on the version before. */
+  void assign(long version, int index, Origin origin) {
+    AssignedTask task = new AssignedTask(index, 1L, origin == Origin.FRESH, false);
+    AssignedJob job =
+        new AssignedJob(
+            JOB.value(), 1.0, 0.0, 1.0, "image", 1.0, 0.0, List.of(), true, 0, List.of(task));
+    send(version, List.of(job), List.of());
+  }
+
+  /** The leader no longer assigns the task: its completion is stored. */
+  void retract(long version, int index) {
+    send(version, List.of(), List.of(new RemovedTask(JOB.value(), index)));
+  }
+
+  /** The leader sends a message without tasks. */
+  void assignNothing(long version) {
+    send(version, List.of(), List.of());
+  }
+
+  private void send(long version, List<AssignedJob> jobs, List<RemovedTask> removed) {
+    owner.onAssignment(
+        new ShardAssignment(
+            LEADER_TERM, "a-0", GRANT.value(), version - 1, version, removed, jobs, List.of()));
+  }
+}
