--- a/src/test/java/org/mulleinshift/sharding/PeerPhaseGoldenTest.java
+++ b/src/test/java/org/mulleinshift/sharding/PeerPhaseGoldenTest.java
@@ -34,17 +34,17 @@
 class PeerPhaseGoldenTest {
   private static final NodeId SENDER = new NodeId("n-1");
   private static final String PHASES = "peer/phases.hex";
-  private static final String WORKER_LINKS = "peer/worker-links.hex";
-  private static final String HEARD = OwnedMachine.Liveness.ALIVE.wireName();
+  private static final String REACHABILITY = "peer/worker-links.hex";
+  private static final String ALIVE = OwnedMachine.Liveness.ALIVE.wireName();
 
   private final PeerCodec codec = new PeerCodec();
 
-  private ShardStatus goldenReport() throws MalformedMessageException {
+  private ShardStatus goldenStatus() throws MalformedMessageException {
     return (ShardStatus) codec.read(GoldenFile.bytes(PHASES)).getBodies().get(0);
   }
 
-  private static MachineStatus machine(String phase, String silence) {
-    return new MachineStatus("i-1", phase, silence, false, List.of());
+  private static MachineStatus machine(String phase, String liveness) {
+    return new MachineStatus("i-1", phase, liveness, false, List.of());
   }
 
   private static OwnedMachine occupiedMachine() {
@@ -64,30 +64,30 @@
   }
 
   @Test
-  void shardReportsNamePhasesAsBefore() {
+  void shardStatusesKeepTheWireNamesOfPhases() {
     List<MachineStatus> machines = new ArrayList<>();
     for (MachinePhase phase : MachinePhase.values()) {
-      machines.add(machine(phase.wireName(), HEARD));
+      machines.add(machine(phase.wireName(), ALIVE));
     }
-    for (OwnedMachine.Liveness silence : OwnedMachine.Liveness.values()) {
-      machines.add(machine(MachinePhase.CONFIRMED.wireName(), silence.wireName()));
+    for (OwnedMachine.Liveness liveness : OwnedMachine.Liveness.values()) {
+      machines.add(machine(MachinePhase.CONFIRMED.wireName(), liveness.wireName()));
     }
-    machines.add(machine(occupiedMachine().reportedPhase(), HEARD));
+    machines.add(machine(occupiedMachine().reportedPhase(), ALIVE));
     List<TaskStatus> tasks = new ArrayList<>();
     for (TaskPhase phase : TaskPhase.values()) {
       tasks.add(new TaskStatus("run-1", 0, 1L, phase.wireName(), "i-1", 0L));
     }
-    ShardStatus report = new ShardStatus("a-0", 7L, 0L, 1L, 0L, 0L, machines, tasks);
-    GoldenFile.assertHolds(PHASES, codec.write(SENDER, List.of(report)));
+    ShardStatus status = new ShardStatus("a-0", 7L, 0L, 1L, 0L, 0L, machines, tasks);
+    GoldenFile.assertHolds(PHASES, codec.write(SENDER, List.of(status)));
   }
 
   @Test
-  void heartbeatsNameTheWorkerLinkAsBefore() {
+  void heartbeatsKeepTheWireNamesOfReachability() {
     List<Object> beats = new ArrayList<>();
     for (WorkerReachability.State state : WorkerReachability.State.values()) {
       beats.add(heartbeat(state.wireName()));
     }
-    GoldenFile.assertHolds(WORKER_LINKS, codec.write(SENDER, beats));
+    GoldenFile.assertHolds(REACHABILITY, codec.write(SENDER, beats));
   }
 
   private static Heartbeat heartbeat(String workers) {
@@ -95,39 +95,47 @@
   }
 
   @Test
-  void taskPhasesAreReadByTheirNames() throws MalformedMessageException {
+  void taskPhasesAreReadByTheirWireNames() throws MalformedMessageException {
     List<TaskPhase> read =
-        goldenReport().getTasks().stream()
+        goldenStatus().getTasks().stream()
             .map(task -> TaskPhase.fromWireName(task.getPhase()))
             .toList();
-    assertEquals(Arrays.asList(TaskPhase.values()), read);
+    assertEquals(Arrays.asList(TaskPhase.values()), read, "each phase by its name, in order");
   }
 
   @Test
-  void workerLinksAreReadByTheirNames() throws MalformedMessageException {
+  void reachabilityIsReadByItsWireNames() throws MalformedMessageException {
     List<WorkerReachability.State> read =
-        codec.read(GoldenFile.bytes(WORKER_LINKS)).getBodies().stream()
+        codec.read(GoldenFile.bytes(REACHABILITY)).getBodies().stream()
             .map(beat -> PeerFailureDetector.workerReachability((Heartbeat) beat))
             .toList();
-    assertEquals(Arrays.asList(WorkerReachability.State.values()), read);
+    assertEquals(
+        Arrays.asList(WorkerReachability.State.values()), read, "each state by its name, in order");
   }
 
   @Test
-  void anUnknownTaskPhaseIsRefused() {
-    assertThrows(IllegalArgumentException.class, () -> TaskPhase.fromWireName("PARKED"));
+  void unknownTaskPhaseIsRejected() {
+    assertThrows(
+        IllegalArgumentException.class,
+        () -> TaskPhase.fromWireName("PARKED"),
+        "no phase has that name");
   }
 
   @Test
-  void anUnknownWorkerLinkCountsAsWell() {
+  void unknownReachabilityCountsAsWell() {
     assertEquals(
-        WorkerReachability.State.WELL, PeerFailureDetector.workerReachability(heartbeat("PARKED")));
+        WorkerReachability.State.WELL,
+        PeerFailureDetector.workerReachability(heartbeat("PARKED")),
+        "a later build may have other states");
   }
 
   @Test
   void onlyTheLastMachineIsReadAsOccupied() throws MalformedMessageException {
-    List<MachineStatus> machines = goldenReport().getMachines();
+    List<MachineStatus> machines = goldenStatus().getMachines();
     int last = machines.size() - 1;
-    assertTrue(OwnedMachine.occupied(machines.get(last)));
-    assertFalse(machines.subList(0, last).stream().anyMatch(OwnedMachine::occupied));
+    assertTrue(OwnedMachine.occupied(machines.get(last)), "the last one was written as occupied");
+    assertFalse(
+        machines.subList(0, last).stream().anyMatch(OwnedMachine::occupied),
+        "all others name a phase");
   }
 }
