--- a/src/main/java/org/mulleinshift/leader/TermComponents.java
+++ b/src/main/java/org/mulleinshift/leader/TermComponents.java
@@ -219,7 +219,6 @@
     return new ShardGrants(
         context.loop(),
         state,
-        batcher,
         cluster.shards(),
         context.view(),
         context.peers(),
