--- /dev/null
+++ b/src/main/java/org/mulleinshift/api/JobStatusReader.java
@@ -0,0 +1,123 @@
+package org.mulleinshift.api;
+
+import java.util.Optional;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import org.mulleinshift.memory.MemoryPressure;
+import org.mulleinshift.model.JobRecord;
+import org.mulleinshift.protocol.JobId;
+import org.mulleinshift.protocol.JobPhase;
+import org.mulleinshift.protocol.StoreCodec.KeyValue;
+import org.mulleinshift.store.KeyValueStore;
+import org.mulleinshift.store.KeyValueStore.ReadResult;
+import org.mulleinshift.store.StoreKeys;
+
+/**
+ * Reads the status of jobs. Only terminal phases come from the cache; all else is read from the
+ * store, or from a view confirmed to be as fresh as the question.
+ */
+final class JobStatusReader {
+  private static final int MAX_PENDING_READS = 2000;
+  private static final int MAX_PENDING_READS_HIGH_PRESSURE = 64;
+  private static final int MAX_PENDING_READS_CRITICAL_PRESSURE = 8;
+
+  private final KeyValueStore store;
+  private final KnownJobs knownJobs;
+  private final CurrentViewCheck viewCheck;
+  private final Supplier<MemoryPressure> memoryPressure;
+  private int pendingReads;
+
+  JobStatusReader(
+      KeyValueStore store,
+      KnownJobs knownJobs,
+      CurrentViewCheck viewCheck,
+      Supplier<MemoryPressure> memoryPressure) {
+    this.store = store;
+    this.knownJobs = knownJobs;
+    this.viewCheck = viewCheck;
+    this.memoryPressure = memoryPressure;
+  }
+
+  /**
+   * Reads the status that a job has at a moment after this call.
+   *
+   * @param unconfirmed runs instead of {@code result} if too many reads are pending, or if the view
+   *     could not be confirmed
+   */
+  void readCurrent(JobId id, Consumer<JobStatus> result, Runnable unconfirmed) {
+    // Some reads are admitted whatever the memory pressure: users must get an answer in the end.
+    if (pendingReads >= maxPendingReads()) {
+      unconfirmed.run();
+      return;
+    }
+    pendingReads++;
+    // Reads share the confirmation that the view of active jobs is as fresh as they are: one store
+    // read for each would leave no capacity for submissions at the store's rate limit.
+    viewCheck.confirmCurrent(
+        confirmed -> {
+          pendingReads--;
+          if (!confirmed) {
+            unconfirmed.run();
+            return;
+          }
+          knownJobs.findActive(id).ifPresentOrElse(result, () -> readEnded(id, result));
+        });
+  }
+
+  /** How many reads may wait for a confirmation at a time. */
+  private int maxPendingReads() {
+    return switch (memoryPressure.get()) {
+      case NORMAL -> MAX_PENDING_READS;
+      case HIGH -> MAX_PENDING_READS_HIGH_PRESSURE;
+      case CRITICAL -> MAX_PENDING_READS_CRITICAL_PRESSURE;
+    };
+  }
+
+  /**
+   * Reads the status from the store, unless the job is known to have ended. A job only ever moves
+   * from active to ended, so this order of reading cannot miss it.
+   */
+  void readStored(JobId id, Consumer<JobStatus> result) {
+    Optional<JobPhase> terminal = knownJobs.terminalPhase(id);
+    if (terminal.isPresent()) {
+      result.accept(new JobStatus.Ended(terminal.get()));
+      return;
+    }
+    store.get(
+        StoreKeys.activeJob(id),
+        KeyValueStore.Urgency.NORMAL,
+        active -> {
+          if (active instanceof ReadResult.Found<KeyValue> found) {
+            result.accept(activeStatus(found.value()));
+          } else if (active instanceof ReadResult.Absent<KeyValue>) {
+            readEnded(id, result);
+          } else {
+            result.accept(new JobStatus.Unknown());
+          }
+        });
+  }
+
+  private static JobStatus activeStatus(KeyValue stored) {
+    return JobRecord.read(stored)
+        .<JobStatus>map(JobStatus.Active::new)
+        .orElse(new JobStatus.Unknown());
+  }
+
+  private void readEnded(JobId id, Consumer<JobStatus> result) {
+    store.get(
+        StoreKeys.endedJob(id),
+        KeyValueStore.Urgency.NORMAL,
+        ended -> result.accept(endedStatus(id, ended)));
+  }
+
+  private JobStatus endedStatus(JobId id, ReadResult<KeyValue> ended) {
+    if (ended instanceof ReadResult.Found<KeyValue> found) {
+      Optional<JobPhase> phase = JobRecord.endedPhase(found.value());
+      phase.ifPresent(terminal -> knownJobs.cacheTerminalPhase(id, terminal));
+      return phase.<JobStatus>map(JobStatus.Ended::new).orElse(new JobStatus.Unknown());
+    }
+    return ended instanceof ReadResult.Absent<KeyValue>
+        ? new JobStatus.NeverAccepted()
+        : new JobStatus.Unknown();
+  }
+}
--- a/src/main/java/org/mulleinshift/api/ReadinessProbe.java
+++ b/src/main/java/org/mulleinshift/api/ReadinessProbe.java
@@ -3,21 +3,21 @@
 import java.time.Duration;
 import java.util.function.BooleanSupplier;
 import org.mulleinshift.transport.EventLoop;
+import org.mulleinshift.transport.HttpStatus;
 import org.mulleinshift.transport.Responder;
 
 /**
- * Answers the load balancer's probes. One that meets a process which is about to be ready waits for
- * that: two that fail keep the node out of use for seconds, though it serves again a moment later.
- * What it hears is true.
+ * Answers the load balancer's health checks. While the process starts, a check waits for a moment
+ * until it is ready: two failed checks keep the node out of use for seconds, though it could serve
+ * a moment later. The answer is always the state at the moment of answering.
  */
 public final class ReadinessProbe {
-  /** How long a probe waits for a process that starts: well below the prober's second. */
-  private static final Duration STEP = Duration.ofMillis(50);
+  /** In total well below the load balancer's timeout of a second. */
+  private static final Duration RECHECK_INTERVAL = Duration.ofMillis(50);
 
-  private static final int STEPS = 14;
+  private static final int MAX_RECHECKS = 14;
   private static final int MAX_WAITING = 8;
-  private static final int READY = 200;
-  private static final int NOT_READY = 503;
+  private static final String EMPTY_BODY = "{}";
 
   private final EventLoop loop;
   private final BooleanSupplier ready;
@@ -25,7 +25,7 @@
   private int waiting;
 
   /**
-   * A page of readiness.
+   * A probe of a process that starts.
    *
    * @param ready whether the node can take requests now
    */
@@ -34,27 +34,32 @@
     this.ready = ready;
   }
 
+  /** Responds with 200 if the node can take requests, else with 503. */
   public void answer(Responder responder) {
-    if (!ready.getAsBoolean() && !hasBeenReady && waiting < MAX_WAITING) {
+    if (isStarting() && waiting < MAX_WAITING) {
       waiting++;
-      loop.after(STEP, () -> await(responder, STEPS - 1));
+      loop.after(RECHECK_INTERVAL, () -> recheck(responder, MAX_RECHECKS - 1));
     } else {
-      tell(responder);
+      respond(responder);
     }
   }
 
-  private void await(Responder responder, int steps) {
-    if (!ready.getAsBoolean() && !hasBeenReady && steps > 0) {
-      loop.after(STEP, () -> await(responder, steps - 1));
+  private void recheck(Responder responder, int remaining) {
+    if (isStarting() && remaining > 0) {
+      loop.after(RECHECK_INTERVAL, () -> recheck(responder, remaining - 1));
     } else {
       waiting--;
-      tell(responder);
+      respond(responder);
     }
   }
 
-  private void tell(Responder responder) {
-    boolean now = ready.getAsBoolean();
-    hasBeenReady |= now;
-    responder.respond(now ? READY : NOT_READY, "{}");
+  private boolean isStarting() {
+    return !ready.getAsBoolean() && !hasBeenReady;
+  }
+
+  private void respond(Responder responder) {
+    boolean readyNow = ready.getAsBoolean();
+    hasBeenReady |= readyNow;
+    responder.respond(readyNow ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE, EMPTY_BODY);
   }
 }
--- /dev/null
+++ b/src/main/java/org/mulleinshift/api/SubmissionValidator.java
@@ -0,0 +1,64 @@
+package org.mulleinshift.api;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import org.mulleinshift.placement.MachineTypeCatalog;
+import org.mulleinshift.protocol.JobKind;
+import org.mulleinshift.protocol.JobSpec;
+import org.mulleinshift.protocol.MachineType;
+import org.mulleinshift.settings.PlatformSettings;
+
+/** Finds submissions that can never run: they are rejected instead of waiting for ever. */
+final class SubmissionValidator {
+  /** How far above a team's limit the sum of its tasks' amounts may be by rounding. */
+  private static final double ROUNDING_TOLERANCE = 1e-6;
+
+  private final MachineTypeCatalog catalog;
+  private final Map<String, PlatformSettings.Team> teams = new LinkedHashMap<>();
+
+  SubmissionValidator(MachineTypeCatalog catalog, List<PlatformSettings.Team> teams) {
+    this.catalog = catalog;
+    teams.forEach(team -> this.teams.put(team.name(), team));
+  }
+
+  /** Whether the machine types are known; without them nothing can be decided. */
+  boolean isReady() {
+    return catalog.isLoaded();
+  }
+
+  /** Why the job can never run, if so. */
+  Optional<String> findViolation(JobSpec spec) {
+    PlatformSettings.Team team = teams.get(spec.team().value());
+    if (team == null) {
+      return Optional.of("unknown team");
+    }
+    if (!fitsAnyMachineType(spec)) {
+      return Optional.of("a task fits no allowed machine type");
+    }
+    return exceedsLimit(spec, team) ? Optional.of("more than the team's limit") : Optional.empty();
+  }
+
+  private boolean fitsAnyMachineType(JobSpec spec) {
+    return catalog.types().values().stream()
+        .filter(type -> spec.allowsType(type.id()) && spec.perTask().fitsInto(type.size()))
+        .anyMatch(type -> isOffered(type, spec));
+  }
+
+  /** Whether the type is offered in a zone that the job allows, as far as the catalog says. */
+  private static boolean isOffered(MachineType type, JobSpec spec) {
+    return type.zones().isEmpty() || type.zones().stream().anyMatch(spec::allowsZone);
+  }
+
+  private static boolean exceedsLimit(JobSpec spec, PlatformSettings.Team team) {
+    int concurrentTasks = spec.kind() == JobKind.ARRAY ? 1 : spec.tasks();
+    return exceeds(spec.perTask().cpus() * concurrentTasks, team.cpusMax())
+        || exceeds(spec.perTask().gpus() * concurrentTasks, team.gpusMax());
+  }
+
+  /** A limit of 0 means that there is none. */
+  private static boolean exceeds(double amount, double limit) {
+    return limit > 0 && amount > limit + ROUNDING_TOLERANCE;
+  }
+}
--- a/src/main/java/org/mulleinshift/controller/Controller.java
+++ b/src/main/java/org/mulleinshift/controller/Controller.java
@@ -218,14 +218,15 @@
     this.featureGates = new FeatureGates(loop, store, self, all, view);
     this.jobApi =
         new JobApi(
-            loop,
-            store,
-            catalog,
-            cluster,
-            tunables.count(Tunables.Key.RETRY_AFTER_S),
-            jobs::confirmCurrent,
-            ports.heapMonitor()::pressure,
-            this::onCancelled);
+            new JobApi.Context(
+                loop,
+                store,
+                catalog,
+                cluster,
+                tunables.count(Tunables.Key.RETRY_AFTER_S),
+                jobs::confirmCurrent,
+                ports.heapMonitor()::pressure,
+                this::onCancelled));
     this.cloud =
         new CloudClient(
             ports.cloud(),
--- a/src/main/java/org/mulleinshift/protocol/JobCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/JobCodec.java
@@ -27,6 +27,12 @@
     return ID.matcher(text).matches();
   }
 
+  /** The job id of a submission whose other fields may be invalid. */
+  public static Optional<JobId> findJobId(JsonNode submission) {
+    String id = submission.path("ref").asText("");
+    return isJobId(id) ? Optional.of(new JobId(id)) : Optional.empty();
+  }
+
   public static JobSpec parse(JsonNode node) throws MalformedMessageException {
     String id = Json.text(node, "ref");
     if (!isJobId(id)) {
