--- /dev/null
+++ b/src/main/java/org/mulleinshift/transport/DaemonThreads.java
@@ -0,0 +1,33 @@
+package org.mulleinshift.transport;
+
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.ThreadPoolExecutor;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * Creates the threads that do blocking I/O. They have small stacks and don't keep the process up.
+ */
+final class DaemonThreads {
+  private static final int STACK_BYTES = 192 * 1024;
+  private static final int KEEP_ALIVE_SECONDS = 30;
+
+  private DaemonThreads() {}
+
+  /** A thread that is not started yet. */
+  static Thread create(String name, Runnable body) {
+    Thread thread = new Thread(null, body, name, STACK_BYTES);
+    thread.setDaemon(true);
+    return thread;
+  }
+
+  /** A pool of a fixed size with a bounded queue; it rejects what the queue can't take. */
+  static ThreadPoolExecutor pool(String name, int threadCount, int queueLength) {
+    return new ThreadPoolExecutor(
+        threadCount,
+        threadCount,
+        KEEP_ALIVE_SECONDS,
+        TimeUnit.SECONDS,
+        new LinkedBlockingQueue<>(queueLength),
+        body -> create(name, body));
+  }
+}
--- a/src/main/java/org/mulleinshift/transport/FrameQueue.java
+++ b/src/main/java/org/mulleinshift/transport/FrameQueue.java
@@ -3,9 +3,9 @@
 import java.util.ArrayDeque;
 
 /**
- * Frames that wait for a peer. Full, it drops the oldest: what is newer says more, and what a peer
- * never got is sent again from what it confirmed. A peer that does not read costs no more than
- * this.
+ * Frames that wait for a peer. When it is full it drops the oldest: newer frames replace what older
+ * ones say, and what a peer never got is sent again, based on what it has acknowledged. A peer that
+ * does not read costs no more memory than this.
  */
 final class FrameQueue {
   private final ArrayDeque<byte[]> frames = new ArrayDeque<>();
@@ -18,7 +18,7 @@
     this.maxBytes = maxBytes;
   }
 
-  /** The newest frame is always taken, whatever its size. */
+  /** Adds a frame. The newest frame is always accepted, whatever its size. */
   synchronized void put(byte[] frame) {
     while (!frames.isEmpty() && (frames.size() >= maxFrames || bytes + frame.length > maxBytes)) {
       bytes -= frames.poll().length;
@@ -28,7 +28,7 @@
     notifyAll();
   }
 
-  /** Waits for a frame. */
+  /** Removes the oldest frame; waits until there is one. */
   synchronized byte[] take() throws InterruptedException {
     while (frames.isEmpty()) {
       wait();
@@ -38,11 +38,13 @@
     return frame;
   }
 
+  /** Drops all frames. */
   synchronized void clear() {
     frames.clear();
     bytes = 0;
   }
 
+  /** The size of all frames. */
   synchronized long bytes() {
     return bytes;
   }
--- a/src/main/java/org/mulleinshift/transport/InFlightBytesLimiter.java
+++ b/src/main/java/org/mulleinshift/transport/InFlightBytesLimiter.java
@@ -2,26 +2,30 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Bytes that may wait at a time, counted by several threads. */
+/** Limits the bytes that wait at a time; may be used by several threads. */
 final class InFlightBytesLimiter {
-  private final long most;
-  private final AtomicLong taken = new AtomicLong();
+  private final long maxBytes;
+  private final AtomicLong acquired = new AtomicLong();
 
-  InFlightBytesLimiter(long most) {
-    this.most = most;
+  InFlightBytesLimiter(long maxBytes) {
+    this.maxBytes = maxBytes;
   }
 
-  /** Takes so many bytes, or none of them. One that is larger than the budget passes alone. */
+  /**
+   * Acquires so many bytes, or none of them. A request that is larger than the limit is admitted
+   * when no other one waits.
+   */
   boolean tryAcquire(int bytes) {
-    long before = taken.getAndAdd(bytes);
-    if (before > 0 && before + bytes > most) {
-      taken.addAndGet(-bytes);
+    long before = acquired.getAndAdd(bytes);
+    if (before > 0 && before + bytes > maxBytes) {
+      acquired.addAndGet(-bytes);
       return false;
     }
     return true;
   }
 
+  /** Returns what was acquired. */
   void release(int bytes) {
-    taken.addAndGet(-bytes);
+    acquired.addAndGet(-bytes);
   }
 }
--- a/src/main/java/org/mulleinshift/transport/JdkAsyncHttpClient.java
+++ b/src/main/java/org/mulleinshift/transport/JdkAsyncHttpClient.java
@@ -7,78 +7,60 @@
 import java.net.InetSocketAddress;
 import java.net.URL;
 import java.nio.charset.StandardCharsets;
-import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.ThreadPoolExecutor;
-import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * A few threads that make blocking calls, each of which holds at most one socket. The queue is
- * bounded: a call that finds it full counts as never answered.
+ * Sends requests from a few threads that make blocking calls, each with at most one socket. The
+ * queue is bounded: a request that finds it full gets no response.
  */
 public final class JdkAsyncHttpClient implements AsyncHttpClient {
   private static final Logger LOG = LoggerFactory.getLogger(JdkAsyncHttpClient.class);
-  private static final int STACK_BYTES = 192 * 1024;
 
   private final EventLoop loop;
   private final ThreadPoolExecutor threads;
 
+  /**
+   * A client with threads of its own.
+   *
+   * @param name of the threads
+   * @param loop gets the responses
+   * @param threadCount requests in flight at a time
+   * @param queueLength requests that wait for a thread
+   */
   public JdkAsyncHttpClient(String name, EventLoop loop, int threadCount, int queueLength) {
     this.loop = loop;
-    this.threads =
-        new ThreadPoolExecutor(
-            threadCount,
-            threadCount,
-            30,
-            TimeUnit.SECONDS,
-            new LinkedBlockingQueue<>(queueLength),
-            step -> {
-              Thread thread = new Thread(null, step, name, STACK_BYTES);
-              thread.setDaemon(true);
-              return thread;
-            });
+    this.threads = DaemonThreads.pool(name, threadCount, queueLength);
   }
 
   @Override
-  public void call(InetSocketAddress target, HttpRequest request, Consumer<HttpResponse> reply) {
-    long givenUpAt = System.nanoTime() + request.deadline().toNanos();
+  public void call(
+      InetSocketAddress target, HttpRequest request, Consumer<HttpResponse> onResponse) {
+    long deadlineNanos = System.nanoTime() + request.deadline().toNanos();
     try {
       threads.execute(
           () -> {
-            // A call that waited past its deadline is not sent: its caller has moved on.
-            HttpResponse result =
-                System.nanoTime() - givenUpAt > 0
+            // A request that waited past its deadline is not sent: its caller has moved on.
+            HttpResponse response =
+                System.nanoTime() - deadlineNanos > 0
                     ? HttpResponse.NO_RESPONSE
                     : exchange(target, request);
-            loop.post(() -> reply.accept(result));
+            loop.post(() -> onResponse.accept(response));
           });
     } catch (RejectedExecutionException e) {
-      loop.post(() -> reply.accept(HttpResponse.NO_RESPONSE));
+      loop.post(() -> onResponse.accept(HttpResponse.NO_RESPONSE));
     }
   }
 
   private static HttpResponse exchange(InetSocketAddress target, HttpRequest request) {
     HttpURLConnection connection = null;
     try {
-      URL url = new URL("http", target.getHostString(), target.getPort(), request.path());
-      connection = (HttpURLConnection) url.openConnection();
-      int millis = (int) Math.max(1, request.deadline().toMillis());
-      connection.setConnectTimeout(millis);
-      connection.setReadTimeout(millis);
-      connection.setInstanceFollowRedirects(false);
-      connection.setUseCaches(false);
-      connection.setRequestMethod(request.method());
+      connection = open(target, request);
       if (request.body().isPresent()) {
-        byte[] bytes = request.body().get().getBytes(StandardCharsets.UTF_8);
-        connection.setDoOutput(true);
-        connection.setRequestProperty("Content-Type", "application/json");
-        // Not streamed: so that head and body leave in one write.
-        try (OutputStream out = connection.getOutputStream()) {
-          out.write(bytes);
-        }
+        writeBody(connection, request.body().get());
       }
       int status = connection.getResponseCode();
       if (status < 0) {
@@ -91,7 +73,12 @@
       }
       return HttpResponse.bounded(status, body);
     } catch (IOException e) {
-      LOG.debug("{} {} at {}: {}", request.method(), request.path(), target, e.toString());
+      LOG.debug(
+          "request failed, method={} path={} target={} error={}",
+          request.method(),
+          request.path(),
+          target,
+          e.toString());
       if (connection != null) {
         connection.disconnect();
       }
@@ -99,9 +86,31 @@
     }
   }
 
+  private static HttpURLConnection open(InetSocketAddress target, HttpRequest request)
+      throws IOException {
+    URL url = new URL("http", target.getHostString(), target.getPort(), request.path());
+    HttpURLConnection connection = (HttpURLConnection) url.openConnection();
+    int timeoutMillis = (int) Math.max(1, request.deadline().toMillis());
+    connection.setConnectTimeout(timeoutMillis);
+    connection.setReadTimeout(timeoutMillis);
+    connection.setInstanceFollowRedirects(false);
+    connection.setUseCaches(false);
+    connection.setRequestMethod(request.method());
+    return connection;
+  }
+
+  private static void writeBody(HttpURLConnection connection, String body) throws IOException {
+    connection.setDoOutput(true);
+    connection.setRequestProperty("Content-Type", "application/json");
+    // Not streamed, so that the headers and the body leave in one write.
+    try (OutputStream out = connection.getOutputStream()) {
+      out.write(body.getBytes(StandardCharsets.UTF_8));
+    }
+  }
+
   private static String readBody(HttpURLConnection connection, int status) throws IOException {
     try (InputStream in =
-        status >= 400 ? connection.getErrorStream() : connection.getInputStream()) {
+        HttpStatus.isError(status) ? connection.getErrorStream() : connection.getInputStream()) {
       return in == null
           ? ""
           : new String(in.readNBytes(HttpResponse.MAX_BODY + 1), StandardCharsets.UTF_8);
--- a/src/main/java/org/mulleinshift/transport/JdkHttpServer.java
+++ b/src/main/java/org/mulleinshift/transport/JdkHttpServer.java
@@ -7,89 +7,88 @@
 import java.io.OutputStream;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
-import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.ThreadPoolExecutor;
-import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The JDK's HTTP server in front of the event loop. Its threads read requests and write answers;
- * the server's own limits end connections whose request or answer takes too long, so that slow
- * clients cannot hold the threads.
+ * The JDK's HTTP server in front of the event loop. Its threads read requests and write responses;
+ * the server's own limits end connections whose request or response takes too long, so that slow
+ * clients cannot occupy the threads.
  */
 public final class JdkHttpServer {
   private static final Logger LOG = LoggerFactory.getLogger(JdkHttpServer.class);
-  private static final int MAX_BODY = 64 * 1024;
+  private static final int MAX_BODY_BYTES = 64 * 1024;
 
   /** A large machine may have run thousands of tasks while no node could answer it. */
-  private static final int MAX_REPORT = 1024 * 1024;
+  private static final int MAX_HEARTBEAT_BYTES = 1024 * 1024;
 
-  private static final int STACK_BYTES = 192 * 1024;
+  private static final int MAX_QUEUED_STEPS = 2048;
+  private static final int MAX_PENDING_CONNECTIONS = 128;
+  private static final int RETRY_AFTER_SECONDS = 1;
 
   private final EventLoop loop;
   private final RequestHandler handler;
   private final ThreadPoolExecutor threads;
   private final HttpServer server;
-  private final Predicate<String> isReport;
+  private final Predicate<String> isHeartbeat;
   private final InFlightBytesLimiter userBodies;
-  private final InFlightBytesLimiter reportBodies;
+  private final InFlightBytesLimiter heartbeatBodies;
 
   /**
-   * What it may hold at a time.
+   * Limits of what the server does at a time.
    *
-   * @param threads that read requests and write answers
-   * @param userBodyBytes bodies of users' requests that wait for the event loop
-   * @param reportBodyBytes bodies of workers' reports that wait for it
-   * @param isReport tells by its path which request is a worker's report
+   * @param threads that read requests and write responses
+   * @param userBodyBytes size of the users' request bodies that wait for the event loop
+   * @param reportBodyBytes size of the workers' heartbeats that wait for it
+   * @param isReport whether a request is a worker's heartbeat, by its path
    */
   public record Bounds(
       int threads, int userBodyBytes, int reportBodyBytes, Predicate<String> isReport) {}
 
+  /**
+   * A server that is bound to its address and not started yet.
+   *
+   * @throws IOException if the address can't be bound
+   */
   public JdkHttpServer(
       EventLoop loop, RequestHandler handler, InetSocketAddress address, Bounds bounds)
       throws IOException {
     this.loop = loop;
     this.handler = handler;
-    this.isReport = bounds.isReport();
+    this.isHeartbeat = bounds.isReport();
     this.userBodies = new InFlightBytesLimiter(bounds.userBodyBytes());
-    this.reportBodies = new InFlightBytesLimiter(bounds.reportBodyBytes());
-    this.threads =
-        new ThreadPoolExecutor(
-            bounds.threads(),
-            bounds.threads(),
-            30,
-            TimeUnit.SECONDS,
-            new LinkedBlockingQueue<>(2048),
-            step -> {
-              Thread thread = new Thread(null, step, "http", STACK_BYTES);
-              thread.setDaemon(true);
-              return thread;
-            });
-    this.server = HttpServer.create(address, 128);
+    this.heartbeatBodies = new InFlightBytesLimiter(bounds.reportBodyBytes());
+    this.threads = DaemonThreads.pool("http", bounds.threads(), MAX_QUEUED_STEPS);
+    this.server = HttpServer.create(address, MAX_PENDING_CONNECTIONS);
     server.setExecutor(threads);
     server.createContext("/", this::receive);
   }
 
-  /** Limits of the JDK's server; they must be set before it is first used. */
+  /**
+   * Sets the limits of the JDK's server and client; must be called before either is first used.
+   *
+   * @param idleConnections most connections of the server that are kept open between requests
+   */
   public static void configure(int idleConnections) {
     System.setProperty("sun.net.httpserver.nodelay", "true");
     System.setProperty("sun.net.httpserver.maxReqTime", "5");
     System.setProperty("sun.net.httpserver.maxRspTime", "10");
     System.setProperty("sun.net.httpserver.idleInterval", "120");
-    // Above its cap of idle connections the server closes each one after its answer.
+    // Above this number of idle connections the server closes each one after its response.
     System.setProperty("sun.net.httpserver.maxIdleConnections", Integer.toString(idleConnections));
     System.setProperty("sun.net.http.retryPost", "false");
     System.setProperty("http.maxConnections", "8");
   }
 
+  /** Starts to accept connections. */
   public void start() {
     server.start();
   }
 
-  /** Where it listens; tells the port if any free one was asked for. */
+  /** The address that the server listens at, with the port chosen if any free one was asked for. */
   public InetSocketAddress address() {
     return server.getAddress();
   }
@@ -97,38 +96,50 @@
   private void receive(HttpExchange exchange) throws IOException {
     String method = exchange.getRequestMethod();
     String path = exchange.getRequestURI().getRawPath();
-    boolean report = isReport.test(path);
-    int longest = report ? MAX_REPORT : MAX_BODY;
+    boolean heartbeat = isHeartbeat.test(path);
+    int maxBytes = heartbeat ? MAX_HEARTBEAT_BYTES : MAX_BODY_BYTES;
     byte[] body;
     try (InputStream in = exchange.getRequestBody()) {
-      body = in.readNBytes(longest + 1);
-      if (body.length > longest) {
+      body = in.readNBytes(maxBytes + 1);
+      if (body.length > maxBytes) {
         exchange.getResponseHeaders().set("Connection", "close");
-        write(exchange, 413, "{\"error\":\"body too long\"}");
+        write(exchange, HttpStatus.CONTENT_TOO_LARGE, error("body too long"));
         return;
       }
     }
     Responder responder = new ExchangeResponder(exchange);
-    // Reports have a budget of their own: however much users send, workers are heard.
-    InFlightBytesLimiter budget = report ? reportBodies : userBodies;
-    if (!budget.tryAcquire(body.length)) {
-      responder.respondLater(503, "{\"error\":\"try again\"}", 1);
+    // Heartbeats have a limit of their own: however much users send, workers are served.
+    InFlightBytesLimiter limiter = heartbeat ? heartbeatBodies : userBodies;
+    if (!limiter.tryAcquire(body.length)) {
+      respondUnavailable(responder, "try again");
       return;
     }
     String text = new String(body, StandardCharsets.UTF_8);
     int length = body.length;
     loop.post(
         () -> {
-          budget.release(length);
-          try {
-            handler.handle(method, path, text, responder);
-          } catch (RuntimeException e) {
-            LOG.error("{} {} failed", method, path, e);
-            responder.respondLater(503, "{\"error\":\"internal\"}", 1);
-          }
+          limiter.release(length);
+          handle(method, path, text, responder);
         });
   }
 
+  private void handle(String method, String path, String body, Responder responder) {
+    try {
+      handler.handle(method, path, body, responder);
+    } catch (RuntimeException e) {
+      LOG.error("request failed, method={} path={}", method, path, e);
+      respondUnavailable(responder, "internal");
+    }
+  }
+
+  private static void respondUnavailable(Responder responder, String reason) {
+    responder.respondLater(HttpStatus.SERVICE_UNAVAILABLE, error(reason), RETRY_AFTER_SECONDS);
+  }
+
+  private static String error(String reason) {
+    return "{\"error\":\"" + reason + "\"}";
+  }
+
   private static void write(HttpExchange exchange, int status, String body) {
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
     try {
@@ -138,7 +149,7 @@
         out.write(bytes);
       }
     } catch (IOException e) {
-      LOG.debug("answer lost: {}", e.toString());
+      LOG.debug("response lost, error={}", e.toString());
     } finally {
       exchange.close();
     }
@@ -146,7 +157,7 @@
 
   private final class ExchangeResponder implements Responder {
     private final HttpExchange exchange;
-    private boolean answered;
+    private boolean responded;
 
     ExchangeResponder(HttpExchange exchange) {
       this.exchange = exchange;
@@ -154,10 +165,10 @@
 
     @Override
     public void respond(int status, String body) {
-      if (answered) {
+      if (responded) {
         return;
       }
-      answered = true;
+      responded = true;
       try {
         threads.execute(() -> write(exchange, status, body));
       } catch (RejectedExecutionException e) {
@@ -167,7 +178,7 @@
 
     @Override
     public void respondLater(int status, String body, int retryAfterSeconds) {
-      if (!answered) {
+      if (!responded) {
         exchange.getResponseHeaders().set("Retry-After", Integer.toString(retryAfterSeconds));
       }
       respond(status, body);
--- a/src/main/java/org/mulleinshift/transport/RateLimiter.java
+++ b/src/main/java/org/mulleinshift/transport/RateLimiter.java
@@ -2,33 +2,39 @@
 
 import java.time.Duration;
 
-/** A share of an outside system's rate, with one second's worth of burst. */
+/** A token bucket for a share of another system's rate limit, with bursts of one second's worth. */
 public final class RateLimiter {
+  private static final double MIN_WAIT_SECONDS = 0.001;
+  private static final double NANOS_PER_SECOND = 1e9;
+
   private final EventLoop loop;
   private double burst;
   private double perSecond;
   private double tokens;
-  private MonotonicTime filledAt;
+  private MonotonicTime refilledAt;
 
+  /** A full bucket. */
   public RateLimiter(EventLoop loop, double perSecond) {
     this.loop = loop;
     this.perSecond = perSecond;
     this.burst = Math.max(1, perSecond);
     this.tokens = burst;
-    this.filledAt = loop.now();
+    this.refilledAt = loop.now();
   }
 
-  /** From now on the share is another one. */
-  public void setRate(double next) {
+  /** Changes the rate from now on. */
+  public void setRate(double newPerSecond) {
     refill();
-    perSecond = next;
-    burst = Math.max(1, next);
+    perSecond = newPerSecond;
+    burst = Math.max(1, newPerSecond);
     tokens = Math.min(burst, tokens);
   }
 
   /**
-   * Takes from the budget if that leaves the reserve untouched. What is more than the budget ever
-   * holds is let through when it is full, and borrows: else it would wait for ever.
+   * Takes tokens if that leaves the reserve untouched. An amount that is larger than the bucket is
+   * admitted when the bucket is full, and overdraws it: else it would wait for ever.
+   *
+   * @param reserve tokens that must remain for more urgent calls
    */
   public boolean tryAcquire(double amount, double reserve) {
     refill();
@@ -39,21 +45,23 @@
     return true;
   }
 
-  /** For calls that may not wait: they borrow from what comes later. */
+  /** Takes tokens for a call that must not wait; the bucket may be overdrawn. */
   public void acquireOverdraft(double amount) {
     refill();
     tokens -= amount;
   }
 
+  /** How long it takes until an amount beyond the reserve will be there. */
   public Duration untilAvailable(double amount, double reserve) {
     refill();
     double missing = amount + reserve - tokens;
-    return Duration.ofNanos((long) (Math.max(0.001, missing / perSecond) * 1e9));
+    return Duration.ofNanos(
+        (long) (Math.max(MIN_WAIT_SECONDS, missing / perSecond) * NANOS_PER_SECOND));
   }
 
   private void refill() {
     MonotonicTime now = loop.now();
-    tokens = Math.min(burst, tokens + perSecond * now.secondsSince(filledAt));
-    filledAt = now;
+    tokens = Math.min(burst, tokens + perSecond * now.secondsSince(refilledAt));
+    refilledAt = now;
   }
 }
--- a/src/main/java/org/mulleinshift/transport/RequestHandler.java
+++ b/src/main/java/org/mulleinshift/transport/RequestHandler.java
@@ -1,6 +1,12 @@
 package org.mulleinshift.transport;
 
-/** Takes requests on the event loop. */
+/** Handles requests on the event loop. */
 public interface RequestHandler {
+  /**
+   * Handles a request.
+   *
+   * @param path without the query
+   * @param body may be empty
+   */
   void handle(String method, String path, String body, Responder responder);
 }
--- a/src/main/java/org/mulleinshift/transport/Responder.java
+++ b/src/main/java/org/mulleinshift/transport/Responder.java
@@ -1,9 +1,10 @@
 package org.mulleinshift.transport;
 
-/** Answers one request, once; may be called later than the handler returns. */
+/** Responds to one request, once; may be called after the handler has returned. */
 public interface Responder {
+  /** Sends a response. */
   void respond(int status, String body);
 
-  /** An answer that tells when to come back. */
+  /** Sends a response that names the time after which the client should retry. */
   void respondLater(int status, String body, int retryAfterSeconds);
 }
--- a/src/main/java/org/mulleinshift/transport/TcpPeerTransport.java
+++ b/src/main/java/org/mulleinshift/transport/TcpPeerTransport.java
@@ -21,50 +21,79 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One outgoing connection to each peer with a thread and a bounded queue. Every frame is preceded
- * by its length and answered by one byte on the same connection: after a network cut a connection
- * may take frames for ever without delivering or failing, and only the missing answer shows it.
+ * One outgoing connection to each peer, with a thread and a bounded queue. Every frame is preceded
+ * by its length and acknowledged by one byte on the same connection: after a network partition a
+ * connection may take frames for ever without delivering or failing, and only the missing
+ * acknowledgement shows it.
  */
 public final class TcpPeerTransport implements PeerTransport {
   private static final Logger LOG = LoggerFactory.getLogger(TcpPeerTransport.class);
-  private static final int MAX_FRAME = 4 << 20;
-  private static final int UNIT = 1024;
-  private static final int QUEUED_FRAMES = 64;
-  private static final int MAX_INCOMING = 16;
-  private static final int CONNECT_MILLIS = 1000;
-  private static final int SILENCE_MILLIS = 5000;
+  private static final int MAX_FRAME_BYTES = 4 << 20;
+  private static final int BUFFER_BYTES = 16 * 1024;
+
+  /** Bytes of one permit of the limit on unread incoming frames. */
+  private static final int BYTES_PER_PERMIT = 1024;
+
+  private static final int MAX_QUEUED_FRAMES = 64;
+  private static final int MAX_INCOMING_CONNECTIONS = 16;
+  private static final int MAX_PENDING_CONNECTIONS = 16;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1000;
+  private static final int READ_TIMEOUT_MILLIS = 5000;
+  private static final int RECONNECT_BACKOFF_MILLIS = 500;
   private static final int ACK = 6;
-  private static final int STACK_BYTES = 192 * 1024;
 
   private final Map<String, FrameQueue> queues = new HashMap<>();
   private final Map<String, InetSocketAddress> peers;
   private final EventLoop loop;
-  private final int ackMillis;
+  private final int ackTimeoutMillis;
   private final Consumer<byte[]> receiver;
-  private final Semaphore incoming = new Semaphore(MAX_INCOMING);
-  private final int incomingUnits;
-  private final Semaphore unread;
+  private final Semaphore incomingConnections = new Semaphore(MAX_INCOMING_CONNECTIONS);
+  private final int unreadLimit;
+  private final Semaphore unreadPermits;
 
+  /**
+   * A transport that is not started yet.
+   *
+   * @param loop runs the receiver
+   * @param peers addresses of the other controllers by their labels
+   * @param receiver gets the frames of all peers
+   * @param ackTimeout how long a frame may wait for its acknowledgement until the connection is
+   *     replaced
+   * @param queuedBytes limit of the frames that wait for one peer
+   * @param incomingBytes limit of the received frames that wait for the event loop
+   */
   public TcpPeerTransport(
       EventLoop loop,
       Map<String, InetSocketAddress> peers,
       Consumer<byte[]> receiver,
-      Duration ackWithin,
+      Duration ackTimeout,
       int queuedBytes,
       int incomingBytes) {
     this.loop = loop;
-    this.ackMillis = (int) ackWithin.toMillis();
+    this.ackTimeoutMillis = (int) ackTimeout.toMillis();
     this.peers = peers;
     this.receiver = receiver;
-    this.incomingUnits = Math.max(1, incomingBytes / UNIT);
-    this.unread = new Semaphore(incomingUnits);
-    peers.keySet().forEach(label -> queues.put(label, new FrameQueue(QUEUED_FRAMES, queuedBytes)));
+    this.unreadLimit = Math.max(1, incomingBytes / BYTES_PER_PERMIT);
+    this.unreadPermits = new Semaphore(unreadLimit);
+    peers
+        .keySet()
+        .forEach(label -> queues.put(label, new FrameQueue(MAX_QUEUED_FRAMES, queuedBytes)));
   }
 
-  public void start(InetSocketAddress bind) throws IOException {
+  /**
+   * Starts to accept connections and to connect to the peers.
+   *
+   * @throws IOException if the address can't be bound
+   */
+  public void start(InetSocketAddress bindAddress) throws IOException {
     ServerSocket server = new ServerSocket();
-    server.setReuseAddress(true);
-    server.bind(bind, 16);
+    try {
+      server.setReuseAddress(true);
+      server.bind(bindAddress, MAX_PENDING_CONNECTIONS);
+    } catch (IOException e) {
+      server.close();
+      throw e;
+    }
     startThread("peer-accept", () -> accept(server));
     peers.forEach((label, address) -> startThread("peer-" + label, () -> sendLoop(label, address)));
   }
@@ -77,15 +106,13 @@
     }
   }
 
-  /** Bytes that wait for the peer. */
+  /** The size of the frames that wait for a peer. */
   public long queuedBytes(String label) {
     return queues.get(label).bytes();
   }
 
   private static void startThread(String name, Runnable body) {
-    Thread thread = new Thread(null, body, name, STACK_BYTES);
-    thread.setDaemon(true);
-    thread.start();
+    DaemonThreads.create(name, body).start();
   }
 
   private void sendLoop(String label, InetSocketAddress address) {
@@ -93,33 +120,39 @@
     while (true) {
       try (Socket socket = new Socket()) {
         socket.setTcpNoDelay(true);
-        socket.connect(address, CONNECT_MILLIS);
-        socket.setSoTimeout(ackMillis);
+        socket.connect(address, CONNECT_TIMEOUT_MILLIS);
+        socket.setSoTimeout(ackTimeoutMillis);
         queue.clear();
-        DataOutputStream out =
-            new DataOutputStream(new BufferedOutputStream(socket.getOutputStream(), 16 * 1024));
-        InputStream acks = socket.getInputStream();
-        while (true) {
-          byte[] frame = queue.take();
-          out.writeInt(frame.length);
-          out.write(frame);
-          out.flush();
-          if (acks.read() < 0) {
-            throw new EOFException("closed by the peer");
-          }
-        }
+        sendFrames(queue, socket);
       } catch (IOException e) {
-        LOG.debug("link to {} ended: {}", label, e.toString());
-        pause();
+        LOG.debug("peer connection closed, peer={} error={}", label, e.toString());
+        backOff();
       } catch (InterruptedException e) {
         return;
       }
     }
   }
 
-  private static void pause() {
+  /** Sends until the connection fails. */
+  private static void sendFrames(FrameQueue queue, Socket socket)
+      throws IOException, InterruptedException {
+    DataOutputStream out =
+        new DataOutputStream(new BufferedOutputStream(socket.getOutputStream(), BUFFER_BYTES));
+    InputStream acks = socket.getInputStream();
+    while (true) {
+      byte[] frame = queue.take();
+      out.writeInt(frame.length);
+      out.write(frame);
+      out.flush();
+      if (acks.read() < 0) {
+        throw new EOFException("closed by the peer");
+      }
+    }
+  }
+
+  private static void backOff() {
     try {
-      Thread.sleep(500);
+      Thread.sleep(RECONNECT_BACKOFF_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -129,42 +162,42 @@
     while (true) {
       try {
         Socket socket = server.accept();
-        if (!incoming.tryAcquire()) {
+        if (!incomingConnections.tryAcquire()) {
           socket.close();
           continue;
         }
         startThread("peer-in", () -> receiveLoop(socket));
       } catch (IOException e) {
-        LOG.warn("accepting peers: {}", e.toString());
-        pause();
+        LOG.warn("peer connection not accepted, error={}", e.toString());
+        backOff();
       }
     }
   }
 
   private void receiveLoop(Socket socket) {
     try (socket) {
-      socket.setSoTimeout(SILENCE_MILLIS);
+      socket.setSoTimeout(READ_TIMEOUT_MILLIS);
       DataInputStream in =
-          new DataInputStream(new BufferedInputStream(socket.getInputStream(), 16 * 1024));
+          new DataInputStream(new BufferedInputStream(socket.getInputStream(), BUFFER_BYTES));
       OutputStream acks = socket.getOutputStream();
       socket.setTcpNoDelay(true);
       while (true) {
         int length = in.readInt();
-        if (length < 0 || length > MAX_FRAME) {
+        if (length < 0 || length > MAX_FRAME_BYTES) {
           throw new IOException("frame of " + length + " bytes");
         }
         byte[] frame = in.readNBytes(length);
         if (frame.length < length) {
           return;
         }
-        // A loop that lags behind takes no more: the sender hears nothing and connects anew.
-        int units = Math.min(incomingUnits, 1 + length / UNIT);
-        if (!unread.tryAcquire(units, SILENCE_MILLIS, TimeUnit.MILLISECONDS)) {
+        // While the event loop lags behind, nothing is acknowledged, and the sender reconnects.
+        int permits = Math.min(unreadLimit, 1 + length / BYTES_PER_PERMIT);
+        if (!unreadPermits.tryAcquire(permits, READ_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
           throw new IOException("frames wait for the event loop");
         }
         loop.post(
             () -> {
-              unread.release(units);
+              unreadPermits.release(permits);
               receiver.accept(frame);
             });
         acks.write(ACK);
@@ -172,9 +205,9 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (IOException e) {
-      LOG.debug("incoming link ended: {}", e.toString());
+      LOG.debug("incoming peer connection closed, error={}", e.toString());
     } finally {
-      incoming.release();
+      incomingConnections.release();
     }
   }
 }
--- a/src/main/java/org/mulleinshift/transport/ThreadEventLoop.java
+++ b/src/main/java/org/mulleinshift/transport/ThreadEventLoop.java
@@ -12,20 +12,28 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** An event loop on the calling thread with real clocks. */
+/** An event loop on the calling thread with the system's clocks. */
 public final class ThreadEventLoop implements EventLoop {
-  private static final long MAX_MICROS = 60_000_000;
-  private static final long DESCRIBE_NANOS = 60_000_000_000L;
+  private static final long MAX_STEP_MICROS = 60_000_000;
+  private static final int HISTOGRAM_DIGITS = 2;
+  private static final double LOGGED_PERCENTILE = 99;
+  private static final long LOG_INTERVAL_NANOS = 60_000_000_000L;
+  private static final int NANOS_PER_MICRO = 1000;
+  private static final double MICROS_PER_MILLI = 1000.0;
+
+  /** Steps that follow the first one before timers are looked at again. */
+  private static final int MAX_FURTHER_STEPS = 63;
+
   private static final Duration PAUSE_THRESHOLD = Duration.ofSeconds(2);
   private static final Logger LOG = LoggerFactory.getLogger(ThreadEventLoop.class);
 
   private final LinkedBlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
-  private final PriorityQueue<Pending> timers = new PriorityQueue<>();
+  private final PriorityQueue<PendingTimer> timers = new PriorityQueue<>();
   private final SplittableRandom random = new SplittableRandom();
-  private final Histogram turns = new Histogram(MAX_MICROS, 2);
-  private long describedAt = System.nanoTime();
+  private final Histogram stepMicros = new Histogram(MAX_STEP_MICROS, HISTOGRAM_DIGITS);
+  private long loggedAtNanos = System.nanoTime();
   private long sequence;
-  private Consumer<Duration> onStandstill = gap -> {};
+  private Consumer<Duration> pauseListener = pause -> {};
 
   @Override
   public void post(Runnable step) {
@@ -34,14 +42,14 @@
 
   @Override
   public Timer after(Duration delay, Runnable step) {
-    Pending pending = new Pending(now().plus(delay), sequence++, step);
-    timers.add(pending);
-    return pending;
+    PendingTimer timer = new PendingTimer(now().plus(delay), sequence++, step);
+    timers.add(timer);
+    return timer;
   }
 
   @Override
   public void onProcessPause(Consumer<Duration> listener) {
-    onStandstill = listener;
+    pauseListener = listener;
   }
 
   @Override
@@ -69,75 +77,77 @@
       Runnable first = awaitStep();
       if (first != null) {
         batch.add(first);
-        queue.drainTo(batch, 63);
+        queue.drainTo(batch, MAX_FURTHER_STEPS);
         batch.forEach(this::runGuarded);
         batch.clear();
       }
     }
   }
 
-  /** There are timers all the time, so a turn never takes this long unless the process stood. */
+  /** There always are timers, so a turn only takes this long if the process was paused. */
   private MonotonicTime detectProcessPause(MonotonicTime turnedAt) {
     MonotonicTime now = now();
-    Duration gap = now.since(turnedAt);
-    if (gap.compareTo(PAUSE_THRESHOLD) > 0) {
-      runGuarded(() -> onStandstill.accept(gap));
+    Duration pause = now.since(turnedAt);
+    if (pause.compareTo(PAUSE_THRESHOLD) > 0) {
+      runGuarded(() -> pauseListener.accept(pause));
     }
     return now;
   }
 
+  /** Waits until a step was posted or a timer is due; null in the latter case. */
   private Runnable awaitStep() throws InterruptedException {
-    Pending next = timers.peek();
+    PendingTimer next = timers.peek();
     if (next == null) {
       return queue.take();
     }
-    long wait = next.due.nanos() - now().nanos();
-    return wait <= 0 ? queue.poll() : queue.poll(wait, TimeUnit.NANOSECONDS);
+    long waitNanos = next.due.nanos() - now().nanos();
+    return waitNanos <= 0 ? queue.poll() : queue.poll(waitNanos, TimeUnit.NANOSECONDS);
   }
 
   private void runDueTimers() {
     MonotonicTime now = now();
     while (!timers.isEmpty() && !timers.peek().due.isAfter(now)) {
-      Pending pending = timers.poll();
-      if (!pending.cancelled) {
-        runGuarded(pending.step);
+      PendingTimer timer = timers.poll();
+      if (!timer.cancelled) {
+        runGuarded(timer.step);
       }
     }
   }
 
   /** One failing step must not end the process: the state stays owned by this thread. */
   private void runGuarded(Runnable step) {
-    long began = System.nanoTime();
+    long startedAt = System.nanoTime();
     try {
       step.run();
     } catch (RuntimeException e) {
-      LOG.error("step failed", e);
+      LOG.error("event loop step failed", e);
     }
-    long ended = System.nanoTime();
-    turns.recordValue(Math.min(MAX_MICROS, Math.max(0, (ended - began) / 1000)));
-    if (ended - describedAt >= DESCRIBE_NANOS) {
-      describe(ended);
+    long endedAt = System.nanoTime();
+    long micros = Math.max(0, (endedAt - startedAt) / NANOS_PER_MICRO);
+    stepMicros.recordValue(Math.min(MAX_STEP_MICROS, micros));
+    if (endedAt - loggedAtNanos >= LOG_INTERVAL_NANOS) {
+      logDurations(endedAt);
     }
   }
 
-  /** A step that takes long endangers renewals, acceptance and the workers' reports. */
-  private void describe(long now) {
+  /** A step that takes long delays lease renewals, submissions and the workers' heartbeats. */
+  private void logDurations(long now) {
     LOG.info(
-        "{} steps: 99% within {} ms, longest {} ms",
-        turns.getTotalCount(),
-        turns.getValueAtPercentile(99) / 1000.0,
-        turns.getMaxValue() / 1000.0);
-    turns.reset();
-    describedAt = now;
+        "event loop steps, count={} p99_ms={} max_ms={}",
+        stepMicros.getTotalCount(),
+        stepMicros.getValueAtPercentile(LOGGED_PERCENTILE) / MICROS_PER_MILLI,
+        stepMicros.getMaxValue() / MICROS_PER_MILLI);
+    stepMicros.reset();
+    loggedAtNanos = now;
   }
 
-  private static final class Pending implements Timer, Comparable<Pending> {
+  private static final class PendingTimer implements Timer, Comparable<PendingTimer> {
     private final MonotonicTime due;
     private final long sequence;
     private final Runnable step;
     private boolean cancelled;
 
-    Pending(MonotonicTime due, long sequence, Runnable step) {
+    PendingTimer(MonotonicTime due, long sequence, Runnable step) {
       this.due = due;
       this.sequence = sequence;
       this.step = step;
@@ -149,7 +159,7 @@
     }
 
     @Override
-    public int compareTo(Pending other) {
+    public int compareTo(PendingTimer other) {
       int byTime = due.compareTo(other.due);
       return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
     }
--- a/src/test/java/org/mulleinshift/transport/TcpPeerTransportTest.java
+++ b/src/test/java/org/mulleinshift/transport/TcpPeerTransportTest.java
@@ -8,57 +8,66 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.net.SocketTimeoutException;
 import java.time.Duration;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The peer link over real loopback sockets. */
+/** The connections between controllers, over real loopback sockets. */
 final class TcpPeerTransportTest {
   private static byte[] readFrame(Socket socket) throws IOException {
     DataInputStream in = new DataInputStream(socket.getInputStream());
     return in.readNBytes(in.readInt());
   }
 
+  private static final byte[] FRAME = {1, 2};
+  private static final String PEER = "peer";
+  private static final Duration ACK_TIMEOUT = Duration.ofMillis(50);
+  private static final int READ_TIMEOUT_MILLIS = 100;
+  private static final int MAX_BYTES = 1 << 20;
+
   /**
-   * After a cut a connection took frames for the rest of the day without delivering any: the
-   * leader's assignments never reached a holder, and nothing ran (nms-radar-sofia, troubles).
+   * After a network partition a connection may take frames for ever without delivering any: then
+   * assignments never reach a shard's owner, and nothing runs.
    */
   @Test
   @Timeout(30)
-  void connectsAnewWhenFramesAreNotAnswered() throws IOException {
+  void reconnectsWhenFramesAreNotAcknowledged() throws IOException {
     try (ServerSocket server = new ServerSocket(0, 4, InetAddress.getLoopbackAddress())) {
       InetSocketAddress address =
           new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
-      TcpPeerTransport link =
+      TcpPeerTransport transport =
           new TcpPeerTransport(
               new ThreadEventLoop(),
-              Map.of("peer", address),
+              Map.of(PEER, address),
               frame -> {},
-              Duration.ofMillis(50),
-              1 << 20,
-              1 << 20);
-      link.start(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-      try (Socket mute = server.accept()) {
-        byte[] first = sendUntilRead(link, mute);
-        assertArrayEquals(new byte[] {1, 2}, first);
-        // The mute connection stays open and takes the frame, yet the link must come again.
+              ACK_TIMEOUT,
+              MAX_BYTES,
+              MAX_BYTES);
+      transport.start(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+      try (Socket first = server.accept()) {
+        byte[] received = sendUntilRead(transport, first);
+        assertArrayEquals(FRAME, received, "frame on the first connection");
+        // The first connection stays open and takes the frame, but never acknowledges it.
         try (Socket second = server.accept()) {
-          assertArrayEquals(new byte[] {1, 2}, sendUntilRead(link, second));
+          byte[] receivedAgain = sendUntilRead(transport, second);
+          assertArrayEquals(FRAME, receivedAgain, "frame on the second connection");
         }
       }
     }
   }
 
-  /** Frames queued before a connection stands are dropped, so one is sent until one arrives. */
-  private static byte[] sendUntilRead(TcpPeerTransport link, Socket socket) throws IOException {
-    socket.setSoTimeout(100);
+  /** Frames queued before a connection is open are dropped, so one is sent until one arrives. */
+  private static byte[] sendUntilRead(TcpPeerTransport transport, Socket socket)
+      throws IOException {
+    socket.setSoTimeout(READ_TIMEOUT_MILLIS);
     while (true) {
-      link.send("peer", new byte[] {1, 2});
+      transport.send(PEER, FRAME);
       try {
         return readFrame(socket);
-      } catch (java.net.SocketTimeoutException e) {
-        link.send("peer", new byte[] {1, 2});
+      } catch (SocketTimeoutException e) {
+        transport.send(PEER, FRAME);
       }
     }
   }
