--- a/src/main/java/org/mulleinshift/protocol/Attempt.java
+++ b/src/main/java/org/mulleinshift/protocol/Attempt.java
@@ -1,12 +1,7 @@
 package org.mulleinshift.protocol;
 
-/** Numbers the tries of a task; a later try has a larger number. */
-public record Attempt(long value) implements Comparable<Attempt> {
-  @Override
-  public int compareTo(Attempt other) {
-    return Long.compare(value, other.value);
-  }
-
+/** The number of an attempt to run a task; a later attempt has a larger number. */
+public record Attempt(long value) implements NumericId<Attempt> {
   @Override
   public String toString() {
     return Long.toString(value);
--- a/src/main/java/org/mulleinshift/protocol/CloudCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/CloudCodec.java
@@ -11,43 +11,48 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The cloud's interface. */
+/** Messages of the cloud's interface. */
 public final class CloudCodec {
+  /** Path of the catalog of machine types. */
   public static final String CATALOG = "/catalog";
+
+  /** Path of the machine list and of provisioning requests. */
   public static final String MACHINES = "/rentals";
+
+  /** Path of deletion requests. */
   public static final String DELETE = "/rentals/delete";
+
+  /** The most machines of one provisioning request. */
   public static final int MAX_PROVISIONED = 50;
+
+  /** The most machines of one deletion request. */
   public static final int MAX_DELETED = 100;
+
+  /** The most machines of one page of the list. */
   public static final int LIST_LIMIT = 500;
 
-  /** One page of the machine list. */
+  private static final int MILLIS_PER_SECOND = 1000;
+
+  /**
+   * One page of the machine list.
+   *
+   * @param more whether there are further pages
+   */
   public record Page(List<CloudMachine> machines, boolean more) {}
 
   private CloudCodec() {}
 
+  /**
+   * Reads the machine types in the catalog's order.
+   *
+   * @throws MalformedMessageException if there are none, or one is incomplete
+   */
   public static Map<MachineTypeId, MachineType> parseCatalog(String body)
       throws MalformedMessageException {
     Map<MachineTypeId, MachineType> types = new LinkedHashMap<>();
-    for (JsonNode item : list(Json.parseObject(body), "builds")) {
-      List<ZoneId> zones = new ArrayList<>();
-      for (JsonNode zone : list(item, "yards")) {
-        zones.add(new ZoneId(zone.asText()));
-      }
-      MachineTypeId id = new MachineTypeId(Json.text(item, "label"));
-      types.put(
-          id,
-          new MachineType(
-              id,
-              new Resources(
-                  Json.amount(item, "cpus"),
-                  Json.amount(item, "cards"),
-                  Json.amount(item, "ram_gb")),
-              Json.amount(item, "local_gb"),
-              Json.amount(item, "pull_gb_per_s"),
-              Json.amount(item, "rate"),
-              Json.amount(item, "market_price"),
-              Duration.ofMillis((long) (Json.amount(item, "startup_s") * 1000)),
-              List.copyOf(zones)));
+    for (JsonNode item : list(Json.parseObject(body), WireNames.MACHINE_TYPES)) {
+      MachineType type = machineType(item);
+      types.put(type.id(), type);
     }
     if (types.isEmpty()) {
       throw new MalformedMessageException("empty catalog");
@@ -55,20 +60,49 @@
     return types;
   }
 
+  private static MachineType machineType(JsonNode item) throws MalformedMessageException {
+    List<ZoneId> zones = new ArrayList<>();
+    for (JsonNode zone : list(item, WireNames.ZONES)) {
+      zones.add(new ZoneId(zone.asText()));
+    }
+    return new MachineType(
+        new MachineTypeId(Json.text(item, WireNames.CATALOG_TYPE)),
+        new Resources(
+            Json.amount(item, WireNames.CPUS),
+            Json.amount(item, WireNames.GPUS),
+            Json.amount(item, WireNames.MEMORY_GB)),
+        Json.amount(item, WireNames.IMAGE_CACHE_GB),
+        Json.amount(item, WireNames.FETCH_GB_PER_SECOND),
+        Json.amount(item, WireNames.PRICE),
+        Json.amount(item, WireNames.SPOT_PRICE),
+        duration(Json.amount(item, WireNames.BOOT_SECONDS)),
+        List.copyOf(zones));
+  }
+
+  /**
+   * Writes a provisioning request.
+   *
+   * @param name makes the request idempotent; a name must never be reused
+   */
   public static String provision(
       String name, MachineTypeId type, ZoneId zone, boolean spot, int count) {
     ObjectNode node = Json.object();
-    node.put("hire", name);
-    node.put("build", type.value());
-    node.put("yard", zone.value());
-    node.put("loaner", spot);
-    node.put("how_many", count);
+    node.put(WireNames.PROVISIONING_REQUEST, name);
+    node.put(WireNames.MACHINE_TYPE, type.value());
+    node.put(WireNames.ZONE, zone.value());
+    node.put(WireNames.SPOT, spot);
+    node.put(WireNames.COUNT, count);
     return Json.write(node);
   }
 
+  /**
+   * Reads the names of the machines that a request provisioned.
+   *
+   * @throws MalformedMessageException if the body is something else
+   */
   public static List<MachineId> parseProvisioned(String body) throws MalformedMessageException {
     List<MachineId> machines = new ArrayList<>();
-    for (JsonNode item : list(Json.parseObject(body), "hosts")) {
+    for (JsonNode item : list(Json.parseObject(body), WireNames.MACHINES)) {
       if (!item.isTextual()) {
         throw new MalformedMessageException("hosts holds something else than names");
       }
@@ -77,33 +111,47 @@
     return machines;
   }
 
+  /** Writes a deletion request. */
   public static String delete(Collection<MachineId> machines) {
     ObjectNode node = Json.object();
-    ArrayNode list = node.putArray("hosts");
+    ArrayNode list = node.putArray(WireNames.MACHINES);
     machines.forEach(machine -> list.add(machine.value()));
     return Json.write(node);
   }
 
+  /** The path of the page that starts after a machine, or of the first page. */
   public static String listPath(Optional<MachineId> after) {
     String from = after.map(machine -> "from=" + machine.value() + "&").orElse("");
     return MACHINES + "?" + from + "limit=" + LIST_LIMIT;
   }
 
+  /**
+   * Reads a page of the machine list.
+   *
+   * @throws MalformedMessageException if the body is something else
+   */
   public static Page parseList(String body) throws MalformedMessageException {
     JsonNode node = Json.parseObject(body);
     List<CloudMachine> machines = new ArrayList<>();
-    for (JsonNode item : list(node, "hosts")) {
-      machines.add(
-          new CloudMachine(
-              new MachineId(Json.text(item, "ref")),
-              item.path("addr").asText(""),
-              new MachineTypeId(Json.text(item, "build")),
-              new ZoneId(Json.text(item, "yard")),
-              item.path("loaner").asBoolean(),
-              phase(Json.text(item, "phase")),
-              Duration.ofMillis((long) (item.path("held_s").asDouble(0) * 1000))));
+    for (JsonNode item : list(node, WireNames.MACHINES)) {
+      machines.add(machine(item));
     }
-    return new Page(machines, node.path("more").asBoolean(false));
+    return new Page(machines, node.path(WireNames.MORE).asBoolean(false));
+  }
+
+  private static CloudMachine machine(JsonNode item) throws MalformedMessageException {
+    return new CloudMachine(
+        new MachineId(Json.text(item, WireNames.ID)),
+        item.path(WireNames.ADDRESS).asText(""),
+        new MachineTypeId(Json.text(item, WireNames.MACHINE_TYPE)),
+        new ZoneId(Json.text(item, WireNames.ZONE)),
+        item.path(WireNames.SPOT).asBoolean(),
+        phase(Json.text(item, WireNames.PHASE)),
+        duration(item.path(WireNames.AGE_SECONDS).asDouble(0)));
+  }
+
+  private static Duration duration(double seconds) {
+    return Duration.ofMillis((long) (seconds * MILLIS_PER_SECOND));
   }
 
   private static CloudMachine.Phase phase(String wire) throws MalformedMessageException {
--- a/src/main/java/org/mulleinshift/protocol/HeartbeatParser.java
+++ b/src/main/java/org/mulleinshift/protocol/HeartbeatParser.java
@@ -11,22 +11,29 @@
 import java.util.Set;
 
 /**
- * Reads one worker's report token by token. Reports are what a controller reads most, so no tree is
- * built of them. Fields it does not know are skipped; a field named twice is an error.
+ * Reads one worker's heartbeat token by token. Heartbeats are what a controller reads most, so no
+ * tree is built of them. Unknown fields are skipped; a field that occurs twice is an error.
  */
 final class HeartbeatParser {
-  private static final double MAX_RECALL_SECONDS = 1e9;
+  private static final double MAX_NOTICE_SECONDS = 1e9;
+  private static final int MILLIS_PER_SECOND = 1000;
+
+  /** Initial capacity of the list of tasks. */
+  private static final int EXPECTED_TASKS = 8;
+
+  /** Stands for a number that the heartbeat did not give: the valid ones are not negative. */
+  private static final long NOT_GIVEN = -1;
 
   private final JsonParser in;
-  private final Set<String> seen = new HashSet<>();
+  private final Set<String> seenFields = new HashSet<>();
   private String machine;
   private String address;
   private String type;
   private String zone;
   private Boolean spot;
-  private long epoch = -1;
-  private long sequence = -1;
-  private long token = -1;
+  private long epoch = NOT_GIVEN;
+  private long sequence = NOT_GIVEN;
+  private long token = NOT_GIVEN;
   private Optional<Duration> interruptionNotice = Optional.empty();
   private List<WorkerHeartbeat.Entry> tasks;
 
@@ -34,22 +41,27 @@
     this.in = in;
   }
 
+  /**
+   * Reads a heartbeat.
+   *
+   * @throws MalformedMessageException if a field is missing or invalid
+   */
   static WorkerHeartbeat parse(String body) throws MalformedMessageException {
     try (JsonParser in = Json.parser(body)) {
-      return new HeartbeatParser(in).report();
+      return new HeartbeatParser(in).heartbeat();
     } catch (IOException e) {
       throw new MalformedMessageException("not JSON");
     }
   }
 
-  private WorkerHeartbeat report() throws IOException, MalformedMessageException {
+  private WorkerHeartbeat heartbeat() throws IOException, MalformedMessageException {
     if (in.nextToken() != JsonToken.START_OBJECT) {
       throw new MalformedMessageException("not an object");
     }
     for (String key = in.nextFieldName(); key != null; key = in.nextFieldName()) {
       in.nextToken();
-      field(key);
-      once(seen, key);
+      readField(key);
+      requireFirst(key);
     }
     if (!in.hasToken(JsonToken.END_OBJECT) || in.nextToken() != null) {
       throw new MalformedMessageException("not JSON");
@@ -58,29 +70,30 @@
       throw new MalformedMessageException("pieces is missing");
     }
     return new WorkerHeartbeat(
-        new MachineId(given(machine, "host")),
-        given(address, "addr"),
-        new MachineTypeId(given(type, "build")),
-        new ZoneId(given(zone, "yard")),
-        given(spot, "loaner"),
-        new HeartbeatVersion(given(epoch, "shift"), given(sequence, "tick")),
-        new FencingToken(given(token, "baton")),
+        new MachineId(given(machine, WireNames.MACHINE)),
+        given(address, WireNames.ADDRESS),
+        new MachineTypeId(given(type, WireNames.MACHINE_TYPE)),
+        new ZoneId(given(zone, WireNames.ZONE)),
+        given(spot, WireNames.SPOT),
+        new HeartbeatVersion(
+            given(epoch, WireNames.WORKER_EPOCH), given(sequence, WireNames.HEARTBEAT_SEQUENCE)),
+        new FencingToken(given(token, WireNames.FENCING_TOKEN)),
         interruptionNotice,
         tasks);
   }
 
-  private void field(String key) throws IOException, MalformedMessageException {
+  private void readField(String key) throws IOException, MalformedMessageException {
     switch (key) {
-      case "host" -> machine = text(key);
-      case "addr" -> address = text(key);
-      case "build" -> type = text(key);
-      case "yard" -> zone = text(key);
-      case "loaner" -> spot = flag(key);
-      case "shift" -> epoch = count(key);
-      case "tick" -> sequence = count(key);
-      case "baton" -> token = count(key);
-      case "recall_s" -> interruptionNotice = interruptionNotice(key);
-      case "pieces" -> tasks = entries();
+      case WireNames.MACHINE -> machine = text(key);
+      case WireNames.ADDRESS -> address = text(key);
+      case WireNames.MACHINE_TYPE -> type = text(key);
+      case WireNames.ZONE -> zone = text(key);
+      case WireNames.SPOT -> spot = flag(key);
+      case WireNames.WORKER_EPOCH -> epoch = count(key);
+      case WireNames.HEARTBEAT_SEQUENCE -> sequence = count(key);
+      case WireNames.FENCING_TOKEN -> token = count(key);
+      case WireNames.INTERRUPTION_SECONDS -> interruptionNotice = interruptionNotice(key);
+      case WireNames.TASKS -> tasks = entries();
       default -> in.skipChildren();
     }
   }
@@ -89,7 +102,7 @@
     if (!in.hasToken(JsonToken.START_ARRAY)) {
       throw new MalformedMessageException("pieces is missing");
     }
-    List<WorkerHeartbeat.Entry> found = new ArrayList<>(8);
+    List<WorkerHeartbeat.Entry> found = new ArrayList<>(EXPECTED_TASKS);
     while (in.nextToken() != JsonToken.END_ARRAY) {
       found.add(entry());
     }
@@ -101,26 +114,26 @@
       throw new MalformedMessageException("piece is missing or not a short text");
     }
     TaskId task = null;
-    long attempt = -1;
+    long attempt = NOT_GIVEN;
     WorkerHeartbeat.State state = null;
     WorkerHeartbeat.Cause cause = null;
     for (String key = in.nextFieldName(); key != null; key = in.nextFieldName()) {
       in.nextToken();
       switch (key) {
-        case "piece" -> task = unset(task, taskId(text(key)), key);
-        case "try" -> {
-          unset(attempt < 0 ? null : key, key, key);
+        case WireNames.TASK -> task = unset(task, taskId(text(key)), key);
+        case WireNames.ATTEMPT -> {
+          requireNotGiven(attempt, key);
           attempt = count(key);
         }
-        case "phase" -> state = unset(state, WorkerCodec.state(text(key)), key);
-        case "cause" -> cause = unset(cause, causeOf(key), key);
+        case WireNames.PHASE -> state = unset(state, WorkerCodec.state(text(key)), key);
+        case WireNames.EXIT_CAUSE -> cause = unset(cause, causeOf(key), key);
         default -> in.skipChildren();
       }
     }
     return new WorkerHeartbeat.Entry(
-        given(task, "piece"),
-        new Attempt(given(attempt, "try")),
-        given(state, "phase"),
+        given(task, WireNames.TASK),
+        new Attempt(given(attempt, WireNames.ATTEMPT)),
+        given(state, WireNames.PHASE),
         cause == null ? WorkerHeartbeat.Cause.NONE : cause);
   }
 
@@ -150,15 +163,15 @@
       return Optional.empty();
     }
     double seconds = in.currentToken().isNumeric() ? in.getDoubleValue() : Double.NaN;
-    if (!(seconds >= 0 && seconds <= MAX_RECALL_SECONDS)) {
+    if (!(seconds >= 0 && seconds <= MAX_NOTICE_SECONDS)) {
       throw new MalformedMessageException(key + " is missing or not an amount");
     }
-    return Optional.of(Duration.ofMillis((long) (seconds * 1000)));
+    return Optional.of(Duration.ofMillis((long) (seconds * MILLIS_PER_SECOND)));
   }
 
   private String text(String key) throws IOException, MalformedMessageException {
     String value = in.hasToken(JsonToken.VALUE_STRING) ? in.getText() : "";
-    if (value.isEmpty() || value.length() > Json.MAX_NAME) {
+    if (value.isEmpty() || value.length() > Json.MAX_NAME_LENGTH) {
       throw new MalformedMessageException(key + " is missing or not a short text");
     }
     return value;
@@ -180,8 +193,14 @@
     return in.hasToken(JsonToken.VALUE_TRUE);
   }
 
-  private static void once(Set<String> seen, String key) throws MalformedMessageException {
-    if (!seen.add(key)) {
+  private void requireFirst(String key) throws MalformedMessageException {
+    if (!seenFields.add(key)) {
+      throw new MalformedMessageException(key + " is given twice");
+    }
+  }
+
+  private static void requireNotGiven(long before, String key) throws MalformedMessageException {
+    if (before != NOT_GIVEN) {
       throw new MalformedMessageException(key + " is given twice");
     }
   }
@@ -201,7 +220,7 @@
   }
 
   private static long given(long value, String key) throws MalformedMessageException {
-    if (value < 0) {
+    if (value == NOT_GIVEN) {
       throw new MalformedMessageException(key + " is missing or out of range");
     }
     return value;
--- a/src/main/java/org/mulleinshift/protocol/JobCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/JobCodec.java
@@ -10,69 +10,89 @@
 import java.util.OptionalDouble;
 import java.util.OptionalInt;
 import java.util.Set;
+import java.util.function.Function;
 import java.util.regex.Pattern;
 
 /**
- * The users' interface: submissions in, job views out. The store keeps submissions the same way.
+ * Messages of users: reads submissions and writes responses. Stored job records hold the job in the
+ * form of its submission.
  */
 public final class JobCodec {
+  /** Path of submissions; that of a job adds a slash and its id. */
   public static final String RUNS = "/v2/runs";
+
   private static final Pattern ID = Pattern.compile("run-[0-9A-Za-z_.-]{1,64}");
   private static final int MAX_TASKS = 100_000;
-  private static final int MAX_TYPES = 64;
+  private static final int MAX_MACHINE_TYPES = 64;
 
   private JobCodec() {}
 
+  /** Whether the text has the form of a job id. */
   public static boolean isJobId(String text) {
     return ID.matcher(text).matches();
   }
 
   /** The job id of a submission whose other fields may be invalid. */
   public static Optional<JobId> findJobId(JsonNode submission) {
-    String id = submission.path("ref").asText("");
+    String id = submission.path(WireNames.ID).asText("");
     return isJobId(id) ? Optional.of(new JobId(id)) : Optional.empty();
   }
 
+  /**
+   * Reads a submission, without its dependencies.
+   *
+   * @throws MalformedMessageException if a field is missing or invalid
+   */
   public static JobSpec parse(JsonNode node) throws MalformedMessageException {
-    String id = Json.text(node, "ref");
+    String id = Json.text(node, WireNames.ID);
     if (!isJobId(id)) {
       throw new MalformedMessageException("ref is not a job id");
     }
     Resources perTask =
         new Resources(
-            Json.amount(node, "cpus"), Json.amount(node, "cards"), Json.amount(node, "ram_gb"));
+            Json.amount(node, WireNames.CPUS),
+            Json.amount(node, WireNames.GPUS),
+            Json.amount(node, WireNames.MEMORY_GB));
     return new JobSpec(
         new JobId(id),
-        Json.text(node, "lane"),
-        new TeamId(Json.text(node, "crew")),
-        oneOf(node, "shape", JobKind.values(), JobKind::wire),
-        oneOf(node, "urgency", Priority.values(), Priority::wire),
-        (int) Json.count(node, "pieces", 1, MAX_TASKS),
+        Json.text(node, WireNames.JOB_CLASS),
+        new TeamId(Json.text(node, WireNames.TEAM)),
+        oneOf(node, WireNames.JOB_KIND, JobKind.values(), JobKind::wire),
+        oneOf(node, WireNames.PRIORITY, Priority.values(), Priority::wire),
+        (int) Json.count(node, WireNames.TASKS, 1, MAX_TASKS),
         perTask,
-        Json.text(node, "bundle"),
-        Json.amount(node, "pull_gb"),
+        Json.text(node, WireNames.IMAGE),
+        Json.amount(node, WireNames.IMAGE_GB),
         machineTypes(node),
         zone(node),
-        Json.flag(node, "same_place"),
-        Json.flag(node, "spread"),
-        Json.flag(node, "loaner"),
-        Json.amount(node, "guess_s"),
-        Json.amount(node, "snapshot_s"),
-        Json.amount(node, "flush_s"),
-        node.hasNonNull("due_s")
-            ? OptionalDouble.of(Json.amount(node, "due_s"))
+        Json.flag(node, WireNames.ONE_ZONE),
+        Json.flag(node, WireNames.SPREAD),
+        Json.flag(node, WireNames.SPOT),
+        Json.amount(node, WireNames.ESTIMATE_SECONDS),
+        Json.amount(node, WireNames.CHECKPOINT_SECONDS),
+        Json.amount(node, WireNames.SAVE_SECONDS),
+        node.hasNonNull(WireNames.DEADLINE_SECONDS)
+            ? OptionalDouble.of(Json.amount(node, WireNames.DEADLINE_SECONDS))
             : OptionalDouble.empty());
   }
 
-  /** The jobs that a submission awaits, each once. */
+  /**
+   * Reads the jobs that a submission depends on, each once.
+   *
+   * @throws MalformedMessageException if the field is something else than a list of job ids
+   */
   public static List<JobId> awaits(JsonNode node) throws MalformedMessageException {
-    if (!node.hasNonNull("awaits")) {
+    if (!node.hasNonNull(WireNames.DEPENDENCIES)) {
       return List.of();
     }
-    return jobIds(node.get("awaits"));
+    return jobIds(node.get(WireNames.DEPENDENCIES));
   }
 
-  /** A list of job ids, each once. */
+  /**
+   * Reads a list of job ids, each once.
+   *
+   * @throws MalformedMessageException if it is something else
+   */
   public static List<JobId> jobIds(JsonNode list) throws MalformedMessageException {
     if (!list.isArray()) {
       throw new MalformedMessageException("awaits is not a list");
@@ -87,12 +107,11 @@
     return List.copyOf(jobs);
   }
 
-  private static <T> T oneOf(
-      JsonNode node, String key, T[] values, java.util.function.Function<T, String> wire)
+  private static <T> T oneOf(JsonNode node, String key, T[] values, Function<T, String> wireName)
       throws MalformedMessageException {
     String text = Json.text(node, key);
     for (T value : values) {
-      if (wire.apply(value).equals(text)) {
+      if (wireName.apply(value).equals(text)) {
         return value;
       }
     }
@@ -101,16 +120,16 @@
 
   private static Optional<List<MachineTypeId>> machineTypes(JsonNode node)
       throws MalformedMessageException {
-    if (!node.hasNonNull("builds")) {
+    if (!node.hasNonNull(WireNames.MACHINE_TYPES)) {
       return Optional.empty();
     }
-    JsonNode list = node.get("builds");
-    if (!list.isArray() || list.size() > MAX_TYPES) {
+    JsonNode list = node.get(WireNames.MACHINE_TYPES);
+    if (!list.isArray() || list.size() > MAX_MACHINE_TYPES) {
       throw new MalformedMessageException("builds is not a short list");
     }
     List<MachineTypeId> types = new ArrayList<>();
     for (JsonNode type : list) {
-      if (!type.isTextual() || type.asText().length() > Json.MAX_NAME) {
+      if (!type.isTextual() || type.asText().length() > Json.MAX_NAME_LENGTH) {
         throw new MalformedMessageException("builds holds something else than names");
       }
       types.add(new MachineTypeId(type.asText()));
@@ -119,52 +138,54 @@
   }
 
   private static Optional<ZoneId> zone(JsonNode node) throws MalformedMessageException {
-    return node.hasNonNull("yard")
-        ? Optional.of(new ZoneId(Json.text(node, "yard")))
+    return node.hasNonNull(WireNames.ZONE)
+        ? Optional.of(new ZoneId(Json.text(node, WireNames.ZONE)))
         : Optional.empty();
   }
 
   /** The inverse of {@link #parse(JsonNode)}. */
   public static ObjectNode write(JobSpec spec) {
     ObjectNode node = Json.object();
-    node.put("ref", spec.id().value());
-    node.put("lane", spec.jobClass());
-    node.put("crew", spec.team().value());
-    node.put("shape", spec.kind().wire());
-    node.put("urgency", spec.priority().wire());
-    node.put("pieces", spec.tasks());
-    node.put("cpus", spec.perTask().cpus());
-    node.put("cards", spec.perTask().gpus());
-    node.put("ram_gb", spec.perTask().memoryGb());
-    node.put("bundle", spec.image());
-    node.put("pull_gb", spec.imageGb());
+    node.put(WireNames.ID, spec.id().value());
+    node.put(WireNames.JOB_CLASS, spec.jobClass());
+    node.put(WireNames.TEAM, spec.team().value());
+    node.put(WireNames.JOB_KIND, spec.kind().wire());
+    node.put(WireNames.PRIORITY, spec.priority().wire());
+    node.put(WireNames.TASKS, spec.tasks());
+    node.put(WireNames.CPUS, spec.perTask().cpus());
+    node.put(WireNames.GPUS, spec.perTask().gpus());
+    node.put(WireNames.MEMORY_GB, spec.perTask().memoryGb());
+    node.put(WireNames.IMAGE, spec.image());
+    node.put(WireNames.IMAGE_GB, spec.imageGb());
     spec.machineTypes()
         .ifPresent(
             types -> {
-              ArrayNode list = node.putArray("builds");
+              ArrayNode list = node.putArray(WireNames.MACHINE_TYPES);
               types.forEach(type -> list.add(type.value()));
             });
-    spec.zone().ifPresent(zone -> node.put("yard", zone.value()));
-    node.put("same_place", spec.oneZone());
-    node.put("spread", spec.spread());
-    node.put("loaner", spec.spotAllowed());
-    node.put("guess_s", spec.estimateSeconds());
-    node.put("snapshot_s", spec.checkpointSeconds());
-    node.put("flush_s", spec.saveSeconds());
-    spec.deadlineSeconds().ifPresent(deadline -> node.put("due_s", deadline));
+    spec.zone().ifPresent(zone -> node.put(WireNames.ZONE, zone.value()));
+    node.put(WireNames.ONE_ZONE, spec.oneZone());
+    node.put(WireNames.SPREAD, spec.spread());
+    node.put(WireNames.SPOT, spec.spotAllowed());
+    node.put(WireNames.ESTIMATE_SECONDS, spec.estimateSeconds());
+    node.put(WireNames.CHECKPOINT_SECONDS, spec.checkpointSeconds());
+    node.put(WireNames.SAVE_SECONDS, spec.saveSeconds());
+    spec.deadlineSeconds().ifPresent(deadline -> node.put(WireNames.DEADLINE_SECONDS, deadline));
     return node;
   }
 
+  /** Writes a job's status; the counts of completed and running tasks are left out if unknown. */
   public static String view(JobId id, JobPhase phase, OptionalInt done, OptionalInt running) {
     ObjectNode node = Json.object();
-    node.put("ref", id.value());
-    node.put("phase", phase.wire());
-    done.ifPresent(count -> node.put("done", count));
-    running.ifPresent(count -> node.put("running", count));
+    node.put(WireNames.ID, id.value());
+    node.put(WireNames.PHASE, phase.wire());
+    done.ifPresent(count -> node.put(WireNames.DONE_TASKS, count));
+    running.ifPresent(count -> node.put(WireNames.RUNNING_TASKS, count));
     return Json.write(node);
   }
 
-  public static String error(String why) {
-    return Json.write(Json.object().put("error", why));
+  /** Writes the reason of a rejection. */
+  public static String error(String reason) {
+    return Json.write(Json.object().put(WireNames.ERROR, reason));
   }
 }
--- a/src/main/java/org/mulleinshift/protocol/JobId.java
+++ b/src/main/java/org/mulleinshift/protocol/JobId.java
@@ -1,12 +1,7 @@
 package org.mulleinshift.protocol;
 
 /** A job's id, chosen by its user. */
-public record JobId(String value) implements Comparable<JobId> {
-  @Override
-  public int compareTo(JobId other) {
-    return value.compareTo(other.value);
-  }
-
+public record JobId(String value) implements TextId<JobId> {
   @Override
   public String toString() {
     return value;
--- a/src/main/java/org/mulleinshift/protocol/JobKind.java
+++ b/src/main/java/org/mulleinshift/protocol/JobKind.java
@@ -15,6 +15,7 @@
     this.wire = wire;
   }
 
+  /** The name of this kind in submissions. */
   public String wire() {
     return wire;
   }
--- a/src/main/java/org/mulleinshift/protocol/JobPhase.java
+++ b/src/main/java/org/mulleinshift/protocol/JobPhase.java
@@ -1,6 +1,6 @@
 package org.mulleinshift.protocol;
 
-/** What a user is told of a job. */
+/** The phase of a job as its user sees it. */
 public enum JobPhase {
   PENDING("pending"),
   RUNNING("running"),
@@ -13,10 +13,12 @@
     this.wire = wire;
   }
 
+  /** The name of this phase in responses and in stored records. */
   public String wire() {
     return wire;
   }
 
+  /** Whether a job stays in this phase for ever. */
   public boolean terminal() {
     return this == DONE || this == CANCELLED;
   }
--- a/src/main/java/org/mulleinshift/protocol/Json.java
+++ b/src/main/java/org/mulleinshift/protocol/Json.java
@@ -11,24 +11,30 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 
-/** Reading of JSON trees with checked fields. */
+/** Writes JSON, and reads JSON objects with checked fields. */
 public final class Json {
+  /** The longest name, text or id that a message may hold. */
+  static final int MAX_NAME_LENGTH = 200;
+
+  private static final int MAX_NESTING_DEPTH = 64;
+  private static final double MAX_AMOUNT = 1e9;
   private static final ObjectMapper MAPPER =
       new ObjectMapper(
               JsonFactory.builder()
                   .streamReadConstraints(
-                      StreamReadConstraints.builder().maxNestingDepth(64).build())
+                      StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH).build())
                   .build())
           .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
           .enable(DeserializationFeature.FAIL_ON_READING_DUP_TREE_KEY);
-  static final int MAX_NAME = 200;
 
   private Json() {}
 
+  /** A new, empty object. */
   public static ObjectNode object() {
     return JsonNodeFactory.instance.objectNode();
   }
 
+  /** The tree as JSON without white space. */
   public static String write(JsonNode node) {
     try {
       return MAPPER.writeValueAsString(node);
@@ -42,7 +48,11 @@
     return MAPPER.getFactory().createParser(text);
   }
 
-  /** Reads one JSON object. */
+  /**
+   * Reads one JSON object. A field that occurs twice is an error.
+   *
+   * @throws MalformedMessageException if the text is anything else
+   */
   public static JsonNode parseObject(String text) throws MalformedMessageException {
     JsonNode node;
     try {
@@ -56,35 +66,57 @@
     return node;
   }
 
+  /**
+   * A field that must be a text of 1 to 200 characters.
+   *
+   * @throws MalformedMessageException if it is missing or something else
+   */
   public static String text(JsonNode parent, String key) throws MalformedMessageException {
     JsonNode node = parent.path(key);
-    if (!node.isTextual() || node.asText().isEmpty() || node.asText().length() > MAX_NAME) {
+    if (!node.isTextual() || node.asText().isEmpty() || node.asText().length() > MAX_NAME_LENGTH) {
       throw new MalformedMessageException(key + " is missing or not a short text");
     }
     return node.asText();
   }
 
+  /**
+   * A field that must be a number from 0 to 1e9.
+   *
+   * @throws MalformedMessageException if it is missing or something else
+   */
   public static double amount(JsonNode parent, String key) throws MalformedMessageException {
     JsonNode node = parent.path(key);
     double value = node.isNumber() ? node.asDouble() : Double.NaN;
-    if (!(value >= 0 && value <= 1e9)) {
+    if (!(value >= 0 && value <= MAX_AMOUNT)) {
       throw new MalformedMessageException(key + " is missing or not an amount");
     }
     return value;
   }
 
-  public static long count(JsonNode parent, String key, long least, long most)
+  /**
+   * A field that must be an integer within bounds.
+   *
+   * @param min the smallest valid value
+   * @param max the largest valid value
+   * @throws MalformedMessageException if it is missing or something else
+   */
+  public static long count(JsonNode parent, String key, long min, long max)
       throws MalformedMessageException {
     JsonNode node = parent.path(key);
     if (!node.isIntegralNumber()
         || !node.canConvertToLong()
-        || node.asLong() < least
-        || node.asLong() > most) {
+        || node.asLong() < min
+        || node.asLong() > max) {
       throw new MalformedMessageException(key + " is missing or out of range");
     }
     return node.asLong();
   }
 
+  /**
+   * A field that must be a boolean.
+   *
+   * @throws MalformedMessageException if it is missing or something else
+   */
   public static boolean flag(JsonNode parent, String key) throws MalformedMessageException {
     JsonNode node = parent.path(key);
     if (!node.isBoolean()) {
--- a/src/main/java/org/mulleinshift/protocol/MachineId.java
+++ b/src/main/java/org/mulleinshift/protocol/MachineId.java
@@ -1,12 +1,7 @@
 package org.mulleinshift.protocol;
 
 /** A machine's name, given by the cloud. */
-public record MachineId(String value) implements Comparable<MachineId> {
-  @Override
-  public int compareTo(MachineId other) {
-    return value.compareTo(other.value);
-  }
-
+public record MachineId(String value) implements TextId<MachineId> {
   @Override
   public String toString() {
     return value;
--- a/src/main/java/org/mulleinshift/protocol/MachineTypeId.java
+++ b/src/main/java/org/mulleinshift/protocol/MachineTypeId.java
@@ -1,12 +1,7 @@
 package org.mulleinshift.protocol;
 
-/** A type of machine. */
-public record MachineTypeId(String value) implements Comparable<MachineTypeId> {
-  @Override
-  public int compareTo(MachineTypeId other) {
-    return value.compareTo(other.value);
-  }
-
+/** The name of a machine type in the cloud's catalog. */
+public record MachineTypeId(String value) implements TextId<MachineTypeId> {
   @Override
   public String toString() {
     return value;
--- a/src/main/java/org/mulleinshift/protocol/NodeId.java
+++ b/src/main/java/org/mulleinshift/protocol/NodeId.java
@@ -1,12 +1,7 @@
 package org.mulleinshift.protocol;
 
-/** A controller's label. */
-public record NodeId(String value) implements Comparable<NodeId> {
-  @Override
-  public int compareTo(NodeId other) {
-    return value.compareTo(other.value);
-  }
-
+/** The label of a controller node. */
+public record NodeId(String value) implements TextId<NodeId> {
   @Override
   public String toString() {
     return value;
--- a/src/main/java/org/mulleinshift/protocol/PeerCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/PeerCodec.java
@@ -11,18 +11,21 @@
 import org.apache.avro.specific.SpecificDatumWriter;
 import org.mulleinshift.protocol.peer.PeerFrame;
 
-/** The controllers' interface: Avro's binary form of the peer schema. */
+/** Encodes the frames between controllers in Avro's binary form of the peer schema. */
 public final class PeerCodec {
+  private static final int INITIAL_BUFFER_BYTES = 512;
+
   static {
-    // Avro makes objects only of classes that it was told to trust.
+    // Avro creates objects only of classes in trusted packages.
     System.setProperty("org.apache.avro.SERIALIZABLE_PACKAGES", PeerFrame.class.getPackageName());
   }
 
   private final SpecificDatumWriter<PeerFrame> writer = new SpecificDatumWriter<>(PeerFrame.class);
   private final SpecificDatumReader<PeerFrame> reader = new SpecificDatumReader<>(PeerFrame.class);
 
+  /** Encodes a frame with some of the bodies that the schema names. */
   public byte[] write(NodeId sender, List<Object> bodies) {
-    ByteArrayOutputStream out = new ByteArrayOutputStream(512);
+    ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
     BinaryEncoder encoder = EncoderFactory.get().directBinaryEncoder(out, null);
     try {
       writer.write(new PeerFrame(sender.value(), bodies), encoder);
@@ -33,6 +36,11 @@
     return out.toByteArray();
   }
 
+  /**
+   * Decodes a frame.
+   *
+   * @throws MalformedMessageException if the bytes are not a frame
+   */
   public PeerFrame read(byte[] frame) throws MalformedMessageException {
     try {
       return reader.read(null, DecoderFactory.get().binaryDecoder(frame, null));
--- a/src/main/java/org/mulleinshift/protocol/Priority.java
+++ b/src/main/java/org/mulleinshift/protocol/Priority.java
@@ -1,6 +1,6 @@
 package org.mulleinshift.protocol;
 
-/** How urgent a job is, the most urgent first. */
+/** How urgent a job is; the most urgent one comes first. */
 public enum Priority {
   PRODUCTION("production", 0),
   HIGH("urgent", 1),
@@ -15,6 +15,7 @@
     this.rank = rank;
   }
 
+  /** The name of this priority in submissions. */
   public String wire() {
     return wire;
   }
@@ -24,6 +25,7 @@
     return rank;
   }
 
+  /** Whether this is more urgent than the other. */
   public boolean above(Priority other) {
     return rank < other.rank;
   }
--- a/src/main/java/org/mulleinshift/protocol/Resources.java
+++ b/src/main/java/org/mulleinshift/protocol/Resources.java
@@ -1,28 +1,40 @@
 package org.mulleinshift.protocol;
 
-/** Amounts that a task takes and a machine has. */
+/**
+ * Amounts that a task takes or a machine has. Amounts are compared with a small tolerance, since
+ * sums of them are rounded.
+ */
 public record Resources(double cpus, double gpus, double memoryGb) {
+  /** Nothing. */
   public static final Resources ZERO = new Resources(0, 0, 0);
+
+  /** More than anything takes. */
   public static final Resources UNBOUNDED =
       new Resources(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
-  private static final double SLACK = 1e-6;
 
+  private static final double ROUNDING_TOLERANCE = 1e-6;
+  private static final double MAX_COUNT = 1e6;
+
+  /** The sum of both. */
   public Resources plus(Resources other) {
     return new Resources(cpus + other.cpus, gpus + other.gpus, memoryGb + other.memoryGb);
   }
 
+  /** This without the other; may be negative. */
   public Resources minus(Resources other) {
     return new Resources(cpus - other.cpus, gpus - other.gpus, memoryGb - other.memoryGb);
   }
 
+  /** This many times. */
   public Resources times(double count) {
     return new Resources(cpus * count, gpus * count, memoryGb * count);
   }
 
+  /** Whether the capacity has enough of everything, but for rounding. */
   public boolean fitsInto(Resources capacity) {
-    return cpus <= capacity.cpus + SLACK
-        && gpus <= capacity.gpus + SLACK
-        && memoryGb <= capacity.memoryGb + SLACK;
+    return cpus <= capacity.cpus + ROUNDING_TOLERANCE
+        && gpus <= capacity.gpus + ROUNDING_TOLERANCE
+        && memoryGb <= capacity.memoryGb + ROUNDING_TOLERANCE;
   }
 
   /** No more of anything than the other; exact, unlike {@link #fitsInto}. */
@@ -39,12 +51,13 @@
     return Math.min(1, share);
   }
 
-  /** How many of these fit into the room. */
+  /** How many times this fits into the capacity, up to a million. */
   public int countIn(Resources capacity) {
-    double count = 1e6;
-    count = cpus > 0 ? Math.min(count, (capacity.cpus + SLACK) / cpus) : count;
-    count = gpus > 0 ? Math.min(count, (capacity.gpus + SLACK) / gpus) : count;
-    count = memoryGb > 0 ? Math.min(count, (capacity.memoryGb + SLACK) / memoryGb) : count;
+    double count = MAX_COUNT;
+    count = cpus > 0 ? Math.min(count, (capacity.cpus + ROUNDING_TOLERANCE) / cpus) : count;
+    count = gpus > 0 ? Math.min(count, (capacity.gpus + ROUNDING_TOLERANCE) / gpus) : count;
+    count =
+        memoryGb > 0 ? Math.min(count, (capacity.memoryGb + ROUNDING_TOLERANCE) / memoryGb) : count;
     return (int) Math.max(0, Math.floor(count));
   }
 }
--- a/src/main/java/org/mulleinshift/protocol/Revision.java
+++ b/src/main/java/org/mulleinshift/protocol/Revision.java
@@ -1,12 +1,7 @@
 package org.mulleinshift.protocol;
 
-/** A revision of the state service. */
-public record Revision(long value) implements Comparable<Revision> {
-  @Override
-  public int compareTo(Revision other) {
-    return Long.compare(value, other.value);
-  }
-
+/** A revision of the key-value store; 0 stands for a key that does not exist. */
+public record Revision(long value) implements NumericId<Revision> {
   @Override
   public String toString() {
     return Long.toString(value);
--- a/src/main/java/org/mulleinshift/protocol/ShardId.java
+++ b/src/main/java/org/mulleinshift/protocol/ShardId.java
@@ -1,12 +1,7 @@
 package org.mulleinshift.protocol;
 
-/** A shard of machines in one zone. */
-public record ShardId(String value) implements Comparable<ShardId> {
-  @Override
-  public int compareTo(ShardId other) {
-    return value.compareTo(other.value);
-  }
-
+/** The name of a shard: a set of machines of one zone with one owner at a time. */
+public record ShardId(String value) implements TextId<ShardId> {
   @Override
   public String toString() {
     return value;
--- a/src/main/java/org/mulleinshift/protocol/StoreCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/StoreCodec.java
@@ -10,18 +10,28 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The state service's interface. */
+/** Messages of the key-value store's interface. */
 public final class StoreCodec {
+  /** Path of transactions. */
   public static final String COMMIT = "/commit";
+
+  /** Path of lease grants; that of a lease adds a slash and its id. */
   public static final String LEASES = "/holds";
+
+  /** The most keys of one page: their values fit into a response. */
   public static final int RANGE_LIMIT = 250;
 
   /** A key with its value and the revision of its last change. */
   public record KeyValue(String key, JsonNode value, Revision revision) {}
 
-  /** One page of keys. */
+  /**
+   * One page of keys.
+   *
+   * @param more whether there are further pages
+   * @param revision of the store when it was read
+   */
   public record Range(List<KeyValue> items, boolean more, Revision revision) {
-    /** After which key the next page begins, if there is one. */
+    /** The key after which the next page starts, if there is one. */
     public Optional<String> next() {
       return more && !items.isEmpty()
           ? Optional.of(items.get(items.size() - 1).key())
@@ -29,30 +39,46 @@
     }
   }
 
-  /** A change that a watch saw; without a value the key was deleted. */
+  /**
+   * A change that a watch returned.
+   *
+   * @param value empty: the key was deleted
+   */
   public record Change(String key, Optional<JsonNode> value, Revision revision) {}
 
-  /** What a watch saw. */
+  /**
+   * The changes that a watch returned.
+   *
+   * @param revision up to which they are complete
+   */
   public record Changes(List<Change> changes, Revision revision) {}
 
-  /** Demands that a key has this version; 0: it does not exist. */
+  /** A condition: the key was last changed at this revision; 0: it does not exist. */
   public record Compare(String key, Revision revision) {}
 
-  /** A put or, without a value, a delete. The value is JSON text: it is encoded once. */
+  /**
+   * A put or delete.
+   *
+   * @param value JSON text, so that it is encoded once; empty: the key is deleted
+   * @param lease that the key is attached to, if any
+   */
   public record Write(String key, Optional<String> value, Optional<LeaseId> lease) {
+    /** Puts a key that is attached to no lease. */
     public static Write put(String key, JsonNode value) {
       return new Write(key, Optional.of(Json.write(value)), Optional.empty());
     }
 
-    public static Write put(String key, JsonNode value, LeaseId hold) {
-      return new Write(key, Optional.of(Json.write(value)), Optional.of(hold));
+    /** Puts a key that is removed when the lease ends. */
+    public static Write put(String key, JsonNode value, LeaseId lease) {
+      return new Write(key, Optional.of(Json.write(value)), Optional.of(lease));
     }
 
-    /** What the service counts against the limit of a value. */
+    /** What the store counts against its limit of a value. */
     public int bytes() {
       return value.map(text -> StoreCodec.bytes(text)).orElse(0);
     }
 
+    /** Deletes a key. */
     public static Write delete(String key) {
       return new Write(key, Optional.empty(), Optional.empty());
     }
@@ -60,20 +86,26 @@
 
   private StoreCodec() {}
 
-  /** How long a value is for the service. */
+  /** The length of a value as the store counts it. */
   public static int bytes(JsonNode value) {
     return bytes(Json.write(value));
   }
 
-  /** How long a text is for the service. */
+  /** The length of a text as the store counts it. */
   public static int bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8).length;
   }
 
+  /** The path that reads one key. */
   public static String keyPath(String key) {
     return "/keys/" + key;
   }
 
+  /**
+   * The path that reads a page of the keys with a prefix.
+   *
+   * @param after the key after which the page starts; empty: the first page
+   */
   public static String rangePath(String prefix, Optional<String> after) {
     return "/keys?starts="
         + prefix
@@ -82,79 +114,123 @@
         + RANGE_LIMIT;
   }
 
+  /**
+   * The path of a watch.
+   *
+   * @param from the revision after which changes are returned
+   * @param wait how long the store waits for a change
+   */
   public static String watchPath(String prefix, Revision from, Duration wait) {
     return "/changes?starts=" + prefix + "&from=" + from + "&hold_ms=" + wait.toMillis();
   }
 
-  public static String renewLeasePath(LeaseId hold) {
-    return LEASES + "/" + hold + "/renew";
+  /** The path that renews a lease. */
+  public static String renewLeasePath(LeaseId lease) {
+    return LEASES + "/" + lease + "/renew";
   }
 
-  public static String leasePath(LeaseId hold) {
-    return LEASES + "/" + hold;
+  /** The path of a lease, which ends it when it is deleted. */
+  public static String leasePath(LeaseId lease) {
+    return LEASES + "/" + lease;
   }
 
+  /** Writes a request for a lease. */
   public static String grantLease(Duration ttl) {
-    return Json.write(Json.object().put("ttl_ms", ttl.toMillis()));
+    return Json.write(Json.object().put(WireNames.TTL_MILLIS, ttl.toMillis()));
   }
 
-  public static String commit(List<Compare> guards, List<Write> writes) {
+  /** Writes a transaction: all writes take place if all conditions hold, else none. */
+  public static String commit(List<Compare> compares, List<Write> writes) {
     ObjectNode node = Json.object();
-    ArrayNode conditions = node.putArray("guards");
-    for (Compare guard : guards) {
-      conditions.addObject().put("k", guard.key()).put("stamp", guard.revision().value());
+    ArrayNode compareItems = node.putArray(WireNames.COMPARES);
+    for (Compare compare : compares) {
+      compareItems
+          .addObject()
+          .put(WireNames.KEY, compare.key())
+          .put(WireNames.KEY_REVISION, compare.revision().value());
     }
-    ArrayNode changes = node.putArray("writes");
+    ArrayNode writeItems = node.putArray(WireNames.WRITES);
     for (Write write : writes) {
-      ObjectNode item = changes.addObject();
+      ObjectNode item = writeItems.addObject();
       if (write.value().isEmpty()) {
-        item.put("delete", write.key());
+        item.put(WireNames.DELETE, write.key());
       } else {
-        item.put("set", write.key());
-        item.putRawValue("value", new RawValue(write.value().get()));
-        write.lease().ifPresent(hold -> item.put("hold", hold.value()));
+        item.put(WireNames.PUT, write.key());
+        item.putRawValue(WireNames.VALUE, new RawValue(write.value().get()));
+        write.lease().ifPresent(lease -> item.put(WireNames.LEASE, lease.value()));
       }
     }
     return Json.write(node);
   }
 
+  /**
+   * Reads the id of a granted lease.
+   *
+   * @throws MalformedMessageException if the body is something else
+   */
   public static LeaseId parseLease(String body) throws MalformedMessageException {
-    return new LeaseId(Json.count(Json.parseObject(body), "hold", 0, Long.MAX_VALUE));
+    return new LeaseId(Json.count(Json.parseObject(body), WireNames.LEASE, 0, Long.MAX_VALUE));
   }
 
+  /**
+   * Reads one key.
+   *
+   * @throws MalformedMessageException if the body is something else
+   */
   public static KeyValue parseItem(String body) throws MalformedMessageException {
     return item(Json.parseObject(body));
   }
 
+  /**
+   * Reads the revision of the store after a transaction.
+   *
+   * @throws MalformedMessageException if the body is something else
+   */
   public static Revision parseRevision(String body) throws MalformedMessageException {
-    return revision(Json.parseObject(body), "epoch");
+    return revision(Json.parseObject(body), WireNames.STORE_REVISION);
   }
 
+  /**
+   * Reads a page of keys.
+   *
+   * @throws MalformedMessageException if the body is something else
+   */
   public static Range parseRange(String body) throws MalformedMessageException {
     JsonNode node = Json.parseObject(body);
     List<KeyValue> items = new ArrayList<>();
-    for (JsonNode row : node.path("rows")) {
+    for (JsonNode row : node.path(WireNames.ITEMS)) {
       items.add(item(row));
     }
-    return new Range(items, node.path("more").asBoolean(false), revision(node, "epoch"));
+    return new Range(
+        items,
+        node.path(WireNames.MORE).asBoolean(false),
+        revision(node, WireNames.STORE_REVISION));
   }
 
+  /**
+   * Reads the changes that a watch returned.
+   *
+   * @throws MalformedMessageException if the body is something else
+   */
   public static Changes parseChanges(String body) throws MalformedMessageException {
     JsonNode node = Json.parseObject(body);
     List<Change> changes = new ArrayList<>();
-    for (JsonNode event : node.path("news")) {
-      boolean put = event.hasNonNull("set");
+    for (JsonNode event : node.path(WireNames.CHANGES)) {
+      boolean put = event.hasNonNull(WireNames.PUT);
       changes.add(
           new Change(
-              Json.text(event, put ? "set" : "delete"),
-              put ? Optional.of(event.path("value")) : Optional.empty(),
-              revision(event, "stamp")));
+              Json.text(event, put ? WireNames.PUT : WireNames.DELETE),
+              put ? Optional.of(event.path(WireNames.VALUE)) : Optional.empty(),
+              revision(event, WireNames.KEY_REVISION)));
     }
-    return new Changes(changes, revision(node, "epoch"));
+    return new Changes(changes, revision(node, WireNames.STORE_REVISION));
   }
 
   private static KeyValue item(JsonNode node) throws MalformedMessageException {
-    return new KeyValue(Json.text(node, "k"), node.path("value"), revision(node, "stamp"));
+    return new KeyValue(
+        Json.text(node, WireNames.KEY),
+        node.path(WireNames.VALUE),
+        revision(node, WireNames.KEY_REVISION));
   }
 
   private static Revision revision(JsonNode node, String key) throws MalformedMessageException {
--- a/src/main/java/org/mulleinshift/protocol/TaskId.java
+++ b/src/main/java/org/mulleinshift/protocol/TaskId.java
@@ -1,6 +1,10 @@
 package org.mulleinshift.protocol;
 
-/** One task of a job. */
+/**
+ * One task of a job. Why {@code equals} and {@code hashCode} are written out: see {@link TextId}.
+ *
+ * @param index counts a job's tasks from 0
+ */
 public record TaskId(JobId job, int index) implements Comparable<TaskId> {
   @Override
   public int compareTo(TaskId other) {
--- a/src/main/java/org/mulleinshift/protocol/TeamId.java
+++ b/src/main/java/org/mulleinshift/protocol/TeamId.java
@@ -1,12 +1,7 @@
 package org.mulleinshift.protocol;
 
-/** A team. */
-public record TeamId(String value) implements Comparable<TeamId> {
-  @Override
-  public int compareTo(TeamId other) {
-    return value.compareTo(other.value);
-  }
-
+/** The name of a team. */
+public record TeamId(String value) implements TextId<TeamId> {
   @Override
   public String toString() {
     return value;
--- /dev/null
+++ b/src/main/java/org/mulleinshift/protocol/WireNames.java
@@ -0,0 +1,206 @@
+package org.mulleinshift.protocol;
+
+/**
+ * Field names of the JSON messages. They are given by the interfaces that controllers serve and
+ * use; everywhere else the field goes by the name of its constant.
+ */
+final class WireNames {
+  // Jobs, as users submit and query them.
+
+  /** Id of a job or name of a machine. */
+  static final String ID = "ref";
+
+  /** Class of jobs that a job belongs to. */
+  static final String JOB_CLASS = "lane";
+
+  /** Team whose quota applies. */
+  static final String TEAM = "crew";
+
+  /** What becomes of a job's tasks, see {@link JobKind}. */
+  static final String JOB_KIND = "shape";
+
+  /** A job's {@link Priority}. */
+  static final String PRIORITY = "urgency";
+
+  /** Number of a job's tasks; in a heartbeat the list of tasks on the machine. */
+  static final String TASKS = "pieces";
+
+  /** Processor cores. */
+  static final String CPUS = "cpus";
+
+  /** Graphics processors. */
+  static final String GPUS = "cards";
+
+  /** Main memory in GB. */
+  static final String MEMORY_GB = "ram_gb";
+
+  /** Image that a machine must have before a task can start. */
+  static final String IMAGE = "bundle";
+
+  /** Size of the image in GB. */
+  static final String IMAGE_GB = "pull_gb";
+
+  /** Machine types: those a job allows, or those of the catalog. */
+  static final String MACHINE_TYPES = "builds";
+
+  /** Zone: the only one that a job allows, or that of a machine. */
+  static final String ZONE = "yard";
+
+  /** Whether all tasks of a job must be in one zone. */
+  static final String ONE_ZONE = "same_place";
+
+  /** Whether at most half of a job's tasks may be in one zone. */
+  static final String SPREAD = "spread";
+
+  /** Whether a job may use spot machines, or a machine is one. */
+  static final String SPOT = "loaner";
+
+  /** The owner's estimate of a task's run time. */
+  static final String ESTIMATE_SECONDS = "guess_s";
+
+  /** Interval between a task's checkpoints; 0: it has none. */
+  static final String CHECKPOINT_SECONDS = "snapshot_s";
+
+  /** Time that a task needs to save when it is stopped. */
+  static final String SAVE_SECONDS = "flush_s";
+
+  /** Deadline, from the submission on. */
+  static final String DEADLINE_SECONDS = "due_s";
+
+  /** Jobs that must be done before this one starts. */
+  static final String DEPENDENCIES = "awaits";
+
+  /** Phase of a job, a task or a machine. */
+  static final String PHASE = "phase";
+
+  /** Number of completed tasks. */
+  static final String DONE_TASKS = "done";
+
+  /** Number of running tasks. */
+  static final String RUNNING_TASKS = "running";
+
+  /** Why a request was rejected. */
+  static final String ERROR = "error";
+
+  // Workers: heartbeats and commands.
+
+  /** Name of the machine that sends a heartbeat. */
+  static final String MACHINE = "host";
+
+  /** Address of a machine's worker. */
+  static final String ADDRESS = "addr";
+
+  /** Type of a machine. */
+  static final String MACHINE_TYPE = "build";
+
+  /** A worker's epoch: rises each time its lease expires. */
+  static final String WORKER_EPOCH = "shift";
+
+  /** Rises with each of a worker's messages. */
+  static final String HEARTBEAT_SEQUENCE = "tick";
+
+  /** Fencing token: the highest that a worker has seen, or that of a command. */
+  static final String FENCING_TOKEN = "baton";
+
+  /** Time until the cloud takes a spot machine away. */
+  static final String INTERRUPTION_SECONDS = "recall_s";
+
+  /** Id of a task. */
+  static final String TASK = "piece";
+
+  /** Attempt of a task. */
+  static final String ATTEMPT = "try";
+
+  /** Why a task ended. */
+  static final String EXIT_CAUSE = "cause";
+
+  /** Commands to a worker. */
+  static final String COMMANDS = "orders";
+
+  /** What a command does. */
+  static final String COMMAND_KIND = "verb";
+
+  /** Time that a task has to save before it is stopped. */
+  static final String GRACE_SECONDS = "wind_down_s";
+
+  /** Controller that a worker should send its heartbeats to. */
+  static final String REDIRECT_NODE = "foreman";
+
+  // The cloud.
+
+  /** Name of a machine type in the catalog. */
+  static final String CATALOG_TYPE = "label";
+
+  /** Zones in which a machine type is offered. */
+  static final String ZONES = "yards";
+
+  /** Space for images on a machine. */
+  static final String IMAGE_CACHE_GB = "local_gb";
+
+  /** Rate at which a machine fetches images. */
+  static final String FETCH_GB_PER_SECOND = "pull_gb_per_s";
+
+  /** Price of an on-demand machine per hour. */
+  static final String PRICE = "rate";
+
+  /** Price of a spot machine per hour. */
+  static final String SPOT_PRICE = "market_price";
+
+  /** Usual boot time. */
+  static final String BOOT_SECONDS = "startup_s";
+
+  /** Name of a provisioning request, which makes it idempotent. */
+  static final String PROVISIONING_REQUEST = "hire";
+
+  /** Number of machines to provision. */
+  static final String COUNT = "how_many";
+
+  /** A list of machines. */
+  static final String MACHINES = "hosts";
+
+  /** Time since a machine was requested. */
+  static final String AGE_SECONDS = "held_s";
+
+  /** Whether there are further pages. */
+  static final String MORE = "more";
+
+  // The key-value store.
+
+  /** A key. */
+  static final String KEY = "k";
+
+  /** The value of a key. */
+  static final String VALUE = "value";
+
+  /** Revision of a key's last change; 0: it does not exist. */
+  static final String KEY_REVISION = "stamp";
+
+  /** A lease, or the one that a key is attached to. */
+  static final String LEASE = "hold";
+
+  /** Revision of the whole store. */
+  static final String STORE_REVISION = "epoch";
+
+  /** The keys of a page. */
+  static final String ITEMS = "rows";
+
+  /** Time to live of a lease. */
+  static final String TTL_MILLIS = "ttl_ms";
+
+  /** Conditions of a transaction. */
+  static final String COMPARES = "guards";
+
+  /** Writes of a transaction. */
+  static final String WRITES = "writes";
+
+  /** Key that is put. */
+  static final String PUT = "set";
+
+  /** Key that is deleted. */
+  static final String DELETE = "delete";
+
+  /** Changes that a watch returns. */
+  static final String CHANGES = "news";
+
+  private WireNames() {}
+}
--- a/src/main/java/org/mulleinshift/protocol/WorkerCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/WorkerCodec.java
@@ -5,14 +5,26 @@
 import java.time.Duration;
 import java.util.List;
 
-/** The workers' interface: reports in, orders out. */
+/** Messages of the workers' interface: reads heartbeats and writes commands. */
 public final class WorkerCodec {
+  /** Path at a controller that takes heartbeats. */
   public static final String CHECKIN = "/checkin";
+
+  /** Path at a worker that returns its status. */
   public static final String STATUS = "/status";
+
+  /** Path at a worker that takes commands. */
   public static final String COMMANDS = "/orders";
 
+  private static final double MILLIS_PER_SECOND = 1000.0;
+
   private WorkerCodec() {}
 
+  /**
+   * Reads a worker's heartbeat, or its status in response to commands.
+   *
+   * @throws MalformedMessageException if a field is missing or invalid
+   */
   public static WorkerHeartbeat parseHeartbeat(String body) throws MalformedMessageException {
     return HeartbeatParser.parse(body);
   }
@@ -28,7 +40,7 @@
     };
   }
 
-  /** An unknown cause counts as a failure: the task is tried again. */
+  /** An unknown cause counts as a failure: the task is retried. */
   static WorkerHeartbeat.Cause cause(String wire) {
     return switch (wire) {
       case "done" -> WorkerHeartbeat.Cause.DONE;
@@ -41,51 +53,57 @@
     };
   }
 
-  public static String response(FencingToken token, List<WorkerCommand> orders) {
-    if (orders.isEmpty()) {
-      // Most reports ask for nothing.
+  /** Writes the response to a heartbeat; the worker drops it if it has seen a higher token. */
+  public static String response(FencingToken token, List<WorkerCommand> commands) {
+    if (commands.isEmpty()) {
+      // Most heartbeats get no commands: the short form needs no tree.
       return "{\"baton\":" + token.value() + ",\"orders\":[]}";
     }
     ObjectNode node = Json.object();
-    node.put("baton", token.value());
-    node.set("orders", write(orders));
+    node.put(WireNames.FENCING_TOKEN, token.value());
+    node.set(WireNames.COMMANDS, write(commands));
     return Json.write(node);
   }
 
-  public static String direct(FencingToken token, long session, List<WorkerCommand> orders) {
+  /**
+   * Writes a request that commands a worker directly; it is dropped if the worker has seen a higher
+   * token or is in another epoch.
+   */
+  public static String direct(FencingToken token, long epoch, List<WorkerCommand> commands) {
     ObjectNode node = Json.object();
-    node.put("baton", token.value());
-    node.put("shift", session);
-    node.set("orders", write(orders));
+    node.put(WireNames.FENCING_TOKEN, token.value());
+    node.put(WireNames.WORKER_EPOCH, epoch);
+    node.set(WireNames.COMMANDS, write(commands));
     return Json.write(node);
   }
 
+  /** Writes the response that sends a worker to another controller. */
   public static String redirect(NodeId node) {
-    return Json.write(Json.object().put("foreman", node.value()));
+    return Json.write(Json.object().put(WireNames.REDIRECT_NODE, node.value()));
   }
 
-  private static ArrayNode write(List<WorkerCommand> orders) {
-    ArrayNode list = Json.object().putArray("orders");
-    for (WorkerCommand order : orders) {
+  private static ArrayNode write(List<WorkerCommand> commands) {
+    ArrayNode list = Json.object().putArray(WireNames.COMMANDS);
+    for (WorkerCommand command : commands) {
       ObjectNode item = list.addObject();
-      item.put("verb", verb(order));
-      item.put("piece", order.task().toString());
-      item.put("try", order.attempt().value());
-      if (order instanceof WorkerCommand.Halt halt) {
-        item.put("wind_down_s", seconds(halt.grace()));
+      item.put(WireNames.COMMAND_KIND, kindOf(command));
+      item.put(WireNames.TASK, command.task().toString());
+      item.put(WireNames.ATTEMPT, command.attempt().value());
+      if (command instanceof WorkerCommand.Halt halt) {
+        item.put(WireNames.GRACE_SECONDS, seconds(halt.grace()));
       }
     }
     return list;
   }
 
-  private static String verb(WorkerCommand order) {
-    if (order instanceof WorkerCommand.Run) {
+  private static String kindOf(WorkerCommand command) {
+    if (command instanceof WorkerCommand.Run) {
       return "run";
     }
-    return order instanceof WorkerCommand.Halt ? "halt" : "forget";
+    return command instanceof WorkerCommand.Halt ? "halt" : "forget";
   }
 
   private static double seconds(Duration duration) {
-    return duration.toMillis() / 1000.0;
+    return duration.toMillis() / MILLIS_PER_SECOND;
   }
 }
--- a/src/main/java/org/mulleinshift/protocol/WorkerHeartbeat.java
+++ b/src/main/java/org/mulleinshift/protocol/WorkerHeartbeat.java
@@ -4,7 +4,19 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What a worker says of itself. */
+/**
+ * The status that a worker sends with each heartbeat, and in response to commands.
+ *
+ * @param machine the machine's name
+ * @param address where the worker takes commands
+ * @param type of the machine
+ * @param zone of the machine
+ * @param spot whether it is a spot machine
+ * @param version orders the worker's messages
+ * @param highestToken the highest fencing token that the worker has seen
+ * @param interruptionNotice time until the cloud takes the machine away, if announced
+ * @param tasks all tasks on the machine, including exited ones that it was not told to forget
+ */
 public record WorkerHeartbeat(
     MachineId machine,
     String address,
@@ -16,28 +28,43 @@
     Optional<Duration> interruptionNotice,
     List<Entry> tasks) {
 
+  /** What a task on a machine does. */
   public enum State {
+    /** Waits for its image. */
     FETCHING,
     /** Has its image and waits for the other tasks of its gang. */
     WAITING,
     RUNNING,
+    /** Was told to stop, and saves a checkpoint. */
     SAVING,
+    /** Has ended, see its {@link Cause}. */
     EXITED
   }
 
+  /** Why a task has ended. */
   public enum Cause {
+    /** It has not ended. */
     NONE,
+    /** Completed. */
     DONE,
+    /** Stopped by a command. */
     STOPPED,
+    /** Failed, mostly because of its machine. */
     ERROR,
+    /** Not started: the machine has too few free resources. */
     INSUFFICIENT_RESOURCES,
+    /** Not started: another attempt of the task is on the machine. */
     BUSY,
-    /** A gang that did not come together, or lost one of its tasks. */
+    /** The tasks of its gang did not all start in time, or one of them was lost. */
     GANG_BROKEN,
+    /** Not started: no such job or task has been submitted. */
     UNKNOWN
   }
 
-  /** One task on the machine. */
+  /**
+   * One task on the machine. Why {@code equals} and {@code hashCode} are written out: see {@link
+   * TextId}.
+   */
   public record Entry(TaskId task, Attempt attempt, State state, Cause cause) {
     @Override
     public boolean equals(Object other) {
--- a/src/main/java/org/mulleinshift/protocol/ZoneId.java
+++ b/src/main/java/org/mulleinshift/protocol/ZoneId.java
@@ -1,12 +1,7 @@
 package org.mulleinshift.protocol;
 
-/** A zone. */
-public record ZoneId(String value) implements Comparable<ZoneId> {
-  @Override
-  public int compareTo(ZoneId other) {
-    return value.compareTo(other.value);
-  }
-
+/** The name of a zone. */
+public record ZoneId(String value) implements TextId<ZoneId> {
   @Override
   public String toString() {
     return value;
--- a/src/main/java/org/mulleinshift/protocol/package-info.java
+++ b/src/main/java/org/mulleinshift/protocol/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The wire formats: users, workers, cloud, store and peers. Field names of the wire appear here and
- * nowhere else.
+ * The wire formats: users, workers, cloud, store and peers. The wire has field names of its own
+ * ({@code WireNames}); the codecs map them to the field's terms.
  */
 package org.mulleinshift.protocol;
--- a/src/test/java/org/mulleinshift/protocol/CloudMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/CloudMessageGoldenTest.java
@@ -16,7 +16,7 @@
 import org.mulleinshift.GoldenFile;
 import org.mulleinshift.protocol.CloudMachine.Phase;
 
-/** What the cloud is asked is written, and what it says is understood, as by an earlier build. */
+/** Requests to the cloud are written, and its responses are read, as by an earlier build. */
 class CloudMessageGoldenTest {
   private static final String DIRECTORY = "cloud/";
   private static final MachineTypeId TYPE = new MachineTypeId("g8");
@@ -34,7 +34,7 @@
     messages.put("rent-ordinary", CloudCodec.provision("r-417-2", TYPE, ZONE, false, 50));
     messages.put("delete", CloudCodec.delete(MACHINES));
     messages.put("catalog", catalog());
-    messages.put("rented", rented());
+    messages.put("rented", provisioned());
     messages.put("list", list());
     return messages;
   }
@@ -49,11 +49,11 @@
     return Json.write(catalog);
   }
 
-  private static String rented() {
-    ObjectNode answer = Json.object();
-    ArrayNode machines = answer.putArray("hosts");
+  private static String provisioned() {
+    ObjectNode response = Json.object();
+    ArrayNode machines = response.putArray("hosts");
     MACHINES.forEach(machine -> machines.add(machine.value()));
-    return Json.write(answer);
+    return Json.write(response);
   }
 
   private static String list() {
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void rentedMachinesAreReadAsTheyWereMeant() throws MalformedMessageException {
+  void provisionedMachinesAreReadAsTheyWereMeant() throws MalformedMessageException {
     assertEquals(MACHINES, CloudCodec.parseProvisioned(GoldenFile.text(file("rented"))));
   }
 
--- a/src/test/java/org/mulleinshift/protocol/JobMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/JobMessageGoldenTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.mulleinshift.GoldenFile;
 
-/** What users send is understood, and what they are told is written, as by an earlier build. */
+/** Requests of users are read, and responses to them are written, as by an earlier build. */
 class JobMessageGoldenTest {
   private static final String DIRECTORY = "users/";
   private static final JobId JOB = new JobId("run-000412");
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void aSubmissionThatAwaitsJobsIsWrittenAsBefore() {
+  void aSubmissionWithDependenciesIsWrittenAsBefore() {
     ObjectNode submission = JobCodec.write(JobSpecSamples.withoutOptionalFields(JOB, TASKS));
     submission.putNull("builds").putNull("yard").putNull("due_s").put("colour", "red");
     submission.putArray("awaits").add("run-7").add("run-8").add("run-7");
@@ -64,33 +64,33 @@
   }
 
   @Test
-  void aSubmissionThatAwaitsJobsIsReadAsItWasMeant() throws MalformedMessageException {
+  void aSubmissionWithDependenciesIsReadAsItWasMeant() throws MalformedMessageException {
     JsonNode submission = Json.parseObject(GoldenFile.text(file("submission-awaiting")));
     assertEquals(JobSpecSamples.withoutOptionalFields(JOB, TASKS), JobCodec.parse(submission));
     assertEquals(List.of(new JobId("run-7"), new JobId("run-8")), JobCodec.awaits(submission));
   }
 
-  private static Map<String, String> answers() {
-    Map<String, String> answers = new LinkedHashMap<>();
+  private static Map<String, String> responses() {
+    Map<String, String> responses = new LinkedHashMap<>();
     for (JobPhase phase : JobPhase.values()) {
-      answers.put(
+      responses.put(
           "view-" + phase.wire(),
           JobCodec.view(JOB, phase, OptionalInt.empty(), OptionalInt.empty()));
     }
-    answers.put(
+    responses.put(
         "view-with-counts",
         JobCodec.view(JOB, JobPhase.RUNNING, OptionalInt.of(3), OptionalInt.of(13)));
-    answers.put("error", JobCodec.error("no such job"));
-    return answers;
+    responses.put("error", JobCodec.error("no such job"));
+    return responses;
   }
 
-  private static Set<String> answerNames() {
-    return answers().keySet();
+  private static Set<String> responseNames() {
+    return responses().keySet();
   }
 
   @ParameterizedTest
-  @MethodSource("answerNames")
-  void answersAreWrittenAsBefore(String name) {
-    GoldenFile.assertHolds(file(name), answers().get(name));
+  @MethodSource("responseNames")
+  void responsesAreWrittenAsBefore(String name) {
+    GoldenFile.assertHolds(file(name), responses().get(name));
   }
 }
--- a/src/test/java/org/mulleinshift/protocol/JobSpecSamples.java
+++ b/src/test/java/org/mulleinshift/protocol/JobSpecSamples.java
@@ -6,6 +6,15 @@
 
 /** Submissions whose fields all hold different values where they have the same type. */
 public final class JobSpecSamples {
+  private static final int TASKS = 16;
+  private static final Resources LARGE_TASK = new Resources(8, 1, 64.5);
+  private static final Resources SMALL_TASK = new Resources(2, 0, 4);
+  private static final double IMAGE_GB = 6.2;
+  private static final double ESTIMATE_SECONDS = 240;
+  private static final double CHECKPOINT_SECONDS = 30;
+  private static final double SAVE_SECONDS = 4.25;
+  private static final double DEADLINE_SECONDS = 900;
+
   private JobSpecSamples() {}
 
   /** A submission with all optional fields. */
@@ -16,19 +25,19 @@
         new TeamId("vision"),
         kind,
         priority,
-        16,
-        new Resources(8, 1, 64.5),
+        TASKS,
+        LARGE_TASK,
         "img-07",
-        6.2,
+        IMAGE_GB,
         Optional.of(List.of(new MachineTypeId("g8"), new MachineTypeId("g4"))),
         Optional.of(new ZoneId("a")),
         true,
         false,
         true,
-        240,
-        30,
-        4.25,
-        OptionalDouble.of(900));
+        ESTIMATE_SECONDS,
+        CHECKPOINT_SECONDS,
+        SAVE_SECONDS,
+        OptionalDouble.of(DEADLINE_SECONDS));
   }
 
   /** An array without machine types, zone and deadline. */
@@ -40,7 +49,7 @@
         JobKind.ARRAY,
         Priority.NORMAL,
         tasks,
-        new Resources(2, 0, 4),
+        SMALL_TASK,
         "img-1",
         0,
         Optional.empty(),
--- a/src/test/java/org/mulleinshift/protocol/StoreMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/StoreMessageGoldenTest.java
@@ -22,10 +22,10 @@
 import org.mulleinshift.protocol.StoreCodec.Range;
 import org.mulleinshift.protocol.StoreCodec.Write;
 
-/** What the store is asked is written, and its answers are understood, as by an earlier build. */
+/** Requests to the store are written, and its responses are read, as by an earlier build. */
 class StoreMessageGoldenTest {
   private static final String DIRECTORY = "state/";
-  private static final LeaseId HOLD = new LeaseId(7);
+  private static final LeaseId LEASE = new LeaseId(7);
   private static final Revision REVISION = new Revision(433);
 
   private static String file(String name) {
@@ -33,14 +33,14 @@
   }
 
   private static Map<String, String> messages() {
-    List<Compare> guards =
+    List<Compare> compares =
         List.of(new Compare("a/b", new Revision(0)), new Compare("c/leader", new Revision(412)));
     List<Write> writes =
         List.of(
-            Write.put("a/b", value()), Write.put("c/n/n-1", value(), HOLD), Write.delete("c/d"));
+            Write.put("a/b", value()), Write.put("c/n/n-1", value(), LEASE), Write.delete("c/d"));
     Map<String, String> messages = new LinkedHashMap<>();
-    messages.put("commit", StoreCodec.commit(guards, writes));
-    messages.put("commit-comparing-only", StoreCodec.commit(guards, List.of()));
+    messages.put("commit", StoreCodec.commit(compares, writes));
+    messages.put("commit-comparing-only", StoreCodec.commit(compares, List.of()));
     messages.put("commit-without-guards", StoreCodec.commit(List.of(), writes));
     messages.put("lease-request", StoreCodec.grantLease(Duration.ofSeconds(5)));
     messages.put("lease", Json.write(Json.object().put("hold", 7)));
@@ -68,13 +68,13 @@
   }
 
   private static String changes() {
-    ObjectNode answer = Json.object().put("epoch", 433);
-    ArrayNode news = answer.putArray("news");
-    ObjectNode put = news.addObject().put("set", "c/9");
+    ObjectNode response = Json.object().put("epoch", 433);
+    ArrayNode changes = response.putArray("news");
+    ObjectNode put = changes.addObject().put("set", "c/9");
     put.set("value", value());
     put.put("stamp", 433);
-    news.addObject().put("delete", "c/d").put("stamp", 432);
-    return Json.write(answer);
+    changes.addObject().put("delete", "c/d").put("stamp", 432);
+    return Json.write(response);
   }
 
   private static Set<String> messageNames() {
@@ -99,13 +99,13 @@
             StoreCodec.rangePath("a/", Optional.empty()),
             StoreCodec.rangePath("a/", Optional.of("a/run-1")),
             StoreCodec.watchPath("c/", REVISION, Duration.ofSeconds(10)),
-            StoreCodec.renewLeasePath(HOLD),
-            StoreCodec.leasePath(HOLD)));
+            StoreCodec.renewLeasePath(LEASE),
+            StoreCodec.leasePath(LEASE)));
   }
 
   @Test
   void aLeaseIsReadAsItWasMeant() throws MalformedMessageException {
-    assertEquals(HOLD, StoreCodec.parseLease(GoldenFile.text(file("lease"))));
+    assertEquals(LEASE, StoreCodec.parseLease(GoldenFile.text(file("lease"))));
   }
 
   @Test
--- a/src/test/java/org/mulleinshift/protocol/WorkerMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/WorkerMessageGoldenTest.java
@@ -17,89 +17,89 @@
 import org.mulleinshift.protocol.WorkerHeartbeat.Cause;
 import org.mulleinshift.protocol.WorkerHeartbeat.State;
 
-/** What workers report is understood, and what they are told is written, as by an earlier build. */
+/** Heartbeats are read, and commands are written, as by an earlier build. */
 class WorkerMessageGoldenTest {
   private static final String DIRECTORY = "workers/";
-  private static final String REPORT = file("report");
-  private static final String RECALLED = file("report-of-recalled-machine");
+  private static final String HEARTBEAT = file("report");
+  private static final String INTERRUPTED = file("report-of-recalled-machine");
   private static final JobId JOB = new JobId("run-000412");
   private static final FencingToken TOKEN = new FencingToken(417L << 20);
 
   /** A task's state and cause as workers name them, and as they are understood. */
-  private record Reported(String phase, String cause, State state, Cause why) {}
+  private record TaskSample(String phase, String cause, State state, Cause exitCause) {}
 
-  private static final List<Reported> REPORTED =
+  private static final List<TaskSample> TASKS =
       List.of(
-          new Reported("fetching", null, State.FETCHING, Cause.NONE),
-          new Reported("waiting", null, State.WAITING, Cause.NONE),
-          new Reported("running", null, State.RUNNING, Cause.NONE),
-          new Reported("saving", null, State.SAVING, Cause.NONE),
-          new Reported("exited", null, State.EXITED, Cause.NONE),
-          new Reported("exited", "done", State.EXITED, Cause.DONE),
-          new Reported("exited", "halted", State.EXITED, Cause.STOPPED),
-          new Reported("exited", "error", State.EXITED, Cause.ERROR),
-          new Reported("exited", "full", State.EXITED, Cause.INSUFFICIENT_RESOURCES),
-          new Reported("exited", "in_use", State.EXITED, Cause.BUSY),
-          new Reported("exited", "peers", State.EXITED, Cause.GANG_BROKEN),
-          new Reported("exited", "incomplete", State.EXITED, Cause.GANG_BROKEN),
-          new Reported("exited", "no_such", State.EXITED, Cause.UNKNOWN),
-          new Reported("exited", "unheard-of", State.EXITED, Cause.ERROR));
+          new TaskSample("fetching", null, State.FETCHING, Cause.NONE),
+          new TaskSample("waiting", null, State.WAITING, Cause.NONE),
+          new TaskSample("running", null, State.RUNNING, Cause.NONE),
+          new TaskSample("saving", null, State.SAVING, Cause.NONE),
+          new TaskSample("exited", null, State.EXITED, Cause.NONE),
+          new TaskSample("exited", "done", State.EXITED, Cause.DONE),
+          new TaskSample("exited", "halted", State.EXITED, Cause.STOPPED),
+          new TaskSample("exited", "error", State.EXITED, Cause.ERROR),
+          new TaskSample("exited", "full", State.EXITED, Cause.INSUFFICIENT_RESOURCES),
+          new TaskSample("exited", "in_use", State.EXITED, Cause.BUSY),
+          new TaskSample("exited", "peers", State.EXITED, Cause.GANG_BROKEN),
+          new TaskSample("exited", "incomplete", State.EXITED, Cause.GANG_BROKEN),
+          new TaskSample("exited", "no_such", State.EXITED, Cause.UNKNOWN),
+          new TaskSample("exited", "unheard-of", State.EXITED, Cause.ERROR));
 
   private static String file(String name) {
     return DIRECTORY + name + ".json";
   }
 
-  private static ObjectNode report(Double recallSeconds) {
-    ObjectNode report = Json.object();
-    report.put("host", "i-000231").put("addr", "10.1.0.232:9000");
-    report.put("build", "g8").put("yard", "a").put("loaner", true);
-    report.put("shift", 3).put("tick", 88).put("baton", TOKEN.value());
-    report.put("recall_s", recallSeconds);
-    return report;
+  private static ObjectNode heartbeatJson(Double interruptionSeconds) {
+    ObjectNode heartbeat = Json.object();
+    heartbeat.put("host", "i-000231").put("addr", "10.1.0.232:9000");
+    heartbeat.put("build", "g8").put("yard", "a").put("loaner", true);
+    heartbeat.put("shift", 3).put("tick", 88).put("baton", TOKEN.value());
+    heartbeat.put("recall_s", interruptionSeconds);
+    return heartbeat;
   }
 
   @Test
-  void aReportOfAllTaskStatesIsWrittenAsBefore() {
-    ObjectNode report = report(null);
-    ArrayNode tasks = report.putArray("pieces");
-    for (int i = 0; i < REPORTED.size(); i++) {
-      Reported reported = REPORTED.get(i);
+  void aHeartbeatWithAllTaskStatesIsWrittenAsBefore() {
+    ObjectNode heartbeat = heartbeatJson(null);
+    ArrayNode tasks = heartbeat.putArray("pieces");
+    for (int i = 0; i < TASKS.size(); i++) {
+      TaskSample sample = TASKS.get(i);
       ObjectNode task = tasks.addObject();
       task.put("piece", JOB + "/" + i).put("try", 100 + i);
-      task.put("phase", reported.phase()).put("cause", reported.cause()).put("kept", true);
+      task.put("phase", sample.phase()).put("cause", sample.cause()).put("kept", true);
     }
-    GoldenFile.assertHolds(REPORT, Json.write(report));
+    GoldenFile.assertHolds(HEARTBEAT, Json.write(heartbeat));
   }
 
   @Test
-  void aReportOfARecalledMachineIsWrittenAsBefore() {
-    ObjectNode report = report(27.5);
-    report.putArray("pieces");
-    GoldenFile.assertHolds(RECALLED, Json.write(report));
+  void aHeartbeatOfAnInterruptedMachineIsWrittenAsBefore() {
+    ObjectNode heartbeat = heartbeatJson(27.5);
+    heartbeat.putArray("pieces");
+    GoldenFile.assertHolds(INTERRUPTED, Json.write(heartbeat));
   }
 
   @Test
-  void aReportOfAllTaskStatesIsReadAsItWasMeant() throws MalformedMessageException {
-    WorkerHeartbeat report = WorkerCodec.parseHeartbeat(GoldenFile.text(REPORT));
-    assertEquals(expected(Optional.empty(), report.tasks()), report);
-    assertEquals(REPORTED.size(), report.tasks().size());
-    for (int i = 0; i < REPORTED.size(); i++) {
-      Reported reported = REPORTED.get(i);
+  void aHeartbeatWithAllTaskStatesIsReadAsItWasMeant() throws MalformedMessageException {
+    WorkerHeartbeat heartbeat = WorkerCodec.parseHeartbeat(GoldenFile.text(HEARTBEAT));
+    assertEquals(expected(Optional.empty(), heartbeat.tasks()), heartbeat);
+    assertEquals(TASKS.size(), heartbeat.tasks().size());
+    for (int i = 0; i < TASKS.size(); i++) {
+      TaskSample sample = TASKS.get(i);
       WorkerHeartbeat.Entry entry =
           new WorkerHeartbeat.Entry(
-              new TaskId(JOB, i), new Attempt(100 + i), reported.state(), reported.why());
-      assertEquals(entry, report.tasks().get(i));
+              new TaskId(JOB, i), new Attempt(100 + i), sample.state(), sample.exitCause());
+      assertEquals(entry, heartbeat.tasks().get(i));
     }
   }
 
   @Test
-  void aReportOfARecalledMachineIsReadAsItWasMeant() throws MalformedMessageException {
-    WorkerHeartbeat report = WorkerCodec.parseHeartbeat(GoldenFile.text(RECALLED));
-    assertEquals(expected(Optional.of(Duration.ofMillis(27_500)), List.of()), report);
+  void aHeartbeatOfAnInterruptedMachineIsReadAsItWasMeant() throws MalformedMessageException {
+    WorkerHeartbeat heartbeat = WorkerCodec.parseHeartbeat(GoldenFile.text(INTERRUPTED));
+    assertEquals(expected(Optional.of(Duration.ofMillis(27_500)), List.of()), heartbeat);
   }
 
   private static WorkerHeartbeat expected(
-      Optional<Duration> recall, List<WorkerHeartbeat.Entry> tasks) {
+      Optional<Duration> interruptionNotice, List<WorkerHeartbeat.Entry> tasks) {
     return new WorkerHeartbeat(
         new MachineId("i-000231"),
         "10.1.0.232:9000",
@@ -108,22 +108,22 @@
         true,
         new HeartbeatVersion(3, 88),
         TOKEN,
-        recall,
+        interruptionNotice,
         tasks);
   }
 
   private static Map<String, String> messages() {
     TaskId task = new TaskId(JOB, 4);
-    List<WorkerCommand> orders =
+    List<WorkerCommand> commands =
         List.of(
             new WorkerCommand.Run(task, new Attempt(2)),
             new WorkerCommand.Halt(new TaskId(JOB, 5), new Attempt(3), Duration.ofMillis(10_250)),
             new WorkerCommand.Halt(new TaskId(JOB, 6), new Attempt(4), Duration.ZERO),
             new WorkerCommand.Forget(new TaskId(JOB, 7), new Attempt(1L << 40)));
     Map<String, String> messages = new LinkedHashMap<>();
-    messages.put("response", WorkerCodec.response(TOKEN, orders));
+    messages.put("response", WorkerCodec.response(TOKEN, commands));
     messages.put("response-without-orders", WorkerCodec.response(TOKEN, List.of()));
-    messages.put("direct-orders", WorkerCodec.direct(TOKEN, 3, orders));
+    messages.put("direct-orders", WorkerCodec.direct(TOKEN, 3, commands));
     messages.put("direct-without-orders", WorkerCodec.direct(TOKEN, 3, List.of()));
     messages.put("redirect", WorkerCodec.redirect(new NodeId("n-2")));
     return messages;
@@ -135,7 +135,7 @@
 
   @ParameterizedTest
   @MethodSource("messageNames")
-  void ordersAreWrittenAsBefore(String name) {
+  void commandsAreWrittenAsBefore(String name) {
     GoldenFile.assertHolds(file(name), messages().get(name));
   }
 }
