--- a/src/main/java/org/mulleinshift/settings/Leases.java
+++ b/src/main/java/org/mulleinshift/settings/Leases.java
@@ -3,16 +3,17 @@
 import java.time.Duration;
 
 /**
- * How the time that a cancellation has is shared between the leases that it may have to outlive.
+ * Divides the time in which a cancelled job must be gone between the leases that may have to expire
+ * for it.
  */
 public final class Leases {
-  private static final Duration LEAST = Duration.ofSeconds(2);
+  private static final Duration MIN_SHARD_LEASE = Duration.ofSeconds(2);
 
   private Leases() {}
 
   /**
-   * The longest shard lease with which a cancelled job's tasks are surely gone in time: an owner
-   * that hears nothing acts until its lease is over, and its workers run on for a worker lease.
+   * The longest shard lease with which a cancelled job's tasks are certainly gone in time: an owner
+   * that is cut off acts until its lease expires, and its workers run on for a worker lease.
    */
   public static Duration shard(PlatformSettings.WorkerTiming workers, Tunables tunables) {
     return workers
@@ -21,15 +22,21 @@
         .minus(tunables.seconds(Tunables.Key.CANCEL_MARGIN_S));
   }
 
-  /** Leases that do not fit would break a rule on the first bad day; better not to start. */
+  /**
+   * Checks that there is time enough for a shard lease: else a cancelled task could run on when an
+   * owner is cut off.
+   *
+   * @param file names the platform's file in errors
+   * @throws SettingsException if there is not
+   */
   public static void check(String file, PlatformSettings.WorkerTiming workers, Tunables tunables)
       throws SettingsException {
-    if (shard(workers, tunables).compareTo(LEAST) < 0) {
+    if (shard(workers, tunables).compareTo(MIN_SHARD_LEASE) < 0) {
       throw new SettingsException(
           file
               + ": cluster.workers.cancel_s: leaves less than "
-              + LEAST.toSeconds()
-              + " s for a block lease beside lease_s and "
+              + MIN_SHARD_LEASE.toSeconds()
+              + " s for a shard lease beside lease_s and "
               + Tunables.Key.CANCEL_MARGIN_S.yaml());
     }
   }
--- a/src/main/java/org/mulleinshift/settings/PlatformSettings.java
+++ b/src/main/java/org/mulleinshift/settings/PlatformSettings.java
@@ -5,7 +5,19 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What the platform hands to every controller. */
+/**
+ * The settings that the platform gives to every controller.
+ *
+ * @param label this controller's name
+ * @param zone this controller's zone
+ * @param publicAddress where users, workers and health checks connect
+ * @param peerBind where other controllers connect
+ * @param members the other controllers
+ * @param cloud address of the cloud's interface
+ * @param store address of the key-value store
+ * @param cluster what holds for all controllers
+ * @param limits of this process
+ */
 public record PlatformSettings(
     String label,
     String zone,
@@ -17,8 +29,15 @@
     Cluster cluster,
     Limits limits) {
 
+  /** Another controller. */
   public record Member(String label, String zone, InetSocketAddress address) {}
 
+  /**
+   * What holds for all controllers.
+   *
+   * @param size number of controllers
+   * @param clockOff how far the time of day may be off
+   */
   public record Cluster(
       int size,
       List<String> zones,
@@ -29,23 +48,36 @@
       StoreLimits store,
       CloudLimits cloud) {}
 
-  /** A maximum of 0 means that there is none. */
+  /**
+   * A team's quota: what it is guaranteed, and what its tasks may use at most. A maximum of 0 means
+   * that there is none.
+   */
   public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
   /**
-   * An aim.
+   * A service-level objective.
    *
-   * @param times of kind {@code deadline}: how many times its deadline a job may take; 0: not said
+   * @param kind what is measured, such as {@code deadline} or {@code wait}
+   * @param jobClass the class of jobs that it holds for; empty: all
+   * @param withinSeconds time allowed; 0: not given
+   * @param times of kind {@code deadline}: how many times its deadline a job may take; 0: not given
    */
   public record Objective(
       String kind, Optional<String> jobClass, double withinSeconds, double times) {}
 
+  /**
+   * Times that workers keep.
+   *
+   * @param reportInterval between two heartbeats
+   * @param lease after which a worker without a response kills its tasks
+   * @param cancel within which the tasks of a cancelled job must be gone
+   */
   public record WorkerTiming(Duration reportInterval, Duration lease, Duration cancel) {}
 
   /**
-   * The state service's limits.
+   * The limits of the key-value store.
    *
-   * @param next those that it will have from some moment on, unannounced
+   * @param next the limits that it will have from some moment on, which is not announced
    */
   public record StoreLimits(
       double requestsPerSecond,
@@ -53,29 +85,34 @@
       int valueBytes,
       int transactionOperations,
       Optional<StoreLimits> next) {
+    /** Limits that stay. */
     public StoreLimits(
-        double requestsPerSecond, double writesPerSecond, int valueBytes, int txnOps) {
-      this(requestsPerSecond, writesPerSecond, valueBytes, txnOps, Optional.empty());
+        double requestsPerSecond,
+        double writesPerSecond,
+        int valueBytes,
+        int transactionOperations) {
+      this(requestsPerSecond, writesPerSecond, valueBytes, transactionOperations, Optional.empty());
     }
 
-    /** What is written must fit before and after that moment. */
+    /** The longest value that fits before and after the change of limits. */
     public int minValueBytes() {
       return Math.min(valueBytes, next.map(StoreLimits::valueBytes).orElse(valueBytes));
     }
 
+    /** The most writes of a transaction that fits before and after the change of limits. */
     public int minTransactionOperations() {
       return Math.min(
           transactionOperations,
           next.map(StoreLimits::transactionOperations).orElse(transactionOperations));
     }
 
-    /** What is left of the rate of changes after that moment. */
+    /** The share of the write rate that remains after the change of limits. */
     public double writesShareAfterReduction() {
       return Math.min(
           1, next.map(StoreLimits::writesPerSecond).orElse(writesPerSecond) / writesPerSecond);
     }
 
-    /** What is left of the rate of requests after that moment. */
+    /** The share of the request rate that remains after the change of limits. */
     public double requestsShareAfterReduction() {
       return Math.min(
           1,
@@ -83,7 +120,18 @@
     }
   }
 
+  /**
+   * The limits of the cloud's interface.
+   *
+   * @param listLag how far the machine list usually lags behind
+   */
   public record CloudLimits(double requestsPerSecond, Duration listLag) {}
 
+  /**
+   * The limits of this process.
+   *
+   * @param cpu share of a processor core
+   * @param sockets number of open sockets and files
+   */
   public record Limits(double cpu, double memoryMb, int sockets) {}
 }
--- a/src/main/java/org/mulleinshift/settings/PlatformSettingsReader.java
+++ b/src/main/java/org/mulleinshift/settings/PlatformSettingsReader.java
@@ -14,12 +14,39 @@
 
 /** Reads and checks the platform's TOML file. Unknown fields are ignored. */
 public final class PlatformSettingsReader {
+  private static final double NANOS_PER_SECOND = 1e9;
+  private static final double NANOS_PER_MILLI = 1e6;
+  private static final int BYTES_PER_KB = 1024;
+
+  // Ranges beyond which a value is taken for a mistake.
+  private static final double MIN_SECONDS = 0.01;
+  private static final double MAX_SECONDS = 1e6;
+  private static final double MAX_AMOUNT = 1e12;
+  private static final double MIN_CPU = 0.01;
+  private static final double MAX_CPU = 1024;
+  private static final double MIN_MEMORY_MB = 32;
+  private static final double MAX_MEMORY_MB = 1e7;
+  private static final double MIN_SOCKETS = 32;
+  private static final double MAX_SOCKETS = 1e7;
+  private static final double MAX_CONTROLLERS = 99;
+  private static final double MIN_CLOUD_RATE = 0.1;
+  private static final double MAX_RATE = 1e9;
+  private static final double MIN_VALUE_KB = 0.5;
+  private static final double MAX_KB = 1e6;
+  private static final double MAX_OPERATIONS = 1e6;
+  private static final int MAX_PORT = 65_535;
+
   private final String file;
 
   private PlatformSettingsReader(String file) {
     this.file = file;
   }
 
+  /**
+   * Reads a file.
+   *
+   * @throws SettingsException if it can't be read, or a setting is missing or invalid
+   */
   public static PlatformSettings read(Path path) throws SettingsException {
     String text;
     try {
@@ -46,11 +73,7 @@
     JsonNode limits = table(cluster, "cluster.", "limits");
     List<PlatformSettings.Member> members = new ArrayList<>();
     for (JsonNode member : root.path("members")) {
-      members.add(
-          new PlatformSettings.Member(
-              text(member, "members.", "label"),
-              text(member, "members.", "location"),
-              address(member, "members.", "address")));
+      members.add(member(member, "members."));
     }
     return new PlatformSettings(
         text(root, "", "label"),
@@ -60,135 +83,163 @@
         List.copyOf(members),
         address(services, "services.", "cloud"),
         address(services, "services.", "state"),
-        cluster(cluster),
-        new PlatformSettings.Limits(
-            number(limits, "cluster.limits.", "cpu", 0.01, 1024),
-            number(limits, "cluster.limits.", "ram_mb", 32, 1e7),
-            (int) number(limits, "cluster.limits.", "fd_limit", 32, 1e7)));
+        cluster(cluster, "cluster."),
+        limits(limits, "cluster.limits."));
+  }
+
+  private PlatformSettings.Member member(JsonNode node, String path) throws SettingsException {
+    return new PlatformSettings.Member(
+        text(node, path, "label"), text(node, path, "location"), address(node, path, "address"));
+  }
+
+  private PlatformSettings.Limits limits(JsonNode node, String path) throws SettingsException {
+    return new PlatformSettings.Limits(
+        number(node, path, "cpu", MIN_CPU, MAX_CPU),
+        number(node, path, "ram_mb", MIN_MEMORY_MB, MAX_MEMORY_MB),
+        (int) number(node, path, "fd_limit", MIN_SOCKETS, MAX_SOCKETS));
   }
 
-  private PlatformSettings.Cluster cluster(JsonNode node) throws SettingsException {
-    JsonNode workers = table(node, "cluster.", "workers");
-    JsonNode state = table(node, "cluster.", "state");
-    JsonNode cloud = table(node, "cluster.", "cloud");
+  private PlatformSettings.Cluster cluster(JsonNode node, String path) throws SettingsException {
+    JsonNode workers = table(node, path, "workers");
+    JsonNode store = table(node, path, "state");
+    JsonNode cloud = table(node, path, "cloud");
     List<String> zones = new ArrayList<>();
     for (JsonNode zone : node.path("zones")) {
       zones.add(zone.asText());
     }
     List<PlatformSettings.Team> teams = new ArrayList<>();
     for (JsonNode team : node.path("teams")) {
-      String at = "cluster.teams.";
-      teams.add(
-          new PlatformSettings.Team(
-              text(team, at, "name"),
-              amountOrZero(team, at, "cpus"),
-              amountOrZero(team, at, "cpus_max"),
-              amountOrZero(team, at, "gpus"),
-              amountOrZero(team, at, "gpus_max")));
+      teams.add(team(team, path + "teams."));
     }
     List<PlatformSettings.Objective> objectives = new ArrayList<>();
     for (JsonNode objective : node.path("objectives")) {
-      objectives.add(
-          new PlatformSettings.Objective(
-              objective.path("kind").asText(""),
-              Optional.ofNullable(objective.path("class").asText(null)),
-              amountOrZero(objective, "cluster.objectives.", "within_s"),
-              amountOrZero(objective, "cluster.objectives.", "times")));
+      objectives.add(objective(objective, path + "objectives."));
     }
-    String at = "cluster.";
     return new PlatformSettings.Cluster(
-        (int) number(node, at, "size", 1, 99),
+        (int) number(node, path, "size", 1, MAX_CONTROLLERS),
         List.copyOf(zones),
-        Duration.ofNanos((long) (amountOrZero(node, at, "clock_off_ms") * 1e6)),
+        Duration.ofNanos((long) (amountOrZero(node, path, "clock_off_ms") * NANOS_PER_MILLI)),
         List.copyOf(teams),
         List.copyOf(objectives),
-        new PlatformSettings.WorkerTiming(
-            seconds(workers, "cluster.workers.", "report_s"),
-            seconds(workers, "cluster.workers.", "lease_s"),
-            seconds(workers, "cluster.workers.", "cancel_s")),
-        state(state),
-        new PlatformSettings.CloudLimits(
-            number(cloud, "cluster.cloud.", "rps", 0.1, 1e9),
-            Duration.ofNanos((long) (amountOrZero(cloud, "cluster.cloud.", "list_lag_s") * 1e9))));
-  }
-
-  private PlatformSettings.StoreLimits state(JsonNode node) throws SettingsException {
-    PlatformSettings.StoreLimits now = stateLimits(node, node, "cluster.state.");
+        workerTiming(workers, path + "workers."),
+        storeLimits(store, path + "state."),
+        cloudLimits(cloud, path + "cloud."));
+  }
+
+  private PlatformSettings.Team team(JsonNode node, String path) throws SettingsException {
+    return new PlatformSettings.Team(
+        text(node, path, "name"),
+        amountOrZero(node, path, "cpus"),
+        amountOrZero(node, path, "cpus_max"),
+        amountOrZero(node, path, "gpus"),
+        amountOrZero(node, path, "gpus_max"));
+  }
+
+  private PlatformSettings.Objective objective(JsonNode node, String path)
+      throws SettingsException {
+    return new PlatformSettings.Objective(
+        node.path("kind").asText(""),
+        Optional.ofNullable(node.path("class").asText(null)),
+        amountOrZero(node, path, "within_s"),
+        amountOrZero(node, path, "times"));
+  }
+
+  private PlatformSettings.WorkerTiming workerTiming(JsonNode node, String path)
+      throws SettingsException {
+    return new PlatformSettings.WorkerTiming(
+        seconds(node, path, "report_s"),
+        seconds(node, path, "lease_s"),
+        seconds(node, path, "cancel_s"));
+  }
+
+  private PlatformSettings.CloudLimits cloudLimits(JsonNode node, String path)
+      throws SettingsException {
+    return new PlatformSettings.CloudLimits(
+        number(node, path, "rps", MIN_CLOUD_RATE, MAX_RATE),
+        Duration.ofNanos((long) (amountOrZero(node, path, "list_lag_s") * NANOS_PER_SECOND)));
+  }
+
+  private PlatformSettings.StoreLimits storeLimits(JsonNode node, String path)
+      throws SettingsException {
+    PlatformSettings.StoreLimits now = storeLimits(node, node, path);
     if (!node.hasNonNull("next")) {
       return now;
     }
-    JsonNode next = table(node, "cluster.state.", "next");
+    JsonNode next = table(node, path, "next");
     return new PlatformSettings.StoreLimits(
         now.requestsPerSecond(),
         now.writesPerSecond(),
         now.valueBytes(),
         now.transactionOperations(),
-        Optional.of(stateLimits(next, node, "cluster.state.next.")));
+        Optional.of(storeLimits(next, node, path + "next.")));
   }
 
-  /** What the table leaves out is as the other says. */
-  private PlatformSettings.StoreLimits stateLimits(JsonNode node, JsonNode rest, String at)
+  /** What the table leaves out is as in the fallback. */
+  private PlatformSettings.StoreLimits storeLimits(JsonNode node, JsonNode fallback, String path)
       throws SettingsException {
     return new PlatformSettings.StoreLimits(
-        number(holding(node, rest, "rps"), at, "rps", 1, 1e9),
-        number(holding(node, rest, "write_rps"), at, "write_rps", 1, 1e9),
-        (int) (number(holding(node, rest, "value_kb"), at, "value_kb", 0.5, 1e6) * 1024),
-        (int) number(holding(node, rest, "txn_ops"), at, "txn_ops", 2, 1e6));
+        number(tableWith(node, fallback, "rps"), path, "rps", 1, MAX_RATE),
+        number(tableWith(node, fallback, "write_rps"), path, "write_rps", 1, MAX_RATE),
+        (int)
+            (number(tableWith(node, fallback, "value_kb"), path, "value_kb", MIN_VALUE_KB, MAX_KB)
+                * BYTES_PER_KB),
+        (int) number(tableWith(node, fallback, "txn_ops"), path, "txn_ops", 2, MAX_OPERATIONS));
   }
 
-  private static JsonNode holding(JsonNode node, JsonNode rest, String key) {
-    return node.has(key) ? node : rest;
+  private static JsonNode tableWith(JsonNode node, JsonNode fallback, String key) {
+    return node.has(key) ? node : fallback;
   }
 
-  private JsonNode table(JsonNode parent, String at, String key) throws SettingsException {
+  private JsonNode table(JsonNode parent, String path, String key) throws SettingsException {
     JsonNode node = parent.path(key);
     if (!node.isObject()) {
-      throw bad(at + key, "missing or not a table");
+      throw invalid(path + key, "missing or not a table");
     }
     return node;
   }
 
-  private String text(JsonNode parent, String at, String key) throws SettingsException {
+  private String text(JsonNode parent, String path, String key) throws SettingsException {
     JsonNode node = parent.path(key);
     if (!node.isTextual() || node.asText().isBlank()) {
-      throw bad(at + key, "missing or not a text");
+      throw invalid(path + key, "missing or not a text");
     }
     return node.asText();
   }
 
-  private double number(JsonNode parent, String at, String key, double least, double most)
+  private double number(JsonNode parent, String path, String key, double min, double max)
       throws SettingsException {
     JsonNode node = parent.path(key);
-    if (!node.isNumber() || !(node.asDouble() >= least && node.asDouble() <= most)) {
-      throw bad(at + key, "missing or not a number from " + least + " to " + most);
+    if (!node.isNumber() || !(node.asDouble() >= min && node.asDouble() <= max)) {
+      throw invalid(path + key, "missing or not a number from " + min + " to " + max);
     }
     return node.asDouble();
   }
 
-  private double amountOrZero(JsonNode parent, String at, String key) throws SettingsException {
-    return parent.hasNonNull(key) ? number(parent, at, key, 0, 1e12) : 0;
+  private double amountOrZero(JsonNode parent, String path, String key) throws SettingsException {
+    return parent.hasNonNull(key) ? number(parent, path, key, 0, MAX_AMOUNT) : 0;
   }
 
-  private Duration seconds(JsonNode parent, String at, String key) throws SettingsException {
-    return Duration.ofNanos((long) (number(parent, at, key, 0.01, 1e6) * 1e9));
+  private Duration seconds(JsonNode parent, String path, String key) throws SettingsException {
+    return Duration.ofNanos(
+        (long) (number(parent, path, key, MIN_SECONDS, MAX_SECONDS) * NANOS_PER_SECOND));
   }
 
-  private InetSocketAddress address(JsonNode parent, String at, String key)
+  private InetSocketAddress address(JsonNode parent, String path, String key)
       throws SettingsException {
-    String value = text(parent, at, key);
+    String value = text(parent, path, key);
     int colon = value.lastIndexOf(':');
     try {
       int port = Integer.parseInt(value.substring(colon + 1));
-      if (colon > 0 && port > 0 && port < 65536) {
+      if (colon > 0 && port > 0 && port <= MAX_PORT) {
         return new InetSocketAddress(value.substring(0, colon), port);
       }
     } catch (NumberFormatException e) {
-      throw bad(at + key, "not an address of the form host:port");
+      throw invalid(path + key, "not an address of the form host:port");
     }
-    throw bad(at + key, "not an address of the form host:port");
+    throw invalid(path + key, "not an address of the form host:port");
   }
 
-  private SettingsException bad(String key, String what) {
-    return new SettingsException(file + ": " + key + ": " + what);
+  private SettingsException invalid(String key, String reason) {
+    return new SettingsException(file + ": " + key + ": " + reason);
   }
 }
--- a/src/main/java/org/mulleinshift/settings/SettingsException.java
+++ b/src/main/java/org/mulleinshift/settings/SettingsException.java
@@ -4,6 +4,7 @@
 public final class SettingsException extends Exception {
   private static final long serialVersionUID = 1L;
 
+  /** An error with a message for the operators. */
   public SettingsException(String message) {
     super(message);
   }
--- a/src/main/java/org/mulleinshift/settings/Tunables.java
+++ b/src/main/java/org/mulleinshift/settings/Tunables.java
@@ -1,198 +1,167 @@
 package org.mulleinshift.settings;
 
 import java.time.Duration;
-import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.LinkedHashMap;
-import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
-/** The operators' own settings: every key with its range and default. */
+/** The operators' own settings: every key with its default and range. */
 public final class Tunables {
 
-  /** A setting of ours. Names are those of the YAML file. */
+  /** A setting, with its name in the YAML file, its default, minimum and maximum. */
   public enum Key {
-    LEADER_LEASE_S("leader_lease_s", 5, 1, 60, "lease of the leader's key"),
-    CANCEL_MARGIN_S(
-        "cancel_margin_s", 4, 1, 60, "time kept free when block and worker leases share cancel_s"),
-    RENEW_S("renew_s", 2, 0.2, 30, "time between renewals of the session lease"),
-    CYCLE_MS("cycle_ms", 150, 10, 10_000, "least time between two scheduling cycles"),
-    WALK_S("walk_s", 1, 0.2, 60, "time between two forward walks"),
-    WALK_STEPS("walk_steps", 10, 1, 200, "steps of a forward walk over the boot time"),
-    BOOT_DEFAULT_S("boot_default_s", 40, 1, 3600, "boot time before any was seen or listed"),
-    BOOT_OVERDUE_FACTOR(
-        "boot_overdue_factor", 3, 1, 20, "a boot this many times longer than expected is given up"),
-    IDLE_RETURN_S("idle_return_s", 20, 0, 3600, "how long a machine stays idle before its return"),
-    MINIMUM_HELD_S("minimum_held_s", 60, 0, 3600, "a machine younger than this is not returned"),
-    REFUSED_PAUSE_S("refused_pause_s", 10, 1, 600, "pause after the cloud refused a rental"),
-    SHARD_MACHINES("block_machines", 24, 1, 1000, "most machines of one block"),
-    PEER_SILENT_S("peer_silent_s", 4, 1, 60, "a controller silent for this long loses its blocks"),
-    STATE_LOST_S(
-        "state_lost_s",
-        1,
-        0.3,
-        30,
-        "a controller without the state service for this long, while others have it, counts as cut off"),
-    LEADER_SILENT_S(
-        "leader_silent_s",
-        1,
-        0.5,
-        60,
-        "the standby takes over from a leader that it and another have not heard for this long"),
-    RETRY_AFTER_S("retry_after_s", 2, 1, 30, "Retry-After of a submission that can't be taken"),
-    FAULTY_AFTER("faulty_after", 3, 1, 100, "failures in a row that take a machine out of use"),
-    ERROR_PAUSE_S("error_pause_s", 5, 0, 600, "least pause before a failed task is tried again"),
-    HEADROOM_JOBS(
-        "headroom_jobs",
-        0.5,
-        0,
-        10,
-        "average jobs of a class with a start aim that room is kept for"),
-    HEADROOM_LASTS_S(
-        "headroom_lasts_s", 60, 0, 3600, "how long after the last such job room is still kept"),
-    PREEMPT_RAN_S(
-        "preempt_ran_s",
-        12,
-        0,
-        86_400,
-        "a task that ran longer does not give way to a more urgent one"),
-    PREEMPT_SLACK_S(
-        "preempt_slack_s",
-        20,
-        0,
-        86_400,
-        "work gives way to a more urgent job with a deadline once it must start within this"),
-    AHEAD_S(
-        "ahead_s",
-        1,
-        0,
-        60,
-        "tasks are sent to holders for room that should become free within this"),
-    RESIZE_AT_ONCE(
-        "resize_at_once",
-        0.25,
-        0.01,
-        100,
-        "a shortage of more than this share of the fleet is rented without waiting"),
-    PATIENT_S(
-        "patient_s",
-        150,
-        0,
-        86_400,
-        "work of the lowest priority rents no ordinary machines before it has waited this long"),
-    FLOOR_SHARE(
-        "floor_share",
-        1,
-        0,
-        1,
-        "share of its fair part that each class and team may claim while another has more than its own"),
-    OVERDUE_S(
-        "overdue_s", 600, 0, 86_400, "a job this long past its deadline waits behind no others"),
-    BEGIN_S(
-        "begin_s",
-        120,
-        1,
-        86_400,
-        "one of the largest jobs of a class that waited this long starts some tasks before others"),
-    SPARE_S(
-        "spare_s", 6, 0, 3600, "how long the fleet could do without a machine before it drains"),
-    PROGRESS_LOG(
-        "progress_log",
-        1,
-        0,
-        1,
-        "1: progress goes to the log once all controllers read it; 0: to keys of each job"),
-    HTTP_THREADS("http_threads", 16, 2, 256, "threads that read requests and write answers");
+    /** Lease of the leader's key. */
+    LEADER_LEASE_S("leader_lease_s", 5, 1, 60),
+    /** Part of {@code cancel_s} that neither shard nor worker leases use up. */
+    CANCEL_MARGIN_S("cancel_margin_s", 4, 1, 60),
+    /** Time between renewals of the session lease. */
+    RENEW_S("renew_s", 2, 0.2, 30),
+    /** Shortest time between two scheduling cycles. */
+    CYCLE_MS("cycle_ms", 150, 10, 10_000),
+    /** Time between two forecasts of the autoscaler. */
+    WALK_S("walk_s", 1, 0.2, 60),
+    /** Steps of a forecast over the boot time. */
+    WALK_STEPS("walk_steps", 10, 1, 200),
+    /** Boot time before any was observed or listed. */
+    BOOT_DEFAULT_S("boot_default_s", 40, 1, 3600),
+    /** A boot that takes so many times longer than expected is abandoned. */
+    BOOT_OVERDUE_FACTOR("boot_overdue_factor", 3, 1, 20),
+    /** How long a machine stays idle before it is released. */
+    IDLE_RETURN_S("idle_return_s", 20, 0, 3600),
+    /** A machine younger than this is not released. */
+    MINIMUM_HELD_S("minimum_held_s", 60, 0, 3600),
+    /** Backoff after the cloud had no capacity. */
+    REFUSED_PAUSE_S("refused_pause_s", 10, 1, 600),
+    /** Most machines of one shard. */
+    SHARD_MACHINES("block_machines", 24, 1, 1000),
+    /** A controller that was not heard for this long loses its shards. */
+    PEER_SILENT_S("peer_silent_s", 4, 1, 60),
+    /**
+     * A controller counts as cut off when it had no response from the store for this long, while
+     * others had.
+     */
+    STATE_LOST_S("state_lost_s", 1, 0.3, 30),
+    /**
+     * The standby takes over from a leader that it and another controller have not heard for this
+     * long.
+     */
+    LEADER_SILENT_S("leader_silent_s", 1, 0.5, 60),
+    /** Retry-After of a request that can't be answered now. */
+    RETRY_AFTER_S("retry_after_s", 2, 1, 30),
+    /** Consecutive failures after which a machine is quarantined. */
+    FAULTY_AFTER("faulty_after", 3, 1, 100),
+    /** Shortest backoff before a failed task is retried. */
+    ERROR_PAUSE_S("error_pause_s", 5, 0, 600),
+    /** Average jobs of a class with a start objective that capacity is reserved for. */
+    HEADROOM_JOBS("headroom_jobs", 0.5, 0, 10),
+    /** How long after the last such job capacity stays reserved. */
+    HEADROOM_LASTS_S("headroom_lasts_s", 60, 0, 3600),
+    /** A task that ran longer than this is not preempted for a job of higher priority. */
+    PREEMPT_RAN_S("preempt_ran_s", 12, 0, 86_400),
+    /** Tasks are preempted for a job with a deadline once it must start within this time. */
+    PREEMPT_SLACK_S("preempt_slack_s", 20, 0, 86_400),
+    /** Tasks are sent to shard owners for capacity that should become free within this time. */
+    AHEAD_S("ahead_s", 1, 0, 60),
+    /** A shortage of more than this share of the fleet is provisioned without waiting. */
+    RESIZE_AT_ONCE("resize_at_once", 0.25, 0.01, 100),
+    /** Jobs of the lowest priority get no on-demand machines before they have waited this long. */
+    PATIENT_S("patient_s", 150, 0, 86_400),
+    /**
+     * Part of its fair share that each class and team may claim while another has more than its
+     * own.
+     */
+    FLOOR_SHARE("floor_share", 1, 0, 1),
+    /** A job this long past its deadline waits behind no others. */
+    OVERDUE_S("overdue_s", 600, 0, 86_400),
+    /** One of the largest jobs of a class that waited this long starts some tasks before others. */
+    BEGIN_S("begin_s", 120, 1, 86_400),
+    /** How long a machine must have been surplus before it is drained. */
+    SPARE_S("spare_s", 6, 0, 3600),
+    /** 1: progress goes to the log once all controllers read it; 0: to keys of each job. */
+    PROGRESS_LOG("progress_log", 1, 0, 1),
+    /** Threads that read requests and write responses. */
+    HTTP_THREADS("http_threads", 16, 2, 256);
 
     private final String yaml;
-    private final double standard;
-    private final double least;
-    private final double most;
-    private final String meaning;
+    private final double defaultValue;
+    private final double min;
+    private final double max;
 
-    Key(String yaml, double standard, double least, double most, String meaning) {
+    Key(String yaml, double defaultValue, double min, double max) {
       this.yaml = yaml;
-      this.standard = standard;
-      this.least = least;
-      this.most = most;
-      this.meaning = meaning;
+      this.defaultValue = defaultValue;
+      this.min = min;
+      this.max = max;
     }
 
+    /** The key's name in the YAML file. */
     public String yaml() {
       return yaml;
     }
 
-    public double least() {
-      return least;
-    }
-
-    public double most() {
-      return most;
-    }
-
-    @Override
-    public String toString() {
-      return yaml + ": " + meaning + " (" + standard + "; " + least + " to " + most + ")";
+    private boolean allows(double value) {
+      return value >= min && value <= max;
     }
   }
 
+  private static final double NANOS_PER_SECOND = 1e9;
+  private static final double NANOS_PER_MILLI = 1e6;
+
   private final Map<Key, Double> values;
 
   private Tunables(Map<Key, Double> values) {
     this.values = values;
   }
 
+  /** All keys have their defaults. */
   public static Tunables standard() {
     return new Tunables(Map.of());
   }
 
-  /** Checks names and ranges of everything that a file sets. */
+  /**
+   * The values of a file; what it leaves out has its default.
+   *
+   * @param file names the file in errors
+   * @throws SettingsException if a key is unknown, or a value is not a number within its range
+   */
   public static Tunables of(String file, Map<?, ?> entries) throws SettingsException {
     Map<Key, Double> values = new LinkedHashMap<>();
     for (Map.Entry<?, ?> entry : entries.entrySet()) {
-      Key key = find(String.valueOf(entry.getKey()));
-      if (key == null) {
-        throw new SettingsException(file + ": " + entry.getKey() + ": no such setting");
-      }
-      if (!(entry.getValue() instanceof Number number)
-          || !(number.doubleValue() >= key.least && number.doubleValue() <= key.most)) {
+      String name = String.valueOf(entry.getKey());
+      Key key =
+          findKey(name)
+              .orElseThrow(() -> new SettingsException(file + ": " + name + ": no such setting"));
+      if (!(entry.getValue() instanceof Number number) || !key.allows(number.doubleValue())) {
         throw new SettingsException(
-            file + ": " + key.yaml + ": not a number from " + key.least + " to " + key.most);
+            file + ": " + key.yaml + ": not a number from " + key.min + " to " + key.max);
       }
       values.put(key, number.doubleValue());
     }
     return new Tunables(values);
   }
 
-  private static Key find(String yaml) {
-    for (Key key : Key.values()) {
-      if (key.yaml.equals(yaml)) {
-        return key;
-      }
-    }
-    return null;
-  }
-
-  public static List<String> describeAll() {
-    List<String> lines = new ArrayList<>();
-    for (Key key : Key.values()) {
-      lines.add(key.toString());
-    }
-    return lines;
+  private static Optional<Key> findKey(String yaml) {
+    return Arrays.stream(Key.values()).filter(key -> key.yaml.equals(yaml)).findFirst();
   }
 
+  /** A value as it stands in the file. */
   public double number(Key key) {
-    return values.getOrDefault(key, key.standard);
+    return values.getOrDefault(key, key.defaultValue);
   }
 
+  /** A value without its fraction. */
   public int count(Key key) {
     return (int) number(key);
   }
 
+  /** A value that is given in seconds. */
   public Duration seconds(Key key) {
-    return Duration.ofNanos((long) (number(key) * 1e9));
+    return Duration.ofNanos((long) (number(key) * NANOS_PER_SECOND));
   }
 
+  /** A value that is given in milliseconds. */
   public Duration millis(Key key) {
-    return Duration.ofNanos((long) (number(key) * 1e6));
+    return Duration.ofNanos((long) (number(key) * NANOS_PER_MILLI));
   }
 }
--- a/src/main/java/org/mulleinshift/settings/TunablesReader.java
+++ b/src/main/java/org/mulleinshift/settings/TunablesReader.java
@@ -8,10 +8,15 @@
 import org.snakeyaml.engine.v2.api.LoadSettings;
 import org.snakeyaml.engine.v2.exceptions.YamlEngineException;
 
-/** Reads the operators' YAML file. */
+/** Reads and checks the operators' YAML file. */
 public final class TunablesReader {
   private TunablesReader() {}
 
+  /**
+   * Reads a file; an empty one leaves all defaults.
+   *
+   * @throws SettingsException if the file can't be read, or holds an unknown key or invalid value
+   */
   public static Tunables read(Path path) throws SettingsException {
     String text;
     try {
@@ -24,8 +29,8 @@
       root =
           new Load(LoadSettings.builder().setLabel(path.toString()).build()).loadFromString(text);
     } catch (YamlEngineException e) {
-      String first = e.getMessage().lines().findFirst().orElse("");
-      throw new SettingsException(path + ": not valid YAML: " + first);
+      String reason = e.getMessage().lines().findFirst().orElse("");
+      throw new SettingsException(path + ": not valid YAML: " + reason);
     }
     if (root == null) {
       return Tunables.standard();
