--- a/src/main/java/org/mulleinshift/store/KeyValueStore.java
+++ b/src/main/java/org/mulleinshift/store/KeyValueStore.java
@@ -7,7 +7,6 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.mulleinshift.protocol.LeaseId;
-import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.StoreCodec;
 import org.mulleinshift.protocol.StoreCodec.Compare;
@@ -18,30 +17,36 @@
 import org.mulleinshift.transport.HttpRequest;
 import org.mulleinshift.transport.HttpResponse;
 import org.mulleinshift.transport.MonotonicTime;
-import org.mulleinshift.transport.RateLimiter;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
- * The state service. Every write is guarded, so that a transaction that is applied late changes
- * nothing. An answer that makes no sense counts as none.
+ * Client of the consensus-backed key-value store.
+ *
+ * <p>Every write is guarded by compare-and-swap conditions, so that a transaction that is applied
+ * late changes nothing. All callbacks run on the event loop.
  */
 public final class KeyValueStore {
-  private static final Logger LOG = LoggerFactory.getLogger(KeyValueStore.class);
   private static final Duration DEADLINE = Duration.ofSeconds(2);
 
-  /** Whoever asked waits for hardly longer. */
-  private static final Duration PROOF_DEADLINE = Duration.ofMillis(1500);
+  /** A page takes longer than a single key. */
+  private static final Duration PAGE_DEADLINE = DEADLINE.multipliedBy(2);
+
+  /** Callers that wait for a confirmation hardly wait longer than this. */
+  private static final Duration READ_CHANGES_DEADLINE = Duration.ofMillis(1500);
+
+  /** How long the store keeps a watch open without changes. */
+  private static final Duration WATCH_WAIT = Duration.ofSeconds(8);
 
-  private static final Duration WATCH = Duration.ofSeconds(8);
   private static final Duration WATCH_DEADLINE = Duration.ofSeconds(11);
 
-  /** Whether a call may wait for the budget. Renewals and acceptance may not. */
+  /** How a call competes for this node's share of the store's rates. */
   public enum Urgency {
+    /** Sent in any case, such as a lease renewal or the acceptance of a job. */
     URGENT(0),
-    /** Someone waits for it, but it may be refused. */
+    /** A caller waits for it, but it may be refused. */
     PROMPT(0),
+    /** Leaves a small reserve of the rate to more urgent calls. */
     NORMAL(0.15),
+    /** Leaves a large reserve of the rate to more urgent calls. */
     LOW(0.4);
 
     private final double reserve;
@@ -49,10 +54,16 @@
     Urgency(double reserve) {
       this.reserve = reserve;
     }
+
+    /** The part of the rate that the call must leave unused. */
+    double reserve() {
+      return reserve;
+    }
   }
 
-  /** What came of a call whose answer carries a value. */
+  /** The result of a call whose response carries a value. */
   public sealed interface ReadResult<T> {
+    /** The store returned a value. */
     record Found<T>(T value) implements ReadResult<T> {}
 
     /** Certain: there is no such key, lease or change history. */
@@ -65,17 +76,21 @@
     record Refused<T>() implements ReadResult<T> {}
   }
 
-  /** What came of a transaction. */
+  /** The result of a transaction. */
   public sealed interface CommitResult {
+    /** Carried out at this revision. */
     record Committed(Revision revision) implements CommitResult {}
 
+    /** Certain: not carried out, since a guard did not match. */
     record Conflict() implements CommitResult {}
 
+    /** Certain: not carried out, since a write names a lease that has expired. */
     record LeaseExpired() implements CommitResult {}
 
     /** Certain: not carried out, and never will be in this form. */
     record Rejected(String reason) implements CommitResult {}
 
+    /** Nothing is known: it may have been carried out or may be later; the keys must be re-read. */
     record Unknown() implements CommitResult {}
 
     /** Certain: not carried out, and not soon. */
@@ -86,11 +101,13 @@
   }
 
   /**
-   * This node's shares of the service's rates.
+   * This node's shares of the store's rates.
    *
-   * @param requestsShareAfterReduction the part of the request rate that is left once the service's
-   *     limits fall
-   * @param writesShareAfterReduction the same of the changes
+   * @param requests requests per second
+   * @param writes written keys per second
+   * @param requestsShareAfterReduction the part of the request rate that remains once the store's
+   *     limits are reduced
+   * @param writesShareAfterReduction the part of the write rate that remains then
    */
   public record Rates(
       double requests,
@@ -98,19 +115,16 @@
       double requestsShareAfterReduction,
       double writesShareAfterReduction) {}
 
-  private interface Parser<T> {
-    T parse(String body) throws MalformedMessageException;
-  }
-
-  /** Hears how calls fare; not of watches, whose answers wait for news. */
+  /** Observes the outcome of calls; not of watches, whose answers wait for changes. */
   public interface CallObserver {
+    /** A call was sent. */
     void sent();
 
     /** Answered; a refusal above the rate is an answer too. */
     void served();
 
     /**
-     * Refused with 503, or no answer came.
+     * Refused as unavailable, or no answer came.
      *
      * @param sentAt when the call was made: answers to later ones may have come meanwhile
      */
@@ -121,14 +135,15 @@
   private final AsyncHttpClient calls;
   private final AsyncHttpClient watches;
   private final InetSocketAddress address;
-  private final RateLimiter requests;
-  private final RateLimiter writes;
-  private final Rates rates;
-  private double requestRate;
-  private double writeRate;
-  private boolean reducedLimits;
+  private final StoreRateBudget budget;
   private Optional<CallObserver> observer = Optional.empty();
 
+  /**
+   * A client of the store at the address.
+   *
+   * @param calls connections for calls that are answered at once
+   * @param watches connections for watches, which stay open
+   */
   public KeyValueStore(
       EventLoop loop,
       AsyncHttpClient calls,
@@ -139,160 +154,107 @@
     this.calls = calls;
     this.watches = watches;
     this.address = address;
-    this.rates = rates;
-    this.requestRate = rates.requests();
-    this.writeRate = rates.writes();
-    this.requests = new RateLimiter(loop, requestRate);
-    this.writes = new RateLimiter(loop, writeRate);
-  }
-
-  public void observe(CallObserver listener) {
-    observer = Optional.of(listener);
+    this.budget = new StoreRateBudget(loop, rates);
   }
 
-  private void send(HttpRequest request, Consumer<HttpResponse> then) {
-    MonotonicTime sentAt = loop.now();
-    observer.ifPresent(CallObserver::sent);
-    calls.call(
-        address,
-        request,
-        reply -> {
-          boolean served = reply.status() != 0 && reply.status() != 503;
-          observer.ifPresent(served ? CallObserver::served : listener -> listener.failed(sentAt));
-          if (reply.status() == 429) {
-            onRateLimited();
-          }
-          then.accept(reply);
-        });
+  /** Reports the outcome of calls to the observer from now on, in place of an earlier one. */
+  public void observe(CallObserver next) {
+    observer = Optional.of(next);
   }
 
-  /** This node's share of the writes changes with its role. */
-  public void writeRate(double next) {
-    writeRate = next * (reducedLimits ? rates.writesShareAfterReduction() : 1);
-    writes.setRate(writeRate);
+  /** This node's share of the write rate changes with its role. */
+  public void writeRate(double writesPerSecond) {
+    budget.setWriteRate(writesPerSecond);
   }
 
-  /** A refusal above the rate says that the limits may have fallen: they never rise again. */
-  private void onRateLimited() {
-    if (!reducedLimits
-        && (rates.requestsShareAfterReduction() < 1 || rates.writesShareAfterReduction() < 1)) {
-      reducedLimits = true;
-      LOG.info("refused above the rate: keeping to the state service's next limits");
-      writeRate *= rates.writesShareAfterReduction();
-      requestRate *= rates.requestsShareAfterReduction();
-      writes.setRate(writeRate);
-      requests.setRate(requestRate);
-    }
-  }
-
-  public void get(String key, Urgency urgency, Consumer<ReadResult<KeyValue>> then) {
-    call(HttpRequest.get(StoreCodec.keyPath(key), DEADLINE), urgency, StoreCodec::parseItem, then);
+  /** Reads one key. */
+  public void get(String key, Urgency urgency, Consumer<ReadResult<KeyValue>> callback) {
+    call(
+        HttpRequest.get(StoreCodec.keyPath(key), DEADLINE),
+        urgency,
+        StoreCodec::parseItem,
+        callback);
   }
 
   /** The keys with the prefix that come after the given one, as many as fit into an answer. */
   public void readPage(
-      String prefix, Optional<String> after, Consumer<ReadResult<StoreCodec.Range>> then) {
+      String prefix, Optional<String> after, Consumer<ReadResult<StoreCodec.Range>> callback) {
     call(
-        HttpRequest.get(StoreCodec.rangePath(prefix, after), DEADLINE.multipliedBy(2)),
+        HttpRequest.get(StoreCodec.rangePath(prefix, after), PAGE_DEADLINE),
         Urgency.URGENT,
         StoreCodec::parseRange,
-        then);
+        callback);
   }
 
-  /** All keys with a prefix that few keys have; not one moment's picture. */
-  public void readAll(String prefix, Consumer<ReadResult<StoreCodec.Range>> then) {
-    readAllFrom(prefix, Optional.empty(), new ArrayList<>(), Optional.empty(), then);
+  /** All keys with a prefix that few keys have; not a snapshot of one moment. */
+  public void readAll(String prefix, Consumer<ReadResult<StoreCodec.Range>> callback) {
+    readAllFrom(prefix, Optional.empty(), new ArrayList<>(), Optional.empty(), callback);
   }
 
   private void readAllFrom(
       String prefix,
       Optional<String> after,
       List<KeyValue> found,
-      Optional<Revision> first,
-      Consumer<ReadResult<StoreCodec.Range>> then) {
+      Optional<Revision> firstRevision,
+      Consumer<ReadResult<StoreCodec.Range>> callback) {
     readPage(
         prefix,
         after,
-        answer -> {
-          if (!(answer instanceof ReadResult.Found<StoreCodec.Range> page)) {
-            then.accept(answer);
+        result -> {
+          if (!(result instanceof ReadResult.Found<StoreCodec.Range> page)) {
+            callback.accept(result);
             return;
           }
           StoreCodec.Range range = page.value();
           found.addAll(range.items());
           // The oldest page's revision: a watch from there misses nothing.
-          Revision revision = first.orElse(range.revision());
+          Revision revision = firstRevision.orElse(range.revision());
           if (range.next().isPresent()) {
-            readAllFrom(prefix, range.next(), found, Optional.of(revision), then);
+            readAllFrom(prefix, range.next(), found, Optional.of(revision), callback);
           } else {
-            then.accept(new ReadResult.Found<>(new StoreCodec.Range(found, false, revision)));
+            callback.accept(new ReadResult.Found<>(new StoreCodec.Range(found, false, revision)));
           }
         });
   }
 
+  /** Writes all changes in one transaction, if all guards match. */
   public void commit(
-      List<Compare> guards, List<Write> changes, Urgency urgency, Consumer<CommitResult> then) {
-    double reserve = urgency.reserve * writeRate;
-    if (urgency == Urgency.URGENT) {
-      writes.acquireOverdraft(changes.size());
-    } else if (!writes.tryAcquire(changes.size(), reserve)) {
-      loop.post(() -> then.accept(new CommitResult.Busy()));
+      List<Compare> guards, List<Write> changes, Urgency urgency, Consumer<CommitResult> callback) {
+    if (!budget.tryAcquireWrites(changes.size(), urgency)) {
+      loop.post(() -> callback.accept(new CommitResult.Busy()));
       return;
     }
-    requests.acquireOverdraft(1);
+    budget.acquireRequest();
     send(
         HttpRequest.post(StoreCodec.COMMIT, StoreCodec.commit(guards, changes), DEADLINE),
-        reply -> then.accept(outcome(reply)));
-  }
-
-  private static CommitResult outcome(HttpResponse reply) {
-    return switch (reply.status()) {
-      case 200 -> committed(reply);
-      case 409 -> new CommitResult.Conflict();
-      case 400 -> refused(reply);
-      case 429 -> new CommitResult.Busy();
-      case 503 -> new CommitResult.Refused();
-      default -> new CommitResult.Unknown();
-    };
-  }
-
-  private static CommitResult committed(HttpResponse reply) {
-    try {
-      return new CommitResult.Committed(StoreCodec.parseRevision(reply.body()));
-    } catch (MalformedMessageException e) {
-      return new CommitResult.Unknown();
-    }
+        response -> callback.accept(StoreResponses.toCommitResult(response)));
   }
 
-  private static CommitResult refused(HttpResponse reply) {
-    LOG.info("transaction refused: {}", reply.body());
-    return reply.body().contains("no such lease")
-        ? new CommitResult.LeaseExpired()
-        : new CommitResult.Rejected(reply.body());
-  }
-
-  public void grantLease(Duration ttl, Consumer<ReadResult<LeaseId>> then) {
+  /** Grants a new lease that expires unless it is renewed within its time to live. */
+  public void grantLease(Duration ttl, Consumer<ReadResult<LeaseId>> callback) {
     call(
         HttpRequest.post(StoreCodec.LEASES, StoreCodec.grantLease(ttl), DEADLINE),
         Urgency.URGENT,
         StoreCodec::parseLease,
-        then);
+        callback);
   }
 
-  public void renewLease(LeaseId hold, Consumer<ReadResult<Boolean>> then) {
+  /** Renews a lease; absent if it has expired. */
+  public void renewLease(LeaseId lease, Consumer<ReadResult<Boolean>> callback) {
     call(
-        HttpRequest.post(StoreCodec.renewLeasePath(hold), "{}", DEADLINE),
+        HttpRequest.post(StoreCodec.renewLeasePath(lease), "{}", DEADLINE),
         Urgency.URGENT,
         body -> true,
-        then);
+        callback);
   }
 
-  public void revokeLease(LeaseId hold, Consumer<ReadResult<Boolean>> then) {
+  /** Ends a lease, and with it all keys that are bound to it. */
+  public void revokeLease(LeaseId lease, Consumer<ReadResult<Boolean>> callback) {
     call(
-        HttpRequest.delete(StoreCodec.leasePath(hold), DEADLINE),
+        HttpRequest.delete(StoreCodec.leasePath(lease), DEADLINE),
         Urgency.URGENT,
         body -> true,
-        then);
+        callback);
   }
 
   /** All changes up to now, without waiting for any. */
@@ -300,49 +262,53 @@
       String prefix,
       Revision from,
       Urgency urgency,
-      Consumer<ReadResult<StoreCodec.Changes>> then) {
+      Consumer<ReadResult<StoreCodec.Changes>> callback) {
     call(
-        HttpRequest.get(StoreCodec.watchPath(prefix, from, Duration.ZERO), PROOF_DEADLINE),
+        HttpRequest.get(StoreCodec.watchPath(prefix, from, Duration.ZERO), READ_CHANGES_DEADLINE),
         urgency,
         StoreCodec::parseChanges,
-        then);
+        callback);
   }
 
-  public void watch(String prefix, Revision from, Consumer<ReadResult<StoreCodec.Changes>> then) {
-    requests.acquireOverdraft(1);
+  /** The next changes since a revision; waits for some, but not for ever. */
+  public void watch(
+      String prefix, Revision from, Consumer<ReadResult<StoreCodec.Changes>> callback) {
+    budget.acquireRequest();
     watches.call(
         address,
-        HttpRequest.get(StoreCodec.watchPath(prefix, from, WATCH), WATCH_DEADLINE),
-        reply -> then.accept(answer(reply, StoreCodec::parseChanges)));
+        HttpRequest.get(StoreCodec.watchPath(prefix, from, WATCH_WAIT), WATCH_DEADLINE),
+        response ->
+            callback.accept(StoreResponses.toReadResult(response, StoreCodec::parseChanges)));
   }
 
   private <T> void call(
-      HttpRequest request, Urgency urgency, Parser<T> parser, Consumer<ReadResult<T>> then) {
-    if (urgency == Urgency.URGENT) {
-      requests.acquireOverdraft(1);
-    } else if (!requests.tryAcquire(1, urgency.reserve * requestRate)) {
-      loop.post(() -> then.accept(new ReadResult.Refused<>()));
+      HttpRequest request,
+      Urgency urgency,
+      StoreResponses.BodyParser<T> parser,
+      Consumer<ReadResult<T>> callback) {
+    if (!budget.tryAcquireRequest(urgency)) {
+      loop.post(() -> callback.accept(new ReadResult.Refused<>()));
       return;
     }
-    send(request, reply -> then.accept(answer(reply, parser)));
-  }
-
-  private static <T> ReadResult<T> answer(HttpResponse reply, Parser<T> parser) {
-    return switch (reply.status()) {
-      case 200 -> found(reply, parser);
-      // Too long: more changes than this node takes in one answer, as if they were no longer kept.
-      case 404, 410, HttpResponse.TOO_LONG -> new ReadResult.Absent<>();
-      case 429, 503 -> new ReadResult.Refused<>();
-      default -> new ReadResult.Unknown<>();
-    };
+    send(request, response -> callback.accept(StoreResponses.toReadResult(response, parser)));
   }
 
-  private static <T> ReadResult<T> found(HttpResponse reply, Parser<T> parser) {
-    try {
-      return new ReadResult.Found<>(parser.parse(reply.body()));
-    } catch (MalformedMessageException e) {
-      LOG.warn("answer of the state service: {}", e.getMessage());
-      return new ReadResult.Unknown<>();
-    }
+  private void send(HttpRequest request, Consumer<HttpResponse> callback) {
+    MonotonicTime sentAt = loop.now();
+    observer.ifPresent(CallObserver::sent);
+    calls.call(
+        address,
+        request,
+        response -> {
+          if (StoreResponses.isServed(response)) {
+            observer.ifPresent(CallObserver::served);
+          } else {
+            observer.ifPresent(present -> present.failed(sentAt));
+          }
+          if (StoreResponses.isRateLimited(response)) {
+            budget.onRateLimited();
+          }
+          callback.accept(response);
+        });
   }
 }
--- /dev/null
+++ b/src/main/java/org/mulleinshift/store/PendingMutations.java
@@ -0,0 +1,181 @@
+package org.mulleinshift.store;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import org.mulleinshift.protocol.StoreCodec.Write;
+import org.mulleinshift.transport.EventLoop;
+import org.mulleinshift.transport.MonotonicTime;
+
+/** Mutations that wait to be stored, by name, and their choice for the next transaction. */
+final class PendingMutations {
+  /** A mutation that is not urgent goes before later ones once it has waited this long. */
+  private static final Duration MAX_DEFERRAL = Duration.ofSeconds(2);
+
+  /** Estimated length of a transaction from which on no further mutation is added. */
+  private static final int MAX_TRANSACTION_BYTES = 48_000;
+
+  /** Estimated bytes of a write and its guard, besides the key and the value. */
+  private static final int WRITE_OVERHEAD_BYTES = 200;
+
+  /**
+   * The mutations of one transaction.
+   *
+   * @param origin the queue that they were taken from
+   * @param mutations by name, in the order of their writes
+   */
+  record Batch(
+      Map<String, TransactionBatcher.Mutation> origin,
+      Map<String, TransactionBatcher.Mutation> mutations,
+      List<Write> writes,
+      KeyValueStore.Urgency urgency) {
+
+    /** The keys that it writes, each once. */
+    Set<String> keys() {
+      Set<String> keys = new LinkedHashSet<>();
+      writes.forEach(write -> keys.add(write.key()));
+      return keys;
+    }
+  }
+
+  private final EventLoop loop;
+  private final int maxOps;
+  private final Map<String, TransactionBatcher.Mutation> pending = new LinkedHashMap<>();
+  private final Map<String, TransactionBatcher.Mutation> whenIdle = new LinkedHashMap<>();
+  private final Map<String, MonotonicTime> submittedAt = new HashMap<>();
+  private int remainingSingles;
+
+  /**
+   * An empty queue.
+   *
+   * @param maxOps maximum number of writes of a transaction
+   */
+  PendingMutations(EventLoop loop, int maxOps) {
+    this.loop = loop;
+    this.maxOps = maxOps;
+  }
+
+  /** Adds a mutation, in place of one of the same name that was not taken yet. */
+  void add(String name, TransactionBatcher.Mutation mutation) {
+    pending.put(name, mutation);
+    submittedAt.putIfAbsent(name, loop.now());
+  }
+
+  /** Adds a mutation that is taken only when no other one is pending. */
+  void addWhenIdle(String name, TransactionBatcher.Mutation mutation) {
+    whenIdle.put(name, mutation);
+  }
+
+  void clear() {
+    pending.clear();
+    whenIdle.clear();
+    submittedAt.clear();
+  }
+
+  /** Takes the mutations of the next transaction; empty if there is nothing to write. */
+  Optional<Batch> takeBatch() {
+    boolean idle = pending.isEmpty();
+    Batch batch =
+        new Batch(
+            idle ? whenIdle : pending,
+            new LinkedHashMap<>(),
+            new ArrayList<>(),
+            idle ? KeyValueStore.Urgency.LOW : KeyValueStore.Urgency.NORMAL);
+    fill(batch);
+    if (batch.writes().isEmpty()) {
+      return Optional.empty();
+    }
+    remainingSingles = Math.max(0, remainingSingles - 1);
+    return Optional.of(batch);
+  }
+
+  private void fill(Batch batch) {
+    int bytes = 0;
+    for (String name : inOrder(batch.origin())) {
+      TransactionBatcher.Mutation mutation = batch.origin().get(name);
+      List<Write> writes = mutation.writes();
+      if (writes.isEmpty()) {
+        batch.origin().remove(name);
+        submittedAt.remove(name);
+        continue;
+      }
+      int size = writes.stream().mapToInt(PendingMutations::estimatedSize).sum();
+      boolean full =
+          remainingSingles > 0
+              || batch.writes().size() + writes.size() > maxOps
+              || bytes + size > MAX_TRANSACTION_BYTES;
+      if (!batch.writes().isEmpty() && full) {
+        return;
+      }
+      bytes += size;
+      batch.writes().addAll(writes);
+      batch.mutations().put(name, mutation);
+      batch.origin().remove(name);
+    }
+  }
+
+  /** Where writes are scarce, mutations that are not urgent let others pass, but not for ever. */
+  private List<String> inOrder(Map<String, TransactionBatcher.Mutation> origin) {
+    List<String> order = new ArrayList<>();
+    List<String> soon = new ArrayList<>();
+    List<String> later = new ArrayList<>();
+    MonotonicTime overdue = loop.now().minus(MAX_DEFERRAL);
+    origin.forEach(
+        (name, mutation) -> {
+          boolean urgent = mutation.urgent();
+          if (urgent && mutation.takesPrecedence()) {
+            order.add(name);
+          } else if (urgent || isOverdue(name, overdue)) {
+            soon.add(name);
+          } else {
+            later.add(name);
+          }
+        });
+    order.addAll(soon);
+    order.addAll(later);
+    return order;
+  }
+
+  private boolean isOverdue(String name, MonotonicTime overdue) {
+    MonotonicTime since = submittedAt.get(name);
+    return since == null || overdue.isAfter(since);
+  }
+
+  private static int estimatedSize(Write write) {
+    return WRITE_OVERHEAD_BYTES
+        + write.key().length()
+        + write.value().map(String::length).orElse(0);
+  }
+
+  /** Puts a batch back at the front; mutations submitted anew meanwhile stay: they are newer. */
+  void restore(Batch batch) {
+    Map<String, TransactionBatcher.Mutation> newer = new LinkedHashMap<>(batch.origin());
+    batch.origin().clear();
+    batch.origin().putAll(batch.mutations());
+    batch.origin().putAll(newer);
+  }
+
+  /** Restores a batch that was rejected and takes each of its mutations alone from now on. */
+  void restoreAsSingles(Batch batch) {
+    remainingSingles = batch.mutations().size();
+    restore(batch);
+  }
+
+  /** A mutation was rejected alone: its waiting time counts anew if it is submitted again. */
+  void onRejected(String name) {
+    submittedAt.remove(name);
+  }
+
+  /** The batch is stored; the waiting time of mutations that were submitted anew goes on. */
+  void onCommitted(Batch batch) {
+    batch.mutations().keySet().stream()
+        .filter(name -> !pending.containsKey(name))
+        .forEach(submittedAt::remove);
+  }
+}
--- a/src/main/java/org/mulleinshift/store/StoreKeys.java
+++ b/src/main/java/org/mulleinshift/store/StoreKeys.java
@@ -1,26 +1,27 @@
 package org.mulleinshift.store;
 
 import java.util.OptionalInt;
+import java.util.regex.Pattern;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.ShardId;
 
 /**
- * The layout of the state service.
+ * The layout of keys in the key-value store.
  *
  * <ul>
  *   <li>{@code c/leader} the leading controller, bound to its lease
  *   <li>{@code c/n/NODE} a controller's session lease
- *   <li>{@code c/g/SHARD} who holds a shard, bound to the owner's session lease
+ *   <li>{@code c/g/SHARD} the owner of a shard, bound to the owner's session lease
  *   <li>{@code c/b/SHARD} a shard's zone and machines
  *   <li>{@code a/JOB} an accepted job that is not over, or is cancelled but not yet gone
  *   <li>{@code t/JOB} how a job ended; never removed
  *   <li>{@code p/JOB/CHUNK} done and assigned tasks of a part of a job
  *   <li>{@code p/JOB/CHUNK/PATH} the same of a part of a chunk that was too long for a value
- *   <li>{@code l/NUMBER} a slot of the progress log: progress of parts of several jobs
- *   <li>{@code w/JOB/DIGEST/N} a list of jobs that a job awaits, where its record could not hold it
- *   <li>{@code r/NAME} a rental asked for and not yet answered
- *   <li>{@code c/v/NODE} which build the controller has shown
+ *   <li>{@code l/NUMBER} a slot of the progress log: progress of chunks of several jobs
+ *   <li>{@code w/JOB/DIGEST/N} a list of a job's dependencies, where its record could not hold it
+ *   <li>{@code r/NAME} a provisioning request that is not yet answered
+ *   <li>{@code c/v/NODE} the feature level that a controller has published
  * </ul>
  */
 public final class StoreKeys {
@@ -37,48 +38,64 @@
   public static final String DEPENDENCY_LISTS = "w/";
   public static final String FEATURE_LEVELS = "c/v/";
 
+  private static final Pattern SEGMENT_NUMBER = Pattern.compile("[0-9]{1,6}");
+
   private StoreKeys() {}
 
+  /** The key of a controller's session lease. */
   public static String node(NodeId node) {
     return NODES + node;
   }
 
+  /** The key of a shard's owner. */
   public static String grant(ShardId shard) {
     return GRANTS + shard;
   }
 
+  /** The key of a shard's zone and machines. */
   public static String shard(ShardId shard) {
     return SHARDS + shard;
   }
 
+  /** The key of a job that is not over. */
   public static String activeJob(JobId job) {
     return ACTIVE_JOBS + job;
   }
 
+  /** The key of how a job ended. */
   public static String endedJob(JobId job) {
     return ENDED_JOBS + job;
   }
 
+  /** The key of a slot of the progress log. */
   public static String logSegment(int number) {
     return PROGRESS_LOG + number;
   }
 
-  /** None if it is not a key of this build. */
+  /** The number of a progress log slot; empty if this build does not write such a key. */
   public static OptionalInt logSegmentNumber(String key) {
     String number = key.substring(PROGRESS_LOG.length());
-    return number.matches("[0-9]{1,6}")
+    return SEGMENT_NUMBER.matcher(number).matches()
         ? OptionalInt.of(Integer.parseInt(number))
         : OptionalInt.empty();
   }
 
+  /**
+   * The key of one list of a job's dependencies.
+   *
+   * @param digest digest of all the lists of the submission
+   * @param list number of the list, from 0
+   */
   public static String dependencyList(JobId job, String digest, int list) {
     return DEPENDENCY_LISTS + job + "/" + digest + "/" + list;
   }
 
+  /** The key of a controller's feature level. */
   public static String featureLevel(NodeId node) {
     return FEATURE_LEVELS + node;
   }
 
+  /** The key of a provisioning request. */
   public static String provisioningRequest(String name) {
     return PROVISIONING_REQUESTS + name;
   }
--- /dev/null
+++ b/src/main/java/org/mulleinshift/store/StoreResponses.java
@@ -0,0 +1,90 @@
+package org.mulleinshift.store;
+
+import java.net.HttpURLConnection;
+import org.mulleinshift.protocol.MalformedMessageException;
+import org.mulleinshift.protocol.StoreCodec;
+import org.mulleinshift.transport.HttpResponse;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Maps the store's HTTP responses to typed results. A response that cannot be parsed counts as
+ * none: whether the request was carried out is then unknown.
+ */
+final class StoreResponses {
+  private static final Logger LOG = LoggerFactory.getLogger(StoreResponses.class);
+
+  /** Status of a request above the allowed rate. */
+  private static final int TOO_MANY_REQUESTS = 429;
+
+  /** The store's error text for a transaction that names an expired lease. */
+  private static final String LEASE_EXPIRED_TEXT = "no such lease";
+
+  /** Parses the body of a successful response. */
+  @FunctionalInterface
+  interface BodyParser<T> {
+    T parse(String body) throws MalformedMessageException;
+  }
+
+  private StoreResponses() {}
+
+  /** Whether the store processed the request; a refusal above the rate counts. */
+  static boolean isServed(HttpResponse response) {
+    return response.answered() && response.status() != HttpURLConnection.HTTP_UNAVAILABLE;
+  }
+
+  static boolean isRateLimited(HttpResponse response) {
+    return response.status() == TOO_MANY_REQUESTS;
+  }
+
+  /** The result of a call whose response carries a value. */
+  static <T> KeyValueStore.ReadResult<T> toReadResult(HttpResponse response, BodyParser<T> parser) {
+    return switch (response.status()) {
+      case HttpURLConnection.HTTP_OK -> parseFound(response, parser);
+      // Too long: more changes than this node takes in one answer, as if they were no longer kept.
+      case HttpURLConnection.HTTP_NOT_FOUND, HttpURLConnection.HTTP_GONE, HttpResponse.TOO_LONG ->
+          new KeyValueStore.ReadResult.Absent<>();
+      case TOO_MANY_REQUESTS, HttpURLConnection.HTTP_UNAVAILABLE ->
+          new KeyValueStore.ReadResult.Refused<>();
+      default -> new KeyValueStore.ReadResult.Unknown<>();
+    };
+  }
+
+  private static <T> KeyValueStore.ReadResult<T> parseFound(
+      HttpResponse response, BodyParser<T> parser) {
+    try {
+      return new KeyValueStore.ReadResult.Found<>(parser.parse(response.body()));
+    } catch (MalformedMessageException e) {
+      LOG.warn("store response malformed, reason={}", e.getMessage());
+      return new KeyValueStore.ReadResult.Unknown<>();
+    }
+  }
+
+  /** The result of a transaction. */
+  static KeyValueStore.CommitResult toCommitResult(HttpResponse response) {
+    return switch (response.status()) {
+      case HttpURLConnection.HTTP_OK -> parseCommitted(response);
+      case HttpURLConnection.HTTP_CONFLICT -> new KeyValueStore.CommitResult.Conflict();
+      case HttpURLConnection.HTTP_BAD_REQUEST -> toRejection(response);
+      case TOO_MANY_REQUESTS -> new KeyValueStore.CommitResult.Busy();
+      case HttpURLConnection.HTTP_UNAVAILABLE -> new KeyValueStore.CommitResult.Refused();
+      default -> new KeyValueStore.CommitResult.Unknown();
+    };
+  }
+
+  private static KeyValueStore.CommitResult parseCommitted(HttpResponse response) {
+    try {
+      return new KeyValueStore.CommitResult.Committed(StoreCodec.parseRevision(response.body()));
+    } catch (MalformedMessageException e) {
+      LOG.warn("store response malformed, reason={}", e.getMessage());
+      return new KeyValueStore.CommitResult.Unknown();
+    }
+  }
+
+  private static KeyValueStore.CommitResult toRejection(HttpResponse response) {
+    LOG.info("store transaction rejected, reason={}", response.body());
+    return response.body().contains(LEASE_EXPIRED_TEXT)
+        ? new KeyValueStore.CommitResult.LeaseExpired()
+        : new KeyValueStore.CommitResult.Rejected(response.body());
+  }
+}
--- a/src/main/java/org/mulleinshift/store/TransactionBatcher.java
+++ b/src/main/java/org/mulleinshift/store/TransactionBatcher.java
@@ -4,10 +4,9 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.StoreCodec.Compare;
@@ -19,24 +18,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's way to the store: collects what has changed and writes it in few transactions, one
- * at a time. Every transaction demands that this leader still leads and that each key it writes is
- * as last seen, so a transaction applied late does nothing (a later write has moved the key on).
+ * The leader's writes to the store: collects mutations and commits them in few transactions, one at
+ * a time.
+ *
+ * <p>Every transaction is guarded by the leader's term and by the last known revision of each key
+ * that it writes, so that a transaction applied late does nothing (a later write has moved the key
+ * on).
  */
 public final class TransactionBatcher {
   private static final Logger LOG = LoggerFactory.getLogger(TransactionBatcher.class);
-  private static final Duration RETRY = Duration.ofMillis(250);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
-  /** What need not be stored at once goes before what came after it, once it waited this long. */
-  private static final Duration PATIENCE = Duration.ofSeconds(2);
+  /** Bounds the set of names whose rejection was logged. */
+  private static final int MAX_LOGGED_REJECTIONS = 1000;
 
-  private static final int MAX_NAMED = 1000;
+  /** The revision of a key that does not exist. */
+  private static final Revision ABSENT = new Revision(0);
 
-  /** States of the journal. */
+  /** States of the batcher. */
   public enum State {
+    /** No transaction is on its way. */
     IDLE,
+    /** A transaction was sent and not yet answered. */
     COMMITTING,
+    /** A transaction failed or was not answered; its keys are read again. */
     REREADING,
+    /** The term is over. */
     CLOSED
   }
 
@@ -45,11 +52,13 @@
    * the change is no longer wanted.
    */
   public interface Mutation {
+    /** The writes by the state of this moment; empty if there is nothing to store any more. */
     List<Write> writes();
 
+    /** The writes that were made last are stored. */
     void onCommitted(Revision revision);
 
-    /** Whether something waits for it to be stored; else it lets such units pass for a while. */
+    /** Whether something waits for it to be stored; else it lets others pass for a while. */
     default boolean urgent() {
       return true;
     }
@@ -59,36 +68,36 @@
       return false;
     }
 
-    /** The service will never take the unit in the form that it had; it may be asked for anew. */
+    /** The store will never accept the mutation in this form; it may be submitted again. */
     default void onRejected() {}
 
-    /** A key's current form after a conflict; the unit may adapt or give up. */
-    default void onReread(String key, java.util.Optional<KeyValue> item) {}
+    /**
+     * A key was read again after a conflict or a missing answer; the mutation may adapt to it or be
+     * abandoned.
+     */
+    default void onReread(String key, Optional<KeyValue> item) {}
   }
 
   private final EventLoop loop;
   private final KeyValueStore store;
   private final Revision term;
-  private final int maxOps;
   private final Duration spacing;
-  private final Runnable onLost;
+  private final Runnable onLeadershipLost;
+  private final PendingMutations mutations;
   private final Map<String, Revision> revisions = new HashMap<>();
-  private final Map<String, Mutation> pending = new LinkedHashMap<>();
-  private final Map<String, Mutation> whenIdle = new LinkedHashMap<>();
-  private final Map<String, MonotonicTime> submittedAt = new HashMap<>();
-  private final Set<String> rejected = new HashSet<>();
-  private int remainingSingles;
+  private final Set<String> loggedRejections = new HashSet<>();
   private State state = State.IDLE;
   private boolean flushPlanned;
   private MonotonicTime sentAt;
 
   /**
-   * A journal of one term.
+   * A batcher for one term.
    *
-   * @param mostOps changes of a transaction at most
-   * @param spacing least time between two transactions: what comes meanwhile shares the next one,
-   *     and the requests are left to others
-   * @param onLost called once it is certain that the term is over
+   * @param term revision of the leader key, compared by every transaction
+   * @param maxOps maximum number of writes of a transaction
+   * @param spacing minimum time between two transactions: what comes meanwhile shares the next one,
+   *     and the request rate remains for others
+   * @param onLeadershipLost called once it is certain that the term is over
    */
   public TransactionBatcher(
       EventLoop loop,
@@ -96,72 +105,77 @@
       Revision term,
       int maxOps,
       Duration spacing,
-      Runnable onLost) {
+      Runnable onLeadershipLost) {
     this.loop = loop;
     this.store = store;
     this.term = term;
-    this.maxOps = maxOps;
     this.spacing = spacing;
     this.sentAt = loop.now().minus(spacing);
-    this.onLost = onLost;
+    this.onLeadershipLost = onLeadershipLost;
+    this.mutations = new PendingMutations(loop, maxOps);
   }
 
   /**
-   * Calls back if the term stands at a moment after this call: for acts that no guard of the store
-   * covers. By the clock alone it may seem to stand after its lease was ended early.
+   * Confirms with the store that the term is current at a moment after this call: for actions that
+   * no guard of the store covers. By the clock alone the term may seem current after its lease was
+   * revoked early.
+   *
+   * @param confirmed called if the term is current
+   * @param otherwise called if it is not, or cannot be confirmed
    */
-  public void ifStillLeader(Runnable then, Runnable otherwise) {
+  public void ifStillLeader(Runnable confirmed, Runnable otherwise) {
     store.commit(
-        List.of(new Compare(StoreKeys.LEADER, term)),
+        List.of(leaderGuard()),
         List.of(),
         KeyValueStore.Urgency.PROMPT,
-        outcome -> {
-          if (outcome instanceof KeyValueStore.CommitResult.Committed && state != State.CLOSED) {
-            then.run();
+        result -> {
+          if (result instanceof KeyValueStore.CommitResult.Committed && state != State.CLOSED) {
+            confirmed.run();
           } else {
             otherwise.run();
           }
         });
   }
 
-  public void recordRevision(String key, Revision version) {
-    revisions.put(key, version);
+  /** Records the revision at which a key was last seen; the next write of the key demands it. */
+  public void recordRevision(String key, Revision revision) {
+    revisions.put(key, revision);
   }
 
+  /** Whether the key exists in the store, as last seen. */
   public boolean hasRevision(String key) {
     return revisions.containsKey(key);
   }
 
+  /** Forgets a key that is not written again. */
   public void forgetRevision(String key) {
     revisions.remove(key);
   }
 
-  /** Asks for a unit to be stored; one of the same name that is not yet on its way is replaced. */
-  public void submit(String name, Mutation unit) {
+  /** Submits a mutation; one of the same name that is not yet on its way is replaced. */
+  public void submit(String name, Mutation mutation) {
     if (state == State.CLOSED) {
       return;
     }
-    pending.put(name, unit);
-    submittedAt.putIfAbsent(name, loop.now());
+    mutations.add(name, mutation);
     planFlush(Duration.ZERO);
   }
 
-  /** Asks for a unit to be stored when nothing else waits and the rate leaves room. */
-  public void submitWhenIdle(String name, Mutation unit) {
+  /** Submits a mutation to be stored when nothing else waits and the rate allows it. */
+  public void submitWhenIdle(String name, Mutation mutation) {
     if (state != State.CLOSED) {
-      whenIdle.put(name, unit);
+      mutations.addWhenIdle(name, mutation);
       planFlush(Duration.ZERO);
     }
   }
 
+  /** Ends the batcher with the term: nothing more is written. */
   public void close() {
     transitionTo(State.CLOSED);
-    pending.clear();
-    whenIdle.clear();
-    submittedAt.clear();
+    mutations.clear();
   }
 
-  /** The only place where the journal's state changes; closed is final. */
+  /** The only place where the batcher's state changes; closed is final. */
   private void transitionTo(State next) {
     if (state != State.CLOSED) {
       state = next;
@@ -178,9 +192,9 @@
           flushPlanned = false;
           flush();
         };
-    Duration rest = spacing.minus(loop.now().since(sentAt));
-    if (rest.compareTo(delay) > 0) {
-      loop.after(rest, flush);
+    Duration remainingSpacing = spacing.minus(loop.now().since(sentAt));
+    if (remainingSpacing.compareTo(delay) > 0) {
+      loop.after(remainingSpacing, flush);
     } else if (delay.isZero()) {
       // At the end of the current step, so that what one step changes shares a transaction.
       loop.post(flush);
@@ -190,192 +204,140 @@
   }
 
   private void flush() {
-    if (state != State.IDLE) {
-      return;
+    if (state == State.IDLE) {
+      mutations.takeBatch().ifPresent(this::commit);
     }
-    KeyValueStore.Urgency urgency = KeyValueStore.Urgency.NORMAL;
-    Map<String, Mutation> source = pending;
-    if (pending.isEmpty()) {
-      urgency = KeyValueStore.Urgency.LOW;
-      source = whenIdle;
-    }
-    Map<String, Mutation> taken = new LinkedHashMap<>();
-    List<Write> writes = new ArrayList<>();
-    int bytes = 0;
-    for (String name : inOrder(source)) {
-      Mutation unit = source.get(name);
-      List<Write> unitWrites = unit.writes();
-      if (unitWrites.isEmpty()) {
-        source.remove(name);
-        submittedAt.remove(name);
-        continue;
-      }
-      int size = unitWrites.stream().mapToInt(TransactionBatcher::estimatedSize).sum();
-      boolean full =
-          remainingSingles > 0
-              || writes.size() + unitWrites.size() > maxOps
-              || bytes + size > 48_000;
-      if (!writes.isEmpty() && full) {
-        break;
-      }
-      bytes += size;
-      writes.addAll(unitWrites);
-      taken.put(name, unit);
-      source.remove(name);
+  }
+
+  private void commit(PendingMutations.Batch batch) {
+    sentAt = loop.now();
+    transitionTo(State.COMMITTING);
+    store.commit(guards(batch), batch.writes(), batch.urgency(), result -> onResult(batch, result));
+  }
+
+  private Compare leaderGuard() {
+    return new Compare(StoreKeys.LEADER, term);
+  }
+
+  private List<Compare> guards(PendingMutations.Batch batch) {
+    List<Compare> guards = new ArrayList<>();
+    guards.add(leaderGuard());
+    for (String key : batch.keys()) {
+      guards.add(new Compare(key, revisions.getOrDefault(key, ABSENT)));
     }
-    if (writes.isEmpty()) {
+    return guards;
+  }
+
+  private void onResult(PendingMutations.Batch batch, KeyValueStore.CommitResult result) {
+    if (state == State.CLOSED) {
       return;
     }
-    remainingSingles = Math.max(0, remainingSingles - 1);
-    sentAt = loop.now();
-    transitionTo(State.COMMITTING);
-    Map<String, Mutation> from = source;
-    store.commit(
-        guards(writes), writes, urgency, outcome -> onResult(from, taken, writes, outcome));
+    if (result instanceof KeyValueStore.CommitResult.Committed committed) {
+      onCommitted(batch, committed.revision());
+    } else if (result instanceof KeyValueStore.CommitResult.Rejected rejection) {
+      onRejected(batch, rejection.reason());
+    } else if (result instanceof KeyValueStore.CommitResult.Refused
+        || result instanceof KeyValueStore.CommitResult.Busy) {
+      mutations.restore(batch);
+      transitionTo(State.IDLE);
+      planFlush(RETRY_DELAY);
+    } else {
+      onUncertain(batch, result);
+    }
   }
 
-  /** Where writes are scarce, what nobody waits for lets the rest pass, but not for ever. */
-  private List<String> inOrder(Map<String, Mutation> source) {
-    List<String> order = new ArrayList<>();
-    List<String> first = new ArrayList<>();
-    List<String> later = new ArrayList<>();
-    MonotonicTime late = loop.now().minus(PATIENCE);
-    source.forEach(
-        (name, unit) -> {
-          MonotonicTime since = submittedAt.get(name);
-          boolean soon = unit.urgent() || since == null || late.isAfter(since);
-          boolean ahead = unit.takesPrecedence() && unit.urgent();
-          (ahead ? order : soon ? first : later).add(name);
-        });
-    order.addAll(first);
-    order.addAll(later);
-    return order;
+  private void onCommitted(PendingMutations.Batch batch, Revision revision) {
+    for (Write write : batch.writes()) {
+      if (write.value().isPresent()) {
+        revisions.put(write.key(), revision);
+      } else {
+        revisions.remove(write.key());
+      }
+    }
+    transitionTo(State.IDLE);
+    mutations.onCommitted(batch);
+    batch.mutations().values().forEach(mutation -> mutation.onCommitted(revision));
+    planFlush(Duration.ZERO);
   }
 
   /**
-   * The service will never take this transaction. Whose fault that is shows when each unit is sent
-   * alone; what is refused alone holds up only itself, until it is asked for anew.
+   * The store will never accept this transaction. Which mutation is the cause shows when each is
+   * sent alone; one that is rejected alone delays only itself, until it is submitted again.
    */
-  private void onRejected(Map<String, Mutation> from, Map<String, Mutation> taken, String why) {
+  private void onRejected(PendingMutations.Batch batch, String reason) {
     transitionTo(State.IDLE);
-    if (taken.size() > 1) {
-      remainingSingles = taken.size();
-      restore(from, taken);
+    if (batch.mutations().size() > 1) {
+      mutations.restoreAsSingles(batch);
     } else {
-      String name = taken.keySet().iterator().next();
-      submittedAt.remove(name);
-      if (rejected.size() < MAX_NAMED && rejected.add(name)) {
-        LOG.error("{} can't be stored: {}", name, why);
-      }
-      taken.get(name).onRejected();
+      batch.mutations().forEach((name, mutation) -> onRejected(name, mutation, reason));
     }
-    planFlush(RETRY);
-  }
-
-  /** Units that were asked for anew meanwhile stay as they are: they are newer. */
-  private static void restore(Map<String, Mutation> from, Map<String, Mutation> taken) {
-    Map<String, Mutation> newer = new LinkedHashMap<>(from);
-    from.clear();
-    from.putAll(taken);
-    from.putAll(newer);
+    planFlush(RETRY_DELAY);
   }
 
-  private static int estimatedSize(Write write) {
-    return 200 + write.key().length() + write.value().map(String::length).orElse(0);
+  private void onRejected(String name, Mutation mutation, String reason) {
+    mutations.onRejected(name);
+    if (loggedRejections.size() < MAX_LOGGED_REJECTIONS && loggedRejections.add(name)) {
+      LOG.error("mutation rejected by the store, name={} reason={}", name, reason);
+    }
+    mutation.onRejected();
   }
 
-  private List<Compare> guards(List<Write> writes) {
-    List<Compare> guards = new ArrayList<>();
-    guards.add(new Compare(StoreKeys.LEADER, term));
-    Set<String> keys = new LinkedHashSet<>();
-    writes.forEach(write -> keys.add(write.key()));
-    keys.forEach(key -> guards.add(new Compare(key, revisions.getOrDefault(key, new Revision(0)))));
-    return guards;
+  /**
+   * After a conflict or no answer nothing is known of the keys: each is read before it is written.
+   */
+  private void onUncertain(PendingMutations.Batch batch, KeyValueStore.CommitResult result) {
+    mutations.restore(batch);
+    LOG.info(
+        "transaction not confirmed, result={} writes={}",
+        result.getClass().getSimpleName(),
+        batch.writes().size());
+    transitionTo(State.REREADING);
+    List<String> keys = new ArrayList<>();
+    keys.add(StoreKeys.LEADER);
+    keys.addAll(batch.keys());
+    reread(keys, batch);
   }
 
-  private void onResult(
-      Map<String, Mutation> from,
-      Map<String, Mutation> taken,
-      List<Write> writes,
-      KeyValueStore.CommitResult outcome) {
+  /** Reads the last of the keys, then the others. */
+  private void reread(List<String> keys, PendingMutations.Batch batch) {
     if (state == State.CLOSED) {
       return;
     }
-    if (outcome instanceof KeyValueStore.CommitResult.Committed committed) {
-      for (Write write : writes) {
-        if (write.value().isPresent()) {
-          revisions.put(write.key(), committed.revision());
-        } else {
-          revisions.remove(write.key());
-        }
-      }
+    if (keys.isEmpty()) {
       transitionTo(State.IDLE);
-      taken.keySet().stream()
-          .filter(name -> !pending.containsKey(name))
-          .forEach(submittedAt::remove);
-      taken.values().forEach(unit -> unit.onCommitted(committed.revision()));
       planFlush(Duration.ZERO);
       return;
     }
-    if (outcome instanceof KeyValueStore.CommitResult.Rejected refusal) {
-      onRejected(from, taken, refusal.reason());
-      return;
-    }
-    restore(from, taken);
-    if (outcome instanceof KeyValueStore.CommitResult.Refused
-        || outcome instanceof KeyValueStore.CommitResult.Busy) {
-      transitionTo(State.IDLE);
-      planFlush(RETRY);
-      return;
-    }
-    LOG.info("transaction of {} writes: {}", writes.size(), outcome.getClass().getSimpleName());
-    transitionTo(State.REREADING);
-    Set<String> keys = new LinkedHashSet<>();
-    keys.add(StoreKeys.LEADER);
-    writes.forEach(write -> keys.add(write.key()));
-    reread(new ArrayList<>(keys), taken);
+    String key = keys.get(keys.size() - 1);
+    store.get(key, KeyValueStore.Urgency.NORMAL, result -> onReread(keys, batch, result));
   }
 
-  /** After a conflict or silence nothing is known of the keys: read each before writing again. */
-  private void reread(List<String> keys, Map<String, Mutation> taken) {
+  private void onReread(
+      List<String> keys, PendingMutations.Batch batch, KeyValueStore.ReadResult<KeyValue> result) {
     if (state == State.CLOSED) {
       return;
     }
-    if (keys.isEmpty()) {
-      transitionTo(State.IDLE);
-      planFlush(Duration.ZERO);
+    Optional<KeyValue> item;
+    if (result instanceof KeyValueStore.ReadResult.Found<KeyValue> found) {
+      item = Optional.of(found.value());
+    } else if (result instanceof KeyValueStore.ReadResult.Absent<KeyValue>) {
+      item = Optional.empty();
+    } else {
+      loop.after(RETRY_DELAY, () -> reread(keys, batch));
       return;
     }
-    String key = keys.get(keys.size() - 1);
-    store.get(
-        key,
-        KeyValueStore.Urgency.NORMAL,
-        answer -> {
-          if (state == State.CLOSED) {
-            return;
-          }
-          if (answer instanceof KeyValueStore.ReadResult.Found<KeyValue> found) {
-            if (key.equals(StoreKeys.LEADER) && !found.value().revision().equals(term)) {
-              onLost.run();
-              return;
-            }
-            revisions.put(key, found.value().revision());
-            taken
-                .values()
-                .forEach(unit -> unit.onReread(key, java.util.Optional.of(found.value())));
-          } else if (answer instanceof KeyValueStore.ReadResult.Absent<KeyValue>) {
-            if (key.equals(StoreKeys.LEADER)) {
-              onLost.run();
-              return;
-            }
-            revisions.remove(key);
-            taken.values().forEach(unit -> unit.onReread(key, java.util.Optional.empty()));
-          } else {
-            loop.after(RETRY, () -> reread(keys, taken));
-            return;
-          }
-          keys.remove(keys.size() - 1);
-          reread(keys, taken);
-        });
+    String key = keys.remove(keys.size() - 1);
+    if (key.equals(StoreKeys.LEADER) && !isThisTerm(item)) {
+      onLeadershipLost.run();
+      return;
+    }
+    item.ifPresentOrElse(
+        found -> revisions.put(key, found.revision()), () -> revisions.remove(key));
+    batch.mutations().values().forEach(mutation -> mutation.onReread(key, item));
+    reread(keys, batch);
+  }
+
+  private boolean isThisTerm(Optional<KeyValue> leader) {
+    return leader.map(KeyValue::revision).filter(term::equals).isPresent();
   }
 }
--- a/src/main/java/org/mulleinshift/store/WatchCache.java
+++ b/src/main/java/org/mulleinshift/store/WatchCache.java
@@ -1,7 +1,6 @@
 package org.mulleinshift.store;
 
 import java.time.Duration;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -19,20 +18,26 @@
 public final class WatchCache {
   /** The states of following. */
   public enum State {
+    /** Not started. */
     IDLE,
+    /** All keys are being read. */
     READING,
+    /** A watch is open, or about to be opened. */
     WATCHING,
+    /** A call failed; it is repeated after a pause. */
     PAUSED
   }
 
-  /** Hears of every change, in order. An empty value: the key is gone. */
+  /** Receives every change, in order. */
   public interface Listener {
+    /** A key has changed; empty if it was deleted. */
     void onChange(String key, Optional<KeyValue> item);
 
-    /** All changes known so far were told. */
+    /** All changes up to the revision were passed to {@link #onChange}. */
     void onCaughtUp(Revision revision);
   }
 
+  /** Minimum pause after a failed call; the maximum is twice as long. */
   private static final Duration PAUSE = Duration.ofMillis(400);
 
   private final EventLoop loop;
@@ -40,18 +45,23 @@
   private final String prefix;
   private final Duration spacing;
   private final Listener listener;
+  private final ConfirmationQueue confirmations;
   private final Map<String, Revision> revisions = new HashMap<>();
-  private List<Consumer<Boolean>> awaitingConfirmation = new ArrayList<>();
-  private MonotonicTime confirmedAt;
   private Optional<MonotonicTime> currentAsOf = Optional.empty();
-  private boolean confirming;
-  private boolean urgently;
   private boolean complete;
   private boolean reading;
   private State state = State.IDLE;
   private Revision revision = new Revision(0);
-  private long round;
 
+  /** Counts the steps of following; the answer to an earlier step's call is ignored. */
+  private long generation;
+
+  /**
+   * A cache that has not started.
+   *
+   * @param prefix of the keys to follow
+   * @param spacing minimum time between two watches, and between two confirmations
+   */
   public WatchCache(
       EventLoop loop, KeyValueStore store, String prefix, Duration spacing, Listener listener) {
     this.loop = loop;
@@ -59,9 +69,10 @@
     this.prefix = prefix;
     this.spacing = spacing;
     this.listener = listener;
-    this.confirmedAt = loop.now().minus(spacing);
+    this.confirmations = new ConfirmationQueue(loop, spacing, this::requestConfirmation);
   }
 
+  /** Begins to follow the keys. */
   public void start() {
     read();
   }
@@ -72,165 +83,149 @@
     readPage(Optional.empty(), Optional.empty(), new HashSet<>(revisions.keySet()));
   }
 
-  /** From where a watch misses nothing, and when the reading that shows that was asked for. */
+  /** From where a watch misses nothing, and when the read that shows that was requested. */
   private record ReadStart(Revision revision, MonotonicTime requestedAt) {}
 
-  private void readPage(Optional<String> after, Optional<ReadStart> first, Set<String> unseen) {
-    long mine = enter(State.READING);
-    MonotonicTime asked = loop.now();
+  private void readPage(
+      Optional<String> after, Optional<ReadStart> firstPage, Set<String> unseenKeys) {
+    long current = enter(State.READING);
+    MonotonicTime requestedAt = loop.now();
     store.readPage(
         prefix,
         after,
-        answer -> {
-          if (mine != round) {
+        result -> {
+          if (current != generation) {
             return;
           }
-          if (!(answer instanceof KeyValueStore.ReadResult.Found<StoreCodec.Range> found)) {
-            pause(() -> readPage(after, first, unseen));
+          if (!(result instanceof KeyValueStore.ReadResult.Found<StoreCodec.Range> found)) {
+            pause(() -> readPage(after, firstPage, unseenKeys));
             return;
           }
           StoreCodec.Range page = found.value();
-          take(page.items(), unseen);
+          applyPage(page.items(), unseenKeys);
           // The oldest page's revision: a watch from there misses nothing.
-          ReadStart from = first.orElse(new ReadStart(page.revision(), asked));
+          ReadStart start = firstPage.orElse(new ReadStart(page.revision(), requestedAt));
           if (page.next().isPresent()) {
-            readPage(page.next(), Optional.of(from), unseen);
+            readPage(page.next(), Optional.of(start), unseenKeys);
           } else {
-            readToEnd(from, unseen);
+            onReadComplete(start, unseenKeys);
             watch();
           }
         });
   }
 
-  /** What is parsed is handed on at once, so that no more than a page is held. */
-  private void take(List<KeyValue> items, Set<String> unseen) {
+  /** What is parsed is passed on at once, so that no more than a page is kept in memory. */
+  private void applyPage(List<KeyValue> items, Set<String> unseenKeys) {
     for (KeyValue item : items) {
-      unseen.remove(item.key());
+      unseenKeys.remove(item.key());
       if (!item.revision().equals(revisions.put(item.key(), item.revision()))) {
         listener.onChange(item.key(), Optional.of(item));
       }
     }
   }
 
-  private void readToEnd(ReadStart from, Set<String> gone) {
-    for (String key : gone) {
+  private void onReadComplete(ReadStart start, Set<String> deletedKeys) {
+    for (String key : deletedKeys) {
       revisions.remove(key);
       listener.onChange(key, Optional.empty());
     }
-    revision = from.revision();
-    advanceCurrentAsOf(from.requestedAt());
+    revision = start.revision();
+    advanceCurrentAsOf(start.requestedAt());
     reading = false;
     complete = true;
     listener.onCaughtUp(revision);
   }
 
   /**
-   * Calls back once every change up to this moment was told, or with false if that cannot be known
-   * now. A watch does not prove it, its news may be held back. Whoever asks before a proof is sent
-   * shares it, so that many questions cost one request.
+   * Calls back once every change up to this moment was passed to the listener, or with false if
+   * that cannot be known now. A watch does not confirm it, its changes may be delayed. Callers that
+   * ask before a confirmation is requested share it, so that many of them cost one request.
    */
-  public void confirmCurrent(Consumer<Boolean> then) {
-    awaitingConfirmation.add(then);
-    scheduleConfirmation();
-  }
-
-  /** The same for one who can't wait for room at the state service's rate; tells the listener. */
-  public void confirmCurrentUrgently() {
-    urgently = true;
-    confirmCurrent(known -> {});
-  }
-
-  private void advanceCurrentAsOf(MonotonicTime asked) {
-    currentAsOf = Optional.of(currentAsOf.filter(known -> known.isAfter(asked)).orElse(asked));
+  public void confirmCurrent(Consumer<Boolean> callback) {
+    confirmations.add(callback);
   }
 
   /**
-   * Every change stored before this moment was told to the listener: it is when a question was sent
-   * that was answered since. None before all keys were read.
+   * The same for a caller that can't wait for the store's rate; the result is passed to the
+   * listener.
    */
-  public Optional<MonotonicTime> currentAsOf() {
-    return currentAsOf;
-  }
-
-  private void scheduleConfirmation() {
-    if (confirming || awaitingConfirmation.isEmpty()) {
-      return;
-    }
-    confirming = true;
-    Duration since = loop.now().since(confirmedAt);
-    loop.after(
-        since.compareTo(spacing) >= 0 ? Duration.ZERO : spacing.minus(since),
-        this::sendConfirmation);
+  public void confirmCurrentUrgently() {
+    confirmations.addUrgent();
   }
 
-  private void sendConfirmation() {
-    List<Consumer<Boolean>> asking = awaitingConfirmation;
-    awaitingConfirmation = new ArrayList<>();
-    MonotonicTime asked = loop.now();
-    confirmedAt = asked;
-    KeyValueStore.Urgency urgency =
-        urgently ? KeyValueStore.Urgency.URGENT : KeyValueStore.Urgency.NORMAL;
-    urgently = false;
+  private void requestConfirmation(KeyValueStore.Urgency urgency, Consumer<Boolean> callback) {
     if (!complete) {
-      onConfirmation(asking, false);
+      callback.accept(false);
       return;
     }
+    MonotonicTime requestedAt = loop.now();
     store.readChanges(
         prefix,
         revision,
         urgency,
-        answer -> {
-          boolean found =
-              !reading && answer instanceof KeyValueStore.ReadResult.Found<StoreCodec.Changes>;
-          if (found) {
-            apply(((KeyValueStore.ReadResult.Found<StoreCodec.Changes>) answer).value(), asked);
-          }
-          onConfirmation(asking, found);
+        result -> {
+          boolean confirmed =
+              result instanceof KeyValueStore.ReadResult.Found<StoreCodec.Changes> found
+                  && take(found.value(), requestedAt);
+          callback.accept(confirmed);
         });
   }
 
-  private void onConfirmation(List<Consumer<Boolean>> asking, boolean known) {
-    asking.forEach(then -> then.accept(known));
-    confirming = false;
-    scheduleConfirmation();
+  private void advanceCurrentAsOf(MonotonicTime requestedAt) {
+    currentAsOf =
+        Optional.of(currentAsOf.filter(known -> known.isAfter(requestedAt)).orElse(requestedAt));
+  }
+
+  /**
+   * Every change stored before this moment was passed to the listener: it is when a request was
+   * sent that was answered since. Empty before all keys were read.
+   */
+  public Optional<MonotonicTime> currentAsOf() {
+    return currentAsOf;
   }
 
+  /** Starts the next step; answers to calls of earlier steps are ignored from now on. */
   private long enter(State next) {
     state = next;
-    return ++round;
+    return ++generation;
   }
 
+  /** What the cache does at present. */
   public State state() {
     return state;
   }
 
   private void pause(Runnable next) {
-    long mine = enter(State.PAUSED);
-    Duration spread = PAUSE.plusMillis((long) (loop.random() * PAUSE.toMillis()));
+    long current = enter(State.PAUSED);
+    Duration jittered = PAUSE.plusMillis((long) (loop.random() * PAUSE.toMillis()));
+    afterIfCurrent(jittered, current, next);
+  }
+
+  private void afterIfCurrent(Duration delay, long current, Runnable next) {
     loop.after(
-        spread,
+        delay,
         () -> {
-          if (mine == round) {
+          if (current == generation) {
             next.run();
           }
         });
   }
 
   private void watch() {
-    long mine = enter(State.WATCHING);
-    MonotonicTime opened = loop.now();
+    long current = enter(State.WATCHING);
+    MonotonicTime openedAt = loop.now();
     store.watch(
         prefix,
         revision,
-        answer -> {
-          if (mine != round) {
+        result -> {
+          if (current != generation) {
             return;
           }
-          if (answer instanceof KeyValueStore.ReadResult.Found<StoreCodec.Changes> found) {
-            apply(found.value(), opened);
-            watchAgain(opened);
-          } else if (answer instanceof KeyValueStore.ReadResult.Absent<StoreCodec.Changes>) {
-            // 410: the service no longer keeps the changes since our revision.
+          if (result instanceof KeyValueStore.ReadResult.Found<StoreCodec.Changes> found) {
+            apply(found.value(), openedAt);
+            watchAgain(openedAt);
+          } else if (result instanceof KeyValueStore.ReadResult.Absent<StoreCodec.Changes>) {
+            // The store no longer keeps the changes since our revision.
             read();
           } else {
             pause(this::watch);
@@ -239,61 +234,64 @@
   }
 
   /** Changes that follow each other closely share an answer. */
-  private void watchAgain(MonotonicTime opened) {
-    Duration since = loop.now().since(opened);
-    if (since.compareTo(spacing) >= 0) {
+  private void watchAgain(MonotonicTime openedAt) {
+    Duration elapsed = loop.now().since(openedAt);
+    if (elapsed.compareTo(spacing) >= 0) {
       watch();
-      return;
+    } else {
+      afterIfCurrent(spacing.minus(elapsed), generation, this::watch);
     }
-    long mine = round;
-    loop.after(
-        spacing.minus(since),
-        () -> {
-          if (mine == round) {
-            watch();
-          }
-        });
   }
 
-  /** Up to where the keys are known. */
+  /** The revision up to which the keys are known. */
   public Revision revision() {
     return revision;
   }
 
   /**
-   * Changes since {@link #revision()} that came another way; false if they can't be taken now.
+   * Applies changes since {@link #revision()} that were received by other means.
    *
-   * @param requestedAt when they were asked for
+   * @param requestedAt when they were requested
+   * @return false if they can't be applied now
    */
-  public boolean take(StoreCodec.Changes seen, MonotonicTime asked) {
+  public boolean take(StoreCodec.Changes changes, MonotonicTime requestedAt) {
     if (!complete || reading) {
       return false;
     }
-    apply(seen, asked);
+    apply(changes, requestedAt);
     return true;
   }
 
-  private void apply(StoreCodec.Changes seen, MonotonicTime asked) {
-    for (StoreCodec.Change change : seen.changes()) {
-      // Answers to watches and proofs cross: what lies before our revision was told already, and a
-      // key that is gone since must not come back by it.
-      Revision known = revisions.getOrDefault(change.key(), revision);
-      if (known.compareTo(change.revision()) >= 0 || revision.compareTo(change.revision()) >= 0) {
-        continue;
-      }
-      if (change.value().isPresent()) {
-        revisions.put(change.key(), change.revision());
-        listener.onChange(
-            change.key(),
-            Optional.of(new KeyValue(change.key(), change.value().get(), change.revision())));
-      } else if (revisions.remove(change.key()) != null) {
-        listener.onChange(change.key(), Optional.empty());
+  private void apply(StoreCodec.Changes changes, MonotonicTime requestedAt) {
+    for (StoreCodec.Change change : changes.changes()) {
+      if (!isKnown(change)) {
+        apply(change);
       }
     }
-    if (seen.revision().compareTo(revision) > 0) {
-      revision = seen.revision();
+    if (changes.revision().compareTo(revision) > 0) {
+      revision = changes.revision();
     }
-    advanceCurrentAsOf(asked);
+    advanceCurrentAsOf(requestedAt);
     listener.onCaughtUp(revision);
   }
+
+  /**
+   * Answers to watches and confirmations cross: what lies before our revision was passed on
+   * already, and a key that was deleted since must not come back by it.
+   */
+  private boolean isKnown(StoreCodec.Change change) {
+    Revision known = revisions.getOrDefault(change.key(), revision);
+    return known.compareTo(change.revision()) >= 0 || revision.compareTo(change.revision()) >= 0;
+  }
+
+  private void apply(StoreCodec.Change change) {
+    if (change.value().isPresent()) {
+      revisions.put(change.key(), change.revision());
+      listener.onChange(
+          change.key(),
+          Optional.of(new KeyValue(change.key(), change.value().get(), change.revision())));
+    } else if (revisions.remove(change.key()) != null) {
+      listener.onChange(change.key(), Optional.empty());
+    }
+  }
 }
