--- a/src/main/java/org/mulleinshift/progress/ChunkUpdate.java
+++ b/src/main/java/org/mulleinshift/progress/ChunkUpdate.java
@@ -15,84 +15,92 @@
 import org.mulleinshift.sharding.ShardTable;
 import org.mulleinshift.transport.EventLoop;
 
-/** The parts of a chunk of a job's progress that have changed, on their way to the store. */
+/** The changed parts of one chunk of a job's progress, on their way to the store. */
 final class ChunkUpdate {
-  /** What is to be stored of a part. */
+  /** The stored form of a chunk, and its length. */
   record EncodedChunk(Chunk chunk, JsonNode progress, int bytes) {}
 
   private final ShardTable shards;
   private final UnreadableJobs unreadable;
   private final EventLoop loop;
   private final Job job;
-  private final int chunk;
+  private final int chunkNumber;
   private List<Chunk> sent = List.of();
   private List<TaskAssignment> written = List.of();
   private List<TaskAssignment> ended = List.of();
 
-  ChunkUpdate(ShardTable shards, UnreadableJobs unreadable, EventLoop loop, Job job, int chunk) {
+  ChunkUpdate(
+      ShardTable shards, UnreadableJobs unreadable, EventLoop loop, Job job, int chunkNumber) {
     this.shards = shards;
     this.unreadable = unreadable;
     this.loop = loop;
     this.job = job;
-    this.chunk = chunk;
+    this.chunkNumber = chunkNumber;
   }
 
   Job job() {
     return job;
   }
 
+  /** The name of its mutations: one for all parts of a chunk. */
   String name() {
-    return name(job, chunk);
+    return name(job, chunkNumber);
   }
 
-  static String name(Job job, int chunk) {
-    return ChunkKey.format(job.spec().id(), Chunk.whole(chunk));
+  static String name(Job job, int chunkNumber) {
+    return ChunkKey.format(job.spec().id(), Chunk.whole(chunkNumber));
   }
 
+  /** Whether a task waits for the progress to be stored. */
   boolean urgent() {
-    return job.chunks().urgent(chunk);
+    return job.chunks().urgent(chunkNumber);
   }
 
-  /** Nothing of the job's progress is to be written any more. */
+  /** Whether nothing of the job's progress is to be written any more. */
   boolean obsolete() {
-    boolean ends = job.state() == Job.State.ENDING || job.state() == Job.State.ENDED;
-    return ends || unreadable.contains(job.spec().id());
+    boolean ending = job.state() == Job.State.ENDING || job.state() == Job.State.ENDED;
+    return ending || unreadable.contains(job.spec().id());
   }
 
-  /** Of each part that waits; one that is longer is cut first, if it may be. */
-  List<EncodedChunk> encode(int longest, boolean maySplit) {
+  /**
+   * The stored forms of all pending chunks.
+   *
+   * @param maxBytes length from which on a chunk is split first
+   * @param splitAllowed whether it may be split
+   */
+  List<EncodedChunk> encode(int maxBytes, boolean splitAllowed) {
     if (obsolete()) {
       return List.of();
     }
-    Map<Chunk, EncodedChunk> forms = new LinkedHashMap<>();
-    List<Chunk> waiting = job.chunks().pending(chunk);
-    while (waiting.stream().anyMatch(part -> splitIfTooLong(part, forms, longest, maySplit))) {
-      waiting = job.chunks().pending(chunk);
+    int splitAbove = splitAllowed ? maxBytes : Integer.MAX_VALUE;
+    Map<Chunk, EncodedChunk> encoded = new LinkedHashMap<>();
+    List<Chunk> pending = job.chunks().pending(chunkNumber);
+    while (pending.stream().anyMatch(chunk -> splitIfTooLong(chunk, encoded, splitAbove))) {
+      pending = job.chunks().pending(chunkNumber);
     }
-    return waiting.stream().map(forms::get).toList();
+    return pending.stream().map(encoded::get).toList();
   }
 
-  private boolean splitIfTooLong(
-      Chunk part, Map<Chunk, EncodedChunk> forms, int longest, boolean maySplit) {
-    if (forms.containsKey(part)) {
+  private boolean splitIfTooLong(Chunk chunk, Map<Chunk, EncodedChunk> encoded, int splitAbove) {
+    if (encoded.containsKey(chunk)) {
       return false;
     }
-    JsonNode progress = job.progress(part);
+    JsonNode progress = job.progress(chunk);
     int bytes = StoreCodec.bytes(progress);
-    if (maySplit && part.canSplit() && bytes > longest) {
-      job.split(part);
+    if (chunk.canSplit() && bytes > splitAbove) {
+      job.split(chunk);
       return true;
     }
-    forms.put(part, new EncodedChunk(part, progress, bytes));
+    encoded.put(chunk, new EncodedChunk(chunk, progress, bytes));
     return false;
   }
 
-  /** These go to the store now. */
+  /** These are sent to the store now. */
   void markSent(List<EncodedChunk> chosen) {
     sent = new ArrayList<>();
-    for (EncodedChunk form : chosen) {
-      sent.add(form.chunk());
-      job.chunks().markInFlight(form.chunk());
+    for (EncodedChunk encoded : chosen) {
+      sent.add(encoded.chunk());
+      job.chunks().markInFlight(encoded.chunk());
     }
     written = select(TaskAssignment.State.WRITING);
     ended = select(TaskAssignment.State.ENDED);
@@ -100,7 +108,7 @@
 
   private List<TaskAssignment> select(TaskAssignment.State wanted) {
     return sent.stream()
-        .flatMap(part -> job.assignments(part).stream())
+        .flatMap(chunk -> job.assignments(chunk).stream())
         .filter(assignment -> assignment.state() == wanted)
         .toList();
   }
@@ -110,25 +118,25 @@
     return sent;
   }
 
-  /** What was sent last is stored: owners may hear of it. */
+  /** What was sent last is stored: only now may it be published to owners. */
   void onStored(Revision revision) {
     job.chunks().stored(sent);
     job.stored(written, ended, revision);
     if (!written.isEmpty()) {
       job.markFirstAssigned(loop.wallMillis());
     }
-    // Ends first: a task that comes back to the same shard is told as a new one.
+    // Ends first: a task that returns to the same shard is published as a new one.
     ended.forEach(shards::retract);
     written.forEach(shards::publish);
   }
 
-  /** Whether more has changed since. */
+  /** Whether more has changed since it was sent. */
   boolean hasPending() {
-    return !job.chunks().pending(chunk).isEmpty();
+    return !job.chunks().pending(chunkNumber).isEmpty();
   }
 
-  /** Parts in the store that are no longer read for anything. */
+  /** Parts of the chunk in the store that are no longer read. */
   List<Chunk> obsoleteChunks() {
-    return job.chunks().obsolete(chunk);
+    return job.chunks().obsolete(chunkNumber);
   }
 }
--- a/src/main/java/org/mulleinshift/progress/JobDirectory.java
+++ b/src/main/java/org/mulleinshift/progress/JobDirectory.java
@@ -8,12 +8,12 @@
 
 /** The jobs of the term whose progress is persisted. */
 public interface JobDirectory {
-  /** A job that is not over, whether it may run or awaits its dependencies. */
+  /** A job that is not over, whether it may run or waits for its dependencies. */
   Optional<Job> findJob(JobId id);
 
   /** Jobs that may run or are about to end. */
   Collection<Job> activeJobs();
 
-  /** Leaves a job alone from now on, since something stored of it can't be read. */
+  /** Neither starts, ends nor deletes anything of a job: something stored of it can't be read. */
   void quarantineJob(JobId id, JsonNode record, String reason);
 }
--- a/src/main/java/org/mulleinshift/progress/LogSegment.java
+++ b/src/main/java/org/mulleinshift/progress/LogSegment.java
@@ -13,15 +13,17 @@
 import org.mulleinshift.protocol.StoreCodec;
 
 /**
- * The stored form of one value of the progress log: the progress of parts of several jobs, each
- * whole, so that the newest image of a part is all that has to be read of it.
+ * The stored form of one value of the progress log: the progress of chunks of several jobs, each
+ * complete, so that the newest image of a chunk is all that has to be read of it.
  */
 public final class LogSegment {
+  /** Version of the stored form. */
   private static final int FORM = 1;
+
   private static final String FORM_FIELD = "form";
   private static final String ENTRIES = "entries";
   private static final String JOB = "job";
-  private static final String PART = "part";
+  private static final String CHUNK = "part";
   private static final String PROGRESS = "progress";
   private static final int ENTRY_FIELDS = 3;
   private static final int SEGMENT_FIELDS = 2;
@@ -35,24 +37,24 @@
   private LogSegment() {}
 
   /**
-   * The progress of one part of a job.
+   * The progress of one chunk of a job.
    *
-   * @param bytes how long the entry is within a segment, worked out once
+   * @param bytes length of the entry within a segment, computed once
    */
   public record Entry(JobId job, Chunk chunk, JsonNode progress, int bytes) {
-    /** An entry whose progress is that long by itself. */
-    public static Entry of(JobId job, Chunk part, JsonNode progress, int progressBytes) {
-      int names = StoreCodec.bytes(job.value()) + part.toString().length();
-      return new Entry(job, part, progress, progressBytes + names + ENTRY_BYTES);
+    /** An entry whose progress alone has that length. */
+    public static Entry of(JobId job, Chunk chunk, JsonNode progress, int progressBytes) {
+      int names = StoreCodec.bytes(job.value()) + chunk.toString().length();
+      return new Entry(job, chunk, progress, progressBytes + names + ENTRY_BYTES);
     }
 
-    /** An entry of any progress. */
-    public static Entry of(JobId job, Chunk part, JsonNode progress) {
-      return of(job, part, progress, StoreCodec.bytes(progress));
+    /** An entry whose length is computed here. */
+    public static Entry of(JobId job, Chunk chunk, JsonNode progress) {
+      return of(job, chunk, progress, StoreCodec.bytes(progress));
     }
   }
 
-  /** Bytes for entries in a value of that length. */
+  /** Bytes that remain for entries in a value of that length. */
   public static int capacity(int valueBytes) {
     return valueBytes - EMPTY_BYTES;
   }
@@ -66,10 +68,10 @@
     return segment;
   }
 
-  private static ObjectNode node(JobId job, Chunk part, JsonNode progress) {
+  private static ObjectNode node(JobId job, Chunk chunk, JsonNode progress) {
     ObjectNode node = Json.object();
     node.put(JOB, job.value());
-    node.put(PART, part.toString());
+    node.put(CHUNK, chunk.toString());
     node.set(PROGRESS, progress);
     return node;
   }
@@ -87,7 +89,7 @@
             && value.path(FORM_FIELD).asInt() == FORM
             && value.path(ENTRIES).isArray();
     if (!known) {
-      throw new MalformedMessageException("a segment of another form");
+      throw new MalformedMessageException("progress log segment has an unknown form");
     }
     List<Entry> entries = new ArrayList<>();
     for (JsonNode item : value.path(ENTRIES)) {
@@ -97,15 +99,15 @@
   }
 
   private static Entry entry(JsonNode item) throws MalformedMessageException {
-    Optional<Chunk> part =
-        item.path(PART).isTextual() ? Chunk.parse(item.path(PART).asText()) : Optional.empty();
-    if (item.size() != ENTRY_FIELDS || part.isEmpty() || !item.path(PROGRESS).isObject()) {
-      throw new MalformedMessageException("an entry of another form");
+    Optional<Chunk> chunk =
+        item.path(CHUNK).isTextual() ? Chunk.parse(item.path(CHUNK).asText()) : Optional.empty();
+    if (item.size() != ENTRY_FIELDS || chunk.isEmpty() || !item.path(PROGRESS).isObject()) {
+      throw new MalformedMessageException("progress log entry has an unknown form");
     }
-    return Entry.of(new JobId(Json.text(item, JOB)), part.get(), item.path(PROGRESS));
+    return Entry.of(new JobId(Json.text(item, JOB)), chunk.get(), item.path(PROGRESS));
   }
 
-  /** Whose progress a segment of another form holds; none if not even that can be told. */
+  /** The jobs in a segment of another form; empty if not even these can be read. */
   public static Optional<List<JobId>> jobsNamed(JsonNode value) {
     if (!value.path(ENTRIES).isArray()) {
       return Optional.empty();
--- a/src/main/java/org/mulleinshift/progress/ProgressListener.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressListener.java
@@ -4,7 +4,7 @@
 import org.mulleinshift.model.Job;
 import org.mulleinshift.model.TaskAssignment;
 
-/** Told of what has been stored. */
+/** Receives what has been stored of jobs. */
 public interface ProgressListener {
   /** Progress of the job is stored: it may end, and its tasks may be assigned anew. */
   void onProgressStored(Job job);
@@ -12,7 +12,7 @@
   /**
    * The end of the job is stored.
    *
-   * @param remaining assignments that the store still held
+   * @param remaining assignments that were still stored
    * @param atMillis time of day of the end
    */
   void onJobEnded(Job job, List<TaskAssignment> remaining, long atMillis);
--- a/src/main/java/org/mulleinshift/progress/ProgressLoader.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressLoader.java
@@ -27,14 +27,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads stored progress at the begin of a term: first the log, then the keys of parts. Of a part
- * that stands in both, or several times in the log, the image with the highest revision counts; an
- * image of a part that was cut gives way to those of what it was cut into.
+ * Reads stored progress at the start of a term: first the log, then the keys of chunks. Of a chunk
+ * that is in both, or several times in the log, the image with the highest revision counts; an
+ * image of a chunk that was split gives way to those of its halves.
+ *
+ * <p>What cannot be read is never deleted or acted on: its job is quarantined and its slots are
+ * pinned.
  */
 public final class ProgressLoader {
   private static final Logger LOG = LoggerFactory.getLogger(ProgressLoader.class);
 
-  /** The newest image of a part that was found, and its slot if it is in the log. */
+  /** The newest image of a chunk that was found, and its slot if it is in the log. */
   private record FoundImage(Revision revision, JsonNode progress, OptionalInt slot) {}
 
   private static final Comparator<Chunk> WHOLE_FIRST =
@@ -47,8 +50,8 @@
   private final TransactionBatcher batcher;
   private final ProgressLog log;
 
-  /** Of jobs that the log has images of; those of the others are taken up page by page. */
-  private final Map<JobId, Map<Chunk, FoundImage>> logged = new HashMap<>();
+  /** Images of jobs that are in the log; those of other jobs are loaded page by page. */
+  private final Map<JobId, Map<Chunk, FoundImage>> loggedImages = new HashMap<>();
 
   ProgressLoader(
       JobDirectory jobs,
@@ -65,12 +68,12 @@
     this.log = log;
   }
 
-  /** A page of the log; all of the log comes before the keys of parts. */
+  /** Loads a page of the log; all of the log comes before the keys of chunks. */
   public void loadSegments(StoreCodec.Range page) {
     for (KeyValue item : page.items()) {
       OptionalInt number = StoreKeys.logSegmentNumber(item.key());
       if (number.isEmpty()) {
-        LOG.warn("{}: not a key of this build, left alone", item.key());
+        LOG.warn("unknown key ignored, key={}", item.key());
         continue;
       }
       batcher.recordRevision(item.key(), item.revision());
@@ -79,7 +82,7 @@
         LogSegment.read(item.value()).forEach(entry -> onEntry(entry, item, number.getAsInt()));
       } catch (MalformedMessageException e) {
         log.pin(number.getAsInt());
-        quarantineAllOf(item, e.getMessage());
+        quarantineJobsIn(item, e.getMessage());
       }
     }
   }
@@ -90,48 +93,48 @@
       log.pin(slot);
     } else if (jobs.findJob(entry.job()).isPresent()) {
       FoundImage found = new FoundImage(item.revision(), entry.progress(), OptionalInt.of(slot));
-      logged
-          .computeIfAbsent(entry.job(), key -> newParts())
-          .merge(entry.chunk(), found, this::newer);
+      loggedImages
+          .computeIfAbsent(entry.job(), key -> new TreeMap<>(WHOLE_FIRST))
+          .merge(entry.chunk(), found, ProgressLoader::newer);
     }
   }
 
-  private static Map<Chunk, FoundImage> newParts() {
-    return new TreeMap<>(WHOLE_FIRST);
-  }
-
-  private FoundImage newer(FoundImage one, FoundImage other) {
+  private static FoundImage newer(FoundImage one, FoundImage other) {
     return one.revision().compareTo(other.revision()) >= 0 ? one : other;
   }
 
-  /** Nothing of a job whose newest progress may stand there is started, ended or deleted. */
-  private void quarantineAllOf(KeyValue segment, String why) {
+  /** Nothing of a job whose newest progress may be in the segment is started, ended or deleted. */
+  private void quarantineJobsIn(KeyValue segment, String reason) {
     Optional<List<JobId>> named = LogSegment.jobsNamed(segment.value());
     List<Job> concerned =
         named.isPresent()
             ? named.get().stream().flatMap(id -> jobs.findJob(id).stream()).distinct().toList()
             : jobs.activeJobs().stream().filter(job -> mayBeIn(job, segment)).toList();
-    LOG.warn("{}: {}; {} jobs are left alone", segment.key(), why, concerned.size());
-    concerned.forEach(job -> quarantine(job, segment.value(), why));
+    LOG.warn(
+        "progress log segment unreadable, key={} reason={} jobs={}",
+        segment.key(),
+        reason,
+        concerned.size());
+    concerned.forEach(job -> quarantine(job, segment.value(), reason));
   }
 
-  /** A cancellation rewrites a job's record, so that its version says nothing of its age. */
+  /** A cancellation rewrites a job's record, so that its revision does not show its age. */
   private static boolean mayBeIn(Job job, KeyValue segment) {
     return job.cancelled() || job.revision().compareTo(segment.revision()) < 0;
   }
 
-  private void quarantine(Job job, JsonNode progress, String why) {
+  private void quarantine(Job job, JsonNode progress, String reason) {
     JsonNode record = JobRecord.value(job.spec(), job.dependencies(), job.acceptedMillis(), false);
-    jobs.quarantineJob(job.spec().id(), record, why);
+    jobs.quarantineJob(job.spec().id(), record, reason);
     unreadable.addProgress(progress);
   }
 
-  /** A page of the keys of parts; the whole of a chunk comes before its parts. */
+  /** Loads a page of the keys of chunks; a whole chunk comes before its halves. */
   public void loadParts(StoreCodec.Range page) {
     for (KeyValue item : page.items()) {
       Optional<ChunkKey> key = ChunkKey.parse(item.key());
       if (key.isEmpty()) {
-        LOG.warn("{}: not a key of this build, left alone", item.key());
+        LOG.warn("unknown key ignored, key={}", item.key());
         continue;
       }
       JobId id = key.get().job();
@@ -142,20 +145,20 @@
       batcher.recordRevision(item.key(), item.revision());
       Job job = jobs.findJob(id).orElse(null);
       if (job == null) {
-        // Of a job that is over. Nobody waits for it.
+        // Of a job that has ended: nobody reads it.
         deleteKey.accept(item.key());
-      } else if (logged.containsKey(id)) {
+      } else if (loggedImages.containsKey(id)) {
         FoundImage found = new FoundImage(item.revision(), item.value(), OptionalInt.empty());
-        logged.get(id).merge(key.get().chunk(), found, this::newer);
+        loggedImages.get(id).merge(key.get().chunk(), found, ProgressLoader::newer);
       } else {
         load(job, key.get().chunk(), item.value());
       }
     }
   }
 
-  private boolean load(Job job, Chunk part, JsonNode value) {
+  private boolean load(Job job, Chunk chunk, JsonNode value) {
     try {
-      job.load(part, value, shards::zoneOf);
+      job.load(chunk, value, shards::zoneOf);
       return true;
     } catch (MalformedMessageException e) {
       quarantine(job, value, e.getMessage());
@@ -163,17 +166,17 @@
     }
   }
 
-  /** All was read: takes up the progress of the jobs that the log has images of. */
+  /** All was read: loads the progress of the jobs that have images in the log. */
   public void finish() {
-    logged.forEach((id, parts) -> jobs.findJob(id).ifPresent(job -> restore(job, parts)));
-    logged.entrySet().removeIf(entry -> !unreadable.contains(entry.getKey()));
-    // Of jobs set aside meanwhile nothing may be overwritten.
-    logged.values().forEach(parts -> parts.values().forEach(this::pin));
-    logged.clear();
+    loggedImages.forEach((id, images) -> jobs.findJob(id).ifPresent(job -> restore(job, images)));
+    loggedImages.entrySet().removeIf(entry -> !unreadable.contains(entry.getKey()));
+    // Of jobs quarantined meanwhile nothing may be overwritten.
+    loggedImages.values().forEach(images -> images.values().forEach(this::pin));
+    loggedImages.clear();
   }
 
-  private void restore(Job job, Map<Chunk, FoundImage> parts) {
-    for (Map.Entry<Chunk, FoundImage> entry : new ArrayList<>(parts.entrySet())) {
+  private void restore(Job job, Map<Chunk, FoundImage> images) {
+    for (Map.Entry<Chunk, FoundImage> entry : new ArrayList<>(images.entrySet())) {
       FoundImage found = entry.getValue();
       if (!load(job, entry.getKey(), found.progress())) {
         return;
--- a/src/main/java/org/mulleinshift/progress/ProgressLog.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressLog.java
@@ -17,31 +17,31 @@
 import org.mulleinshift.store.StoreKeys;
 
 /**
- * Where the newest stored image of each part of a job's progress stands in the log.
+ * Where the newest stored image of each chunk of a job's progress is in the log.
  *
  * <p>The log is a bounded set of slots, each a key that is overwritten and never deleted while the
- * log is in use: a late copy of an earlier write always meets a version that has moved on. A slot
+ * log is in use: a late copy of an earlier write always meets a revision that has moved on. A slot
  * may be overwritten once it holds no live image: each of its images has a newer one that is stored
- * elsewhere, or its job is over. A write that had no certain outcome is in doubt: the next write
+ * elsewhere, or its job has ended. A write without a certain outcome is uncertain: the next write
  * overwrites its slots first, so that nothing of it can appear later.
  */
 public final class ProgressLog {
   /** Bounds what a new leader reads: so many values at most. */
   public static final int MAX_SLOTS = 256;
 
-  /** So few slots are never compacted. */
-  private static final int MIN_SLOTS = 8;
+  /** A log with at most so many slots in use is never compacted. */
+  private static final int MIN_SLOTS_TO_COMPACT = 8;
 
   /** Slots in use are kept below this many times what the live images need. */
   private static final int SLACK = 3;
 
   /** Above this share of all slots live images are moved to keys of their own. */
-  private static final double MAX_LIVE = 0.5;
+  private static final double MAX_LIVE_SHARE = 0.5;
 
-  /** Of an entry, for the names of its job and part. */
+  /** Bytes of an entry for the names of its job and chunk. */
   private static final int NAMES_BYTES = 160;
 
-  /** A part of a job whose progress is in the log. */
+  /** A chunk of a job whose progress is in the log. */
   public record ChunkImage(JobId job, Chunk chunk) {}
 
   private static final class Slot {
@@ -64,7 +64,7 @@
       liveBytes += bytes;
     }
 
-    /** How many bytes the image took. */
+    /** Removes an image and returns its length. */
     int remove(ChunkImage image) {
       int bytes = live.remove(image);
       liveBytes -= bytes;
@@ -83,7 +83,7 @@
   /**
    * An empty log.
    *
-   * @param valueBytes longest value that may be written
+   * @param valueBytes maximum length of a value
    */
   public ProgressLog(int valueBytes) {
     this.slotBytes = LogSegment.capacity(valueBytes);
@@ -98,16 +98,16 @@
 
     private Batch(int maxSlots) {
       this.maxSlots = maxSlots;
-      uncertainSlots.forEach(number -> take(slots.get(number)));
+      uncertainSlots.forEach(number -> addSlot(slots.get(number)));
     }
 
-    private void take(Slot slot) {
+    private void addSlot(Slot slot) {
       taken.add(slot);
       entries.put(slot, new ArrayList<>());
       bytes.put(slot, 0);
     }
 
-    /** Takes up an entry; false if nothing of the batch has room for it. */
+    /** Adds an entry; false if the batch has no capacity for it. */
     public boolean add(LogSegment.Entry entry) {
       int size = entry.bytes();
       Optional<Slot> slot = capacityFor(size);
@@ -127,7 +127,7 @@
       }
       Optional<Slot> free =
           size <= slotBytes && taken.size() < maxSlots ? freeSlot(taken) : Optional.empty();
-      free.ifPresent(this::take);
+      free.ifPresent(this::addSlot);
       return free;
     }
 
@@ -136,7 +136,7 @@
       return taken.isEmpty();
     }
 
-    /** The transaction's writes; from now on its slots are in doubt. */
+    /** The transaction's writes; from now on its slots are uncertain. */
     public List<Write> writes() {
       List<Write> writes = new ArrayList<>();
       for (Slot slot : taken) {
@@ -158,7 +158,11 @@
     return Optional.empty();
   }
 
-  /** Begins a write; slots whose last write is in doubt are part of it. */
+  /**
+   * Begins a write; slots whose last write is uncertain are part of it.
+   *
+   * @param maxSlots maximum number of slots, unless more are uncertain
+   */
   public Batch begin(int maxSlots) {
     return new Batch(maxSlots);
   }
@@ -168,12 +172,12 @@
     slotBytes /= 2;
   }
 
-  /** Longest progress of a part that surely fits into an entry. */
+  /** Maximum length of a chunk's progress that surely fits into an entry. */
   public int longestProgress() {
     return slotBytes - NAMES_BYTES;
   }
 
-  /** Longest entry that any slot takes. */
+  /** Maximum length of an entry. */
   public int longestEntry() {
     return slotBytes;
   }
@@ -212,7 +216,7 @@
     }
   }
 
-  /** The job is over. */
+  /** The job has ended: none of its images is needed. */
   public void release(JobId job) {
     List.copyOf(byJob.getOrDefault(job, Set.of())).forEach(this::release);
   }
@@ -222,7 +226,7 @@
     slots.computeIfAbsent(number, Slot::new);
   }
 
-  /** An image that was found to be the newest of its part. */
+  /** An image that was found to be the newest of its chunk. */
   public void onFound(int number, LogSegment.Entry newest) {
     addImage(slots.computeIfAbsent(number, Slot::new), newest);
   }
@@ -232,18 +236,18 @@
     slots.computeIfAbsent(number, Slot::new).pinned = true;
   }
 
-  /** Nobody may write the image anew: its slot is left as it is. */
+  /** Nobody may rewrite the image: its slot is left as it is. */
   public void pinSlotOf(ChunkImage image) {
     Optional.ofNullable(slotByImage.get(image)).ifPresent(slot -> slot.pinned = true);
   }
 
   /**
-   * Live images of several slots that fit into one: written anew together they leave more slots
-   * free than they take.
+   * Live images of several slots that fit into one: rewritten together they free more slots than
+   * they take.
    */
   public List<ChunkImage> toCompact() {
     int needed = liveBytes / Math.max(1, slotBytes) + 1;
-    if (inUse() <= Math.max(MIN_SLOTS, SLACK * needed) || isCrowded()) {
+    if (inUse() <= Math.max(MIN_SLOTS_TO_COMPACT, SLACK * needed) || isCrowded()) {
       return List.of();
     }
     List<ChunkImage> images = new ArrayList<>();
@@ -270,7 +274,7 @@
   }
 
   private boolean isCrowded() {
-    return liveBytes > MAX_LIVE * MAX_SLOTS * slotBytes;
+    return liveBytes > MAX_LIVE_SHARE * MAX_SLOTS * slotBytes;
   }
 
   private List<Slot> occupied(Comparator<Slot> order) {
@@ -288,12 +292,12 @@
     return count;
   }
 
-  /** All parts whose newest image is in the log. */
+  /** All chunks whose newest image is in the log. */
   public List<ChunkImage> live() {
     return List.copyOf(slotByImage.keySet());
   }
 
-  /** Whether nothing of the log is needed, and nothing of it may still be on its way. */
+  /** Whether no image in the log is needed, and no write to it may still be carried out. */
   public boolean idle() {
     return inUse() == 0 && uncertainSlots.isEmpty();
   }
--- a/src/main/java/org/mulleinshift/progress/ProgressLogWriter.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressLogWriter.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.StoreCodec.Write;
 import org.mulleinshift.store.StoreKeys;
@@ -14,23 +15,23 @@
 import org.mulleinshift.transport.EventLoop;
 
 /**
- * Group commit of progress: what has changed of all jobs goes into few values of the log. What
- * nobody waits for is held back for a moment, so that it shares a value with what comes next.
+ * Group commit of progress: the changes of all jobs go into few values of the log. What nobody
+ * waits for is delayed for a moment, so that it shares a value with what comes next.
  */
 final class ProgressLogWriter implements TransactionBatcher.Mutation {
   /** Less than a scheduling cycle: what ends is stored with what the next cycle starts. */
-  private static final Duration LINGER = Duration.ofMillis(100);
+  private static final Duration GROUP_DELAY = Duration.ofMillis(100);
 
-  /** What the writer asks of those who keep the progress of jobs. */
+  /** What the writer needs of the other ways in which progress is stored. */
   interface Listener {
     /** Whether the chunk has to be written under its own keys for now. */
-    boolean mustUseKeys(String chunk);
+    boolean mustUseKeys(String chunkName);
 
     /** Has a chunk written under its own keys. */
-    void writeToKeys(ChunkUpdate progress);
+    void writeToKeys(ChunkUpdate update);
 
     /** The changes of these chunks are stored. */
-    void onStored(List<ChunkUpdate> progress);
+    void onStored(List<ChunkUpdate> updates);
   }
 
   private final EventLoop loop;
@@ -42,12 +43,12 @@
   private final Set<String> uncertain = new HashSet<>();
   private List<ChunkUpdate> sent = List.of();
   private ProgressLog.Batch batch;
-  private boolean planned;
+  private boolean submitPlanned;
 
   /**
-   * A writer to the log.
+   * A writer for one term.
    *
-   * @param mostSlots values of a transaction at most
+   * @param maxSlots maximum number of log values of a transaction
    */
   ProgressLogWriter(
       EventLoop loop,
@@ -63,20 +64,20 @@
   }
 
   /** Has the changes of a chunk stored. */
-  void add(ChunkUpdate progress) {
-    pending.putIfAbsent(progress.name(), progress);
+  void add(ChunkUpdate update) {
+    pending.putIfAbsent(update.name(), update);
     plan();
   }
 
   private void plan() {
     if (urgent()) {
       batcher.submit(StoreKeys.PROGRESS_LOG, this);
-    } else if (!planned && !pending.isEmpty()) {
-      planned = true;
+    } else if (!submitPlanned && !pending.isEmpty()) {
+      submitPlanned = true;
       loop.after(
-          LINGER,
+          GROUP_DELAY,
           () -> {
-            planned = false;
+            submitPlanned = false;
             if (!pending.isEmpty()) {
               batcher.submit(StoreKeys.PROGRESS_LOG, this);
             }
@@ -85,8 +86,8 @@
   }
 
   /** Whether a write of the chunk to the log may still be carried out. */
-  boolean uncertain(String name) {
-    return uncertain.contains(name);
+  boolean uncertain(String chunkName) {
+    return uncertain.contains(chunkName);
   }
 
   @Override
@@ -103,10 +104,10 @@
   public List<Write> writes() {
     batch = log.begin(maxSlots);
     sent = new ArrayList<>();
-    for (ChunkUpdate progress : urgentFirst()) {
-      if (listener.mustUseKeys(progress.name())) {
-        moveToKeys(progress);
-      } else if (!addToBatch(progress)) {
+    for (ChunkUpdate update : urgentFirst()) {
+      if (listener.mustUseKeys(update.name())) {
+        moveToKeys(update);
+      } else if (!addToBatch(update)) {
         break;
       }
     }
@@ -114,52 +115,55 @@
       // No slot is free: what waits must not wait for one.
       urgentFirst().forEach(this::moveToKeys);
     }
-    sent.forEach(progress -> uncertain.add(progress.name()));
+    sent.forEach(update -> uncertain.add(update.name()));
     return batch.writes();
   }
 
-  private void moveToKeys(ChunkUpdate progress) {
-    pending.remove(progress.name());
-    listener.writeToKeys(progress);
+  private void moveToKeys(ChunkUpdate update) {
+    pending.remove(update.name());
+    listener.writeToKeys(update);
   }
 
   private List<ChunkUpdate> urgentFirst() {
     List<ChunkUpdate> order = new ArrayList<>();
     pending.values().stream().filter(ChunkUpdate::urgent).forEach(order::add);
-    pending.values().stream().filter(progress -> !progress.urgent()).forEach(order::add);
+    pending.values().stream().filter(update -> !update.urgent()).forEach(order::add);
     return order;
   }
 
-  /** False if the batch is full. */
-  private boolean addToBatch(ChunkUpdate progress) {
+  /** Adds the pending chunks of an update; false if the batch is full. */
+  private boolean addToBatch(ChunkUpdate update) {
     List<ChunkUpdate.EncodedChunk> chosen = new ArrayList<>();
     boolean full = false;
-    boolean unfit = false;
-    for (ChunkUpdate.EncodedChunk form : progress.encode(log.longestProgress(), true)) {
-      LogSegment.Entry entry =
-          LogSegment.Entry.of(
-              progress.job().spec().id(), form.chunk(), form.progress(), form.bytes());
+    boolean tooLong = false;
+    for (ChunkUpdate.EncodedChunk encoded : update.encode(log.longestProgress(), true)) {
+      LogSegment.Entry entry = entry(update, encoded);
       boolean fits = entry.bytes() <= log.longestEntry();
-      boolean taken = fits && batch.add(entry);
-      if (taken) {
-        chosen.add(form);
+      boolean added = fits && batch.add(entry);
+      if (added) {
+        chosen.add(encoded);
       }
-      unfit |= !fits;
-      full |= fits && !taken;
+      tooLong |= !fits;
+      full |= fits && !added;
     }
-    progress.markSent(chosen);
+    update.markSent(chosen);
     if (!chosen.isEmpty()) {
-      sent.add(progress);
-    } else if (!full && !uncertain(progress.name())) {
-      pending.remove(progress.name());
-      if (unfit) {
-        listener.writeToKeys(progress);
+      sent.add(update);
+    } else if (!full && !uncertain(update.name())) {
+      pending.remove(update.name());
+      if (tooLong) {
+        listener.writeToKeys(update);
       }
     }
     return !full;
   }
 
-  /** The service takes less than its limits say: shorter values, and keys of each job beside. */
+  private static LogSegment.Entry entry(ChunkUpdate update, ChunkUpdate.EncodedChunk encoded) {
+    JobId job = update.job().spec().id();
+    return LogSegment.Entry.of(job, encoded.chunk(), encoded.progress(), encoded.bytes());
+  }
+
+  /** The store accepts less than its limits say: the values of the log become shorter. */
   @Override
   public void onRejected() {
     log.shorten();
@@ -172,10 +176,10 @@
     uncertain.clear();
     List<ChunkUpdate> stored = sent;
     sent = List.of();
-    for (ChunkUpdate progress : stored) {
-      progress.onStored(revision);
-      if (!progress.hasPending()) {
-        pending.remove(progress.name());
+    for (ChunkUpdate update : stored) {
+      update.onStored(revision);
+      if (!update.hasPending()) {
+        pending.remove(update.name());
       }
     }
     listener.onStored(stored);
--- a/src/main/java/org/mulleinshift/progress/ProgressSettings.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressSettings.java
@@ -6,8 +6,8 @@
 /**
  * What decides where and how progress is stored.
  *
- * @param limits of the store
- * @param maxOperations changes of a transaction at most
+ * @param the store's limits
+ * @param maxOperations maximum number of writes of a transaction
  * @param featureGates which stored forms all controllers can read
  * @param logEnabled whether the operators allow the progress log
  */
--- a/src/test/java/org/mulleinshift/progress/ProgressLogTest.java
+++ b/src/test/java/org/mulleinshift/progress/ProgressLogTest.java
@@ -14,7 +14,10 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
 import org.mulleinshift.model.Chunk;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.Json;
@@ -22,13 +25,13 @@
 import org.mulleinshift.protocol.StoreCodec;
 import org.mulleinshift.protocol.StoreCodec.Write;
 
-/** The accounts of the log: what may be overwritten, and what is certain. */
+/** The state of the progress log: which slots may be overwritten, and which writes are certain. */
 class ProgressLogTest {
   private static final int VALUE_BYTES = 600;
   private static final int JOBS = 12;
   private static final int ROUNDS = 400;
 
-  /** A state service that may carry out a transaction late. */
+  /** A key-value store that may carry out a transaction late. */
   private static final class Store {
     private record Stored(JsonNode value, int revision) {}
 
@@ -40,17 +43,17 @@
 
     Transaction transaction(List<Write> writes) {
       Map<String, Integer> guards = new HashMap<>();
-      writes.forEach(write -> guards.put(write.key(), version(write.key())));
+      writes.forEach(write -> guards.put(write.key(), revisionOf(write.key())));
       return new Transaction(writes, guards);
     }
 
-    private int version(String key) {
+    private int revisionOf(String key) {
       return keys.containsKey(key) ? keys.get(key).revision() : 0;
     }
 
     void apply(Transaction transaction) throws MalformedMessageException {
       for (Map.Entry<String, Integer> guard : transaction.guards().entrySet()) {
-        if (version(guard.getKey()) != guard.getValue()) {
+        if (revisionOf(guard.getKey()) != guard.getValue()) {
           return;
         }
       }
@@ -60,7 +63,7 @@
       }
     }
 
-    /** Of each part the image with the highest revision, as a new leader reads it. */
+    /** The image of each chunk with the highest revision, as a new leader reads it. */
     Map<ProgressLog.ChunkImage, String> newest() throws MalformedMessageException {
       Map<ProgressLog.ChunkImage, Integer> at = new HashMap<>();
       Map<ProgressLog.ChunkImage, String> found = new HashMap<>();
@@ -88,65 +91,105 @@
 
   /**
    * Transactions are refused, carried out without an answer, or carried out much later, in any
-   * order: what was told as stored is what a new leader reads.
+   * order: what was acknowledged as stored is what a new leader reads.
    */
-  @Test
-  void whatIsStoredIsReadAfterLateWrites() throws MalformedMessageException {
-    for (int seed = 1; seed <= 30; seed++) {
-      playLateWrites(seed);
+  @ParameterizedTest
+  @MethodSource("seeds")
+  void whatIsStoredIsReadAfterLateWrites(int seed) throws MalformedMessageException {
+    LateWrites play = new LateWrites(seed);
+    for (int round = 0; round < ROUNDS; round++) {
+      play.round(round);
     }
+    assertTrue(play.log.keys().size() < ProgressLog.MAX_SLOTS, "the log uses all of its slots");
   }
 
-  private static void playLateWrites(int seed) throws MalformedMessageException {
-    Random random = new Random(seed);
-    Store store = new Store();
-    ProgressLog log = new ProgressLog(VALUE_BYTES);
-    Map<ProgressLog.ChunkImage, String> told = new HashMap<>();
-    Map<Integer, String> pending = new TreeMap<>();
-    Set<Integer> over = new HashSet<>();
-    for (int round = 0; round < ROUNDS; round++) {
-      for (int i = random.nextInt(4); i > 0; i--) {
-        int job = round / 10 + random.nextInt(JOBS);
-        if (!over.contains(job)) {
-          pending.put(job, Integer.toString(round));
-        }
-      }
+  static IntStream seeds() {
+    return IntStream.rangeClosed(1, 30);
+  }
+
+  /** A log whose transactions have random outcomes. */
+  private static final class LateWrites {
+    private final int seed;
+    private final Random random;
+    private final Store store = new Store();
+    private final ProgressLog log = new ProgressLog(VALUE_BYTES);
+    private final Map<ProgressLog.ChunkImage, String> acknowledged = new HashMap<>();
+    private final Map<Integer, String> pending = new TreeMap<>();
+    private final Set<Integer> ended = new HashSet<>();
+
+    LateWrites(int seed) {
+      this.seed = seed;
+      this.random = new Random(seed);
+    }
+
+    void round(int round) throws MalformedMessageException {
+      changeJobs(round);
       if (random.nextInt(3) == 0) {
-        // The end of a job is stored: its slot may get free.
-        int job = round / 10 + random.nextInt(JOBS);
-        over.add(job);
-        pending.remove(job);
-        log.release(new JobId("run-" + job));
+        endJob(round / 10 + random.nextInt(JOBS));
       }
       ProgressLog.Batch batch = log.begin(2);
-      List<LogSegment.Entry> taken = new ArrayList<>();
-      for (Map.Entry<Integer, String> change : pending.entrySet()) {
-        LogSegment.Entry entry = entry(change.getKey(), change.getValue());
-        if (batch.add(entry)) {
-          taken.add(entry);
-        }
-      }
+      List<LogSegment.Entry> added = addPending(batch);
       Store.Transaction transaction = store.transaction(batch.writes());
       switch (random.nextInt(4)) {
         case 0 -> store.late.add(transaction);
         case 1 -> store.apply(transaction);
         default -> {
           store.apply(transaction);
-          log.stored(batch);
-          taken.forEach(entry -> told.put(image(entry), entry.progress().path("done").asText()));
-          taken.forEach(entry -> pending.remove(number(entry.job())));
-          for (Store.Transaction old : store.late) {
-            store.apply(old);
-          }
-          store.late.clear();
-          told.keySet().removeIf(image -> over.contains(number(image.job())));
-          Map<ProgressLog.ChunkImage, String> newest = store.newest();
-          newest.keySet().removeIf(image -> over.contains(number(image.job())));
-          assertEquals(told, newest, "seed " + seed + ", round " + round);
+          acknowledge(batch, added);
+          applyLateWrites();
+          assertAcknowledgedIsRead(round);
+        }
+      }
+    }
+
+    private void changeJobs(int round) {
+      for (int i = random.nextInt(4); i > 0; i--) {
+        int job = round / 10 + random.nextInt(JOBS);
+        if (!ended.contains(job)) {
+          pending.put(job, Integer.toString(round));
         }
       }
     }
-    assertTrue(log.keys().size() < ProgressLog.MAX_SLOTS, "seed " + seed);
+
+    /** The end of a job is stored: its slot may become free. */
+    private void endJob(int job) {
+      ended.add(job);
+      pending.remove(job);
+      log.release(new JobId("run-" + job));
+    }
+
+    private List<LogSegment.Entry> addPending(ProgressLog.Batch batch) {
+      List<LogSegment.Entry> added = new ArrayList<>();
+      for (Map.Entry<Integer, String> change : pending.entrySet()) {
+        LogSegment.Entry entry = entry(change.getKey(), change.getValue());
+        if (batch.add(entry)) {
+          added.add(entry);
+        }
+      }
+      return added;
+    }
+
+    private void acknowledge(ProgressLog.Batch batch, List<LogSegment.Entry> added) {
+      log.stored(batch);
+      for (LogSegment.Entry entry : added) {
+        acknowledged.put(image(entry), entry.progress().path("done").asText());
+        pending.remove(number(entry.job()));
+      }
+    }
+
+    private void applyLateWrites() throws MalformedMessageException {
+      for (Store.Transaction old : store.late) {
+        store.apply(old);
+      }
+      store.late.clear();
+    }
+
+    private void assertAcknowledgedIsRead(int round) throws MalformedMessageException {
+      acknowledged.keySet().removeIf(image -> ended.contains(number(image.job())));
+      Map<ProgressLog.ChunkImage, String> newest = store.newest();
+      newest.keySet().removeIf(image -> ended.contains(number(image.job())));
+      assertEquals(acknowledged, newest, "seed " + seed + ", round " + round);
+    }
   }
 
   private static int number(JobId job) {
@@ -187,12 +230,12 @@
       log.stored(batch);
     }
     assertTrue(moved > 0 && moved <= 40, "moved " + moved);
-    assertEquals(List.of(), log.toCompact(), "it ends");
+    assertEquals(List.of(), log.toCompact(), "compaction ends");
     assertEquals(20, log.live().size());
   }
 
   @Test
-  void whatNobodyMayWriteIsNotCompacted() {
+  void pinnedSlotsAreNotCompacted() {
     ProgressLog log = new ProgressLog(VALUE_BYTES);
     for (int job = 0; job < 20; job++) {
       ProgressLog.Batch batch = log.begin(1);
@@ -218,7 +261,7 @@
   }
 
   @Test
-  void whatCannotBeReadIsLeftAlone() {
+  void aPinnedSlotIsNotOverwritten() {
     ProgressLog log = new ProgressLog(VALUE_BYTES);
     log.pin(0);
     ProgressLog.Batch batch = log.begin(1);
