--- a/src/main/java/org/mulleinshift/model/ChunkKey.java
+++ b/src/main/java/org/mulleinshift/model/ChunkKey.java
@@ -8,7 +8,7 @@
 public record ChunkKey(JobId job, Chunk chunk) {
   private static final char SEPARATOR = '/';
 
-  /** The parts of a key; none if this build does not write such keys. */
+  /** Parses a key; empty if this build does not write such keys. */
   public static Optional<ChunkKey> parse(String key) {
     int separator = key.indexOf(SEPARATOR, StoreKeys.PROGRESS.length());
     if (separator < 0) {
--- a/src/main/java/org/mulleinshift/model/ChunkLayout.java
+++ b/src/main/java/org/mulleinshift/model/ChunkLayout.java
@@ -10,91 +10,99 @@
 import java.util.TreeMap;
 
 /**
- * How the progress of one job is cut into keys: which parts are written by now, which of them are
- * in the store, and which wait to be written. A part that was cut stays in the store until all that
- * it was cut into is there; until then it is read for what is not.
+ * How the progress of one job is split into chunks: which of them are written by now, which are in
+ * the store, and which wait to be written. A chunk that was split stays in the store until all its
+ * parts are there; until then it is read for those that are not.
  */
 public final class ChunkLayout {
   private final int tasks;
+
+  /** The chunks that progress is written to, by first task. */
   private final NavigableMap<Integer, Chunk> live = new TreeMap<>();
+
   private final Set<Chunk> stored = new LinkedHashSet<>();
   private final Set<Chunk> dirty = new LinkedHashSet<>();
-  private final Set<Chunk> markInFlight = new LinkedHashSet<>();
+  private final Set<Chunk> inFlight = new LinkedHashSet<>();
   private final Set<Integer> urgentChunks = new HashSet<>();
 
   ChunkLayout(int tasks) {
     this.tasks = tasks;
-    for (int chunk = 0; chunk * Job.CHUNK < tasks; chunk++) {
-      live.put(chunk * Job.CHUNK, Chunk.whole(chunk));
+    for (int number = 0; number * Chunk.TASKS < tasks; number++) {
+      live.put(number * Chunk.TASKS, Chunk.whole(number));
     }
   }
 
-  /** The part that a task's progress is written to. */
+  /** The chunk that a task's progress is written to. */
   Chunk chunkOf(int index) {
     return live.floorEntry(index).getValue();
   }
 
-  boolean exists(Chunk part) {
-    return part.firstTask() < tasks;
+  /** Whether the job has any task of the chunk. */
+  boolean exists(Chunk chunk) {
+    return chunk.firstTask() < tasks;
   }
 
-  /** Cuts a part in two. */
-  void split(Chunk part) {
-    live.remove(part.firstTask());
+  /** Splits a chunk in two halves, which are written next. */
+  void split(Chunk chunk) {
+    live.remove(chunk.firstTask());
     for (int which = 0; which < 2; which++) {
-      Chunk half = part.half(which);
+      Chunk half = chunk.half(which);
       if (half.size() > 0 && exists(half)) {
         live.put(half.firstTask(), half);
         dirty.add(half);
       }
     }
-    dirty.remove(part);
+    dirty.remove(chunk);
   }
 
-  /** A part found in the store; the ones it was cut from, if they are there, were found before. */
-  void onFound(Chunk part) {
-    stored.add(part);
-    for (Chunk whole = chunkOf(part.firstTask());
-        !whole.equals(part) && whole.contains(part);
-        whole = chunkOf(part.firstTask())) {
+  /** A chunk found in the store; those it was split from, if they are there, were found before. */
+  void onFound(Chunk chunk) {
+    stored.add(chunk);
+    for (Chunk whole = chunkOf(chunk.firstTask());
+        !whole.equals(chunk) && whole.contains(chunk);
+        whole = chunkOf(chunk.firstTask())) {
       split(whole);
     }
     dirty.clear();
   }
 
-  /** A part's progress has changed; pressing if a task waits for it to be stored. */
-  public void markDirty(Chunk part, boolean pressing) {
-    dirty.add(part);
+  /**
+   * A chunk's progress has changed.
+   *
+   * @param pressing whether a task waits for it to be stored
+   */
+  public void markDirty(Chunk chunk, boolean pressing) {
+    dirty.add(chunk);
     if (pressing) {
-      urgentChunks.add(part.number());
+      urgentChunks.add(chunk.number());
     }
   }
 
-  /** Whether a task waits for the chunk's progress to be stored. */
-  public boolean urgent(int chunk) {
-    return urgentChunks.contains(chunk);
+  /** Whether a task waits for progress of the whole chunk with that number to be stored. */
+  public boolean urgent(int number) {
+    return urgentChunks.contains(number);
   }
 
-  /** What was cut from a part that is still in the store, and is not there itself. */
+  /** Chunks that were split from one that is still in the store, and are not there themselves. */
   public List<Chunk> uncovered() {
     List<Chunk> found = new ArrayList<>();
-    for (Chunk part : live.values()) {
-      if (!stored.contains(part) && stored.stream().anyMatch(whole -> whole.contains(part))) {
-        found.add(part);
+    for (Chunk chunk : live.values()) {
+      if (!stored.contains(chunk) && stored.stream().anyMatch(whole -> whole.contains(chunk))) {
+        found.add(chunk);
       }
     }
     return found;
   }
 
-  /** Parts of the chunk that are in the store and no longer read for anything. */
-  public List<Chunk> obsolete(int chunk) {
-    int from = chunk * Job.CHUNK;
-    Collection<Chunk> parts = live.subMap(from, from + Job.CHUNK).values();
+  /** Chunks with that number that are in the store and no longer read. */
+  public List<Chunk> obsolete(int number) {
+    int from = number * Chunk.TASKS;
+    Collection<Chunk> chunks = live.subMap(from, from + Chunk.TASKS).values();
     List<Chunk> found = new ArrayList<>();
-    if (parts.size() > 1) {
+    if (chunks.size() > 1) {
       for (Chunk whole : stored) {
-        boolean cut = whole.number() == chunk && !parts.contains(whole);
-        if (cut && parts.stream().filter(whole::contains).allMatch(stored::contains)) {
+        boolean split = whole.number() == number && !chunks.contains(whole);
+        if (split && chunks.stream().filter(whole::contains).allMatch(stored::contains)) {
           found.add(whole);
         }
       }
@@ -102,44 +110,47 @@
     return found;
   }
 
-  /** What of the chunk waits to be written; what was sent before and not confirmed does again. */
-  public List<Chunk> pending(int chunk) {
-    dirty.addAll(take(markInFlight, chunk));
-    dirty.removeIf(part -> !part.equals(live.get(part.firstTask())));
-    return dirty.stream().filter(part -> part.number() == chunk).toList();
+  /** Chunks with that number that wait to be written, or were sent before and not confirmed. */
+  public List<Chunk> pending(int number) {
+    dirty.addAll(takeInFlight(number));
+    dirty.removeIf(chunk -> !chunk.equals(live.get(chunk.firstTask())));
+    return dirty.stream().filter(chunk -> chunk.number() == number).toList();
   }
 
-  private static List<Chunk> take(Set<Chunk> from, int chunk) {
-    List<Chunk> taken = from.stream().filter(part -> part.number() == chunk).toList();
-    from.removeAll(taken);
+  private List<Chunk> takeInFlight(int number) {
+    List<Chunk> taken = inFlight.stream().filter(chunk -> chunk.number() == number).toList();
+    inFlight.removeAll(taken);
     return taken;
   }
 
-  /** The part is on its way to the store. */
-  public void markInFlight(Chunk part) {
-    dirty.remove(part);
-    markInFlight.add(part);
+  /** The chunk is on its way to the store. */
+  public void markInFlight(Chunk chunk) {
+    dirty.remove(chunk);
+    inFlight.add(chunk);
   }
 
-  public void stored(Collection<Chunk> parts) {
-    markInFlight.removeAll(parts);
-    stored.addAll(parts);
-    for (Chunk part : parts) {
-      if (pending(part.number()).isEmpty()) {
-        urgentChunks.remove(part.number());
+  /** The chunks are stored. */
+  public void stored(Collection<Chunk> chunks) {
+    inFlight.removeAll(chunks);
+    stored.addAll(chunks);
+    for (Chunk chunk : chunks) {
+      if (pending(chunk.number()).isEmpty()) {
+        urgentChunks.remove(chunk.number());
       }
     }
   }
 
-  public void onDeleted(Chunk part) {
-    stored.remove(part);
+  /** The chunk is no longer in the store. */
+  public void onDeleted(Chunk chunk) {
+    stored.remove(chunk);
   }
 
-  /** All that is in the store. */
+  /** All chunks that are in the store. */
   public Collection<Chunk> stored() {
     return stored;
   }
 
+  /** All chunks that progress is written to, in the order of tasks. */
   public Collection<Chunk> live() {
     return live.values();
   }
--- /dev/null
+++ b/src/main/java/org/mulleinshift/model/ChunkProgress.java
@@ -0,0 +1,134 @@
+package org.mulleinshift.model;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.OptionalLong;
+import java.util.function.Function;
+import org.mulleinshift.protocol.Attempt;
+import org.mulleinshift.protocol.JobSpec;
+import org.mulleinshift.protocol.Json;
+import org.mulleinshift.protocol.MalformedMessageException;
+import org.mulleinshift.protocol.ShardId;
+import org.mulleinshift.protocol.TaskId;
+import org.mulleinshift.protocol.ZoneId;
+
+/**
+ * The progress of one chunk of a job, and its stored form: done tasks, and assigned tasks grouped
+ * by shard and attempt.
+ *
+ * @param firstTask the chunk's first task
+ * @param endTask the task after its last one
+ * @param done the done tasks, counted from the first one
+ */
+record ChunkProgress(int firstTask, int endTask, BitSet done, List<TaskAssignment> assignments) {
+  private static final String DONE = "done";
+  private static final String READY = "ready";
+  private static final String ASSIGNED = "at";
+  private static final String SHARD = "b";
+  private static final String ATTEMPT = "n";
+  private static final String TASKS = "r";
+
+  /** Fields of an entry of assigned tasks: shard, attempt, tasks. */
+  private static final int ASSIGNED_FIELDS = 3;
+
+  /** Tasks that are stored together. */
+  private record Group(Attempt attempt, ShardId shard) {}
+
+  boolean isEmpty() {
+    return done.isEmpty() && assignments.isEmpty();
+  }
+
+  /**
+   * The stored form; assignments that have ended are left out.
+   *
+   * @param done the chunk's done tasks, counted from its first one
+   * @param readyMillis time of day from when the job could run; only of a job with dependencies
+   */
+  static ObjectNode write(
+      Chunk chunk, BitSet done, Collection<TaskAssignment> assignments, OptionalLong readyMillis) {
+    ObjectNode node = Json.object();
+    node.put(DONE, TaskIndexRanges.write(done));
+    readyMillis.ifPresent(millis -> node.put(READY, millis));
+    ArrayNode assigned = node.putArray(ASSIGNED);
+    group(chunk, assignments)
+        .forEach(
+            (group, tasks) -> {
+              ObjectNode item = assigned.addObject();
+              item.put(SHARD, group.shard().value());
+              item.put(ATTEMPT, group.attempt().value());
+              item.put(TASKS, TaskIndexRanges.write(tasks));
+            });
+    return node;
+  }
+
+  private static Map<Group, BitSet> group(Chunk chunk, Collection<TaskAssignment> assignments) {
+    Map<Group, BitSet> groups = new LinkedHashMap<>();
+    for (TaskAssignment assignment : assignments) {
+      if (assignment.state() != TaskAssignment.State.ENDED) {
+        groups
+            .computeIfAbsent(
+                new Group(assignment.attempt(), assignment.shard()), key -> new BitSet())
+            .set(assignment.task().index() - chunk.firstTask());
+      }
+    }
+    return groups;
+  }
+
+  /**
+   * Reads the stored form.
+   *
+   * @param zones the zone of each shard
+   * @throws MalformedMessageException if any of it can't be read
+   */
+  static ChunkProgress read(
+      JobSpec spec, Chunk chunk, JsonNode value, Function<ShardId, ZoneId> zones)
+      throws MalformedMessageException {
+    int size = Math.min(chunk.size(), spec.tasks() - chunk.firstTask());
+    if (size <= 0) {
+      throw new MalformedMessageException("progress of a chunk that the job does not have");
+    }
+    BitSet done = TaskIndexRanges.read(value.path(DONE), size);
+    if (!value.path(ASSIGNED).isArray()) {
+      throw new MalformedMessageException("progress without assigned tasks");
+    }
+    List<TaskAssignment> assignments = new ArrayList<>();
+    for (JsonNode item : value.path(ASSIGNED)) {
+      assignments.addAll(readGroup(spec, chunk, size, item, zones));
+    }
+    return new ChunkProgress(chunk.firstTask(), chunk.firstTask() + size, done, assignments);
+  }
+
+  /** Time of day from when a job with dependencies could run, if its stored form has it. */
+  static long readReadyMillis(JsonNode value, long defaultMillis) {
+    return value.path(READY).asLong(defaultMillis);
+  }
+
+  private static List<TaskAssignment> readGroup(
+      JobSpec spec, Chunk chunk, int size, JsonNode item, Function<ShardId, ZoneId> zones)
+      throws MalformedMessageException {
+    if (item.size() != ASSIGNED_FIELDS) {
+      // Further fields would be lost when the list is written again.
+      throw new MalformedMessageException("assigned tasks with unknown fields");
+    }
+    ShardId shard = new ShardId(Json.text(item, SHARD));
+    Attempt attempt = new Attempt(Json.count(item, ATTEMPT, 0, Long.MAX_VALUE));
+    return TaskIndexRanges.read(item.path(TASKS), size).stream()
+        .mapToObj(
+            index ->
+                new TaskAssignment(
+                    new TaskId(spec.id(), chunk.firstTask() + index),
+                    spec.perTask(),
+                    shard,
+                    zones.apply(shard),
+                    attempt,
+                    TaskAssignment.State.STORED))
+        .toList();
+  }
+}
--- a/src/main/java/org/mulleinshift/model/ClusterView.java
+++ b/src/main/java/org/mulleinshift/model/ClusterView.java
@@ -23,25 +23,55 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Who leads, who holds which shard, and which machines belong to it, as last seen. */
+/**
+ * The control keys as the store last showed them: the leader, the controllers' sessions, the owners
+ * of shards and the machines of each shard.
+ */
 public final class ClusterView {
   private static final Logger LOG = LoggerFactory.getLogger(ClusterView.class);
+  private static final String NODE = "node";
+  private static final String LEASE = "hold";
+  private static final String OWNER = "holder";
+  private static final String FEATURE_LEVEL = "build";
 
-  /** The leader; its term is the revision at which it took the key, which hangs on the lease. */
-  public record LeaderRecord(NodeId node, Revision term, LeaseId lease) {}
+  /**
+   * The leader.
+   *
+   * @param term the revision at which it took the key
+   * @param lease the lease that the key is bound to
+   */
+  public record LeaderRecord(NodeId node, Revision term, LeaseId lease) {
+    private static LeaderRecord read(KeyValue item) {
+      return new LeaderRecord(
+          new NodeId(item.value().path(NODE).asText()), item.revision(), readLease(item));
+    }
+  }
 
+  /** The session of a controller, and the revision at which it was stored. */
   public record NodeRecord(LeaseId lease, Revision revision) {}
 
-  /** A shard's owner; the revision of the grant is what its fencing tokens start from. */
-  public record GrantRecord(NodeId owner, Revision revision) {}
+  /** A shard's owner; its fencing tokens start from the revision of the grant. */
+  public record GrantRecord(NodeId owner, Revision revision) {
+    private static boolean isReadable(KeyValue item) {
+      return item.value().path(OWNER).isTextual();
+    }
+
+    private static GrantRecord read(KeyValue item) {
+      return new GrantRecord(new NodeId(item.value().path(OWNER).asText()), item.revision());
+    }
+  }
 
-  /** A machine of a shard. Until it is up nobody has placed anything on it. */
+  /**
+   * A machine of a shard. Until it is up no task was placed on it.
+   *
+   * @param spot whether the cloud may interrupt it
+   */
   public record MachineRecord(MachineTypeId type, boolean spot, boolean up) {}
 
   /**
    * A shard.
    *
-   * @param lastHolder who held it when it was written; advice, which older builds leave out
+   * @param lastOwner its owner when it was written; a hint, which older builds leave out
    * @param unknownFields fields that this build doesn't know, kept when it is rewritten
    */
   public record ShardRecord(
@@ -51,38 +81,32 @@
       Optional<NodeId> lastOwner,
       Optional<UnknownFields> unknownFields) {
     private static final String LAST_OWNER = "last";
+    private static final String ZONE = "zone";
+    private static final String MACHINES = "machines";
+    private static final String TYPE = "type";
+    private static final String SPOT = "spot";
+    private static final String UP = "up";
 
+    /** The stored form of a shard. */
     public static JsonNode write(
         ZoneId zone, Map<MachineId, MachineRecord> machines, Optional<NodeId> lastOwner) {
       ObjectNode node = Json.object();
-      node.put("zone", zone.value());
+      node.put(ZONE, zone.value());
       lastOwner.ifPresent(last -> node.put(LAST_OWNER, last.value()));
-      ObjectNode list = node.putObject("machines");
+      ObjectNode list = node.putObject(MACHINES);
       machines.forEach(
           (id, machine) -> {
             ObjectNode item = list.putObject(id.value());
-            item.put("type", machine.type().value());
-            item.put("spot", machine.spot());
-            item.put("up", machine.up());
+            item.put(TYPE, machine.type().value());
+            item.put(SPOT, machine.spot());
+            item.put(UP, machine.up());
           });
       return node;
     }
 
     static ShardRecord read(KeyValue item) throws MalformedMessageException {
-      JsonNode list = item.value().path("machines");
-      if (!list.isObject()) {
-        throw new MalformedMessageException("no machines");
-      }
-      Map<MachineId, MachineRecord> machines = new TreeMap<>();
-      for (Map.Entry<String, JsonNode> field : list.properties()) {
-        machines.put(
-            new MachineId(field.getKey()),
-            new MachineRecord(
-                new MachineTypeId(Json.text(field.getValue(), "type")),
-                Json.flag(field.getValue(), "spot"),
-                Json.flag(field.getValue(), "up")));
-      }
-      ZoneId zone = new ZoneId(Json.text(item.value(), "zone"));
+      Map<MachineId, MachineRecord> machines = readMachines(item.value().path(MACHINES));
+      ZoneId zone = new ZoneId(Json.text(item.value(), ZONE));
       Optional<NodeId> last =
           Optional.of(item.value().path(LAST_OWNER))
               .filter(JsonNode::isTextual)
@@ -94,9 +118,25 @@
           last,
           UnknownFields.beyond(write(zone, machines, last), item.value()));
     }
-  }
 
-  private static final String BUILD = "build";
+    private static Map<MachineId, MachineRecord> readMachines(JsonNode list)
+        throws MalformedMessageException {
+      if (!list.isObject()) {
+        throw new MalformedMessageException("no machines");
+      }
+      Map<MachineId, MachineRecord> machines = new TreeMap<>();
+      for (Map.Entry<String, JsonNode> field : list.properties()) {
+        JsonNode machine = field.getValue();
+        machines.put(
+            new MachineId(field.getKey()),
+            new MachineRecord(
+                new MachineTypeId(Json.text(machine, TYPE)),
+                Json.flag(machine, SPOT),
+                Json.flag(machine, UP)));
+      }
+      return machines;
+    }
+  }
 
   private Optional<LeaderRecord> leader = Optional.empty();
   private final Map<NodeId, NodeRecord> nodes = new HashMap<>();
@@ -107,40 +147,39 @@
   private final Set<ShardId> unreadableShards = new HashSet<>();
   private final Set<ShardId> unreadableGrants = new HashSet<>();
 
-  public static JsonNode leaderValue(NodeId node, LeaseId hold) {
-    return Json.object().put("node", node.value()).put("hold", hold.value());
+  /** The stored form of the leader. */
+  public static JsonNode leaderValue(NodeId node, LeaseId lease) {
+    return Json.object().put(NODE, node.value()).put(LEASE, lease.value());
   }
 
-  public static JsonNode featureLevelValue(int build) {
-    return Json.object().put(BUILD, build);
+  /** The stored form of a controller's feature level. */
+  public static JsonNode featureLevelValue(int level) {
+    return Json.object().put(FEATURE_LEVEL, level);
   }
 
-  public static JsonNode nodeValue(LeaseId hold) {
-    return Json.object().put("hold", hold.value());
+  /** The stored form of a controller's session. */
+  public static JsonNode nodeValue(LeaseId lease) {
+    return Json.object().put(LEASE, lease.value());
   }
 
+  /** The stored form of a shard's owner. */
   public static JsonNode grantValue(NodeId owner) {
-    return Json.object().put("holder", owner.value());
+    return Json.object().put(OWNER, owner.value());
   }
 
+  /** Applies a change of a control key; empty if the key was deleted. */
   public void apply(String key, Optional<KeyValue> item) {
     if (key.equals(StoreKeys.LEADER)) {
-      leader =
-          item.map(
-              found ->
-                  new LeaderRecord(
-                      new NodeId(found.value().path("node").asText()),
-                      found.revision(),
-                      new LeaseId(found.value().path("hold").asLong())));
+      leader = item.map(LeaderRecord::read);
     } else if (key.startsWith(StoreKeys.NODES)) {
       NodeId node = new NodeId(key.substring(StoreKeys.NODES.length()));
-      // One without a hold that can be read gets no shard: it would hang on nothing.
-      set(nodes, node, item.filter(ClusterView::hasHold).map(ClusterView::nodeRecord));
+      // One without a readable lease gets no shard: the grant could not be bound to it.
+      set(nodes, node, item.filter(ClusterView::hasLease).map(ClusterView::nodeRecord));
     } else if (key.startsWith(StoreKeys.FEATURE_LEVELS)) {
       set(
           featureLevels,
           new NodeId(key.substring(StoreKeys.FEATURE_LEVELS.length())),
-          item.map(found -> found.value().path(BUILD).asInt()));
+          item.map(found -> found.value().path(FEATURE_LEVEL).asInt()));
     } else if (key.startsWith(StoreKeys.GRANTS)) {
       applyGrant(new ShardId(key.substring(StoreKeys.GRANTS.length())), item);
     } else if (key.startsWith(StoreKeys.SHARDS)) {
@@ -148,28 +187,27 @@
     }
   }
 
+  /** Reads the session of a controller. */
   public static NodeRecord nodeRecord(KeyValue item) {
-    return new NodeRecord(new LeaseId(item.value().path("hold").asLong()), item.revision());
+    return new NodeRecord(readLease(item), item.revision());
+  }
+
+  private static LeaseId readLease(KeyValue item) {
+    return new LeaseId(item.value().path(LEASE).asLong());
   }
 
-  private static boolean hasHold(KeyValue item) {
-    return item.value().path("hold").canConvertToLong();
+  private static boolean hasLease(KeyValue item) {
+    return item.value().path(LEASE).canConvertToLong();
   }
 
   private void applyGrant(ShardId shard, Optional<KeyValue> item) {
     unreadableGrants.remove(shard);
-    Optional<KeyValue> readable = item.filter(found -> found.value().path("holder").isTextual());
+    Optional<KeyValue> readable = item.filter(GrantRecord::isReadable);
     if (item.isPresent() && readable.isEmpty()) {
-      LOG.warn("{}: this build can't read who holds it", item.get().key());
+      LOG.warn("stored record unreadable, key={} reason=no owner", item.get().key());
       unreadableGrants.add(shard);
     }
-    set(
-        grants,
-        shard,
-        readable.map(
-            found ->
-                new GrantRecord(
-                    new NodeId(found.value().path("holder").asText()), found.revision())));
+    set(grants, shard, readable.map(GrantRecord::read));
   }
 
   private void applyShard(ShardId shard, Optional<KeyValue> item) {
@@ -180,9 +218,9 @@
       try {
         record = Optional.of(ShardRecord.read(item.get()));
       } catch (MalformedMessageException e) {
-        LOG.warn("{}: this build can't read it: {}", item.get().key(), e.getMessage());
+        LOG.warn("stored record unreadable, key={} reason={}", item.get().key(), e.getMessage());
         unreadableShards.add(shard);
-        // Whose machines they were is better than nothing for a worker that asks where to go.
+        // The former shard of its machines is kept: a hint for a worker that looks for its owner.
         shards.remove(shard);
         return;
       }
@@ -203,37 +241,42 @@
     }
   }
 
+  /** The leader, if there is one. */
   public Optional<LeaderRecord> leader() {
     return leader;
   }
 
+  /** The controllers with a session. */
   public Map<NodeId, NodeRecord> nodes() {
     return nodes;
   }
 
+  /** The owners of shards. */
   public Map<ShardId, GrantRecord> grants() {
     return grants;
   }
 
+  /** The shards that this build can read. */
   public Map<ShardId, ShardRecord> shards() {
     return shards;
   }
 
-  /** Which build each controller has shown; those before this was kept have shown none. */
+  /** The feature level of each controller; builds that don't publish one are left out. */
   public Map<NodeId, Integer> featureLevels() {
     return featureLevels;
   }
 
-  /** Shards that stand in the store in a form that this build can't read; not its to judge. */
+  /** Shards that are stored in a form that this build can't read: it may not act on them. */
   public Set<ShardId> unreadableShards() {
     return unreadableShards;
   }
 
-  /** Shards that somebody holds, but this build can't read who. */
+  /** Shards that have an owner that this build can't read. */
   public Set<ShardId> unreadableGrants() {
     return unreadableGrants;
   }
 
+  /** The shard that a machine belongs to. */
   public Optional<ShardId> shardOf(MachineId machine) {
     return Optional.ofNullable(shardOf.get(machine));
   }
--- a/src/main/java/org/mulleinshift/model/Job.java
+++ b/src/main/java/org/mulleinshift/model/Job.java
@@ -1,105 +1,83 @@
 package org.mulleinshift.model;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.ArrayList;
-import java.util.BitSet;
 import java.util.Collection;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
-import java.util.List;
 import java.util.Map;
-import java.util.NavigableMap;
 import java.util.Optional;
 import java.util.OptionalLong;
-import java.util.TreeMap;
 import java.util.function.Function;
 import org.mulleinshift.protocol.Attempt;
 import org.mulleinshift.protocol.JobKind;
 import org.mulleinshift.protocol.JobPhase;
 import org.mulleinshift.protocol.JobSpec;
-import org.mulleinshift.protocol.Json;
 import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.Priority;
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.ShardId;
-import org.mulleinshift.protocol.TaskId;
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** An accepted job in the leader's memory: which tasks are done, assigned, waiting. */
+/** An accepted job in the leader's memory: its life cycle, its tasks and their stored progress. */
 public final class Job {
-  /** States of a job. */
+  /** States of a job, in the order in which it passes through them. */
   public enum State {
-    /** Jobs that it awaits are not all over: no task may be assigned. */
+    /** Not all of its dependencies have ended: no task may be assigned. */
     AWAITING_DEPENDENCIES,
     /** Tasks may be assigned. */
     ACTIVE,
-    /** Cancelled: no task may start, all must go. */
+    /** Cancelled: no task may start, all must stop. */
     CANCELLING,
-    /** All tasks are done or gone; the end is being stored. */
+    /** All tasks are done or stopped; the end is being stored. */
     ENDING,
     /** The end is stored. */
     ENDED
   }
 
-  /** Tasks whose progress shares a key; keeps values far below the store's limit. */
-  public static final int CHUNK = 500;
-
-  /** Of an entry of tasks at a shard: shard, attempt, tasks. */
-  private static final int AT_FIELDS = 3;
-
   private static final double NO_DEADLINE_SECONDS = 86_400;
+  private static final int MILLIS_PER_SECOND = 1000;
 
-  private static final String READY = "ready";
+  /**
+   * What a job inherits from those that depend on it.
+   *
+   * @param deadlineMillis by when it should be complete; far off if none of them has a deadline
+   */
+  public record Inherited(Priority priority, long deadlineMillis) {
+    /** Of a job that no other one depends on. */
+    public static final Inherited NONE = new Inherited(Priority.LOW, Long.MAX_VALUE);
+  }
 
   private final JobSpec spec;
   private final JobDependencies dependencies;
-  private final long acceptedMillis;
   private final ChunkLayout chunks;
-  private OptionalLong readyMillis = OptionalLong.empty();
+  private final JobTasks tasks;
+  private final JobTimeline timeline;
+  private final Map<Chunk, UnknownFields> unknownFields = new HashMap<>();
   private Inherited inherited = Inherited.NONE;
   private Revision revision;
   private State state;
-  private final Map<Chunk, UnknownFields> unknownFields = new HashMap<>();
-  private final BitSet done = new BitSet();
-  private final BitSet assigned = new BitSet();
-  private final BitSet unavailable = new BitSet();
-  private final NavigableMap<Integer, TaskAssignment> assignments = new TreeMap<>();
-  private final Map<Integer, Integer> attempts = new HashMap<>();
-  private final Map<Integer, MonotonicTime> retryAfter = new HashMap<>();
-  private final Map<ZoneId, Integer> assignedPerZone = new HashMap<>();
-  private OptionalLong startedMillis = OptionalLong.empty();
-  private boolean inheritedProgress;
-  private OptionalLong releasedMillis = OptionalLong.empty();
-  private OptionalLong firstAssignedMillis = OptionalLong.empty();
   private int failures;
-  private double runSecondsTotal;
-  private int runCount;
   private boolean cancelled;
 
-  /**
-   * What a job takes over from those that need it.
-   *
-   * @param deadlineMillis by when it should be complete; far off if none of them has a deadline
-   */
-  public record Inherited(Priority priority, long deadlineMillis) {
-    public static final Inherited NONE = new Inherited(Priority.LOW, Long.MAX_VALUE);
-  }
-
+  /** A job without progress, by its stored record. */
   public Job(JobRecord record) {
     this.spec = record.spec();
     this.dependencies = record.dependencies();
     this.chunks = new ChunkLayout(spec.tasks());
-    this.acceptedMillis = record.acceptedMillis();
+    this.tasks = new JobTasks(spec);
+    this.timeline = new JobTimeline(record.acceptedMillis());
     this.revision = record.revision();
     this.cancelled = record.cancelled();
-    this.state =
-        cancelled
-            ? State.CANCELLING
-            : dependencies.isEmpty() ? State.ACTIVE : State.AWAITING_DEPENDENCIES;
+    this.state = initialState(record);
+  }
+
+  private static State initialState(JobRecord record) {
+    if (record.cancelled()) {
+      return State.CANCELLING;
+    }
+    return record.dependencies().isEmpty() ? State.ACTIVE : State.AWAITING_DEPENDENCIES;
   }
 
   /** The only place where a job's state changes. */
@@ -110,17 +88,17 @@
     state = next;
   }
 
-  /** Takes over what the store says of the job, cancellations above all. */
+  /** Adopts the job's record as it is stored now, a cancellation above all. */
   public void update(JobRecord record) {
     revision = record.revision();
     if (record.cancelled()) {
-      // Stored, so the user was told or will be: the end is cancelled even if all tasks complete
-      // before they could be stopped, or our own end was about to be stored.
+      // Stored, so the cancellation was or will be acknowledged: the job ends as cancelled even if
+      // all tasks complete before they could be stopped, or our own end was about to be stored.
       cancel();
     }
   }
 
-  /** Its user asked for it, or for the end of a job that it needs. */
+  /** Its user cancelled it, or a job that it depends on. */
   public void cancel() {
     cancelled = true;
     if (state == State.AWAITING_DEPENDENCIES || state == State.ACTIVE) {
@@ -128,382 +106,276 @@
     }
   }
 
-  /** All that it awaits is stored as done, the last of it at that time of day; known now. */
+  /**
+   * All of its dependencies are stored as done.
+   *
+   * @param atMillis time of day at which the last of them ended
+   * @param nowMillis time of day at which this leader learned of it
+   */
   public void release(long atMillis, long nowMillis) {
     release(atMillis);
-    releasedMillis = OptionalLong.of(nowMillis);
+    timeline.markReleased(nowMillis);
   }
 
   private void release(long atMillis) {
-    readyMillis = OptionalLong.of(Math.max(acceptedMillis, atMillis));
+    timeline.markReady(atMillis);
     if (state == State.AWAITING_DEPENDENCIES) {
       transitionTo(State.ACTIVE);
     }
   }
 
+  /** Sets what it inherits from jobs that depend on it, in place of what it inherited before. */
   public void inherit(Inherited next) {
     inherited = next;
   }
 
   /**
-   * Reads one part of stored progress; nothing of it is taken over if any of it can't be read. It
-   * takes the place of what was read of the part that it was cut from. Of a job that awaits others
-   * it proves that they are over: no task is assigned before.
+   * Loads the stored progress of one chunk; nothing of it is adopted if any of it can't be read. It
+   * takes the place of what was loaded of the chunk that it was split from. Progress of a job with
+   * dependencies shows that they have ended: no task is assigned before.
+   *
+   * @param zones the zone of each shard
    */
-  public void load(Chunk part, JsonNode value, Function<ShardId, ZoneId> zones)
+  public void load(Chunk chunk, JsonNode value, Function<ShardId, ZoneId> zones)
       throws MalformedMessageException {
-    int base = part.firstTask();
-    int most = Math.min(part.size(), spec.tasks() - base);
-    if (most <= 0) {
-      throw new MalformedMessageException("progress of a part that the job does not have");
-    }
-    BitSet ended = TaskIndexRanges.read(value.path("done"), most);
-    List<TaskAssignment> found = new ArrayList<>();
-    if (!value.path("at").isArray()) {
-      throw new MalformedMessageException("progress without its tasks at blocks");
-    }
-    for (JsonNode item : value.path("at")) {
-      if (item.size() != AT_FIELDS) {
-        // What else it says would be lost when the list is written again.
-        throw new MalformedMessageException("progress with unknown fields of tasks at a block");
-      }
-      ShardId shard = new ShardId(Json.text(item, "b"));
-      Attempt attempt = new Attempt(Json.count(item, "n", 0, Long.MAX_VALUE));
-      TaskIndexRanges.read(item.path("r"), most).stream()
-          .forEach(
-              index ->
-                  found.add(
-                      new TaskAssignment(
-                          new TaskId(spec.id(), base + index),
-                          spec.perTask(),
-                          shard,
-                          zones.apply(shard),
-                          attempt,
-                          TaskAssignment.State.STORED)));
-    }
+    ChunkProgress progress = ChunkProgress.read(spec, chunk, value, zones);
     if (!dependencies.isEmpty()) {
-      release(value.path(READY).asLong(acceptedMillis));
-    }
-    inheritedProgress |= !ended.isEmpty() || !found.isEmpty();
-    chunks.onFound(part);
-    clear(base, base + most);
-    ended.stream().forEach(index -> markDone(base + index));
-    found.forEach(this::add);
-    unknownFields.remove(part);
-    UnknownFields.beyond(progress(part), value).ifPresent(more -> unknownFields.put(part, more));
-  }
-
-  private void clear(int from, int to) {
-    for (TaskAssignment old : List.copyOf(assignments.subMap(from, to).values())) {
-      assignments.remove(old.task().index());
-      assignedPerZone.merge(old.zone(), -1, (a, b) -> a + b == 0 ? null : a + b);
+      release(ChunkProgress.readReadyMillis(value, timeline.acceptedMillis()));
     }
-    done.clear(from, to);
-    assigned.clear(from, to);
-    unavailable.clear(from, to);
-  }
-
-  /** The stored form of a part. */
-  public JsonNode progress(Chunk part) {
-    int base = part.firstTask();
-    ObjectNode node = Json.object();
-    node.put("done", TaskIndexRanges.write(done.get(base, base + part.size())));
-    if (!dependencies.isEmpty()) {
-      node.put(READY, readyMillis());
+    if (!progress.isEmpty()) {
+      timeline.markInheritedProgress();
     }
-    Map<String, BitSet> groups = new LinkedHashMap<>();
-    for (TaskAssignment assignment : assignments(part)) {
-      int index = assignment.task().index() - base;
-      if (assignment.state() != TaskAssignment.State.ENDED) {
-        groups
-            .computeIfAbsent(assignment.attempt() + " " + assignment.shard(), key -> new BitSet())
-            .set(index);
-      }
-    }
-    ArrayNode at = node.putArray("at");
-    groups.forEach(
-        (key, set) -> {
-          int space = key.indexOf(' ');
-          ObjectNode item = at.addObject();
-          item.put("b", key.substring(space + 1));
-          item.put("n", Long.parseLong(key.substring(0, space)));
-          item.put("r", TaskIndexRanges.write(set));
-        });
-    Optional.ofNullable(unknownFields.get(part)).ifPresent(more -> more.restore(node));
+    chunks.onFound(chunk);
+    tasks.load(progress);
+    unknownFields.remove(chunk);
+    UnknownFields.beyond(progress(chunk), value)
+        .ifPresent(fields -> unknownFields.put(chunk, fields));
+  }
+
+  /** The stored form of a chunk's progress. */
+  public JsonNode progress(Chunk chunk) {
+    OptionalLong readyMillis =
+        dependencies.isEmpty() ? OptionalLong.empty() : OptionalLong.of(timeline.readyMillis());
+    ObjectNode node =
+        ChunkProgress.write(chunk, tasks.done(chunk), tasks.assignments(chunk), readyMillis);
+    Optional.ofNullable(unknownFields.get(chunk)).ifPresent(fields -> fields.restore(node));
     return node;
   }
 
-  /** How its progress is cut into keys. */
+  /** How its progress is split into keys. */
   public ChunkLayout chunks() {
     return chunks;
   }
 
-  /** What a task's progress is written to from now on. */
+  /** The chunk to which a task's progress is written from now on. */
   public Chunk chunkOf(int index) {
     return chunks.chunkOf(index);
   }
 
-  /** Its progress no longer fits into a value. */
-  public void split(Chunk part) {
-    chunks.split(part);
-    Optional.ofNullable(unknownFields.remove(part))
-        .ifPresent(more -> unknownFields.put(part.half(0), more));
+  /** Splits a chunk whose progress no longer fits into a value. */
+  public void split(Chunk chunk) {
+    chunks.split(chunk);
+    Optional.ofNullable(unknownFields.remove(chunk))
+        .ifPresent(fields -> unknownFields.put(chunk.half(0), fields));
   }
 
   /**
-   * Entrusts a task to a shard. The attempt counts the task's own tries within the term, so that
-   * tasks of a shard share it and the stored form stays short however slowly a job gets its room.
+   * Assigns a task to a shard.
+   *
+   * @param firstOfTerm the attempt of tasks that were not assigned before within the term
    */
   public TaskAssignment assign(int index, ShardId shard, ZoneId zone, Attempt firstOfTerm) {
-    int earlier = attempts.merge(index, 1, Integer::sum) - 1;
-    Attempt attempt = new Attempt(firstOfTerm.value() + earlier);
-    TaskAssignment assignment =
-        new TaskAssignment(
-            new TaskId(spec.id(), index),
-            spec.perTask(),
-            shard,
-            zone,
-            attempt,
-            TaskAssignment.State.WRITING);
-    add(assignment);
-    retryAfter.remove(index);
-    return assignment;
-  }
-
-  private void add(TaskAssignment assignment) {
-    if (assignments.put(assignment.task().index(), assignment) == null) {
-      assigned.set(assignment.task().index());
-      unavailable.set(assignment.task().index());
-      assignedPerZone.merge(assignment.zone(), 1, Integer::sum);
-    }
+    return tasks.assign(index, shard, zone, firstOfTerm);
   }
 
+  /**
+   * A task has completed.
+   *
+   * @param runSeconds its run time; 0 if that is not known
+   */
   public void taskDone(TaskAssignment assignment, double runSeconds) {
-    assignment.end();
-    markDone(assignment.task().index());
-    attempts.remove(assignment.task().index());
-    if (runSeconds > 0) {
-      runSecondsTotal += runSeconds;
-      runCount++;
-    }
-  }
-
-  private void markDone(int index) {
-    done.set(index);
-    unavailable.set(index);
+    tasks.onDone(assignment, runSeconds);
   }
 
-  /** The task is provably nowhere; it may be tried again after the pause. */
+  /** The task is provably absent; it may be retried, but not before the given time. */
   public void taskReturned(TaskAssignment assignment, Optional<MonotonicTime> notBefore) {
-    assignment.end();
-    notBefore.ifPresent(time -> retryAfter.put(assignment.task().index(), time));
+    tasks.onReturned(assignment, notBefore);
   }
 
   /** A task of it runs. */
   public void markStarted(long atMillis) {
-    if (startedMillis.isEmpty() && !inheritedProgress) {
-      startedMillis = OptionalLong.of(atMillis);
-    }
+    timeline.markStarted(atMillis);
   }
 
-  /** A first task of it was stored as assigned, and its owner hears of it. */
+  /** A first task of it was stored as assigned, and is published to its owner. */
   public void markFirstAssigned(long atMillis) {
-    if (firstAssignedMillis.isEmpty()) {
-      firstAssignedMillis = OptionalLong.of(atMillis);
-    }
+    timeline.markFirstAssigned(atMillis);
   }
 
-  /** How long each step took from the last end that it awaited, if this leader saw all of them. */
-  private String dependencyLatency() {
-    if (releasedMillis.isEmpty() || firstAssignedMillis.isEmpty() || startedMillis.isEmpty()) {
-      return "";
-    }
-    return String.format(
-        ", hand-on: end known %d ms, told %d ms, runs %d ms",
-        releasedMillis.getAsLong() - readyMillis(),
-        firstAssignedMillis.getAsLong() - releasedMillis.getAsLong(),
-        startedMillis.getAsLong() - firstAssignedMillis.getAsLong());
-  }
-
-  /** Whether any of its tasks ran or was sent out, as far as this leader or the store knows. */
+  /** Whether any of its tasks ran or was assigned, as far as this leader or the store knows. */
   public boolean hasStarted() {
-    return startedMillis.isPresent() || inheritedProgress;
+    return timeline.hasStarted();
   }
 
   /** How it fared, for operators. */
   public String summary(long nowMillis) {
-    String begun =
-        startedMillis.isPresent()
-            ? Math.max(0, (startedMillis.getAsLong() - readyMillis()) / 1000) + " s"
-            : "an unknown time";
-    return String.format(
-        "%d tasks of %s, begun after %s, over after %d s, due %s%s",
-        spec.tasks(),
-        spec.jobClass(),
-        begun,
-        (nowMillis - acceptedMillis) / 1000,
-        spec.deadlineSeconds().isPresent()
-            ? Math.round(spec.deadlineSeconds().getAsDouble()) + " s"
-            : "at no time",
-        dependencyLatency());
+    return timeline.summary(spec, nowMillis);
   }
 
+  /** Counts a task's failed attempt. */
   public void countFailure() {
     failures++;
   }
 
-  /** What was decided for the chunk is stored: the new may be told, the ended forgotten. */
+  /** What was decided for a chunk is stored: the new may be published, the ended forgotten. */
   public void stored(
       Collection<TaskAssignment> written, Collection<TaskAssignment> ended, Revision revision) {
-    written.forEach(assignment -> assignment.markStored(revision));
-    for (TaskAssignment assignment : ended) {
-      int index = assignment.task().index();
-      if (assignments.remove(index, assignment)) {
-        assigned.clear(index);
-        unavailable.set(index, done.get(index));
-        assignedPerZone.merge(assignment.zone(), -1, (a, b) -> a + b == 0 ? null : a + b);
-      }
-    }
+    tasks.onStored(written, ended, revision);
   }
 
+  /** Its end is being stored. */
   public void beginEnding() {
     transitionTo(State.ENDING);
   }
 
+  /** Its end is stored. */
   public void finishEnding() {
     transitionTo(State.ENDED);
-    assignments.clear();
-    assigned.clear();
-    assignedPerZone.clear();
+    tasks.clearAssignments();
   }
 
+  /** Whether all tasks are done; a service is never complete. */
   public boolean complete() {
-    return spec.kind() != JobKind.SERVICE && done.cardinality() == spec.tasks();
+    return spec.kind() != JobKind.SERVICE && tasks.allDone();
   }
 
   /** Cancelled, and provably no task of it is anywhere. */
   public boolean drained() {
-    return state == State.CANCELLING
-        && assignments.values().stream().allMatch(d -> d.state() == TaskAssignment.State.ENDED);
+    return state == State.CANCELLING && tasks.allEnded();
   }
 
+  /** Whether it was cancelled, by its own user or with a dependency. */
   public boolean cancelled() {
     return cancelled;
   }
 
+  /** How it ends, or has ended. */
   public JobPhase terminalPhase() {
     return cancelled ? JobPhase.CANCELLED : JobPhase.DONE;
   }
 
+  /** The job as submitted. */
   public JobSpec spec() {
     return spec;
   }
 
-  /** Of its user's asking, or of those that need it. */
+  /** The higher one of its own priority and that of jobs that depend on it. */
   public Priority priority() {
     return inherited.priority().above(spec.priority()) ? inherited.priority() : spec.priority();
   }
 
   /**
    * When it should be complete, by the time of day; far off for a job without a deadline that
-   * nothing with a deadline needs.
+   * nothing with a deadline depends on.
    */
   public long deadlineMillis() {
     double own = spec.deadlineSeconds().orElse(NO_DEADLINE_SECONDS);
-    return Math.min(inherited.deadlineMillis(), acceptedMillis + (long) (1000 * own));
+    return Math.min(
+        inherited.deadlineMillis(), acceptedMillis() + (long) (MILLIS_PER_SECOND * own));
   }
 
+  /** Whether it, or a job that depends on it, has a deadline. */
   public boolean hasDeadline() {
     return spec.deadlineSeconds().isPresent() || inherited.deadlineMillis() < Long.MAX_VALUE;
   }
 
+  /** The jobs that must end before it may run. */
   public JobDependencies dependencies() {
     return dependencies;
   }
 
   /** From when it could run: all times but the deadline count from then. */
   public long readyMillis() {
-    return readyMillis.orElse(acceptedMillis);
+    return timeline.readyMillis();
   }
 
+  /** Time of day at which it was accepted. */
   public long acceptedMillis() {
-    return acceptedMillis;
+    return timeline.acceptedMillis();
   }
 
+  /** Revision of its record. */
   public Revision revision() {
     return revision;
   }
 
+  /** Its state. */
   public State state() {
     return state;
   }
 
+  /** Failed attempts of its tasks within the term. */
   public int failures() {
     return failures;
   }
 
+  /** All assignments, in the order of tasks. */
   public Collection<TaskAssignment> assignments() {
-    return assignments.values();
+    return tasks.assignments();
   }
 
-  /** The assignments of a part of the job. */
-  public Collection<TaskAssignment> assignments(Chunk part) {
-    return assignments.subMap(part.firstTask(), part.firstTask() + part.size()).values();
+  /** The assignments of a chunk, in the order of tasks. */
+  public Collection<TaskAssignment> assignments(Chunk chunk) {
+    return tasks.assignments(chunk);
   }
 
+  /** The assignment of a task, if it has one. */
   public Optional<TaskAssignment> assignment(int index) {
-    return Optional.ofNullable(assignments.get(index));
+    return tasks.assignment(index);
   }
 
+  /** How many tasks are assigned to shards of the zone. */
   public int assignedIn(ZoneId zone) {
-    return assignedPerZone.getOrDefault(zone, 0);
+    return tasks.assignedPerZone().getOrDefault(zone, 0);
   }
 
+  /** How many tasks are assigned by zone; zones without any are left out. */
   public Map<ZoneId, Integer> assignedPerZone() {
-    return assignedPerZone;
+    return tasks.assignedPerZone();
   }
 
+  /** How many tasks are done. */
   public int doneCount() {
-    return done.cardinality();
+    return tasks.doneCount();
   }
 
+  /** How many tasks run. */
   public int runningCount() {
-    int count = 0;
-    for (TaskAssignment assignment : assignments.values()) {
-      count += assignment.state() == TaskAssignment.State.RUNNING ? 1 : 0;
-    }
-    return count;
+    return tasks.runningCount();
   }
 
+  /** How many tasks are assigned. */
   public int assignedCount() {
-    return assigned.cardinality();
+    return tasks.assignedCount();
   }
 
+  /** How many tasks are neither done nor assigned. */
   public int waitingCount() {
-    return spec.tasks() - unavailable.cardinality();
-  }
-
-  /** Up to {@code most} tasks that may be tried now. */
-  public int[] waiting(int most, MonotonicTime now) {
-    int[] found = new int[Math.min(most, spec.tasks())];
-    int count = 0;
-    for (int index = unavailable.nextClearBit(0);
-        index < spec.tasks() && count < found.length;
-        index = unavailable.nextClearBit(index + 1)) {
-      MonotonicTime until = retryAfter.get(index);
-      if (until == null || !until.isAfter(now)) {
-        found[count++] = index;
-      }
-    }
-    return java.util.Arrays.copyOf(found, count);
+    return tasks.waitingCount();
+  }
+
+  /** Up to {@code limit} tasks that may be assigned now. */
+  public int[] waiting(int limit, MonotonicTime now) {
+    return tasks.waiting(limit, now);
   }
 
-  /** Mean run time of this job's finished tasks. */
+  /** Mean run time of its tasks that this leader saw complete. */
   public Optional<Double> meanRunSeconds() {
-    return runCount == 0 ? Optional.empty() : Optional.of(runSecondsTotal / runCount);
+    return tasks.meanRunSeconds();
   }
 
+  /** The resources that its assigned tasks request together. */
   public Resources assignedResources() {
-    return spec.perTask().times(assignments.size());
+    return tasks.assignedResources();
   }
 }
--- a/src/main/java/org/mulleinshift/model/JobDependencies.java
+++ b/src/main/java/org/mulleinshift/model/JobDependencies.java
@@ -11,54 +11,67 @@
 import org.mulleinshift.protocol.MalformedMessageException;
 
 /**
- * The jobs that a job awaits, as its record holds them: named there, or, where they would not fit
+ * The jobs that a job depends on, as its record has them: named there, or, where they would not fit
  * into a value, in lists under keys of their own.
  *
  * @param named the jobs, if the record names them
  * @param lists how many lists there are; 0 if the record names the jobs
- * @param digest of what the lists hold; lists of another submission have another
+ * @param digest of the lists' content; lists of another submission have another one
  */
 public record JobDependencies(List<JobId> named, int lists, String digest) {
+  /** Of a job without dependencies. */
   public static final JobDependencies NONE = new JobDependencies(List.of(), 0, "");
+
   private static final String NAMED = "awaits";
   private static final String LISTS = "lists";
   private static final String DIGEST = "digest";
   private static final int MAX_LISTS = 10_000;
 
+  /** Two quotes and a comma. */
+  private static final int BYTES_PER_ID = 3;
+
+  /** Bytes of a list without ids, with a margin. */
+  private static final int BYTES_PER_LIST = 32;
+
+  /** Dependencies that the record names itself. */
   public static JobDependencies of(List<JobId> named) {
     return named.isEmpty() ? NONE : new JobDependencies(List.copyOf(named), 0, "");
   }
 
+  /** Whether the job has no dependencies. */
   public boolean isEmpty() {
     return named.isEmpty() && lists == 0;
   }
 
-  void write(ObjectNode chain) {
+  /** Writes the dependencies into their part of the job's record. */
+  void write(ObjectNode node) {
     if (lists == 0) {
-      chain.set(NAMED, array(named));
+      node.set(NAMED, array(named));
     } else {
-      chain.put(LISTS, lists);
-      chain.put(DIGEST, digest);
+      node.put(LISTS, lists);
+      node.put(DIGEST, digest);
     }
   }
 
-  static JobDependencies read(JsonNode chain) throws MalformedMessageException {
-    if (chain.has(LISTS)) {
+  /** Reads the dependencies from their part of the job's record. */
+  static JobDependencies read(JsonNode node) throws MalformedMessageException {
+    if (node.has(LISTS)) {
       return new JobDependencies(
-          List.of(), (int) Json.count(chain, LISTS, 1, MAX_LISTS), Json.text(chain, DIGEST));
+          List.of(), (int) Json.count(node, LISTS, 1, MAX_LISTS), Json.text(node, DIGEST));
     }
-    List<JobId> named = JobCodec.jobIds(chain.path(NAMED));
+    List<JobId> named = JobCodec.jobIds(node.path(NAMED));
     if (named.isEmpty()) {
-      throw new MalformedMessageException("a chain without jobs");
+      throw new MalformedMessageException("no dependencies are named");
     }
     return new JobDependencies(named, 0, "");
   }
 
-  /** One list as it is stored. */
+  /** The stored form of one list. */
   public static JsonNode list(List<JobId> jobs) {
     return Json.object().set(NAMED, array(jobs));
   }
 
+  /** Reads one list. */
   public static List<JobId> readList(JsonNode value) throws MalformedMessageException {
     return JobCodec.jobIds(value.path(NAMED));
   }
@@ -69,15 +82,15 @@
     return array;
   }
 
-  /** Cuts a long list into such as fit into values of that size. */
+  /** Partitions a long list into lists that fit into values of that length. */
   public static List<List<JobId>> partition(List<JobId> jobs, int valueBytes) {
     List<List<JobId>> lists = new ArrayList<>();
     List<JobId> next = new ArrayList<>();
     int bytes = 0;
     for (JobId job : jobs) {
-      // Two quotes and a comma; ids are plain ASCII.
-      int size = job.value().length() + 3;
-      if (!next.isEmpty() && bytes + size > valueBytes - 32) {
+      // Ids are plain ASCII.
+      int size = job.value().length() + BYTES_PER_ID;
+      if (!next.isEmpty() && bytes + size > valueBytes - BYTES_PER_LIST) {
         lists.add(next);
         next = new ArrayList<>();
         bytes = 0;
--- a/src/main/java/org/mulleinshift/model/JobRecord.java
+++ b/src/main/java/org/mulleinshift/model/JobRecord.java
@@ -18,11 +18,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * An accepted job as the state service keeps it.
+ * The stored record of an accepted job.
  *
- * <p>The record of a job that awaits others has no {@code at} where others have it: builds that
- * don't know chains set such a job aside whole, instead of running it too early.
+ * <p>The record of a job with dependencies has no {@code at} where others have it: builds that
+ * don't know dependencies quarantine such a job, instead of running it too early.
  *
+ * @param acceptedMillis time of day at which it was accepted
  * @param unknownFields fields of the record that this build doesn't know, to be kept when it is
  *     rewritten
  */
@@ -35,64 +36,69 @@
     Optional<UnknownFields> unknownFields) {
   private static final Logger LOG = LoggerFactory.getLogger(JobRecord.class);
   private static final String AT = "at";
-  private static final String CHAIN = "chain";
+  private static final String DEPENDENCIES = "chain";
+  private static final String SPEC = "spec";
+  private static final String CANCELLED = "cancelled";
+  private static final String PHASE = "phase";
 
-  /** What a job whose record can't be read may have out, as far as can be told. */
+  /** What a job whose record can't be read may use at most, as far as can be read. */
   public record Footprint(Optional<TeamId> team, Resources maximum) {}
 
-  public JobRecord(JobSpec spec, long acceptedMillis, boolean cancelled, Revision version) {
-    this(spec, JobDependencies.NONE, acceptedMillis, cancelled, version, Optional.empty());
+  /** The record of a job without dependencies and unknown fields. */
+  public JobRecord(JobSpec spec, long acceptedMillis, boolean cancelled, Revision revision) {
+    this(spec, JobDependencies.NONE, acceptedMillis, cancelled, revision, Optional.empty());
   }
 
+  /** The stored form of a record. */
   public static JsonNode value(
-      JobSpec spec, JobDependencies awaits, long acceptedMillis, boolean cancelled) {
+      JobSpec spec, JobDependencies dependencies, long acceptedMillis, boolean cancelled) {
     ObjectNode node = Json.object();
-    node.set("spec", JobCodec.write(spec));
-    if (awaits.isEmpty()) {
+    node.set(SPEC, JobCodec.write(spec));
+    if (dependencies.isEmpty()) {
       node.put(AT, acceptedMillis);
     } else {
-      ObjectNode chain = node.putObject(CHAIN);
-      chain.put(AT, acceptedMillis);
-      awaits.write(chain);
+      ObjectNode inner = node.putObject(DEPENDENCIES);
+      inner.put(AT, acceptedMillis);
+      dependencies.write(inner);
     }
-    node.put("cancelled", cancelled);
+    node.put(CANCELLED, cancelled);
     return node;
   }
 
-  /** The record of the same job, cancelled; with all that the stored one has beyond this build. */
+  /** The stored form of the same job, cancelled, with the unknown fields of the stored one. */
   public JsonNode cancelledValue() {
     JsonNode node = value(spec, dependencies, acceptedMillis, true);
     unknownFields.ifPresent(fields -> fields.restore(node));
     return node;
   }
 
-  /** None if this build can't read it: then the job isn't its to judge. */
+  /** Reads a record; empty if this build can't read it: then it may not act on the job. */
   public static Optional<JobRecord> read(KeyValue item) {
     JsonNode value = item.value();
     try {
-      JobSpec spec = JobCodec.parse(value.path("spec"));
-      boolean chained = value.has(CHAIN);
-      JsonNode chain = value.path(CHAIN);
-      JobDependencies awaits = chained ? JobDependencies.read(chain) : JobDependencies.NONE;
-      long at = Json.count(chained ? chain : value, AT, 0, Long.MAX_VALUE);
-      boolean cancelled = Json.flag(value, "cancelled");
+      JobSpec spec = JobCodec.parse(value.path(SPEC));
+      boolean dependent = value.has(DEPENDENCIES);
+      JsonNode inner = value.path(DEPENDENCIES);
+      JobDependencies dependencies = dependent ? JobDependencies.read(inner) : JobDependencies.NONE;
+      long acceptedMillis = Json.count(dependent ? inner : value, AT, 0, Long.MAX_VALUE);
+      boolean cancelled = Json.flag(value, CANCELLED);
       return Optional.of(
           new JobRecord(
               spec,
-              awaits,
-              at,
+              dependencies,
+              acceptedMillis,
               cancelled,
               item.revision(),
-              UnknownFields.beyond(value(spec, awaits, at, cancelled), value)));
+              UnknownFields.beyond(value(spec, dependencies, acceptedMillis, cancelled), value)));
     } catch (MalformedMessageException e) {
-      LOG.warn("{}: this build can't read it: {}", item.key(), e.getMessage());
+      LOG.warn("stored record unreadable, key={} reason={}", item.key(), e.getMessage());
       return Optional.empty();
     }
   }
 
-  /** What of an unreadable record can be read: whose limit its tasks count against. */
+  /** What can be read of an unreadable record: which team's quota its tasks count against. */
   public static Footprint footprint(JsonNode value) {
-    JsonNode spec = value.path("spec");
+    JsonNode spec = value.path(SPEC);
     Resources task =
         new Resources(
             Math.max(0, spec.path("cpus").asDouble()),
@@ -105,28 +111,34 @@
         task.times(Math.max(0, spec.path("pieces").asInt())));
   }
 
-  /** When it ended is for jobs that await it; older builds leave it out. */
+  /**
+   * The stored form of a job's end.
+   *
+   * @param atMillis time of day of the end, for jobs that depend on it; older builds leave it out
+   */
   public static JsonNode endedValue(JobPhase phase, long atMillis) {
-    return Json.object().put("phase", phase.wire()).put(AT, atMillis);
+    return Json.object().put(PHASE, phase.wire()).put(AT, atMillis);
   }
 
+  /** The time of day of a job's end, if the build that stored it wrote one. */
   public static OptionalLong endedMillis(KeyValue item) {
     JsonNode at = item.value().path(AT);
     return at.canConvertToLong() ? OptionalLong.of(at.asLong()) : OptionalLong.empty();
   }
 
-  /** None for a phase that this build doesn't know: it is neither done nor cancelled for it. */
+  /** How a job ended; empty for a phase that this build doesn't know. */
   public static Optional<JobPhase> endedPhase(KeyValue item) {
-    String phase = item.value().path("phase").asText();
+    String phase = item.value().path(PHASE).asText();
     for (JobPhase known : JobPhase.values()) {
       if (known.terminal() && known.wire().equals(phase)) {
         return Optional.of(known);
       }
     }
-    LOG.warn("{}: this build doesn't know how that job ended: {}", item.key(), phase);
+    LOG.warn("stored phase unknown, key={} phase={}", item.key(), phase);
     return Optional.empty();
   }
 
+  /** The job's id. */
   public JobId id() {
     return spec.id();
   }
--- /dev/null
+++ b/src/main/java/org/mulleinshift/model/JobTasks.java
@@ -0,0 +1,206 @@
+package org.mulleinshift.model;
+
+import java.util.Arrays;
+import java.util.BitSet;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.NavigableMap;
+import java.util.Optional;
+import java.util.TreeMap;
+import org.mulleinshift.protocol.Attempt;
+import org.mulleinshift.protocol.JobSpec;
+import org.mulleinshift.protocol.Resources;
+import org.mulleinshift.protocol.Revision;
+import org.mulleinshift.protocol.ShardId;
+import org.mulleinshift.protocol.TaskId;
+import org.mulleinshift.protocol.ZoneId;
+import org.mulleinshift.transport.MonotonicTime;
+
+/** The tasks of one job: which are done, assigned or waiting, and when they may be retried. */
+final class JobTasks {
+  private final JobSpec spec;
+  private final BitSet done = new BitSet();
+  private final BitSet assigned = new BitSet();
+
+  /** Tasks that are done or assigned. */
+  private final BitSet unavailable = new BitSet();
+
+  private final NavigableMap<Integer, TaskAssignment> assignments = new TreeMap<>();
+  private final Map<Integer, Integer> attempts = new HashMap<>();
+  private final Map<Integer, MonotonicTime> retryAfter = new HashMap<>();
+  private final Map<ZoneId, Integer> assignedPerZone = new HashMap<>();
+  private double runSecondsTotal;
+  private int runCount;
+
+  JobTasks(JobSpec spec) {
+    this.spec = spec;
+  }
+
+  /** Replaces what is known of a chunk's tasks by its stored progress. */
+  void load(ChunkProgress progress) {
+    clear(progress.firstTask(), progress.endTask());
+    progress.done().stream().forEach(index -> markDone(progress.firstTask() + index));
+    progress.assignments().forEach(this::add);
+  }
+
+  private void clear(int from, int to) {
+    for (TaskAssignment old : List.copyOf(assignments.subMap(from, to).values())) {
+      assignments.remove(old.task().index());
+      removeFromZone(old.zone());
+    }
+    done.clear(from, to);
+    assigned.clear(from, to);
+    unavailable.clear(from, to);
+  }
+
+  private void removeFromZone(ZoneId zone) {
+    assignedPerZone.merge(zone, -1, (a, b) -> a + b == 0 ? null : a + b);
+  }
+
+  /**
+   * Assigns a task to a shard. The attempt counts the task's own retries within the term, so that
+   * tasks of a shard share it and the stored form stays short.
+   */
+  TaskAssignment assign(int index, ShardId shard, ZoneId zone, Attempt firstOfTerm) {
+    int earlierAttempts = attempts.merge(index, 1, Integer::sum) - 1;
+    TaskAssignment assignment =
+        new TaskAssignment(
+            new TaskId(spec.id(), index),
+            spec.perTask(),
+            shard,
+            zone,
+            new Attempt(firstOfTerm.value() + earlierAttempts),
+            TaskAssignment.State.WRITING);
+    add(assignment);
+    retryAfter.remove(index);
+    return assignment;
+  }
+
+  private void add(TaskAssignment assignment) {
+    if (assignments.put(assignment.task().index(), assignment) == null) {
+      assigned.set(assignment.task().index());
+      unavailable.set(assignment.task().index());
+      assignedPerZone.merge(assignment.zone(), 1, Integer::sum);
+    }
+  }
+
+  /** A task has completed; its run time counts if it is positive. */
+  void onDone(TaskAssignment assignment, double runSeconds) {
+    assignment.end();
+    markDone(assignment.task().index());
+    attempts.remove(assignment.task().index());
+    if (runSeconds > 0) {
+      runSecondsTotal += runSeconds;
+      runCount++;
+    }
+  }
+
+  private void markDone(int index) {
+    done.set(index);
+    unavailable.set(index);
+  }
+
+  /** The task is provably absent; it may be retried, but not before the given time. */
+  void onReturned(TaskAssignment assignment, Optional<MonotonicTime> notBefore) {
+    assignment.end();
+    notBefore.ifPresent(time -> retryAfter.put(assignment.task().index(), time));
+  }
+
+  /** The assignments are stored: the new may be published, the ended forgotten. */
+  void onStored(
+      Collection<TaskAssignment> written, Collection<TaskAssignment> ended, Revision revision) {
+    written.forEach(assignment -> assignment.markStored(revision));
+    for (TaskAssignment assignment : ended) {
+      int index = assignment.task().index();
+      if (assignments.remove(index, assignment)) {
+        assigned.clear(index);
+        unavailable.set(index, done.get(index));
+        removeFromZone(assignment.zone());
+      }
+    }
+  }
+
+  /** Forgets all assignments: the end of the job is stored. */
+  void clearAssignments() {
+    assignments.clear();
+    assigned.clear();
+    assignedPerZone.clear();
+  }
+
+  boolean allDone() {
+    return done.cardinality() == spec.tasks();
+  }
+
+  /** Whether provably no task is on any machine. */
+  boolean allEnded() {
+    return assignments.values().stream()
+        .allMatch(assignment -> assignment.state() == TaskAssignment.State.ENDED);
+  }
+
+  /** The done tasks of a chunk, counted from its first task. */
+  BitSet done(Chunk chunk) {
+    return done.get(chunk.firstTask(), chunk.firstTask() + chunk.size());
+  }
+
+  Collection<TaskAssignment> assignments() {
+    return assignments.values();
+  }
+
+  Collection<TaskAssignment> assignments(Chunk chunk) {
+    return assignments.subMap(chunk.firstTask(), chunk.firstTask() + chunk.size()).values();
+  }
+
+  Optional<TaskAssignment> assignment(int index) {
+    return Optional.ofNullable(assignments.get(index));
+  }
+
+  Map<ZoneId, Integer> assignedPerZone() {
+    return assignedPerZone;
+  }
+
+  int doneCount() {
+    return done.cardinality();
+  }
+
+  int assignedCount() {
+    return assigned.cardinality();
+  }
+
+  int waitingCount() {
+    return spec.tasks() - unavailable.cardinality();
+  }
+
+  int runningCount() {
+    int count = 0;
+    for (TaskAssignment assignment : assignments.values()) {
+      count += assignment.state() == TaskAssignment.State.RUNNING ? 1 : 0;
+    }
+    return count;
+  }
+
+  /** Up to {@code limit} tasks that may be assigned now. */
+  int[] waiting(int limit, MonotonicTime now) {
+    int[] found = new int[Math.min(limit, spec.tasks())];
+    int count = 0;
+    for (int index = unavailable.nextClearBit(0);
+        index < spec.tasks() && count < found.length;
+        index = unavailable.nextClearBit(index + 1)) {
+      MonotonicTime notBefore = retryAfter.get(index);
+      if (notBefore == null || !notBefore.isAfter(now)) {
+        found[count++] = index;
+      }
+    }
+    return Arrays.copyOf(found, count);
+  }
+
+  /** Mean run time of the completed tasks; empty if none was seen. */
+  Optional<Double> meanRunSeconds() {
+    return runCount == 0 ? Optional.empty() : Optional.of(runSecondsTotal / runCount);
+  }
+
+  Resources assignedResources() {
+    return spec.perTask().times(assignments.size());
+  }
+}
--- a/src/main/java/org/mulleinshift/model/Machine.java
+++ b/src/main/java/org/mulleinshift/model/Machine.java
@@ -4,17 +4,17 @@
 import java.util.Optional;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** A rented machine in the leader's memory. What is stored of it is its shard's record. */
+/** A provisioned machine in the leader's memory. What is stored of it is in its shard's record. */
 public final class Machine {
   /** States of a machine. */
   public enum State {
-    /** Rented, not yet known to be up. */
+    /** Provisioned, not yet known to be up. */
     BOOTING,
     /** Takes tasks. */
     UP,
-    /** Takes no new task; goes back when its tasks have ended, unless room runs short before. */
+    /** Takes no new task; released when its tasks have ended, unless capacity runs short before. */
     DRAINING,
-    /** Is being given back; nothing changes that. */
+    /** Is being released; nothing changes that. */
     RETURNING
   }
 
@@ -25,15 +25,15 @@
   private Optional<MonotonicTime> surplusSince = Optional.empty();
   private State state;
 
-  private Machine(MonotonicTime rentedAt, boolean rentSeen, State state) {
-    this.provisionedAt = rentedAt;
-    this.idleSince = rentedAt;
-    this.provisioningObserved = rentSeen;
-    this.ageKnown = rentSeen;
+  private Machine(MonotonicTime provisionedAt, boolean provisioningObserved, State state) {
+    this.provisionedAt = provisionedAt;
+    this.idleSince = provisionedAt;
+    this.provisioningObserved = provisioningObserved;
+    this.ageKnown = provisioningObserved;
     this.state = state;
   }
 
-  /** A machine whose rental this leader saw from its start. */
+  /** A machine whose provisioning this leader observed from its start. */
   public static Machine provisioned(MonotonicTime at) {
     return new Machine(at, true, State.BOOTING);
   }
@@ -58,7 +58,7 @@
     state = next;
   }
 
-  /** It has come up; tells how long that took, if its rental was seen. */
+  /** It has come up; returns after how many seconds, if its provisioning was observed. */
   public Optional<Double> onUp(MonotonicTime now) {
     idleSince = now;
     if (state == State.BOOTING) {
@@ -67,16 +67,18 @@
     return provisioningObserved ? Optional.of(now.secondsSince(provisionedAt)) : Optional.empty();
   }
 
+  /** Takes no new task from now on. */
   public void drain() {
     transitionTo(State.DRAINING);
   }
 
+  /** Ends draining: it takes tasks again. */
   public void reopen() {
     transitionTo(State.UP);
     surplusSince = Optional.empty();
   }
 
-  /** False if it is being returned already. */
+  /** Begins its release; false if it is being released already. */
   public boolean release() {
     if (state == State.RETURNING) {
       return false;
@@ -85,7 +87,7 @@
     return true;
   }
 
-  /** The cloud's list tells the age of a machine that was found. */
+  /** The cloud reported the age of a machine that was found. */
   public void learnAge(MonotonicTime now, Duration age) {
     if (!ageKnown) {
       provisionedAt = now.minus(age);
@@ -93,13 +95,18 @@
     }
   }
 
+  /** It has tasks at this moment. */
   public void markBusy(MonotonicTime now) {
     idleSince = now;
   }
 
-  /** Notes whether the fleet could do without it; tells for how long that has been so. */
-  public double surplusFor(boolean isSpare, MonotonicTime now) {
-    if (!isSpare) {
+  /**
+   * Records whether the machine is surplus capacity.
+   *
+   * @return for how many seconds it has been so; 0 if it is not
+   */
+  public double surplusFor(boolean isSurplus, MonotonicTime now) {
+    if (!isSurplus) {
       surplusSince = Optional.empty();
       return 0;
     }
@@ -109,23 +116,27 @@
     return now.secondsSince(surplusSince.get());
   }
 
+  /** Its state. */
   public State state() {
     return state;
   }
 
-  /** Must take no new task. */
+  /** Whether it must take no new task. */
   public boolean cordoned() {
     return state == State.DRAINING || state == State.RETURNING;
   }
 
+  /** When it was provisioned, or found if its age is not known. */
   public MonotonicTime provisionedAt() {
     return provisionedAt;
   }
 
+  /** Seconds since it was provisioned. */
   public double heldSeconds(MonotonicTime now) {
     return now.secondsSince(provisionedAt);
   }
 
+  /** Seconds since it last had tasks, or came up. */
   public double idleSeconds(MonotonicTime now) {
     return now.secondsSince(idleSince);
   }
--- a/src/main/java/org/mulleinshift/model/ProvisioningRequest.java
+++ b/src/main/java/org/mulleinshift/model/ProvisioningRequest.java
@@ -8,15 +8,18 @@
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** A rental asked for. Its name is stored before it is first used and never used again. */
+/**
+ * A request to the cloud for machines. Its name is stored before it is first used and is never
+ * reused.
+ */
 public final class ProvisioningRequest {
-  /** Steps of a rental. */
+  /** Steps of a request. */
   public enum State {
     /** Its name is being stored. */
     PLANNED,
-    /** The cloud may have it. Only a clear answer ends this state. */
+    /** The cloud may have received it. Only a definite answer ends this state. */
     SENT,
-    /** Answered; the outcome is being stored. */
+    /** Answered; the result is being stored. */
     ANSWERED
   }
 
@@ -28,6 +31,12 @@
   private final MonotonicTime plannedAt;
   private State state;
 
+  /**
+   * A request for machines of one type in one zone.
+   *
+   * @param spot whether they may be interrupted by the cloud
+   * @param count number of machines
+   */
   public ProvisioningRequest(
       String name,
       MachineTypeId type,
@@ -45,7 +54,7 @@
     this.state = state;
   }
 
-  /** The only place where a rental's state changes. */
+  /** The only place where a request's state changes; it never goes back. */
   public void transitionTo(State next) {
     if (next.compareTo(state) < 0) {
       throw new IllegalStateException(name + ": " + state + " to " + next);
@@ -53,6 +62,7 @@
     state = next;
   }
 
+  /** The stored form. */
   public JsonNode write() {
     ObjectNode node = Json.object();
     node.put("type", type.value());
@@ -62,7 +72,12 @@
     return node;
   }
 
-  /** Its name may stand in the store in a form that this build can't read; then it is not asked. */
+  /**
+   * Reads the stored form. The cloud may have received the request: an earlier leader stored it
+   * before it sent it.
+   *
+   * @throws MalformedMessageException if this build can't read it; then it may not be sent
+   */
   public static ProvisioningRequest read(String name, JsonNode value, MonotonicTime now)
       throws MalformedMessageException {
     return new ProvisioningRequest(
@@ -75,30 +90,37 @@
         State.SENT);
   }
 
+  /** Its name, which the cloud knows it by. */
   public String name() {
     return name;
   }
 
+  /** The type of the machines. */
   public MachineTypeId type() {
     return type;
   }
 
+  /** The zone of the machines. */
   public ZoneId zone() {
     return zone;
   }
 
+  /** Whether the machines may be interrupted by the cloud. */
   public boolean spot() {
     return spot;
   }
 
+  /** The number of machines. */
   public int count() {
     return count;
   }
 
+  /** When it was planned, or read from the store. */
   public MonotonicTime plannedAt() {
     return plannedAt;
   }
 
+  /** Its state. */
   public State state() {
     return state;
   }
--- a/src/main/java/org/mulleinshift/model/TaskAssignment.java
+++ b/src/main/java/org/mulleinshift/model/TaskAssignment.java
@@ -11,21 +11,21 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * One try of one task, entrusted to a shard. It counts against its team from the moment it is
- * decided until its end is stored.
+ * One attempt of one task, assigned to a shard. It counts against its team's quota from the moment
+ * it is decided until its end is stored.
  */
 public final class TaskAssignment {
-  /** Steps of a assignment. */
+  /** Steps of an assignment. */
   public enum State {
-    /** Decided, not stored; the owner must not hear of it yet. */
+    /** Decided, not stored; it must not be published to the owner yet. */
     WRITING,
     /** Stored; the owner may place it. */
     STORED,
-    /** The owner named its machine. */
+    /** The owner reported its machine. */
     PLACED,
     /** It runs. */
     RUNNING,
-    /** It is over at the owner; the end is not stored yet. */
+    /** It has ended at the owner; the end is not stored yet. */
     ENDED
   }
 
@@ -37,7 +37,7 @@
   private State state;
   private Optional<MachineId> machine = Optional.empty();
   private Optional<MonotonicTime> runningSince = Optional.empty();
-  private boolean stop;
+  private boolean stopRequested;
   private Revision storedAt = new Revision(0);
 
   TaskAssignment(
@@ -57,6 +57,7 @@
     }
   }
 
+  /** It is stored: only now may it be published. */
   void markStored(Revision revision) {
     if (state == State.WRITING) {
       storedAt = revision;
@@ -64,26 +65,29 @@
     }
   }
 
-  public void markPlaced(MachineId where) {
-    machine = Optional.of(where);
+  /** Its owner has placed it on a machine. */
+  public void markPlaced(MachineId placedOn) {
+    machine = Optional.of(placedOn);
     if (state == State.STORED) {
       transitionTo(State.PLACED);
     }
   }
 
-  public void markRunning(MachineId where, MonotonicTime since) {
-    machine = Optional.of(where);
+  /** It runs on a machine. */
+  public void markRunning(MachineId placedOn, MonotonicTime since) {
+    machine = Optional.of(placedOn);
     if (runningSince.isEmpty()) {
       runningSince = Optional.of(since);
     }
     transitionTo(State.RUNNING);
   }
 
+  /** It has ended; the end is to be stored. */
   void end() {
     transitionTo(State.ENDED);
   }
 
-  /** A new owner found nothing yet: the place is unknown again. */
+  /** A new owner has not found it yet: its machine is unknown again. */
   public void clearPlacement() {
     machine = Optional.empty();
     if (state == State.PLACED || state == State.RUNNING) {
@@ -91,53 +95,62 @@
     }
   }
 
+  /** Has its owner stop it. */
   public void requestStop() {
-    stop = true;
+    stopRequested = true;
   }
 
+  /** The task. */
   public TaskId task() {
     return task;
   }
 
-  /** What it takes of its machine. */
+  /** The resources that it requests of its machine. */
   public Resources perTask() {
     return perTask;
   }
 
+  /** The shard that it is assigned to. */
   public ShardId shard() {
     return shard;
   }
 
+  /** The zone of the shard. */
   public ZoneId zone() {
     return zone;
   }
 
+  /** The attempt, which identifies it among those of the task. */
   public Attempt attempt() {
     return attempt;
   }
 
+  /** Its state. */
   public State state() {
     return state;
   }
 
+  /** Its machine, once the owner has reported one. */
   public Optional<MachineId> machine() {
     return machine;
   }
 
+  /** Since when it runs, once the owner has reported that. */
   public Optional<MonotonicTime> runningSince() {
     return runningSince;
   }
 
+  /** Whether its owner is to stop it. */
   public boolean stopRequested() {
-    return stop;
+    return stopRequested;
   }
 
-  /** When this was stored; 0 if an earlier leader did it. */
+  /** The revision at which this was stored; 0 if an earlier leader did it. */
   public Revision storedAt() {
     return storedAt;
   }
 
-  /** Known to the owner, or about to be. */
+  /** Whether the owner knows it, or may know it soon. */
   public boolean visibleToOwner() {
     return state != State.WRITING;
   }
--- a/src/main/java/org/mulleinshift/model/TaskIndexRanges.java
+++ b/src/main/java/org/mulleinshift/model/TaskIndexRanges.java
@@ -4,7 +4,7 @@
 import java.util.BitSet;
 import org.mulleinshift.protocol.MalformedMessageException;
 
-/** Writes sets of task numbers as short texts such as {@code 0-7,9}. */
+/** The stored form of sets of task indexes: short texts such as {@code 0-7,9}. */
 final class TaskIndexRanges {
   private TaskIndexRanges() {}
 
@@ -24,7 +24,12 @@
     return text.toString();
   }
 
-  /** Task numbers below the bound; anything else is not such a text. */
+  /**
+   * Reads task indexes.
+   *
+   * @param bound all indexes must be below it
+   * @throws MalformedMessageException if the node is not such a text
+   */
   static BitSet read(JsonNode node, int bound) throws MalformedMessageException {
     try {
       BitSet set = node.isTextual() ? read(node.asText()) : null;
--- a/src/main/java/org/mulleinshift/model/UnknownFields.java
+++ b/src/main/java/org/mulleinshift/model/UnknownFields.java
@@ -19,7 +19,7 @@
 
   /**
    * What the stored record has and this build's form of it lacks, objects within objects included.
-   * An empty or null field is nothing worth keeping.
+   * Empty objects and null fields need not be kept.
    */
   public static Optional<UnknownFields> beyond(JsonNode known, JsonNode stored) {
     ObjectNode rest = rest(known, stored);
--- a/src/test/java/org/mulleinshift/model/StoredByEarlierBuildTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredByEarlierBuildTest.java
@@ -22,47 +22,20 @@
 import org.mulleinshift.store.StoreKeys;
 
 /**
- * What the build of commit e61c2b1 had stored 27 s into a day: jobs half done, one just over, one
- * cancelled, machines at blocks. This build reads all of it, and writes it as it was.
+ * What the build of commit e61c2b1 had stored after 27 s: jobs half done, one just ended, one
+ * cancelled, machines of shards. This build reads all of it, and writes it as it was.
  */
 class StoredByEarlierBuildTest {
   private static final Path SAMPLE = Path.of("src/test/resources/stored/e61c2b1.json");
 
+  private final Map<JobId, Job> jobs = new HashMap<>();
+  private final ClusterView view = new ClusterView();
+
   @Test
   void allOfItIsReadAndWrittenTheSame() throws IOException, MalformedMessageException {
     JsonNode sample = Json.parseObject(Files.readString(SAMPLE));
-    Map<JobId, Job> jobs = new HashMap<>();
-    ClusterView view = new ClusterView();
     for (Map.Entry<String, JsonNode> entry : sample.properties()) {
-      KeyValue item = new KeyValue(entry.getKey(), entry.getValue(), new Revision(9));
-      String kind = entry.getKey().substring(0, 2);
-      switch (kind) {
-        case StoreKeys.ACTIVE_JOBS -> {
-          JobRecord record = JobRecord.read(item).get();
-          JsonNode written =
-              JobRecord.value(
-                  record.spec(),
-                  record.dependencies(),
-                  record.acceptedMillis(),
-                  record.cancelled());
-          assertEquals(Json.write(item.value()), Json.write(written));
-          jobs.put(record.id(), new Job(record));
-        }
-        case StoreKeys.CONTROL -> view.apply(item.key(), Optional.of(item));
-        case StoreKeys.PROGRESS -> {
-          ChunkKey key = ChunkKey.parse(item.key()).get();
-          Job job = jobs.get(key.job());
-          job.load(key.chunk(), item.value(), shard -> new ZoneId("a"));
-          assertEquals(Json.write(item.value()), Json.write(job.progress(key.chunk())));
-        }
-        case StoreKeys.ENDED_JOBS -> {
-          assertEquals(
-              item.key().endsWith("run-4") ? JobPhase.CANCELLED : JobPhase.DONE,
-              JobRecord.endedPhase(item).get());
-          assertEquals(OptionalLong.empty(), JobRecord.endedMillis(item));
-        }
-        default -> throw new AssertionError(item.key());
-      }
+      checkRecord(new KeyValue(entry.getKey(), entry.getValue(), new Revision(9)));
     }
     assertEquals(3, jobs.size());
     assertTrue(jobs.values().stream().allMatch(job -> job.state() == Job.State.ACTIVE));
@@ -71,4 +44,37 @@
     assertTrue(view.unreadableShards().isEmpty() && view.unreadableGrants().isEmpty());
     assertTrue(view.featureLevels().isEmpty());
   }
+
+  private void checkRecord(KeyValue item) throws MalformedMessageException {
+    String prefix = item.key().substring(0, StoreKeys.CONTROL.length());
+    switch (prefix) {
+      case StoreKeys.ACTIVE_JOBS -> checkActiveJob(item);
+      case StoreKeys.CONTROL -> view.apply(item.key(), Optional.of(item));
+      case StoreKeys.PROGRESS -> checkProgress(item);
+      case StoreKeys.ENDED_JOBS -> checkEndedJob(item);
+      default -> throw new AssertionError(item.key());
+    }
+  }
+
+  private void checkActiveJob(KeyValue item) {
+    JobRecord record = JobRecord.read(item).orElseThrow();
+    JsonNode written =
+        JobRecord.value(
+            record.spec(), record.dependencies(), record.acceptedMillis(), record.cancelled());
+    assertEquals(Json.write(item.value()), Json.write(written), item.key());
+    jobs.put(record.id(), new Job(record));
+  }
+
+  private void checkProgress(KeyValue item) throws MalformedMessageException {
+    ChunkKey key = ChunkKey.parse(item.key()).orElseThrow();
+    Job job = jobs.get(key.job());
+    job.load(key.chunk(), item.value(), shard -> new ZoneId("a"));
+    assertEquals(Json.write(item.value()), Json.write(job.progress(key.chunk())), item.key());
+  }
+
+  private static void checkEndedJob(KeyValue item) {
+    JobPhase expected = item.key().endsWith("run-4") ? JobPhase.CANCELLED : JobPhase.DONE;
+    assertEquals(expected, JobRecord.endedPhase(item).orElseThrow(), item.key());
+    assertEquals(OptionalLong.empty(), JobRecord.endedMillis(item), item.key());
+  }
 }
--- a/src/test/java/org/mulleinshift/model/StoredRecordSamples.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordSamples.java
@@ -34,9 +34,23 @@
 final class StoredRecordSamples {
   static final long ACCEPTED_AT = 1_700_000_003_002L;
   static final int TASKS = 730;
+  private static final long READY_AT = ACCEPTED_AT + 500;
+  private static final long READY_KNOWN_AT = ACCEPTED_AT + 900;
   private static final JobId JOB = new JobId("run-1");
   private static final ShardId SHARD = new ShardId("a-0");
   private static final ZoneId ZONE = new ZoneId("a");
+  private static final LeaseId SESSION_LEASE = new LeaseId(7);
+  private static final Revision RECORD_REVISION = new Revision(3);
+  private static final Revision READ_REVISION = new Revision(9);
+  private static final int[] DONE_TASKS = {0, 1, 2, 9, 260, 499, 500, 729};
+  private static final int[] ASSIGNED_TASKS = {3, 4, 10, 251, 498, 501};
+  private static final int TASK_OF_OTHER_SHARD = 11;
+  private static final int RETRIED_TASK = 12;
+  private static final Attempt FIRST_ATTEMPT = new Attempt(1L << 40);
+  private static final double RUN_SECONDS = 5;
+  private static final int SEGMENT = 17;
+  private static final int MACHINE_COUNT = 12;
+  private static final int UNKNOWN_VALUE = 9;
   private static final String DIGEST = "0f8fad5b-d9cb-369f-a165-70867728950e";
 
   /** A key and its value. */
@@ -63,9 +77,9 @@
 
   private void addControl() {
     NodeId node = new NodeId("n-1");
-    LeaseId hold = new LeaseId(Long.MAX_VALUE);
-    add("leader", StoreKeys.LEADER, ClusterView.leaderValue(node, hold));
-    add("node", StoreKeys.node(node), ClusterView.nodeValue(new LeaseId(7)));
+    LeaseId lease = new LeaseId(Long.MAX_VALUE);
+    add("leader", StoreKeys.LEADER, ClusterView.leaderValue(node, lease));
+    add("node", StoreKeys.node(node), ClusterView.nodeValue(SESSION_LEASE));
     add("grant", StoreKeys.grant(SHARD), ClusterView.grantValue(node));
     add("build", StoreKeys.featureLevel(node), ClusterView.featureLevelValue(2));
     JsonNode shard = ShardRecord.write(ZONE, machines(), Optional.of(node));
@@ -113,11 +127,12 @@
     add("job-cancelled-with-unknown-fields", StoreKeys.activeJob(JOB), cancelledOfNewerBuild(spec));
   }
 
-  private void addActiveJob(String name, JobSpec spec, JobDependencies awaits, boolean cancelled) {
+  private void addActiveJob(
+      String name, JobSpec spec, JobDependencies dependencies, boolean cancelled) {
     add(
         name,
         StoreKeys.activeJob(spec.id()),
-        JobRecord.value(spec, awaits, ACCEPTED_AT, cancelled));
+        JobRecord.value(spec, dependencies, ACCEPTED_AT, cancelled));
   }
 
   private static JsonNode cancelledOfNewerBuild(JobSpec spec) {
@@ -125,7 +140,7 @@
         (ObjectNode) JobRecord.value(spec, JobDependencies.NONE, ACCEPTED_AT, false);
     stored.put("format", 2);
     ((ObjectNode) stored.get("spec")).put("colour", "red");
-    return JobRecord.read(new KeyValue(StoreKeys.activeJob(JOB), stored, new Revision(3)))
+    return JobRecord.read(new KeyValue(StoreKeys.activeJob(JOB), stored, RECORD_REVISION))
         .orElseThrow()
         .cancelledValue();
   }
@@ -143,7 +158,7 @@
     JsonNode cancelled = JobRecord.endedValue(JobPhase.CANCELLED, ACCEPTED_AT);
     add("ended-done", StoreKeys.endedJob(JOB), done);
     add("ended-cancelled", StoreKeys.endedJob(JOB), cancelled);
-    // As builds before chains stored it.
+    // As builds without dependencies stored it.
     ObjectNode older = done.deepCopy();
     older.remove("at");
     add("ended-without-time", StoreKeys.endedJob(JOB), older);
@@ -160,68 +175,69 @@
     add("progress-part", ChunkKey.format(JOB, half), job.progress(half));
     Chunk quarter = first.half(1).half(1);
     add("progress-part-of-part", ChunkKey.format(JOB, quarter), job.progress(quarter));
-    Job chained = startedJob(namedJobs());
-    add("progress-awaiting", ChunkKey.format(JOB, first), chained.progress(first));
+    Job dependent = startedJob(namedJobs());
+    add("progress-awaiting", ChunkKey.format(JOB, first), dependent.progress(first));
     add("progress-with-unknown-fields", ChunkKey.format(JOB, first), progressOfNewerBuild(job));
   }
 
   private static JsonNode progressOfNewerBuild(Job job) {
     ObjectNode stored = (ObjectNode) job.progress(Chunk.whole(0));
-    stored.put("new", 9);
+    stored.put("new", UNKNOWN_VALUE);
     return stored;
   }
 
-  static Job job(JobDependencies awaits) {
+  static Job job(JobDependencies dependencies) {
     return new Job(
-        new JobRecord(shortSpec(), awaits, ACCEPTED_AT, false, new Revision(3), Optional.empty()));
+        new JobRecord(
+            shortSpec(), dependencies, ACCEPTED_AT, false, RECORD_REVISION, Optional.empty()));
   }
 
-  /** Tasks done, at two blocks, and with a second attempt; in both chunks. */
-  private static Job startedJob(JobDependencies awaits) {
-    Job job = job(awaits);
-    job.release(ACCEPTED_AT + 500, ACCEPTED_AT + 900);
-    Attempt term = new Attempt(1L << 40);
-    for (int index : new int[] {0, 1, 2, 9, 260, 499, 500, 729}) {
-      job.taskDone(job.assign(index, SHARD, ZONE, term), 5);
+  /** Tasks done, assigned to two shards, and with a second attempt; in both chunks. */
+  private static Job startedJob(JobDependencies dependencies) {
+    Job job = job(dependencies);
+    job.release(READY_AT, READY_KNOWN_AT);
+    for (int index : DONE_TASKS) {
+      job.taskDone(job.assign(index, SHARD, ZONE, FIRST_ATTEMPT), RUN_SECONDS);
     }
-    for (int index : new int[] {3, 4, 10, 251, 498, 501}) {
-      job.assign(index, SHARD, ZONE, term);
+    for (int index : ASSIGNED_TASKS) {
+      job.assign(index, SHARD, ZONE, FIRST_ATTEMPT);
     }
-    job.assign(11, new ShardId("b-1"), new ZoneId("b"), term);
-    job.taskReturned(job.assign(12, SHARD, ZONE, term), Optional.<MonotonicTime>empty());
-    job.assign(12, SHARD, ZONE, term);
+    job.assign(TASK_OF_OTHER_SHARD, new ShardId("b-1"), new ZoneId("b"), FIRST_ATTEMPT);
+    job.taskReturned(
+        job.assign(RETRIED_TASK, SHARD, ZONE, FIRST_ATTEMPT), Optional.<MonotonicTime>empty());
+    job.assign(RETRIED_TASK, SHARD, ZONE, FIRST_ATTEMPT);
     return job;
   }
 
   private void addLog() {
     Chunk first = Chunk.whole(0);
-    Chunk part = first.half(1);
+    Chunk secondHalf = first.half(1);
     Job job = startedJob(JobDependencies.NONE);
     List<LogSegment.Entry> entries =
         List.of(
             LogSegment.Entry.of(JOB, first, job.progress(first)),
-            LogSegment.Entry.of(new JobId("run-2"), part, job.progress(part)));
-    add("log-segment", StoreKeys.logSegment(17), LogSegment.write(entries));
+            LogSegment.Entry.of(new JobId("run-2"), secondHalf, job.progress(secondHalf)));
+    add("log-segment", StoreKeys.logSegment(SEGMENT), LogSegment.write(entries));
     add("log-segment-without-entries", StoreKeys.logSegment(0), LogSegment.write(List.of()));
   }
 
   private void addOthers() {
-    ProvisioningRequest rental =
+    ProvisioningRequest request =
         new ProvisioningRequest(
             "r-417-1",
             new MachineTypeId("g8"),
             ZONE,
             true,
-            12,
+            MACHINE_COUNT,
             new MonotonicTime(0),
             ProvisioningRequest.State.PLANNED);
-    add("rental", StoreKeys.provisioningRequest(rental.name()), rental.write());
+    add("rental", StoreKeys.provisioningRequest(request.name()), request.write());
     List<JobId> awaited = namedJobs().named();
     add("awaited-list", StoreKeys.dependencyList(JOB, DIGEST, 1), JobDependencies.list(awaited));
   }
 
   /** The records as a reader of the store gets them. */
   static KeyValue item(String key, String value) throws MalformedMessageException {
-    return new KeyValue(key, Json.parseObject(value), new Revision(9));
+    return new KeyValue(key, Json.parseObject(value), READ_REVISION);
   }
 }
--- a/src/test/java/org/mulleinshift/model/StoredRecordsTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordsTest.java
@@ -20,7 +20,7 @@
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** What another build stored: kept where this one can carry it, left alone where it can't. */
+/** Records of other builds: unknown fields are kept, and what can't be read is not acted on. */
 class StoredRecordsTest {
   private static final String SPEC =
       """
@@ -50,7 +50,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"at", "cancelled", "spec"})
-  void whatIsMissingIsNoDefault(String field) throws MalformedMessageException {
+  void missingFieldsHaveNoDefault(String field) throws MalformedMessageException {
     ObjectNode stored = (ObjectNode) job("", "");
     stored.remove(field);
     assertTrue(read(stored).isEmpty());
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void progressKeepsWhatItDoesNotKnow() throws MalformedMessageException {
+  void progressKeepsUnknownFields() throws MalformedMessageException {
     Job job = new Job(read(job("", "")).get());
     JsonNode stored =
         Json.parseObject(
@@ -88,7 +88,7 @@
         "{\"done\":\"0\",\"at\":[{\"b\":\"a-0\",\"n\":7,\"r\":\"1\",\"since\":4}]}",
         "{\"done\":\"0\",\"at\":[{\"b\":\"a-0\",\"n\":-7,\"r\":\"1\"}]}"
       })
-  void ofProgressThatCantBeReadNothingIsTaken(String stored) throws MalformedMessageException {
+  void unreadableProgressIsNotLoadedInPart(String stored) throws MalformedMessageException {
     Job job = new Job(read(job("", "")).get());
     JsonNode value = Json.parseObject(stored);
     assertThrows(
@@ -98,18 +98,22 @@
     assertEquals(0, job.doneCount());
   }
 
-  /** Builds before chains look for {@code at} beside {@code spec}, and set aside what lacks it. */
+  /**
+   * Builds that don't know dependencies look for {@code at} beside {@code spec}, and quarantine a
+   * job without it.
+   */
   @Test
-  void aChainedRecordIsNothingToOlderBuilds() throws MalformedMessageException {
-    JobDependencies awaits = JobDependencies.of(List.of(new JobId("run-7"), new JobId("run-8")));
-    JsonNode chained = JobRecord.value(read(job("", "")).get().spec(), awaits, 5, false);
-    assertTrue(chained.path("at").isMissingNode());
-    JobRecord record = read(chained).get();
-    assertEquals(awaits, record.dependencies());
+  void olderBuildsCannotReadAJobWithDependencies() throws MalformedMessageException {
+    JobDependencies dependencies =
+        JobDependencies.of(List.of(new JobId("run-7"), new JobId("run-8")));
+    JsonNode stored = JobRecord.value(read(job("", "")).get().spec(), dependencies, 5, false);
+    assertTrue(stored.path("at").isMissingNode());
+    JobRecord record = read(stored).get();
+    assertEquals(dependencies, record.dependencies());
     assertEquals(5, record.acceptedMillis());
-    assertEquals(awaits, read(record.cancelledValue()).get().dependencies());
+    assertEquals(dependencies, read(record.cancelledValue()).get().dependencies());
     assertEquals(Job.State.AWAITING_DEPENDENCIES, new Job(record).state());
-    assertEquals("t", JobRecord.footprint(chained).team().get().value());
+    assertEquals("t", JobRecord.footprint(stored).team().get().value());
   }
 
   @ParameterizedTest
@@ -123,14 +127,14 @@
         "{\"at\":5,\"lists\":0,\"digest\":\"d\"}",
         "{\"at\":5,\"lists\":2}"
       })
-  void aChainThatCantBeReadIsNoJobWithoutOne(String chain) throws MalformedMessageException {
+  void unreadableDependenciesAreNotDropped(String dependencies) throws MalformedMessageException {
     ObjectNode stored = (ObjectNode) job("", "");
-    stored.set("chain", Json.parseObject(chain));
+    stored.set("chain", Json.parseObject(dependencies));
     assertTrue(read(stored).isEmpty());
   }
 
   @Test
-  void anUnknownEndIsNoEnd() throws MalformedMessageException {
+  void anUnknownPhaseIsNotTerminal() throws MalformedMessageException {
     JsonNode archived = Json.parseObject("{\"phase\":\"archived\"}");
     JsonNode running = Json.parseObject("{\"phase\":\"running\"}");
     assertTrue(JobRecord.endedPhase(new KeyValue("t/run-1", archived, new Revision(1))).isEmpty());
@@ -138,7 +142,7 @@
   }
 
   @Test
-  void aShardKeepsWhatItDoesNotKnow() throws MalformedMessageException {
+  void aShardKeepsUnknownFields() throws MalformedMessageException {
     ClusterView view = new ClusterView();
     JsonNode stored =
         Json.parseObject(
@@ -161,7 +165,7 @@
   }
 
   @Test
-  void aGrantThatCantBeReadIsSomebodysGrant() throws MalformedMessageException {
+  void aShardWithAnUnreadableGrantIsNotFree() throws MalformedMessageException {
     ClusterView view = new ClusterView();
     JsonNode stored = Json.parseObject("{\"holders\":[\"n-1\"]}");
     view.apply("c/g/a-0", Optional.of(new KeyValue("c/g/a-0", stored, new Revision(4))));
@@ -172,7 +176,7 @@
   }
 
   @Test
-  void aRentalThatCantBeReadIsNoRental() throws MalformedMessageException {
+  void anUnreadableProvisioningRequestIsRefused() throws MalformedMessageException {
     JsonNode stored = Json.parseObject("{\"type\":\"g8\",\"zone\":\"a\",\"spot\":true}");
     MonotonicTime now = new MonotonicTime(0);
     assertThrows(
