--- a/src/test/java/org/mulleinshift/sim/BehaviourDigest.java
+++ b/src/test/java/org/mulleinshift/digest/BehaviourDigest.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.sim;
+package org.mulleinshift.digest;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -18,6 +18,9 @@
 import java.util.concurrent.Future;
 import java.util.function.LongFunction;
 import java.util.stream.Stream;
+import org.mulleinshift.scenario.CutScenario;
+import org.mulleinshift.scenario.RandomScenario;
+import org.mulleinshift.scenario.Scenario;
 import org.mulleinshift.settings.SettingsException;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -94,7 +97,7 @@
             .findFirst()
             .orElseThrow(() -> new IllegalArgumentException("no scenario " + dumped + " " + seed));
     try (Writer writer = Files.newBufferedWriter(out)) {
-      Scenario.play(play.lines(), play.seed(), new MessageLines(line -> write(writer, line)));
+      Scenario.play(play.lines(), play.seed(), new MessageLineWriter(line -> write(writer, line)));
     }
   }
 
@@ -112,7 +115,7 @@
     Scenario.play(
         play.lines(),
         play.seed(),
-        new MessageLines(line -> digest.update(line.getBytes(StandardCharsets.UTF_8))));
+        new MessageLineWriter(line -> digest.update(line.getBytes(StandardCharsets.UTF_8))));
     return HexFormat.of().formatHex(digest.digest());
   }
 
--- a/src/test/java/org/mulleinshift/sim/BehaviourDigestTest.java
+++ b/src/test/java/org/mulleinshift/digest/BehaviourDigestTest.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.sim;
+package org.mulleinshift.digest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
--- a/src/test/java/org/mulleinshift/sim/MessageLines.java
+++ b/src/test/java/org/mulleinshift/digest/MessageLineWriter.java
@@ -1,46 +1,47 @@
-package org.mulleinshift.sim;
+package org.mulleinshift.digest;
 
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.HexFormat;
 import java.util.function.Consumer;
+import org.mulleinshift.simulation.SentMessageListener;
 
 /** Writes each sent message as one line, with the virtual time at which it was sent. */
-final class MessageLines implements SentMessages {
+final class MessageLineWriter implements SentMessageListener {
   private static final HexFormat HEX = HexFormat.of();
 
   private final Consumer<String> lines;
 
-  MessageLines(Consumer<String> lines) {
+  MessageLineWriter(Consumer<String> lines) {
     this.lines = lines;
   }
 
   @Override
-  public void call(
+  public void requestSent(
       long nanos,
-      String node,
+      String sender,
       InetSocketAddress target,
       String method,
       String path,
       String body,
       Duration deadline) {
     String address = target.getHostString() + ":" + target.getPort();
-    write(nanos, node, "call", address, method, path, deadline.toNanos(), body);
+    write(nanos, sender, "call", address, method, path, deadline.toNanos(), body);
   }
 
   @Override
-  public void frame(long nanos, String node, String receiver, byte[] frame) {
-    write(nanos, node, "frame", receiver, HEX.formatHex(frame));
+  public void frameSent(long nanos, String sender, String receiver, byte[] frame) {
+    write(nanos, sender, "frame", receiver, HEX.formatHex(frame));
   }
 
   @Override
-  public void answer(
-      long nanos, String node, String request, int status, String body, int retryAfter) {
-    write(nanos, node, "answer", request, status, retryAfter, body);
+  public void responseSent(
+      long nanos, String sender, String request, int status, String body, int retryAfter) {
+    write(nanos, sender, "answer", request, status, retryAfter, body);
   }
 
-  private void write(long nanos, String node, Object... fields) {
-    StringBuilder line = new StringBuilder().append(nanos).append(' ').append(node);
+  private void write(long nanos, String sender, Object... fields) {
+    StringBuilder line = new StringBuilder().append(nanos).append(' ').append(sender);
     for (Object field : fields) {
       line.append(' ').append(escaped(field.toString()));
     }
--- /dev/null
+++ b/src/test/java/org/mulleinshift/invariants/InvariantChecker.java
@@ -0,0 +1,74 @@
+package org.mulleinshift.invariants;
+
+import java.util.Map;
+import org.mulleinshift.simulation.time.Timeline;
+
+/**
+ * Checks the rules of the protocol from outside the controllers: it sees what truly runs and what
+ * users truly read.
+ */
+public final class InvariantChecker {
+  private final ObservedJobs jobs = new ObservedJobs();
+  private final Violations violations;
+  private final RunningTasks tasks;
+  private final ReportedPhases answers;
+
+  /**
+   * Checks a single cluster.
+   *
+   * @param teamLimits processors that each team may use; 0 for any number
+   * @param cancelSeconds time from the report of a cancellation in which all tasks must end
+   */
+  public InvariantChecker(Timeline timeline, Map<String, Double> teamLimits, double cancelSeconds) {
+    this(timeline, teamLimits, cancelSeconds, new TeamUsage());
+  }
+
+  /**
+   * Checks one of several cells.
+   *
+   * @param teamLimits processors that each team may use over all cells
+   * @param usage what the teams use over all cells
+   */
+  public InvariantChecker(
+      Timeline timeline, Map<String, Double> teamLimits, double cancelSeconds, TeamUsage usage) {
+    violations = new Violations(timeline);
+    tasks =
+        new RunningTasks(
+            timeline,
+            jobs,
+            violations,
+            new RunningTasks.TeamQuota(teamLimits, usage),
+            cancelSeconds);
+    answers = new ReportedPhases(timeline, jobs, violations, cancelSeconds);
+  }
+
+  /** The jobs that users submit. */
+  public ObservedJobs jobs() {
+    return jobs;
+  }
+
+  /** The tasks that run on machines. */
+  public RunningTasks tasks() {
+    return tasks;
+  }
+
+  /** What users are told. */
+  public ReportedPhases answers() {
+    return answers;
+  }
+
+  /** The rules that were broken. */
+  public Violations violations() {
+    return violations;
+  }
+
+  /**
+   * Checks what must hold at the end of a simulation.
+   *
+   * @param calmSince when the last fault was over, seconds
+   */
+  public void checkAtEnd(double calmSince) {
+    answers.checkAtEnd(calmSince);
+    tasks.checkAtEnd();
+  }
+}
--- /dev/null
+++ b/src/test/java/org/mulleinshift/invariants/ObservedJobs.java
@@ -0,0 +1,104 @@
+package org.mulleinshift.invariants;
+
+import java.util.ArrayDeque;
+import java.util.Collection;
+import java.util.Deque;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.OptionalDouble;
+import java.util.Set;
+import java.util.TreeMap;
+
+/** All jobs of a simulation, and how well they were served. */
+public final class ObservedJobs {
+  /** Users poll every 5 s, and what they are told may lag by 3 s. */
+  private static final double POLL_DELAY_SECONDS = 8;
+
+  private final Map<String, ObservedJob> jobs = new TreeMap<>();
+
+  /** Adds a job that is about to be submitted. */
+  public void add(ObservedJob job) {
+    jobs.put(job.id(), job);
+  }
+
+  /** The job with the identifier, or null. */
+  public ObservedJob find(String id) {
+    return jobs.get(id);
+  }
+
+  ObservedJob ofTask(String task) {
+    return jobs.get(ObservedJob.idOfTask(task));
+  }
+
+  /** All jobs, in the order of their identifiers. */
+  public Collection<ObservedJob> all() {
+    return jobs.values();
+  }
+
+  private List<ObservedJob> withPrefix(String prefix) {
+    return jobs.values().stream().filter(job -> job.id().startsWith(prefix)).toList();
+  }
+
+  /** The share of jobs of the prefix that were accepted within the time. */
+  public double acceptedWithin(String prefix, double seconds) {
+    List<ObservedJob> asked = withPrefix(prefix);
+    long inTime =
+        asked.stream()
+            .filter(ObservedJob::accepted)
+            .filter(job -> job.acceptedAt().getAsDouble() - job.submittedAt() <= seconds)
+            .count();
+    return inTime / (double) asked.size();
+  }
+
+  /** The share of jobs of the prefix whose users were told that they are done. */
+  public double doneShare(String prefix) {
+    List<ObservedJob> asked = withPrefix(prefix);
+    return asked.stream().filter(job -> job.doneAt().isPresent()).count() / (double) asked.size();
+  }
+
+  /** The share of jobs reported done by their deadlines, and the time a poll may take to tell. */
+  public double inTimeShare(String prefix) {
+    List<ObservedJob> asked = withPrefix(prefix);
+    return asked.stream().filter(ObservedJobs::inTime).count() / (double) asked.size();
+  }
+
+  private static boolean inTime(ObservedJob job) {
+    return job.doneAt().isPresent()
+        && job.doneAt().getAsDouble() - job.submittedAt()
+            <= job.number("due", 0) + POLL_DELAY_SECONDS;
+  }
+
+  /**
+   * Accepted jobs that nobody cancelled and that were never reported done. What was cancelled with
+   * a dependency is not open; a job that is reported cancelled though no dependency was breaks
+   * {@link Rule#WENT_BACK}.
+   */
+  public int open(String prefix) {
+    return (int)
+        withPrefix(prefix).stream()
+            .filter(job -> job.accepted() && !job.cancelRequested())
+            .filter(job -> job.doneAt().isEmpty() && !job.reportedPhase().equals("cancelled"))
+            .count();
+  }
+
+  /** When a user was first told that a direct or indirect dependency of the job is cancelled. */
+  OptionalDouble dependencyCancelledAt(ObservedJob job) {
+    OptionalDouble first = OptionalDouble.empty();
+    Set<String> seen = new HashSet<>(job.dependencies());
+    Deque<String> open = new ArrayDeque<>(job.dependencies());
+    while (!open.isEmpty()) {
+      ObservedJob dependency = jobs.get(open.poll());
+      if (dependency.cancelledAt().isPresent()) {
+        double since = Math.max(dependency.cancelledAt().getAsDouble(), job.submittedAt());
+        first = OptionalDouble.of(Math.min(first.orElse(since), since));
+      }
+      dependency.dependencies().stream().filter(seen::add).forEach(open::add);
+    }
+    return first;
+  }
+
+  boolean dependenciesDone(ObservedJob job) {
+    return job.dependencies().stream().allMatch(id -> jobs.get(id).allTasksCompleted());
+  }
+}
--- /dev/null
+++ b/src/test/java/org/mulleinshift/invariants/ReportedPhases.java
@@ -0,0 +1,117 @@
+package org.mulleinshift.invariants;
+
+import java.util.OptionalDouble;
+import java.util.function.Consumer;
+import org.mulleinshift.simulation.time.Timeline;
+
+/** Checks what users read of their jobs against what truly happened and what they read before. */
+public final class ReportedPhases {
+  private static final int OK = 200;
+  private static final int CREATED = 201;
+  private static final int NOT_FOUND = 404;
+  private static final double MAX_SILENCE_SECONDS = 75;
+
+  private final Timeline timeline;
+  private final ObservedJobs jobs;
+  private final Violations violations;
+  private final double cancelSeconds;
+  private Consumer<ObservedJob> onNews = job -> {};
+
+  ReportedPhases(
+      Timeline timeline, ObservedJobs jobs, Violations violations, double cancelSeconds) {
+    this.timeline = timeline;
+    this.jobs = jobs;
+    this.violations = violations;
+    this.cancelSeconds = cancelSeconds;
+  }
+
+  /** Calls the listener when a user is first told that a job is accepted, and that it has ended. */
+  public void onNews(Consumer<ObservedJob> listener) {
+    onNews = listener;
+  }
+
+  /**
+   * A user reads an answer about a job. Several requests may be on their way: an answer may be no
+   * older than what was reported before its request was sent.
+   *
+   * @param askedAt when the request was sent, seconds
+   */
+  public void answered(String id, double askedAt, int status, String phase) {
+    ObservedJob job = jobs.find(id);
+    if (status == NOT_FOUND) {
+      checkMayBeUnknown(id, job, askedAt);
+      return;
+    }
+    if (status != OK && status != CREATED) {
+      return;
+    }
+    if (job == null || !job.submitted()) {
+      violations.add(Rule.INVENTED, id);
+      return;
+    }
+    boolean news = !job.accepted();
+    job.answered(timeline.seconds());
+    if (job.terminalAt().isPresent() && !phase.equals(job.reportedPhase())) {
+      checkMayBeOlder(job, askedAt, phase);
+      return;
+    }
+    checkPhase(job, phase);
+    news |= !isOpen(phase) && job.terminalAt().isEmpty();
+    job.reported(phase, timeline.seconds());
+    if (news) {
+      onNews.accept(job);
+    }
+  }
+
+  private void checkMayBeUnknown(String id, ObservedJob job, double askedAt) {
+    if (job != null && job.accepted() && job.acceptedAt().getAsDouble() <= askedAt) {
+      violations.add(Rule.FORGOTTEN, id + " got 404");
+    }
+  }
+
+  /** Only an answer to a request that was sent before the end was reported may call a job open. */
+  private void checkMayBeOlder(ObservedJob job, double askedAt, String phase) {
+    if (!isOpen(phase) || job.terminalAt().getAsDouble() <= askedAt) {
+      violations.add(Rule.WENT_BACK, job.id() + " from " + job.reportedPhase() + " to " + phase);
+    }
+  }
+
+  private void checkPhase(ObservedJob job, String phase) {
+    OptionalDouble fallen = jobs.dependencyCancelledAt(job);
+    if (isOpen(phase)
+        && fallen.isPresent()
+        && timeline.seconds() > fallen.getAsDouble() + cancelSeconds) {
+      violations.add(Rule.ORPHANED, job.id() + " is called " + phase);
+    }
+    if (phase.equals("cancelled") && !job.cancelRequested() && fallen.isEmpty()) {
+      violations.add(Rule.WENT_BACK, job.id() + " cancelled by nobody");
+    }
+    if (phase.equals("done") && !job.allTasksCompleted()) {
+      violations.add(
+          Rule.NOT_DONE, job.id() + " has " + job.completedCount() + " of " + job.taskCount());
+    }
+  }
+
+  private static boolean isOpen(String phase) {
+    return !phase.equals("done") && !phase.equals("cancelled");
+  }
+
+  /** A repeated submission of an accepted job was rejected for good. */
+  public void rejected(String id, int status) {
+    ObservedJob job = jobs.find(id);
+    if (job != null && job.accepted()) {
+      violations.add(Rule.FORGOTTEN, id + " resubmitted got " + status);
+    }
+  }
+
+  /** Once faults are over, users get answers about every accepted job. */
+  void checkAtEnd(double calmSince) {
+    for (ObservedJob job : jobs.all()) {
+      double silence = timeline.seconds() - Math.max(job.lastAnsweredAt(), calmSince);
+      if (job.accepted() && silence > MAX_SILENCE_SECONDS) {
+        violations.add(
+            Rule.FORGOTTEN, job.id() + " had no answer for " + Math.round(silence) + " s");
+      }
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/org/mulleinshift/invariants/RunningTasks.java
@@ -0,0 +1,247 @@
+package org.mulleinshift.invariants;
+
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.function.Predicate;
+import org.mulleinshift.simulation.time.Timeline;
+
+/**
+ * The tasks that truly run, as the machines see them. Each start and each end is checked against
+ * the rules of execution: once at a time, in a permitted place, within the quota, not after the
+ * job's end.
+ */
+public final class RunningTasks {
+  /** How long before its end a task is announced as nearly done. */
+  public static final double NEARLY_DONE_SECONDS = 0.006;
+
+  /**
+   * By then a stored cancellation is known and its commands are delivered, where only links are
+   * slow.
+   */
+  private static final double CANCELLATION_KNOWN_SECONDS = 2;
+
+  private static final double CANCELLATION_TOLERANCE_SECONDS = 0.01;
+  private static final double CPU_TOLERANCE = 1e-6;
+
+  private record Placement(String machine, String zone) {}
+
+  private final Timeline timeline;
+  private final ObservedJobs jobs;
+  private final Violations violations;
+  private final TeamQuota quota;
+  private final double cancelSeconds;
+  private final Map<String, Placement> running = new HashMap<>();
+  private Predicate<String> endStored = job -> false;
+  private Consumer<ObservedJob> onNearlyDone = job -> {};
+  private Consumer<ObservedJob> onStart = job -> {};
+  private int starts;
+  private int lateStarts;
+  private double maxCancellationSeconds;
+
+  /** Limits of teams and what the teams use, maybe with other cells. */
+  record TeamQuota(Map<String, Double> limits, TeamUsage usage) {
+    private double limit(String team) {
+      return limits.getOrDefault(team, 0.0);
+    }
+
+    private boolean admits(String team, double more) {
+      double limit = limit(team);
+      return limit <= 0 || usage.of(team) + more <= limit + CPU_TOLERANCE;
+    }
+  }
+
+  /**
+   * No task runs yet.
+   *
+   * @param cancelSeconds time from the report of a cancellation in which all tasks must end
+   */
+  RunningTasks(
+      Timeline timeline,
+      ObservedJobs jobs,
+      Violations violations,
+      TeamQuota quota,
+      double cancelSeconds) {
+    this.timeline = timeline;
+    this.jobs = jobs;
+    this.violations = violations;
+    this.quota = quota;
+    this.cancelSeconds = cancelSeconds;
+  }
+
+  /** Sets how to find out of which jobs an end is stored: none of their tasks may start then. */
+  public void endStored(Predicate<String> ends) {
+    endStored = ends;
+  }
+
+  /** Calls the listener when the last task of a job is about to end. */
+  public void onNearlyDone(Consumer<ObservedJob> listener) {
+    onNearlyDone = listener;
+  }
+
+  /** Calls the listener at each start of a task. */
+  public void onStart(Consumer<ObservedJob> listener) {
+    onStart = listener;
+  }
+
+  /** A task ends in {@link #NEARLY_DONE_SECONDS}. */
+  public void nearlyDone(String task) {
+    ObservedJob job = jobs.ofTask(task);
+    if (job.completedCount() == job.taskCount() - 1) {
+      onNearlyDone.accept(job);
+    }
+  }
+
+  /** The machine has fetched the task's image and runs the task from now on. */
+  public void started(String task, MachineTraits machine) {
+    ObservedJob job = jobs.ofTask(task);
+    starts++;
+    job.taskStarted(timeline.seconds());
+    checkRunsOnce(task, machine);
+    if (!placementAllowed(job, machine)) {
+      violations.add(Rule.WRONG_PLACE, task + " on " + machine.name() + " in " + machine.zone());
+    }
+    checkNotEnded(task, job, machine);
+    checkDependencies(task, job);
+    if (running.put(task, new Placement(machine.name(), machine.zone())) == null) {
+      quota.usage().add(job.team(), job.cpus());
+    }
+    if (!quota.admits(job.team(), 0)) {
+      violations.add(Rule.QUOTA, job.team() + " uses " + quota.usage().of(job.team()));
+    }
+    onStart.accept(job);
+  }
+
+  private void checkRunsOnce(String task, MachineTraits machine) {
+    Placement other = running.get(task);
+    if (other != null) {
+      violations.add(Rule.RAN_TWICE, task + " on " + other.machine() + " and " + machine.name());
+    }
+  }
+
+  private boolean placementAllowed(ObservedJob job, MachineTraits machine) {
+    return machine.matches(job) && zoneAllowed(job, machine.zone());
+  }
+
+  private void checkNotEnded(String task, ObservedJob job, MachineTraits machine) {
+    if (endStored.test(job.id())) {
+      violations.add(
+          Rule.OVER, task + " started on " + machine.name() + " though its job's end is stored");
+    }
+    lateStarts += isPast(job, CANCELLATION_KNOWN_SECONDS) ? 1 : 0;
+    if (isPast(job, cancelSeconds)) {
+      violations.add(Rule.RAN_CANCELLED, task + " started on " + machine.name());
+    }
+  }
+
+  /** Whether the job's cancellation was reported longer ago than that. */
+  private boolean isPast(ObservedJob job, double seconds) {
+    return job.cancelledAt().isPresent()
+        && timeline.seconds() > job.cancelledAt().getAsDouble() + seconds;
+  }
+
+  private void checkDependencies(String task, ObservedJob job) {
+    for (String dependency : job.dependencies()) {
+      if (!jobs.find(dependency).allTasksCompleted()) {
+        violations.add(Rule.TOO_EARLY, task + " before " + dependency + " was done");
+      }
+    }
+  }
+
+  /** Whether one more task of the job in the zone keeps the job's constraints on zones. */
+  boolean zoneAllowed(ObservedJob job, String zone) {
+    boolean oneZone = job.flag("one_zone", false);
+    boolean spread = job.flag("spread", false);
+    if (!oneZone && !spread) {
+      return true;
+    }
+    int inZone = 1;
+    for (Map.Entry<String, Placement> entry : running.entrySet()) {
+      if (ObservedJob.idOfTask(entry.getKey()).equals(job.id())) {
+        boolean same = entry.getValue().zone().equals(zone);
+        if (oneZone && !same) {
+          return false;
+        }
+        inZone += same ? 1 : 0;
+      }
+    }
+    return !spread || inZone <= (job.taskCount() + 1) / 2;
+  }
+
+  /** Whether the job's team may use so much more as one of its tasks takes. */
+  boolean underLimit(ObservedJob job) {
+    return quota.admits(job.team(), job.cpus());
+  }
+
+  /** A task has done its work. */
+  public void completed(String task) {
+    jobs.ofTask(task).taskCompleted(ObservedJob.indexOfTask(task));
+  }
+
+  /** Whether the task has done its work, on any machine. */
+  public boolean isCompleted(String task) {
+    return jobs.ofTask(task).isCompleted(ObservedJob.indexOfTask(task));
+  }
+
+  /** A task is no longer on the machine. */
+  public void ended(String task, String machine) {
+    Placement placement = running.get(task);
+    if (placement != null && placement.machine().equals(machine)) {
+      running.remove(task);
+      ObservedJob job = jobs.ofTask(task);
+      quota.usage().add(job.team(), -job.cpus());
+      checkCancelled(task);
+    }
+  }
+
+  private void checkCancelled(String task) {
+    ObservedJob job = jobs.ofTask(task);
+    if (job.cancelledAt().isPresent()) {
+      double since = timeline.seconds() - job.cancelledAt().getAsDouble();
+      maxCancellationSeconds = Math.max(maxCancellationSeconds, since);
+    }
+    if (isPast(job, cancelSeconds + CANCELLATION_TOLERANCE_SECONDS)) {
+      violations.add(Rule.RAN_CANCELLED, task + " was still there");
+    }
+  }
+
+  void checkAtEnd() {
+    running.keySet().forEach(this::checkCancelled);
+  }
+
+  /** The machines on which tasks of these jobs run. */
+  public Set<String> machinesOf(Collection<ObservedJob> some) {
+    Set<String> machines = new HashSet<>();
+    running.forEach(
+        (task, placement) -> {
+          if (some.contains(jobs.ofTask(task))) {
+            machines.add(placement.machine());
+          }
+        });
+    return machines;
+  }
+
+  /** How many tasks of the job run. */
+  public int count(String job) {
+    return (int)
+        running.keySet().stream().filter(task -> ObservedJob.idOfTask(task).equals(job)).count();
+  }
+
+  /** How many tasks have started. */
+  public int starts() {
+    return starts;
+  }
+
+  /** Starts more than two seconds after a user was told that the job is cancelled. */
+  public int lateStarts() {
+    return lateStarts;
+  }
+
+  /** The longest time from the report of a cancellation to the end of a task of that job. */
+  public double maxCancellationSeconds() {
+    return maxCancellationSeconds;
+  }
+}
--- a/src/test/java/org/mulleinshift/sim/TeamUse.java
+++ b/src/test/java/org/mulleinshift/invariants/TeamUsage.java
@@ -1,10 +1,10 @@
-package org.mulleinshift.sim;
+package org.mulleinshift.invariants;
 
 import java.util.HashMap;
 import java.util.Map;
 
 /** Processors that the tasks of each team use; shared by the rule books of several cells. */
-final class TeamUse {
+public final class TeamUsage {
   private final Map<String, Double> cpus = new HashMap<>();
 
   /**
--- /dev/null
+++ b/src/test/java/org/mulleinshift/invariants/Violations.java
@@ -0,0 +1,25 @@
+package org.mulleinshift.invariants;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.mulleinshift.simulation.time.Timeline;
+
+/** The violations of rules that were found so far, in the order in which they were found. */
+public final class Violations {
+  private final Timeline timeline;
+  private final List<String> lines = new ArrayList<>();
+
+  Violations(Timeline timeline) {
+    this.timeline = timeline;
+  }
+
+  /** Records a violation with the present time. */
+  public void add(Rule rule, String detail) {
+    lines.add(String.format("%.3f %s: %s", timeline.seconds(), rule, detail));
+  }
+
+  /** One line per violation: time, rule and detail. */
+  public List<String> lines() {
+    return lines;
+  }
+}
--- a/src/test/java/org/mulleinshift/sim/ByteCounter.java
+++ b/src/test/java/org/mulleinshift/scalerun/ByteCounter.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.sim;
+package org.mulleinshift.scalerun;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelDuplexHandler;
--- a/src/test/java/org/mulleinshift/sim/HttpConnection.java
+++ b/src/test/java/org/mulleinshift/scalerun/HttpConnection.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.sim;
+package org.mulleinshift.scalerun;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -43,8 +43,8 @@
     this.counter = counter;
   }
 
-  /** Asks; {@link HttpResponse#NO_RESPONSE} is the reply if the connection fails. */
-  synchronized void ask(
+  /** Sends a request; {@link HttpResponse#NO_RESPONSE} is the reply if the connection fails. */
+  synchronized void send(
       InetSocketAddress address,
       String method,
       String path,
--- a/src/test/java/org/mulleinshift/sim/HttpListener.java
+++ b/src/test/java/org/mulleinshift/scalerun/HttpListener.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.sim;
+package org.mulleinshift.scalerun;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
--- a/src/test/java/org/mulleinshift/sim/ProcessFigures.java
+++ b/src/test/java/org/mulleinshift/scalerun/ProcessFigures.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.sim;
+package org.mulleinshift.scalerun;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- /dev/null
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleCell.java
@@ -0,0 +1,368 @@
+package org.mulleinshift.scalerun;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import io.netty.channel.EventLoopGroup;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.net.http.HttpClient;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Random;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.function.Consumer;
+import java.util.function.DoubleConsumer;
+import java.util.function.Supplier;
+import org.mulleinshift.invariants.InvariantChecker;
+import org.mulleinshift.invariants.ObservedJob;
+import org.mulleinshift.invariants.TeamUsage;
+import org.mulleinshift.settings.PlatformSettings;
+import org.mulleinshift.simulation.HeartbeatSender;
+import org.mulleinshift.simulation.MachineSpec;
+import org.mulleinshift.simulation.SimulatedCloud;
+import org.mulleinshift.simulation.SimulatedMachine;
+import org.mulleinshift.simulation.SimulatedStore;
+import org.mulleinshift.simulation.SimulatedWorker;
+import org.mulleinshift.simulation.time.RealTimeline;
+import org.mulleinshift.transport.HttpRequest;
+import org.mulleinshift.transport.HttpResponse;
+
+/**
+ * One cell of a scale run: real controllers, and a simulated store, cloud, users and workers on
+ * addresses of the loopback range.
+ */
+final class ScaleCell {
+  private static final String MACHINE_TYPE = "hollow";
+  private static final double RAM_GB = 1000;
+  private static final double PRICE = 1;
+  private static final double SPOT_PRICE = 0.4;
+  private static final double BOOT_SECONDS = 15;
+  private static final double RESTART_SECONDS = 3;
+  private static final double UP_WITHIN_SECONDS = 3;
+  private static final double SURPLUS_CAPACITY = 1.1;
+  private static final int BYTES_PER_KB = 1024;
+  private static final int SEEDS_PER_RUN = 1000;
+  private static final int WORKER_SEED_OFFSET = 500;
+  private static final double MILLIS_PER_SECOND = 1000;
+  private static final double NANOS_PER_SECOND = 1e9;
+
+  /** What the cells of a process share. */
+  record Shared(
+      ScaleOptions options,
+      int network,
+      Path folder,
+      EventLoopGroup threads,
+      HttpClient userClient,
+      TeamUsage teamUsage,
+      ScaleMeasures measures) {}
+
+  private final Shared shared;
+  private final ScaleOptions options;
+  private final int number;
+  private final CellAddresses addresses;
+  private final CellSettings settings;
+  private final RealTimeline storeTimeline;
+  private final RealTimeline timeline;
+  private final SimulatedStore store;
+  private final SimulatedCloud cloud;
+  private final InvariantChecker checker;
+  private final LoadBalancer loadBalancer;
+  private final ByteCounter storeBytes = new ByteCounter();
+  private final ByteCounter workerBytes = new ByteCounter();
+  private final ByteCounter cloudBytes = new ByteCounter();
+  private final List<HttpListener> listeners = new ArrayList<>();
+  private final List<ControllerProcess> controllers = new ArrayList<>();
+  private final Map<String, SimulatedWorker> workersByAddress = new ConcurrentHashMap<>();
+  private final Map<SimulatedWorker, HttpConnection> connections = new ConcurrentHashMap<>();
+  private int storeRequests;
+  private double lastStartAt;
+  private double longestGap;
+
+  ScaleCell(Shared shared, int number) {
+    this.shared = shared;
+    this.options = shared.options();
+    this.number = number;
+    this.addresses = new CellAddresses(shared.network(), number);
+    this.settings = new CellSettings(options, number, addresses);
+    long seed = options.seed * SEEDS_PER_RUN + number;
+    this.storeTimeline = new RealTimeline("state-" + number, seed);
+    this.timeline = new RealTimeline("workers-" + number, seed + WORKER_SEED_OFFSET);
+    this.store = new SimulatedStore(storeTimeline, storeLimits());
+    this.checker =
+        new InvariantChecker(
+            timeline, settings.teamLimits(), options.cancelSeconds, shared.teamUsage());
+    this.checker.tasks().onStart(this::onStart);
+    this.checker.answers().onNews(job -> shared.measures().news(job));
+    this.cloud = new SimulatedCloud(timeline, CellSettings.LISTING_LAG_SECONDS, this::startWorker);
+    this.loadBalancer = new LoadBalancer(timeline, shared.userClient(), controllers);
+  }
+
+  private PlatformSettings.StoreLimits storeLimits() {
+    return new PlatformSettings.StoreLimits(
+        settings.storeRequestsPerSecond(),
+        settings.storeWritesPerSecond(),
+        (int) (options.valueKb * BYTES_PER_KB),
+        CellSettings.TRANSACTION_OPERATIONS,
+        Optional.empty());
+  }
+
+  private void onStart(ObservedJob job) {
+    double now = timeline.seconds();
+    shared.measures().started(job, now);
+    longestGap = Math.max(longestGap, now - lastStartAt);
+    lastStartAt = now;
+  }
+
+  /** Reports the longest time without any start in the seconds that come. */
+  void watchGap(double seconds, DoubleConsumer listener) {
+    timeline.post(
+        () -> {
+          longestGap = 0;
+          timeline.after(
+              seconds,
+              () -> listener.accept(Math.max(longestGap, timeline.seconds() - lastStartAt)));
+        });
+  }
+
+  /** Runs a step on the cell's timeline and waits for its end. */
+  void runAndWait(Runnable step) {
+    ask(
+        timeline,
+        () -> {
+          step.run();
+          return true;
+        });
+  }
+
+  /** Reads what only the thread of a timeline may read. */
+  private static <T> T ask(RealTimeline owner, Supplier<T> question) {
+    CompletableFuture<T> answer = new CompletableFuture<>();
+    owner.post(
+        () -> {
+          try {
+            answer.complete(question.get());
+          } catch (RuntimeException e) {
+            answer.completeExceptionally(e);
+          }
+        });
+    return answer.join();
+  }
+
+  /** Starts the simulated services, the controllers and the workers. */
+  void start() throws IOException {
+    listen(addresses.store(), storeBytes, this::onStoreRequest);
+    listen(addresses.cloud(), cloudBytes, this::onCloudRequest);
+    HttpListener commands = listen(new InetSocketAddress(0), workerBytes, this::onWorkerRequest);
+    int port = commands.address().getPort();
+    cloud.addresses(index -> addresses.workerHost(index) + ":" + port);
+    cloud.add(
+        new MachineSpec(MACHINE_TYPE, options.workerCpus, RAM_GB, PRICE, SPOT_PRICE, BOOT_SECONDS));
+    for (int i = 0; i < options.controllers; i++) {
+      Path file = shared.folder().resolve("settings-" + number + "-" + i + ".toml");
+      Files.writeString(file, settings.file(i));
+      controllers.add(
+          new ControllerProcess(
+              settings.label(i), addresses.publicAddress(i), options, file, shared.folder()));
+    }
+    storeTimeline.start();
+    timeline.start();
+    controllers.forEach(ControllerProcess::start);
+    timeline.post(this::bootWorkers);
+    timeline.post(loadBalancer::probe);
+  }
+
+  private void bootWorkers() {
+    List<String> zones = CellSettings.ZONES;
+    int workers = settings.workersPerCell();
+    int capacity = (int) Math.ceil(SURPLUS_CAPACITY * workers / zones.size());
+    zones.forEach(zone -> cloud.onDemandCapacity(MACHINE_TYPE, zone, capacity));
+    for (int i = 0; i < workers; i++) {
+      double seconds = UP_WITHIN_SECONDS * timeline.random();
+      cloud.boot(cloud.type(MACHINE_TYPE), zones.get(i % zones.size()), seconds);
+    }
+  }
+
+  private HttpListener listen(
+      InetSocketAddress address, ByteCounter counter, HttpListener.Handler handler) {
+    HttpListener listener = new HttpListener(shared.threads(), address, counter, handler);
+    listeners.add(listener);
+    return listener;
+  }
+
+  /** Starts the users; they submit until that time of this cell's timeline. */
+  void submitUntil(double seconds) {
+    timeline.post(
+        () -> new ScaleWorkload(timeline, checker, loadBalancer, options, number).start(seconds));
+  }
+
+  private void onStoreRequest(
+      InetSocketAddress local, HttpRequest request, Consumer<HttpResponse> reply) {
+    storeTimeline.post(
+        () -> {
+          storeRequests++;
+          storeTimeline.after(
+              options.stateMillis / MILLIS_PER_SECOND, () -> store.handle("", request, reply));
+        });
+  }
+
+  private void onCloudRequest(
+      InetSocketAddress local, HttpRequest request, Consumer<HttpResponse> reply) {
+    timeline.post(() -> cloud.handle(request, reply));
+  }
+
+  private void onWorkerRequest(
+      InetSocketAddress local, HttpRequest request, Consumer<HttpResponse> reply) {
+    SimulatedWorker worker =
+        workersByAddress.get(local.getAddress().getHostAddress() + ":" + local.getPort());
+    if (worker != null) {
+      timeline.post(() -> worker.handle(request, reply));
+    }
+  }
+
+  private SimulatedWorker startWorker(SimulatedMachine machine) {
+    SimulatedWorker worker =
+        new SimulatedWorker(
+            timeline,
+            checker,
+            new ConnectionHeartbeats(),
+            machine,
+            new SimulatedWorker.Timing(options.reportSeconds, options.leaseSeconds));
+    connections.put(worker, new HttpConnection(shared.threads(), workerBytes));
+    workersByAddress.put(machine.address(), worker);
+    return worker;
+  }
+
+  /** Sends heartbeats over each worker's own connection. */
+  private final class ConnectionHeartbeats implements HeartbeatSender {
+    @Override
+    public int controllerCount() {
+      return controllers.size();
+    }
+
+    @Override
+    public int indexOf(String label) {
+      for (int i = 0; i < controllers.size(); i++) {
+        if (controllers.get(i).label().equals(label)) {
+          return i;
+        }
+      }
+      return -1;
+    }
+
+    @Override
+    public void send(
+        SimulatedWorker worker, int controller, String body, Consumer<HttpResponse> reply) {
+      connections
+          .get(worker)
+          .send(
+              controllers.get(controller).address(),
+              "POST",
+              "/checkin",
+              body,
+              response -> timeline.post(() -> reply.accept(response)));
+    }
+  }
+
+  /** Whether all controllers answer users. */
+  boolean ready() {
+    return controllers.stream().allMatch(ControllerProcess::ready);
+  }
+
+  /**
+   * Causes a fault.
+   *
+   * @param amount the fault's number, or 0 if none is given
+   */
+  void cause(String fault, double amount) {
+    switch (fault) {
+      case "kill-leader" -> kill(leader());
+      case "kill-controller" -> kill(controllers.get((int) amount));
+      case "kill-workers" -> timeline.post(() -> some((int) amount).forEach(cloud::delete));
+      case "restart-workers" ->
+          timeline.post(() -> workersOf(some((int) amount)).forEach(SimulatedWorker::reboot));
+      case "zone-dark" -> timeline.post(() -> hangZone(CellSettings.ZONES.get(0), amount));
+      case "state-out" -> storeTimeline.post(() -> store.outage(amount));
+      default -> throw new IllegalArgumentException("no such trouble: " + fault);
+    }
+  }
+
+  private List<SimulatedMachine> some(int count) {
+    List<SimulatedMachine> up = new ArrayList<>(cloud.up());
+    Collections.shuffle(up, new Random(options.seed));
+    return up.subList(0, Math.min(count, up.size()));
+  }
+
+  private static List<SimulatedWorker> workersOf(List<SimulatedMachine> machines) {
+    return machines.stream().flatMap(machine -> machine.worker().stream()).toList();
+  }
+
+  private void hangZone(String zone, double seconds) {
+    List<SimulatedMachine> machines =
+        cloud.up().stream().filter(machine -> machine.zone().equals(zone)).toList();
+    workersOf(machines).forEach(worker -> worker.hang(seconds));
+  }
+
+  private void kill(ControllerProcess controller) {
+    controller.kill();
+    timeline.post(() -> timeline.after(RESTART_SECONDS, controller::start));
+  }
+
+  private ControllerProcess leader() {
+    JsonNode value = ask(storeTimeline, () -> store.values().get("c/leader"));
+    String label = value == null ? "" : value.path("node").asText();
+    return controllers.stream()
+        .filter(controller -> controller.label().equals(label))
+        .findFirst()
+        .orElse(controllers.get(0));
+  }
+
+  /** Which controller led last. */
+  String leaderLabel() {
+    return leader().label();
+  }
+
+  List<ControllerProcess> controllers() {
+    return controllers;
+  }
+
+  InvariantChecker checker() {
+    return checker;
+  }
+
+  RealTimeline timeline() {
+    return timeline;
+  }
+
+  /** Figures of the simulated services now. */
+  ScaleMeasures.StandIns standIns() {
+    return new ScaleMeasures.StandIns(
+        storeRequests,
+        store.history().writes(),
+        store.rateLimited(),
+        storeBytes.bytes(),
+        workerBytes.bytes(),
+        workerBytes.open(),
+        cloudBytes.bytes(),
+        timeline.processorNanos() / NANOS_PER_SECOND,
+        storeTimeline.processorNanos() / NANOS_PER_SECOND,
+        ask(timeline, () -> cloud.up().size()));
+  }
+
+  void killControllers() {
+    controllers.stream().filter(ControllerProcess::alive).forEach(ControllerProcess::kill);
+  }
+
+  /** Ends all that this cell started. */
+  void stop() {
+    killControllers();
+    timeline.stop();
+    storeTimeline.stop();
+    listeners.forEach(HttpListener::close);
+    connections.values().forEach(HttpConnection::close);
+  }
+}
--- a/src/test/java/org/mulleinshift/sim/ScaleGroup.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleGroup.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.sim;
+package org.mulleinshift.scalerun;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/src/test/java/org/mulleinshift/sim/ScaleMeasures.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleMeasures.java
@@ -1,9 +1,10 @@
-package org.mulleinshift.sim;
+package org.mulleinshift.scalerun;
 
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
+import org.mulleinshift.invariants.ObservedJob;
 
 /** What users see, over all cells of a process; times in milliseconds. */
 final class ScaleMeasures {
@@ -49,21 +50,21 @@
   }
 
   /** A task of the job starts. */
-  void started(RuleBook.TrueJob job, double now) {
-    if (job.submittedAt < measuredFrom) {
+  void started(ObservedJob job, double now) {
+    if (job.submittedAt() < measuredFrom) {
       return;
     }
-    String jobClass = job.fields.get("class");
-    record(starts.computeIfAbsent(jobClass, key -> histogram()), now - job.submittedAt);
-    if (job.starts == 1) {
-      record(firstStarts.computeIfAbsent(jobClass, key -> histogram()), now - job.submittedAt);
+    String jobClass = job.text("class", "");
+    record(starts.computeIfAbsent(jobClass, key -> histogram()), now - job.submittedAt());
+    if (job.starts() == 1) {
+      record(firstStarts.computeIfAbsent(jobClass, key -> histogram()), now - job.submittedAt());
     }
   }
 
   /** The job's user is told that it is accepted, or that it is over. */
-  void news(RuleBook.TrueJob job) {
-    if (job.submittedAt >= measuredFrom && job.overAt == null) {
-      record(accepted, job.acceptedAt - job.submittedAt);
+  void news(ObservedJob job) {
+    if (job.submittedAt() >= measuredFrom && job.terminalAt().isEmpty()) {
+      record(accepted, job.acceptedAt().getAsDouble() - job.submittedAt());
     }
   }
 
--- a/src/test/java/org/mulleinshift/sim/ScaleOptions.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleOptions.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.sim;
+package org.mulleinshift.scalerun;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/test/java/org/mulleinshift/sim/ScaleReport.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleReport.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.sim;
+package org.mulleinshift.scalerun;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -9,6 +9,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
+import org.mulleinshift.invariants.InvariantChecker;
+import org.mulleinshift.invariants.ObservedJob;
 
 /** What a scale run measured, as text and for machines. */
 final class ScaleReport {
@@ -16,6 +18,15 @@
   private static final double BUSY_MACHINE = 0.9;
   private static final int MAX_NAMED = 20;
   private static final long URGENT_MILLIS = 1200;
+  private static final double NANOS_PER_SECOND = 1e9;
+  private static final double BYTES_PER_KB = 1024;
+  private static final double DECIMALS = 10_000;
+  private static final double PERCENT = 100;
+  private static final double MEDIAN = 50;
+  private static final double P95 = 95;
+  private static final double P99 = 99;
+  private static final int NAMED_THREADS = 5;
+  private static final double MIN_STARTS_PER_SECOND = 1e-9;
 
   /** All counters at a moment. */
   record Sample(
@@ -32,21 +43,21 @@
         ScaleCell cell = cells.get(i);
         cell.controllers().forEach(node -> controllers.put(node.label(), node.figures()));
         standIns.put(i, cell.standIns());
-        starts += cell.rules().starts();
+        starts += cell.checker().tasks().starts();
       }
       double process = processSeconds();
       double all = process;
       for (ProcessFigures figures : controllers.values()) {
         all += figures.cpuSeconds();
       }
-      return new Sample(System.nanoTime() / 1e9, starts, controllers, standIns, all);
+      return new Sample(System.nanoTime() / NANOS_PER_SECOND, starts, controllers, standIns, all);
     }
 
     private static double processSeconds() {
       com.sun.management.OperatingSystemMXBean process =
           (com.sun.management.OperatingSystemMXBean)
               java.lang.management.ManagementFactory.getOperatingSystemMXBean();
-      return process.getProcessCpuTime() / 1e9;
+      return process.getProcessCpuTime() / NANOS_PER_SECOND;
     }
   }
 
@@ -59,8 +70,15 @@
     this.broken = broken;
   }
 
-  static ScaleReport of(
-      ScaleOptions options,
+  /**
+   * What a run leaves behind for its report.
+   *
+   * @param before counters when the measured part of the load began
+   * @param after counters at the end of the load
+   * @param calmSince when the last fault was over, seconds
+   * @param folder of the controllers' logs
+   */
+  record Results(
       List<ScaleCell> cells,
       ScaleMeasures measures,
       Sample before,
@@ -68,28 +86,40 @@
       ScaleTroubles troubles,
       double calmSince,
       Path folder) {
+    double seconds() {
+      return after.seconds() - before.seconds();
+    }
+
+    double startsPerSecond() {
+      return (after.starts() - before.starts()) / seconds();
+    }
+
+    /** The share of the machine's processors that was busy with the run. */
+    double machineShare() {
+      return (after.machineSeconds() - before.machineSeconds())
+          / seconds()
+          / Runtime.getRuntime().availableProcessors();
+    }
+  }
+
+  /** The report of a run that has ended; checks what must hold at the end. */
+  static ScaleReport of(ScaleOptions options, Results results) {
     ObjectNode node = new ObjectMapper().createObjectNode();
-    List<String> broken = new ArrayList<>();
-    ScaleReport report = new ScaleReport(node, broken);
-    double seconds = after.seconds() - before.seconds();
-    report.size(options, cells);
-    report.put("starts_per_s", (after.starts() - before.starts()) / seconds);
-    report.latencies(measures);
-    report.controllers(cells, before, after, seconds);
-    report.standIns(before, after, seconds);
-    report.ends(cells, calmSince);
-    report.troubles(troubles);
-    double machine =
-        (after.machineSeconds() - before.machineSeconds())
-            / seconds
-            / Runtime.getRuntime().availableProcessors();
-    report.put("machine_share", machine);
-    if (machine > BUSY_MACHINE) {
+    ScaleReport report = new ScaleReport(node, new ArrayList<>());
+    report.size(options, results.cells());
+    report.put("starts_per_s", results.startsPerSecond());
+    report.latencies(results.measures());
+    report.controllers(results);
+    report.standIns(results);
+    report.ends(results.cells(), results.calmSince());
+    report.troubles(results.troubles());
+    report.put("machine_share", results.machineShare());
+    if (results.machineShare() > BUSY_MACHINE) {
       report.notes.add("the machine was the limit: all its processors were busy");
     }
-    node.put("logs", folder.toString());
+    node.put("logs", results.folder().toString());
     report.notes.forEach(node.putArray("limits")::add);
-    broken.stream().limit(MAX_NAMED).forEach(node.putArray("broken")::add);
+    report.broken.stream().limit(MAX_NAMED).forEach(node.putArray("broken")::add);
     node.put("passed", report.passed());
     return report;
   }
@@ -105,7 +135,7 @@
   }
 
   private void put(String name, double value) {
-    figures.put(name, Math.round(value * 10_000) / 10_000.0);
+    figures.put(name, Math.round(value * DECIMALS) / DECIMALS);
   }
 
   private void latencies(ScaleMeasures measures) {
@@ -117,57 +147,68 @@
   private void percentiles(String name, Histogram times) {
     ObjectNode node = figures.putObject(name + "_ms");
     node.put("count", times.getTotalCount());
-    node.put("within_1200_ms", times.getPercentileAtOrBelowValue(URGENT_MILLIS) / 100);
-    node.put("p50", times.getValueAtPercentile(50));
-    node.put("p95", times.getValueAtPercentile(95));
-    node.put("p99", times.getValueAtPercentile(99));
+    node.put("within_1200_ms", times.getPercentileAtOrBelowValue(URGENT_MILLIS) / PERCENT);
+    node.put("p50", times.getValueAtPercentile(MEDIAN));
+    node.put("p95", times.getValueAtPercentile(P95));
+    node.put("p99", times.getValueAtPercentile(P99));
     node.put("max", times.getMaxValue());
   }
 
-  private void controllers(List<ScaleCell> cells, Sample before, Sample after, double seconds) {
+  private void controllers(Results results) {
     ArrayNode list = figures.putArray("controllers");
     double leaders = 0;
-    double loops = 0;
+    double busiestLoop = 0;
     double all = 0;
     double peak = 0;
-    for (ScaleCell cell : cells) {
+    for (ScaleCell cell : results.cells()) {
       String leader = cell.leaderLabel();
       for (ControllerProcess process : cell.controllers()) {
-        ProcessFigures used =
-            after
-                .controllers()
-                .get(process.label())
-                .since(before.controllers().get(process.label()));
+        ProcessFigures used = usedBy(process, results);
+        double cores = used.cpuSeconds() / results.seconds();
         boolean leads = process.label().equals(leader);
-        ObjectNode node = list.addObject();
-        node.put("label", process.label());
-        node.put("leads", leads);
-        node.put("cores", used.cpuSeconds() / seconds);
-        node.put("loop_cores", used.loopSeconds() / seconds);
-        node.put("memory_mb", used.peakMb());
-        node.put("kb_per_s", used.ioBytes() / 1024.0 / seconds);
-        node.put("sockets", used.sockets());
-        node.put("ended_by_itself", process.endedByItself());
-        used.busiest(5).forEach(node.putArray("threads_s")::add);
-        leaders += leads ? used.cpuSeconds() / seconds : 0;
-        loops = Math.max(loops, used.loopSeconds() / seconds);
-        all += used.cpuSeconds() / seconds;
+        describe(process, leads, used, results.seconds(), list.addObject());
+        leaders += leads ? cores : 0;
+        busiestLoop = Math.max(busiestLoop, used.loopSeconds() / results.seconds());
+        all += cores;
         peak = Math.max(peak, used.peakMb());
-        if (process.endedByItself() > 0) {
-          broken.add(process.label() + " ended by itself; see " + process.log());
-        }
       }
     }
-    put("leader_cores", leaders / cells.size());
-    put("busiest_loop_cores", loops);
+    put("leader_cores", leaders / results.cells().size());
+    put("busiest_loop_cores", busiestLoop);
     put("controllers_cores", all);
     put("most_memory_mb", peak);
-    if (loops > BUSY_THREAD) {
+    if (busiestLoop > BUSY_THREAD) {
       notes.add("a controller's event loop was the limit");
     }
   }
 
-  private void standIns(Sample before, Sample after, double seconds) {
+  private static ProcessFigures usedBy(ControllerProcess process, Results results) {
+    ProcessFigures before = results.before().controllers().get(process.label());
+    return results.after().controllers().get(process.label()).since(before);
+  }
+
+  private void describe(
+      ControllerProcess process,
+      boolean leads,
+      ProcessFigures used,
+      double seconds,
+      ObjectNode node) {
+    node.put("label", process.label());
+    node.put("leads", leads);
+    node.put("cores", used.cpuSeconds() / seconds);
+    node.put("loop_cores", used.loopSeconds() / seconds);
+    node.put("memory_mb", used.peakMb());
+    node.put("kb_per_s", used.ioBytes() / BYTES_PER_KB / seconds);
+    node.put("sockets", used.sockets());
+    node.put("ended_by_itself", process.endedByItself());
+    used.busiest(NAMED_THREADS).forEach(node.putArray("threads_s")::add);
+    if (process.endedByItself() > 0) {
+      broken.add(process.label() + " ended by itself; see " + process.log());
+    }
+  }
+
+  private void standIns(Results results) {
+    double seconds = results.seconds();
     double requests = 0;
     double changes = 0;
     double stateBytes = 0;
@@ -176,9 +217,9 @@
     double busiest = 0;
     long refused = 0;
     long connections = 0;
-    for (Integer cell : after.cells().keySet()) {
-      ScaleMeasures.StandIns then = before.cells().get(cell);
-      ScaleMeasures.StandIns now = after.cells().get(cell);
+    for (Integer cell : results.after().cells().keySet()) {
+      ScaleMeasures.StandIns then = results.before().cells().get(cell);
+      ScaleMeasures.StandIns now = results.after().cells().get(cell);
       requests += (now.stateRequests() - then.stateRequests()) / seconds;
       changes += (now.stateChanges() - then.stateChanges()) / seconds;
       stateBytes += (now.stateBytes() - then.stateBytes()) / seconds;
@@ -189,13 +230,13 @@
       busiest = Math.max(busiest, (now.workersSeconds() - then.workersSeconds()) / seconds);
       busiest = Math.max(busiest, (now.stateSeconds() - then.stateSeconds()) / seconds);
     }
-    double starts = Math.max(1e-9, (after.starts() - before.starts()) / seconds);
+    double starts = Math.max(MIN_STARTS_PER_SECOND, results.startsPerSecond());
     put("state_requests_per_s", requests);
     put("state_changes_per_s", changes);
     put("state_changes_per_start", changes / starts);
-    put("state_kb_per_s", stateBytes / 1024);
+    put("state_kb_per_s", stateBytes / BYTES_PER_KB);
     figures.put("state_refused", refused);
-    put("worker_kb_per_s", workerBytes / 1024 / Math.max(1, machines));
+    put("worker_kb_per_s", workerBytes / BYTES_PER_KB / Math.max(1, machines));
     figures.put("worker_connections", connections);
     put("busiest_stand_in_cores", busiest);
     if (busiest > BUSY_THREAD) {
@@ -208,13 +249,13 @@
     int done = 0;
     int starts = 0;
     for (ScaleCell cell : cells) {
-      RuleBook rules = cell.rules();
-      cell.inWorld(() -> rules.end(calmSince));
-      broken.addAll(rules.broken());
-      starts += rules.starts();
-      for (RuleBook.TrueJob job : rules.jobs()) {
-        accepted += job.accepted ? 1 : 0;
-        done += job.toldDoneAt != null ? 1 : 0;
+      InvariantChecker checker = cell.checker();
+      cell.runAndWait(() -> checker.checkAtEnd(calmSince));
+      broken.addAll(checker.violations().lines());
+      starts += checker.tasks().starts();
+      for (ObservedJob job : checker.jobs().all()) {
+        accepted += job.accepted() ? 1 : 0;
+        done += job.doneAt().isPresent() ? 1 : 0;
       }
     }
     figures.put("starts", starts);
--- a/src/test/java/org/mulleinshift/sim/ScaleRun.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleRun.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.sim;
+package org.mulleinshift.scalerun;
 
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -17,6 +17,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.stream.Stream;
+import org.mulleinshift.invariants.TeamUsage;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -29,6 +30,9 @@
 public final class ScaleRun implements Callable<Integer> {
   private static final int RULE_BROKEN = 1;
   private static final double READY_WITHIN_SECONDS = 60;
+  private static final double READY_POLL_SECONDS = 0.1;
+  private static final double NANOS_PER_SECOND = 1e9;
+  private static final double BYTES_PER_MB = 1e6;
   private static final double DRAIN_SECONDS = 12;
   private static final int IO_THREADS = 2;
   private static final int PROBE_PORT = 2379;
@@ -50,6 +54,7 @@
   private final List<ScaleReport> reports = new ArrayList<>();
   private List<String> arguments = List.of();
 
+  /** Plays a scale run; see {@code --help}. */
   public static void main(String[] args) {
     ScaleRun run = new ScaleRun();
     run.arguments = List.of(args);
@@ -109,7 +114,7 @@
             folder,
             threads,
             HttpClient.newBuilder().executor(answers).build(),
-            new TeamUse(),
+            new TeamUsage(),
             measures);
     List<ScaleCell> cells = new ArrayList<>();
     for (int i = 0; i < options.cellsHere(); i++) {
@@ -134,15 +139,15 @@
     }
     awaitReady(cells);
     sleep(options.settleSeconds);
-    double begun = cells.get(0).world().seconds();
+    double loadStart = cells.get(0).timeline().seconds();
     for (ScaleCell cell : cells) {
-      cell.submitUntil(cell.world().seconds() + options.seconds);
+      cell.submitUntil(cell.timeline().seconds() + options.seconds);
     }
     ScaleTroubles troubles = new ScaleTroubles(options.troubles, cells);
-    measures.measureFrom(begun + options.warmupSeconds);
+    measures.measureFrom(loadStart + options.warmupSeconds);
     ScaleReport.Sample before = null;
     for (double at = 1; at <= options.seconds; at++) {
-      sleep(begun + at - cells.get(0).world().seconds());
+      sleep(loadStart + at - cells.get(0).timeline().seconds());
       troubles.play(at);
       cells.forEach(cell -> cell.controllers().forEach(ControllerProcess::watch));
       if (before == null && at >= options.warmupSeconds) {
@@ -151,17 +156,19 @@
     }
     ScaleReport.Sample after = ScaleReport.Sample.of(cells);
     sleep(DRAIN_SECONDS);
-    double calmSince = begun + Math.max(troubles.lastAt(), 0);
-    return ScaleReport.of(options, cells, measures, before, after, troubles, calmSince, folder);
+    double calmSince = loadStart + Math.max(troubles.lastAt(), 0);
+    return ScaleReport.of(
+        options,
+        new ScaleReport.Results(cells, measures, before, after, troubles, calmSince, folder));
   }
 
   private static void awaitReady(List<ScaleCell> cells) throws InterruptedException {
-    long until = System.nanoTime() + (long) (READY_WITHIN_SECONDS * 1e9);
+    long until = System.nanoTime() + (long) (READY_WITHIN_SECONDS * NANOS_PER_SECOND);
     while (!cells.stream().allMatch(ScaleCell::ready)) {
       if (System.nanoTime() > until) {
         throw new IllegalStateException("controllers were not ready in time");
       }
-      sleep(0.1);
+      sleep(READY_POLL_SECONDS);
     }
   }
 
@@ -192,7 +199,7 @@
     com.sun.management.OperatingSystemMXBean machine =
         (com.sun.management.OperatingSystemMXBean)
             java.lang.management.ManagementFactory.getOperatingSystemMXBean();
-    return machine.getTotalMemorySize() / 1e6;
+    return machine.getTotalMemorySize() / BYTES_PER_MB;
   }
 
   private static long openFilesLimit() {
--- a/src/test/java/org/mulleinshift/ScaleRunIT.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleRunIT.java
@@ -1,4 +1,4 @@
-package org.mulleinshift;
+package org.mulleinshift.scalerun;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,7 +6,6 @@
 import java.io.IOException;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.mulleinshift.sim.ScaleRun;
 
 /** Small scale runs of the packaged program: what they check does not depend on the speed. */
 class ScaleRunIT {
--- a/src/test/java/org/mulleinshift/sim/ScaleTroubles.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleTroubles.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.sim;
+package org.mulleinshift.scalerun;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -53,7 +53,7 @@
     for (Trouble trouble : List.copyOf(open)) {
       if (trouble.at() <= now) {
         open.remove(trouble);
-        cells.forEach(cell -> cell.trouble(trouble.kind(), trouble.amount()));
+        cells.forEach(cell -> cell.cause(trouble.kind(), trouble.amount()));
         watch(trouble);
       }
     }
--- a/src/test/java/org/mulleinshift/sim/ScaleWorkload.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleWorkload.java
@@ -1,7 +1,12 @@
-package org.mulleinshift.sim;
+package org.mulleinshift.scalerun;
 
 import java.util.HashMap;
 import java.util.Map;
+import org.mulleinshift.invariants.InvariantChecker;
+import org.mulleinshift.invariants.ObservedJob;
+import org.mulleinshift.simulation.ControllerClient;
+import org.mulleinshift.simulation.SimulatedUser;
+import org.mulleinshift.simulation.time.Timeline;
 
 /** Users of one cell: urgent jobs of a few tasks and larger ones, drawn at a given rate. */
 final class ScaleWorkload {
@@ -10,24 +15,31 @@
 
   private static final double URGENT_DUE_SECONDS = 60;
   private static final double BATCH_DUE_SECONDS = 300;
+  private static final double MIN_RUN_FACTOR = 0.75;
+  private static final double RUN_FACTOR_SPREAD = 0.5;
   private static final int IMAGES = 8;
   private static final double IMAGE_SECONDS = 0.5;
   private static final int POLLS_AFTER_END = 3;
   private static final double CANCEL_WITHIN_SECONDS = 20;
 
-  private final World world;
-  private final RuleBook rules;
-  private final SimUser.Nodes nodes;
+  private final Timeline timeline;
+  private final InvariantChecker checker;
+  private final ControllerClient client;
   private final ScaleOptions options;
   private final double urgentPerSecond;
   private final double batchPerSecond;
   private final int cell;
   private int jobs;
 
-  ScaleWorkload(World world, RuleBook rules, SimUser.Nodes nodes, ScaleOptions options, int cell) {
-    this.world = world;
-    this.rules = rules;
-    this.nodes = nodes;
+  ScaleWorkload(
+      Timeline timeline,
+      InvariantChecker checker,
+      ControllerClient client,
+      ScaleOptions options,
+      int cell) {
+    this.timeline = timeline;
+    this.checker = checker;
+    this.client = client;
     this.options = options;
     this.cell = cell;
     double starts = options.starts / options.cells;
@@ -45,9 +57,9 @@
     if (perSecond <= 0) {
       return;
     }
-    double wait = -Math.log(1 - world.random()) / perSecond;
-    if (world.seconds() + wait < until) {
-      world.after(
+    double wait = -Math.log(1 - timeline.random()) / perSecond;
+    if (timeline.seconds() + wait < until) {
+      timeline.after(
           wait,
           () -> {
             submit.run();
@@ -67,22 +79,23 @@
   private void submit(String jobClass, int tasks, double run, double due) {
     Map<String, String> fields = new HashMap<>();
     fields.put("class", jobClass);
-    fields.put("team", team((int) (world.random() * options.teams)));
+    fields.put("team", team((int) (timeline.random() * options.teams)));
     fields.put("priority", jobClass.equals(URGENT) ? "urgent" : "standard");
     fields.put("tasks", Integer.toString(tasks));
-    fields.put("run", Double.toString(run * (0.75 + 0.5 * world.random())));
+    fields.put(
+        "run", Double.toString(run * (MIN_RUN_FACTOR + RUN_FACTOR_SPREAD * timeline.random())));
     fields.put("guess", Double.toString(run));
     fields.put("due", Double.toString(due));
     fields.put("fetch", Double.toString(IMAGE_SECONDS));
-    fields.put("image", "img-" + (int) (world.random() * IMAGES));
+    fields.put("image", "img-" + (int) (timeline.random() * IMAGES));
     String id = String.format("run-%d%06d", cell + 1, ++jobs);
-    RuleBook.TrueJob job = new RuleBook.TrueJob(id, fields);
-    rules.add(job);
-    SimUser user = new SimUser(world, rules, nodes, job);
+    ObservedJob job = new ObservedJob(id, fields);
+    checker.jobs().add(job);
+    SimulatedUser user = new SimulatedUser(timeline, checker, client, job);
     user.pollsAfterEnd(POLLS_AFTER_END);
     user.submit();
-    if (world.random() < options.cancelled) {
-      world.after(CANCEL_WITHIN_SECONDS * world.random(), user::cancel);
+    if (timeline.random() < options.cancelled) {
+      timeline.after(CANCEL_WITHIN_SECONDS * timeline.random(), user::cancel);
     }
   }
 
--- a/src/test/java/org/mulleinshift/CutScenarioTest.java
+++ b/src/test/java/org/mulleinshift/scenario/CutScenarioTest.java
@@ -1,4 +1,4 @@
-package org.mulleinshift;
+package org.mulleinshift.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -7,8 +7,6 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.mulleinshift.settings.SettingsException;
-import org.mulleinshift.sim.CutScenario;
-import org.mulleinshift.sim.Scenario;
 
 /**
  * Plays scenarios of the table of cuts: a fixed sample, or with {@code -Dcuts=0-4049} those
--- /dev/null
+++ b/src/test/java/org/mulleinshift/scenario/Expectations.java
@@ -0,0 +1,71 @@
+package org.mulleinshift.scenario;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+
+/** The {@code expect} lines of a scenario; each names one kind of expectation. */
+final class Expectations {
+  /** One kind of expectation. */
+  @FunctionalInterface
+  interface Expectation {
+    /**
+     * What was found instead; empty if all is as expected.
+     *
+     * @param line without {@code expect}; its first word is the kind
+     * @param limit the last number of the line, or the end of the scenario in seconds
+     */
+    Optional<String> mismatch(ScenarioLine line, double limit);
+  }
+
+  /** Lines with fewer words than this have no limit besides their own number. */
+  private static final int WORDS_WITH_LIMIT = 3;
+
+  /** Its last word is a text. */
+  private static final String STORED = "stored";
+
+  private final ScenarioContext context;
+  private final double endSeconds;
+  private final Map<String, Expectation> kinds = new HashMap<>();
+
+  /**
+   * All kinds of expectations.
+   *
+   * @param endSeconds when the scenario ends
+   */
+  Expectations(ScenarioContext context, CommandTable table, double endSeconds) {
+    this.context = context;
+    this.endSeconds = endSeconds;
+    JobExpectations.addTo(kinds, context.checker());
+    StoreExpectations store = new StoreExpectations(context.cluster().store(), endSeconds);
+    store.addTo(kinds);
+    ClusterExpectations.addTo(kinds, context.cluster());
+    table.add("remember", line -> store.rememberOwners());
+    table.add("expect", this::check);
+  }
+
+  /** Checks a line; what is not as expected is added to the failures. */
+  void check(ScenarioLine expectLine) {
+    ScenarioLine line = expectLine.from(1);
+    Expectation kind = kinds.get(line.word(0));
+    if (kind == null) {
+      throw expectLine.unknown();
+    }
+    boolean hasLimit = line.size() >= WORDS_WITH_LIMIT && !line.word(0).equals(STORED);
+    double limit = hasLimit ? line.number(line.size() - 1) : endSeconds;
+    kind.mismatch(line, limit)
+        .ifPresent(found -> context.failures().add(expectLine + ": " + found));
+  }
+
+  static Optional<String> atLeast(double value, double limit) {
+    return value < limit ? Optional.of(Double.toString(value)) : Optional.empty();
+  }
+
+  static Optional<String> atMost(double value, double limit) {
+    return value > limit ? Optional.of(Double.toString(value)) : Optional.empty();
+  }
+
+  static Optional<String> unless(boolean met, String found) {
+    return met ? Optional.empty() : Optional.of(found);
+  }
+}
--- a/src/test/java/org/mulleinshift/FailoverTest.java
+++ b/src/test/java/org/mulleinshift/scenario/FailoverTest.java
@@ -1,4 +1,4 @@
-package org.mulleinshift;
+package org.mulleinshift.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,7 +10,6 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.mulleinshift.settings.SettingsException;
-import org.mulleinshift.sim.Scenario;
 
 /**
  * How long a fleet is without a leader, over many seeded takeovers: {@code -Dtakeovers=200} plays
@@ -42,7 +41,7 @@
       lines.add("at 2 swarm run-5 240 0.25 tasks=4 cpus=2 run=15 due=300");
       lines.add(String.format(Locale.ROOT, "at %.3f %s", at, trouble));
       lines.add("run 65");
-      Scenario.Takeover found = Scenario.takeover(lines, seed, at);
+      Scenario.Failover found = Scenario.failover(lines, seed, at);
       assertEquals(List.of(), found.failures(), "seed " + seed);
       term.recordValue(millis(found.termSeconds()));
       task.recordValue(millis(found.taskSeconds()));
--- /dev/null
+++ b/src/test/java/org/mulleinshift/scenario/NetworkCommands.java
@@ -0,0 +1,38 @@
+package org.mulleinshift.scenario;
+
+import static org.mulleinshift.scenario.ScenarioLine.FOURTH;
+import static org.mulleinshift.scenario.ScenarioLine.THIRD;
+
+import java.util.Locale;
+import org.mulleinshift.simulation.DelayedDuplicates;
+import org.mulleinshift.simulation.SimulatedCluster;
+import org.mulleinshift.simulation.SimulatedNetwork;
+
+/** Commands that lose, delay and duplicate messages. */
+final class NetworkCommands {
+  private final SimulatedCluster cluster;
+
+  NetworkCommands(ScenarioContext context, CommandTable table) {
+    this.cluster = context.cluster();
+    SimulatedNetwork network = cluster.network();
+    DelayedDuplicates duplicates = cluster.duplicates();
+    table.addFault("cut", line -> network.cutBothWays(link(line), mode(line), line.number(THIRD)));
+    table.addFault(
+        "cut-one-way", line -> network.cutOneWay(link(line), mode(line), line.number(THIRD)));
+    table.addFault(
+        "slow-link", line -> network.slow(link(line), line.number(THIRD), line.number(FOURTH)));
+    table.addFault(
+        "copies",
+        line -> duplicates.duplicateDuring(line.number(THIRD), line.number(1), line.number(2)));
+    table.addFault("copies-kept", line -> duplicates.keepDuring(line.number(1)));
+  }
+
+  /** The hosts of a line; roles are resolved when the line is played. */
+  private SimulatedNetwork.Link link(ScenarioLine line) {
+    return new SimulatedNetwork.Link(cluster.hostOf(line.word(1)), cluster.hostOf(line.word(2)));
+  }
+
+  private static SimulatedNetwork.Mode mode(ScenarioLine line) {
+    return SimulatedNetwork.Mode.valueOf(line.word(FOURTH).toUpperCase(Locale.ROOT));
+  }
+}
--- a/src/test/java/org/mulleinshift/sim/RandomScenario.java
+++ b/src/test/java/org/mulleinshift/scenario/RandomScenario.java
@@ -1,4 +1,4 @@
-package org.mulleinshift.sim;
+package org.mulleinshift.scenario;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/org/mulleinshift/RandomScenarioTest.java
+++ b/src/test/java/org/mulleinshift/scenario/RandomScenarioTest.java
@@ -1,4 +1,4 @@
-package org.mulleinshift;
+package org.mulleinshift.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -8,8 +8,6 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.mulleinshift.settings.SettingsException;
-import org.mulleinshift.sim.RandomScenario;
-import org.mulleinshift.sim.Scenario;
 
 /**
  * Plays drawn scenarios. {@code -Dseeds=100-199} plays others; a failure names its seed and shows
--- /dev/null
+++ b/src/test/java/org/mulleinshift/scenario/Scenario.java
@@ -0,0 +1,119 @@
+package org.mulleinshift.scenario;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import org.mulleinshift.invariants.InvariantChecker;
+import org.mulleinshift.invariants.StarvationCheck;
+import org.mulleinshift.settings.SettingsException;
+import org.mulleinshift.settings.Tunables;
+import org.mulleinshift.simulation.SentMessageListener;
+import org.mulleinshift.simulation.SimulatedCluster;
+import org.mulleinshift.simulation.SimulatedController;
+import org.mulleinshift.simulation.StoreHistory;
+import org.mulleinshift.simulation.time.VirtualTimeline;
+
+/**
+ * Plays a scenario against real controllers in a simulated cluster. {@code docs/scenarios.md} lists
+ * the lines that a scenario may hold. The rules of the protocol are checked in every scenario.
+ */
+public final class Scenario {
+  private final ScenarioSettings settings;
+  private final SentMessageListener sentMessages;
+  private final List<String> failures = new ArrayList<>();
+  private final VirtualTimeline timeline;
+  private final InvariantChecker checker;
+  private final SimulatedCluster cluster;
+  private final CommandTable commands = new CommandTable();
+  private final Expectations expectations;
+
+  private Scenario(List<String> lines, long seed, SentMessageListener sentMessages) {
+    this.settings = new ScenarioSettings(lines);
+    this.sentMessages = sentMessages;
+    this.timeline = new VirtualTimeline(seed);
+    this.checker = new InvariantChecker(timeline, settings.teamLimits(), settings.cancelSeconds());
+    this.cluster =
+        new SimulatedCluster(timeline, checker, settings.workerTiming(), settings.storeLimits());
+    settings.addMachineTypes(cluster.cloud());
+    ScenarioContext context = new ScenarioContext(timeline, checker, cluster, failures);
+    new JobCommands(context, commands);
+    new RequestCommands(context, commands);
+    new ControllerCommands(context, commands, settings.tunables());
+    new NetworkCommands(context, commands);
+    new StoreCommands(context, commands, settings.storeLimits());
+    new MachineCommands(context, commands);
+    this.expectations = new Expectations(context, commands, settings.endSeconds());
+  }
+
+  /** Plays the file and returns everything that went wrong. */
+  public static List<String> play(Path file, long seed) throws IOException, SettingsException {
+    return play(linesOf(file), seed);
+  }
+
+  /** The lines of a file without comments. */
+  public static List<String> linesOf(Path file) throws IOException {
+    return Files.readAllLines(file).stream()
+        .map(line -> line.replaceAll("#.*", "").strip())
+        .filter(line -> !line.isEmpty())
+        .toList();
+  }
+
+  /** Plays these lines and returns everything that went wrong. */
+  public static List<String> play(List<String> lines, long seed) throws SettingsException {
+    return play(lines, seed, SentMessageListener.IGNORED);
+  }
+
+  /** Plays these lines while what the controllers send is observed. */
+  public static List<String> play(List<String> lines, long seed, SentMessageListener sentMessages)
+      throws SettingsException {
+    Scenario scenario = new Scenario(lines, seed, sentMessages);
+    scenario.run();
+    return scenario.failures;
+  }
+
+  /** After a fault: seconds until a term began, and until that one stored its first progress. */
+  public record Failover(double termSeconds, double taskSeconds, List<String> failures) {}
+
+  /** Plays these lines and measures how soon the leader was replaced after that time. */
+  public static Failover failover(List<String> lines, long seed, double at)
+      throws SettingsException {
+    Scenario scenario = new Scenario(lines, seed, SentMessageListener.IGNORED);
+    scenario.run();
+    StoreHistory history = scenario.cluster.store().history();
+    double term = history.firstTermAfter(at);
+    double task = history.firstProgressAfter(term);
+    return new Failover(term - at, task - at, scenario.failures);
+  }
+
+  private void run() throws SettingsException {
+    Tunables tunables = Tunables.of("scenario", settings.tunables());
+    for (int i = 0; i < settings.controllerCount(); i++) {
+      cluster.addController(settings.platformSettings(i), tunables, sentMessages);
+    }
+    cluster.controllers().forEach(SimulatedController::start);
+    settings.commands().forEach(this::schedule);
+    double calmSince = calmSince();
+    StarvationCheck starvation =
+        new StarvationCheck(timeline, checker, cluster.cloud(), cluster.store()::isRewritten);
+    timeline.at(calmSince, starvation::start);
+    timeline.runUntil(settings.endSeconds());
+    checker.checkAtEnd(calmSince);
+    failures.addAll(checker.violations().lines());
+    settings.expectations().forEach(expectations::check);
+  }
+
+  private void schedule(ScenarioSettings.TimedCommand timed) {
+    commands.check(timed.command());
+    timeline.at(timed.seconds(), () -> commands.run(timed.command()));
+  }
+
+  /** When the last fault was over, by the times that its line names. */
+  private double calmSince() {
+    return settings.commands().stream()
+        .filter(timed -> commands.isFault(timed.command()))
+        .mapToDouble(timed -> timed.seconds() + timed.command().sumOfNumbers(1))
+        .reduce(0, Math::max);
+  }
+}
--- a/src/test/java/org/mulleinshift/ScenarioTest.java
+++ b/src/test/java/org/mulleinshift/scenario/ScenarioTest.java
@@ -1,4 +1,4 @@
-package org.mulleinshift;
+package org.mulleinshift.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,7 +12,6 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.mulleinshift.settings.SettingsException;
-import org.mulleinshift.sim.Scenario;
 
 /** Plays every scenario file, each with a few fixed seeds. */
 final class ScenarioTest {
--- /dev/null
+++ b/src/test/java/org/mulleinshift/simulation/DelayedDuplicates.java
@@ -0,0 +1,88 @@
+package org.mulleinshift.simulation;
+
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.mulleinshift.simulation.time.Timeline;
+
+/**
+ * Duplicates of heartbeats that arrive late: after a drawn delay, or at all controllers when the
+ * next leader's term begins.
+ */
+public final class DelayedDuplicates {
+  private static final int MAX_KEPT_PER_MACHINE = 4;
+  private static final double KEPT_SHARE = 0.3;
+  private static final double MAX_RELEASE_SECONDS = 0.8;
+
+  private final Timeline timeline;
+  private final List<SimulatedController> controllers;
+  private final Map<String, Deque<String>> kept = new LinkedHashMap<>();
+  private double keepUntil;
+  private double duplicateUntil;
+  private double minDelaySeconds;
+  private double maxDelaySeconds;
+
+  /** Nothing is duplicated yet. */
+  public DelayedDuplicates(Timeline timeline, List<SimulatedController> controllers) {
+    this.timeline = timeline;
+    this.controllers = controllers;
+  }
+
+  /** For a while some heartbeats are kept until the next term begins. */
+  public void keepDuring(double seconds) {
+    keepUntil = timeline.seconds() + seconds;
+  }
+
+  /** For a while a duplicate of each heartbeat arrives at a drawn controller after a delay. */
+  public void duplicateDuring(double seconds, double minDelay, double maxDelay) {
+    duplicateUntil = timeline.seconds() + seconds;
+    minDelaySeconds = minDelay;
+    maxDelaySeconds = maxDelay;
+  }
+
+  /** A worker sends a heartbeat. */
+  void heartbeatSent(String machine, String body) {
+    keep(machine, body);
+    if (timeline.seconds() < duplicateUntil) {
+      double delay = minDelaySeconds + (maxDelaySeconds - minDelaySeconds) * timeline.random();
+      int receiver = (int) (timeline.random() * controllers.size());
+      deliver(controllers.get(receiver), delay, body);
+    }
+  }
+
+  /** Some are kept, the first ones for longest. */
+  private void keep(String machine, String body) {
+    if (timeline.seconds() < keepUntil && timeline.random() < KEPT_SHARE) {
+      Deque<String> duplicates = kept.computeIfAbsent(machine, name -> new ArrayDeque<>());
+      if (duplicates.size() == MAX_KEPT_PER_MACHINE) {
+        duplicates.removeLast();
+      }
+      duplicates.addLast(body);
+    }
+  }
+
+  /** A leader's term begins. */
+  public void release() {
+    kept.values().forEach(duplicates -> duplicates.forEach(this::deliverToAll));
+    kept.clear();
+  }
+
+  private void deliverToAll(String body) {
+    for (SimulatedController controller : controllers) {
+      deliver(controller, MAX_RELEASE_SECONDS * timeline.random(), body);
+    }
+  }
+
+  /** Nobody receives the reply. */
+  private void deliver(SimulatedController controller, double delay, String body) {
+    timeline.after(
+        delay,
+        () -> {
+          if (controller.alive()) {
+            controller.handle("POST", "/checkin", body, reply -> {});
+          }
+        });
+  }
+}
--- a/src/test/java/org/mulleinshift/sim/Query.java
+++ b/src/test/java/org/mulleinshift/simulation/QueryParameters.java
@@ -1,11 +1,11 @@
-package org.mulleinshift.sim;
+package org.mulleinshift.simulation;
 
 import java.util.HashMap;
 import java.util.Map;
 
 /** The parameters of a request's path. */
-final class Query {
-  private Query() {}
+final class QueryParameters {
+  private QueryParameters() {}
 
   /** Parameters by name; a path without any gives none. */
   static Map<String, String> of(String path) {
--- /dev/null
+++ b/src/test/java/org/mulleinshift/simulation/RateBucket.java
@@ -0,0 +1,33 @@
+package org.mulleinshift.simulation;
+
+import org.mulleinshift.simulation.time.Timeline;
+
+/** A token bucket that holds one second's worth of its rate. */
+final class RateBucket {
+  private final Timeline timeline;
+  private double ratePerSecond;
+  private double tokens;
+  private double filledAt;
+
+  RateBucket(Timeline timeline, double ratePerSecond) {
+    this.timeline = timeline;
+    this.ratePerSecond = ratePerSecond;
+    this.tokens = ratePerSecond;
+  }
+
+  void ratePerSecond(double next) {
+    ratePerSecond = next;
+  }
+
+  /** Takes that many tokens, or none if there are not enough. */
+  boolean tryTake(double amount) {
+    double elapsed = timeline.seconds() - filledAt;
+    tokens = Math.min(ratePerSecond, tokens + ratePerSecond * elapsed);
+    filledAt = timeline.seconds();
+    if (tokens < amount) {
+      return false;
+    }
+    tokens -= amount;
+    return true;
+  }
+}
--- /dev/null
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedCluster.java
@@ -0,0 +1,256 @@
+package org.mulleinshift.simulation;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import org.mulleinshift.invariants.InvariantChecker;
+import org.mulleinshift.settings.PlatformSettings;
+import org.mulleinshift.settings.Tunables;
+import org.mulleinshift.simulation.time.Timeline;
+import org.mulleinshift.transport.HttpRequest;
+import org.mulleinshift.transport.HttpResponse;
+
+/** Controllers, store, cloud, workers and users, joined by a network. */
+public final class SimulatedCluster {
+  /** Where the controllers' settings say that the store is. */
+  public static final InetSocketAddress STORE_ADDRESS = new InetSocketAddress("10.2.0.1", 2379);
+
+  /** Where the controllers' settings say that the cloud is. */
+  public static final InetSocketAddress CLOUD_ADDRESS = new InetSocketAddress("10.2.0.2", 8443);
+
+  private static final double LISTING_LAG_SECONDS = 4;
+
+  /** Controllers' clocks differ by so much from one to the next. */
+  private static final double CLOCK_DRIFT_STEP = 0.0004;
+
+  /** Names of hosts on the network, besides the controllers' labels. */
+  private static final String USERS = "users";
+
+  private static final String WORKERS = "worker";
+  private static final String DIRECT_COMMANDS = "worker-orders";
+  private static final String STORE = "state";
+  private static final String CLOUD = "cloud";
+
+  private final Timeline timeline;
+  private final InvariantChecker checker;
+  private final SimulatedWorker.Timing workerTiming;
+  private final SimulatedNetwork network;
+  private final SimulatedStore store;
+  private final SimulatedCloud cloud;
+  private final DelayedDuplicates duplicates;
+  private final List<SimulatedController> controllers = new ArrayList<>();
+  private final Map<String, SimulatedUser> users = new HashMap<>();
+  private final ControllerTransport transport = new NetworkTransport();
+
+  /** A cluster without controllers and machine types. */
+  public SimulatedCluster(
+      Timeline timeline,
+      InvariantChecker checker,
+      SimulatedWorker.Timing workerTiming,
+      PlatformSettings.StoreLimits storeLimits) {
+    this.timeline = timeline;
+    this.checker = checker;
+    this.workerTiming = workerTiming;
+    this.network = new SimulatedNetwork(timeline);
+    this.store = new SimulatedStore(timeline, storeLimits);
+    this.cloud = new SimulatedCloud(timeline, LISTING_LAG_SECONDS, this::startWorker);
+    this.duplicates = new DelayedDuplicates(timeline, controllers);
+    store.history().onTerm(duplicates::release);
+    checker.tasks().endStored(store::isEnded);
+  }
+
+  private SimulatedWorker startWorker(SimulatedMachine machine) {
+    return new SimulatedWorker(timeline, checker, new NetworkHeartbeats(), machine, workerTiming);
+  }
+
+  /** Adds a controller, which does not run yet. */
+  public void addController(
+      PlatformSettings settings, Tunables tunables, SentMessageListener sentMessages) {
+    double clockDrift = (controllers.size() - 1) * CLOCK_DRIFT_STEP;
+    controllers.add(
+        new SimulatedController(timeline, settings, tunables, transport, clockDrift, sentMessages));
+  }
+
+  /** The network between all hosts. */
+  public SimulatedNetwork network() {
+    return network;
+  }
+
+  /** The key-value store. */
+  public SimulatedStore store() {
+    return store;
+  }
+
+  /** The cloud. */
+  public SimulatedCloud cloud() {
+    return cloud;
+  }
+
+  /** Duplicates of workers' heartbeats. */
+  public DelayedDuplicates duplicates() {
+    return duplicates;
+  }
+
+  /** All controllers, running or not; a live view. */
+  public List<SimulatedController> controllers() {
+    return controllers;
+  }
+
+  /** The users by the identifiers of their jobs; a live view. */
+  public Map<String, SimulatedUser> users() {
+    return users;
+  }
+
+  /** The controller with the label or role. */
+  public SimulatedController controller(String name) {
+    String label = hostOf(name);
+    return controllers.stream()
+        .filter(controller -> controller.label().equals(label))
+        .findFirst()
+        .orElseThrow();
+  }
+
+  /**
+   * The host that a name stands for now: {@code leader} is the controller that the store names as
+   * leader, {@code holder-of-a} the owner of the first shard in zone a. Other names stand for
+   * themselves.
+   */
+  public String hostOf(String name) {
+    if (name.equals("leader")) {
+      return storedLabel(StoreHistory.LEADER_KEY, "node");
+    }
+    if (name.startsWith("holder-of-")) {
+      String zone = name.substring("holder-of-".length());
+      return storedLabel(StoreHistory.GRANT_PREFIX + zone + "-0", "holder");
+    }
+    return name;
+  }
+
+  private String storedLabel(String key, String field) {
+    JsonNode value = store.values().get(key);
+    return value == null ? "node-0" : value.path(field).asText();
+  }
+
+  /** Sends a user's request to a random controller that runs. */
+  public void sendToAny(String method, String path, String body, Consumer<HttpResponse> reply) {
+    List<SimulatedController> alive =
+        controllers.stream().filter(SimulatedController::alive).toList();
+    if (alive.isEmpty()) {
+      reply.accept(HttpResponse.NO_RESPONSE);
+      return;
+    }
+    int chosen = (int) (timeline.random() * alive.size());
+    sendTo(alive.get(chosen), method, path, body, reply);
+  }
+
+  /** Sends a user's request to a controller. */
+  public void sendTo(
+      SimulatedController controller,
+      String method,
+      String path,
+      String body,
+      Consumer<HttpResponse> reply) {
+    String label = controller.label();
+    network.deliver(
+        USERS,
+        label,
+        () ->
+            controller.handle(
+                method,
+                path,
+                body,
+                response -> network.deliver(label, USERS, () -> reply.accept(response))));
+  }
+
+  /** Carries what controllers send over the network. */
+  private final class NetworkTransport implements ControllerTransport {
+    @Override
+    public void send(
+        SimulatedController sender,
+        InetSocketAddress target,
+        HttpRequest request,
+        Consumer<HttpResponse> reply) {
+      String host = hostAt(target);
+      String label = sender.label();
+      Consumer<HttpResponse> sendReply =
+          response -> network.deliver(host, label, () -> reply.accept(response));
+      network.deliver(label, host, () -> arrive(label, target, request, sendReply));
+    }
+
+    private String hostAt(InetSocketAddress target) {
+      if (target.equals(STORE_ADDRESS)) {
+        return STORE;
+      }
+      return target.equals(CLOUD_ADDRESS) ? CLOUD : DIRECT_COMMANDS;
+    }
+
+    private void arrive(
+        String sender,
+        InetSocketAddress target,
+        HttpRequest request,
+        Consumer<HttpResponse> reply) {
+      if (target.equals(STORE_ADDRESS)) {
+        store.handle(sender, request, reply);
+      } else if (target.equals(CLOUD_ADDRESS)) {
+        cloud.handle(request, reply);
+      } else {
+        cloud
+            .workerAt(target.getHostString() + ":" + target.getPort())
+            .ifPresent(worker -> worker.handle(request, reply));
+      }
+    }
+
+    @Override
+    public void sendFrame(SimulatedController sender, String receiver, byte[] frame) {
+      network.deliver(
+          sender.label(),
+          receiver,
+          () ->
+              controllers.stream()
+                  .filter(controller -> controller.label().equals(receiver) && controller.alive())
+                  .forEach(controller -> controller.onFrame(frame)));
+    }
+  }
+
+  /** Carries heartbeats over the network; some are duplicated. */
+  private final class NetworkHeartbeats implements HeartbeatSender {
+    @Override
+    public int controllerCount() {
+      return controllers.size();
+    }
+
+    @Override
+    public int indexOf(String label) {
+      for (int i = 0; i < controllers.size(); i++) {
+        if (controllers.get(i).label().equals(label)) {
+          return i;
+        }
+      }
+      return -1;
+    }
+
+    @Override
+    public void send(
+        SimulatedWorker worker, int controller, String body, Consumer<HttpResponse> reply) {
+      duplicates.heartbeatSent(worker.name(), body);
+      SimulatedController target = controllers.get(controller);
+      String label = target.label();
+      Consumer<HttpResponse> sendReply =
+          response -> network.deliver(label, WORKERS, () -> reply.accept(response));
+      network.deliver(
+          WORKERS,
+          label,
+          () -> {
+            if (target.alive()) {
+              target.handle("POST", "/checkin", body, sendReply);
+            } else {
+              sendReply.accept(HttpResponse.NO_RESPONSE);
+            }
+          });
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedStore.java
@@ -0,0 +1,323 @@
+package org.mulleinshift.simulation;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import org.mulleinshift.settings.PlatformSettings;
+import org.mulleinshift.simulation.time.Timeline;
+import org.mulleinshift.transport.HttpRequest;
+import org.mulleinshift.transport.HttpResponse;
+
+/** A consensus-backed key-value store of one process, with limits, leases, watches and faults. */
+public final class SimulatedStore {
+  private static final double EXPIRY_INTERVAL_SECONDS = 0.05;
+  private static final double MILLIS_PER_SECOND = 1000;
+  private static final int GUARDS_PER_OPERATION = 4;
+  private static final String RESTORE = "BACK";
+  private static final HttpResponse NOT_FOUND = new HttpResponse(HttpStatus.NOT_FOUND, "{}");
+  private static final HttpResponse TOO_MANY_REQUESTS =
+      new HttpResponse(HttpStatus.TOO_MANY_REQUESTS, "{}");
+  private static final HttpResponse UNAVAILABLE = new HttpResponse(HttpStatus.UNAVAILABLE, "{}");
+
+  private final Timeline timeline;
+  private final ObjectMapper json = new ObjectMapper();
+  private final StoreHistory history;
+  private final StoreFaults faults;
+  private final StoredKeys keys;
+  private final StoreWatches watches;
+  private final StoreLeases leases;
+  private final Map<String, JsonNode> rewritten = new HashMap<>();
+  private final RateBucket requestBudget;
+  private final RateBucket writeBudget;
+  private PlatformSettings.StoreLimits limits;
+  private int longestAnswer;
+  private int rateLimited;
+  private int rejected;
+
+  /** An empty store. */
+  public SimulatedStore(Timeline timeline, PlatformSettings.StoreLimits limits) {
+    this.timeline = timeline;
+    this.limits = limits;
+    this.requestBudget = new RateBucket(timeline, limits.requestsPerSecond());
+    this.writeBudget = new RateBucket(timeline, limits.writesPerSecond());
+    this.history = new StoreHistory(timeline);
+    this.faults = new StoreFaults(timeline);
+    this.keys = new StoredKeys(history);
+    this.watches = new StoreWatches(timeline, keys, faults);
+    this.leases = new StoreLeases(timeline, keys, watches);
+    timeline.after(EXPIRY_INTERVAL_SECONDS, this::expire);
+  }
+
+  /** What was written when. */
+  public StoreHistory history() {
+    return history;
+  }
+
+  /** Faults that come with the connection to a controller or with a transaction. */
+  public StoreFaults faults() {
+    return faults;
+  }
+
+  /** No request is served for a while; afterwards all leases are renewed once. */
+  public void outage(double seconds) {
+    faults.outage(seconds);
+    timeline.after(seconds, leases::renewAll);
+  }
+
+  /** Applies other limits from now on. What is stored stays readable. */
+  public void limits(PlatformSettings.StoreLimits next) {
+    limits = next;
+    requestBudget.ratePerSecond(next.requestsPerSecond());
+    writeBudget.ratePerSecond(next.writesPerSecond());
+  }
+
+  /** Drops the history of changes, so that open watches must read again. */
+  public void compact() {
+    keys.compact();
+  }
+
+  /** Sets and deletes so many keys that no controller knows, each with so many bytes. */
+  public void flood(String prefix, int count, int bytes) {
+    for (int i = 0; i < count; i++) {
+      ObjectNode set = json.createObjectNode();
+      set.put("set", prefix + i);
+      set.putObject("value").put("pad", "x".repeat(bytes));
+      keys.nextRevision();
+      keys.apply(set);
+      keys.nextRevision();
+      keys.remove(prefix + i);
+    }
+    watches.answerReady();
+  }
+
+  /**
+   * Changes a field of a key's value as another build might.
+   *
+   * @param field with {@code /} between names
+   * @param value {@code BACK} restores the value from before the first change
+   */
+  public void rewrite(String key, String field, String value) {
+    StoredKeys.Entry old = keys.find(key);
+    JsonNode before = rewritten.remove(key);
+    JsonNode changed = value.equals(RESTORE) ? before : old.value().deepCopy();
+    rewritten.putIfAbsent(key, old.value());
+    if (!value.equals(RESTORE)) {
+      int slash = field.lastIndexOf('/');
+      JsonNode parent = slash < 0 ? changed : changed.at("/" + field.substring(0, slash));
+      ((ObjectNode) parent).put(field.substring(slash + 1), value);
+    }
+    ObjectNode set = json.createObjectNode();
+    set.put("set", key);
+    set.set("value", changed);
+    if (old.lease() != null) {
+      set.put("hold", old.lease());
+    }
+    keys.nextRevision();
+    keys.apply(set);
+    watches.answerReady();
+  }
+
+  /** Whether a key that names the job was rewritten. */
+  public boolean isRewritten(String job) {
+    return rewritten.keySet().stream().anyMatch(key -> List.of(key.split("/")).contains(job));
+  }
+
+  /** Whether the job's end is stored. */
+  public boolean isEnded(String job) {
+    return keys.contains("t/" + job);
+  }
+
+  /** All keys with their values. */
+  public Map<String, JsonNode> values() {
+    return keys.values();
+  }
+
+  /** The owner of each shard, by the key of its grant. */
+  public Map<String, String> owners() {
+    Map<String, String> owners = new LinkedHashMap<>();
+    values()
+        .forEach(
+            (key, value) -> {
+              if (key.startsWith(StoreHistory.GRANT_PREFIX)) {
+                owners.put(key, value.path("holder").asText());
+              }
+            });
+    return owners;
+  }
+
+  /** Characters of the longest page of keys. */
+  public int longestAnswer() {
+    return longestAnswer;
+  }
+
+  /** Requests and transactions above the rates. */
+  public int rateLimited() {
+    return rateLimited;
+  }
+
+  /** Transactions rejected for good because they exceed the limits of size. */
+  public int rejected() {
+    return rejected;
+  }
+
+  private boolean withinRate(RateBucket budget, double amount) {
+    boolean within = budget.tryTake(amount);
+    rateLimited += within ? 0 : 1;
+    return within;
+  }
+
+  /** A request of a controller arrives. */
+  public void handle(String controller, HttpRequest request, Consumer<HttpResponse> answer) {
+    Consumer<HttpResponse> reply = faults.slowed(answer);
+    if (faults.unavailableTo(controller)) {
+      reply.accept(UNAVAILABLE);
+    } else if (!withinRate(requestBudget, 1)) {
+      reply.accept(TOO_MANY_REQUESTS);
+    } else if (request.path().startsWith("/changes")) {
+      watches.open(controller, request.path(), reply);
+    } else {
+      serve(controller, request, reply);
+    }
+  }
+
+  private void serve(String controller, HttpRequest request, Consumer<HttpResponse> reply) {
+    try {
+      if (request.path().equals("/commit")) {
+        serveTransaction(controller, body(request), reply);
+      } else {
+        reply.accept(answer(request));
+      }
+    } catch (IOException e) {
+      reply.accept(new HttpResponse(HttpStatus.BAD_REQUEST, "{}"));
+    }
+  }
+
+  private void serveTransaction(
+      String controller, JsonNode transaction, Consumer<HttpResponse> reply) {
+    if (faults.delays(transaction)) {
+      timeline.after(faults.drawDelaySeconds(), () -> commit(transaction));
+      return;
+    }
+    boolean lost = faults.losesAnswer(transaction);
+    HttpResponse response = commit(transaction);
+    if (!lost && !faults.mutes(controller)) {
+      reply.accept(response);
+    }
+  }
+
+  private JsonNode body(HttpRequest request) throws IOException {
+    return json.readTree(request.body().orElse("{}"));
+  }
+
+  private HttpResponse answer(HttpRequest request) throws IOException {
+    String path = request.path();
+    if (path.startsWith("/keys/")) {
+      return get(path.substring("/keys/".length()));
+    }
+    if (path.startsWith("/keys?")) {
+      return range(QueryParameters.of(path));
+    }
+    if (path.equals("/holds")) {
+      double ttlSeconds = body(request).path("ttl_ms").asDouble() / MILLIS_PER_SECOND;
+      return new HttpResponse(HttpStatus.OK, "{\"hold\":" + leases.grant(ttlSeconds) + "}");
+    }
+    if (path.startsWith("/holds/")) {
+      return renewOrEnd(request.method(), path.substring("/holds/".length()));
+    }
+    return NOT_FOUND;
+  }
+
+  private HttpResponse get(String key) {
+    StoredKeys.Entry entry = keys.find(key);
+    if (entry == null) {
+      return new HttpResponse(HttpStatus.NOT_FOUND, "{\"epoch\":" + keys.revision() + "}");
+    }
+    return new HttpResponse(HttpStatus.OK, keys.item(key, entry).toString());
+  }
+
+  private HttpResponse range(Map<String, String> query) {
+    String text = keys.range(query).toString();
+    longestAnswer = Math.max(longestAnswer, text.length());
+    return new HttpResponse(HttpStatus.OK, text);
+  }
+
+  private HttpResponse renewOrEnd(String method, String rest) {
+    long id = Long.parseLong(rest.split("/", 0)[0]);
+    if (!leases.exists(id)) {
+      return NOT_FOUND;
+    }
+    if (method.equals("DELETE")) {
+      leases.end(id);
+    } else {
+      leases.renew(id);
+    }
+    return new HttpResponse(HttpStatus.OK, "{}");
+  }
+
+  /** Carries out a transaction if it is within the limits and all of its guards hold. */
+  private HttpResponse commit(JsonNode transaction) {
+    JsonNode writes = transaction.path("writes");
+    String error = errorIn(transaction);
+    if (error != null) {
+      return new HttpResponse(HttpStatus.BAD_REQUEST, "{\"error\":\"" + error + "\"}");
+    }
+    if (!withinRate(writeBudget, writes.size())) {
+      return TOO_MANY_REQUESTS;
+    }
+    if (!guardsHold(transaction)) {
+      return new HttpResponse(
+          HttpStatus.CONFLICT, "{\"failed\":[],\"epoch\":" + keys.revision() + "}");
+    }
+    if (writes.size() > 0) {
+      keys.nextRevision();
+      writes.forEach(keys::apply);
+      watches.answerReady();
+    }
+    return new HttpResponse(HttpStatus.OK, "{\"epoch\":" + keys.revision() + "}");
+  }
+
+  private String errorIn(JsonNode transaction) {
+    JsonNode writes = transaction.path("writes");
+    int maxOperations = limits.transactionOperations();
+    if (writes.size() > maxOperations
+        || transaction.path("guards").size() > GUARDS_PER_OPERATION * maxOperations) {
+      rejected++;
+      return "too many operations";
+    }
+    for (JsonNode write : writes) {
+      if (write.path("value").toString().length() > limits.valueBytes()) {
+        rejected++;
+        return "value too long";
+      }
+      if (write.has("hold") && !leases.exists(write.get("hold").asLong())) {
+        return "no such lease";
+      }
+    }
+    return null;
+  }
+
+  private boolean guardsHold(JsonNode transaction) {
+    for (JsonNode guard : transaction.path("guards")) {
+      StoredKeys.Entry entry = keys.find(guard.path("k").asText());
+      long revision = entry == null ? 0 : entry.revision();
+      if (revision != guard.path("stamp").asLong()) {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  private void expire() {
+    timeline.after(EXPIRY_INTERVAL_SECONDS, this::expire);
+    if (!faults.inOutage()) {
+      leases.endExpired();
+      watches.answerReady();
+    }
+  }
+}
--- a/src/test/java/org/mulleinshift/sim/RealTimeWorld.java
+++ b/src/test/java/org/mulleinshift/simulation/time/RealTimeline.java
@@ -1,27 +1,34 @@
-package org.mulleinshift.sim;
+package org.mulleinshift.simulation.time;
 
 import java.time.Duration;
 import java.util.SplittableRandom;
 import org.mulleinshift.transport.ThreadEventLoop;
 
 /**
- * Real time for the stand-ins: one thread of its own runs their steps, so that they may be written
- * as in virtual time. Messages of other threads come in by {@link #post}.
+ * Real time: a thread of its own runs the steps, so that simulated services may be written as in
+ * virtual time. Other threads hand over their messages by {@link #post}.
  */
-final class RealTimeWorld extends World {
+public final class RealTimeline implements Timeline {
+  private static final double NANOS_PER_SECOND = 1e9;
+
   private final ThreadEventLoop loop = new ThreadEventLoop();
   private final SplittableRandom random;
   private final long startedAt = System.nanoTime();
   private final Thread thread;
 
-  RealTimeWorld(String name, long seed) {
-    super(seed);
+  /**
+   * A timeline that does not run yet.
+   *
+   * @param name of its thread
+   */
+  public RealTimeline(String name, long seed) {
     this.random = new SplittableRandom(seed);
     this.thread = new Thread(this::runLoop, name);
     this.thread.setDaemon(true);
   }
 
-  void start() {
+  /** Starts the thread. */
+  public void start() {
     thread.start();
   }
 
@@ -34,39 +41,39 @@
   }
 
   /** Ends the thread; steps that wait are not run. */
-  void stop() {
+  public void stop() {
     thread.interrupt();
   }
 
   /** Processor time of the thread so far, in nanoseconds. */
-  long processorNanos() {
+  public long processorNanos() {
     return java.lang.management.ManagementFactory.getThreadMXBean()
         .getThreadCpuTime(thread.getId());
   }
 
-  /** Runs the step on this world's thread; may be called from any thread. */
-  void post(Runnable step) {
+  /** Runs the step on this timeline's thread; may be called from any thread. */
+  public void post(Runnable step) {
     loop.post(step);
   }
 
   @Override
-  long nanos() {
+  public long nanos() {
     return System.nanoTime() - startedAt;
   }
 
   @Override
-  double seconds() {
-    return nanos() / 1e9;
+  public double seconds() {
+    return nanos() / NANOS_PER_SECOND;
   }
 
   @Override
-  double random() {
+  public double random() {
     return random.nextDouble();
   }
 
-  /** Call it on this world's thread, or before {@link #start}. */
+  /** Call it on this timeline's thread, or before {@link #start}. */
   @Override
-  void after(double seconds, Runnable step) {
-    loop.after(Duration.ofNanos((long) (Math.max(0, seconds) * 1e9)), step);
+  public void after(double seconds, Runnable step) {
+    loop.after(Duration.ofNanos((long) (Math.max(0, seconds) * NANOS_PER_SECOND)), step);
   }
 }
