--- a/src/main/java/org/mulleinshift/controller/ControllerComponents.java
+++ b/src/main/java/org/mulleinshift/controller/ControllerComponents.java
@@ -310,7 +310,7 @@
   }
 
   private JobApi createJobApi() {
-    return new JobApi(
+    return new JobApi(new JobApi.Context(
         loop,
         store,
         catalog,
@@ -318,7 +318,7 @@
         tunables.count(Tunables.Key.RETRY_AFTER_S),
         activeJobs::confirmCurrent,
         ports.heapMonitor()::pressure,
-        cancelledJobs::add);
+        cancelledJobs::add));
   }
 
   private CloudClient createCloudClient() {
