--- /dev/null
+++ b/src/main/java/org/mulleinshift/scheduling/AssignAheadPass.java
@@ -0,0 +1,121 @@
+package org.mulleinshift.scheduling;
+
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.model.TaskAssignment;
+import org.mulleinshift.placement.BinPacker;
+import org.mulleinshift.placement.MachineCapacity;
+import org.mulleinshift.protocol.JobKind;
+import org.mulleinshift.protocol.MachineId;
+import org.mulleinshift.protocol.Resources;
+import org.mulleinshift.protocol.ShardId;
+
+/**
+ * Assigns tasks to the capacity that should become free before an assignment would arrive. Storing
+ * and sending an assignment takes longer than a machine should stand idle; the owner starts the
+ * task when the capacity is there.
+ */
+final class AssignAheadPass {
+  private final ClusterState state;
+  private final AvailableCapacity availableCapacity;
+  private final TaskAssigner assigner;
+  private final MinimumSharePass minimumSharePass;
+  private final double aheadSeconds;
+
+  /** A pass that looks so many seconds ahead; with 0 it does nothing. */
+  AssignAheadPass(
+      ClusterState state,
+      AvailableCapacity availableCapacity,
+      TaskAssigner assigner,
+      MinimumSharePass minimumSharePass,
+      double aheadSeconds) {
+    this.state = state;
+    this.availableCapacity = availableCapacity;
+    this.assigner = assigner;
+    this.minimumSharePass = minimumSharePass;
+    this.aheadSeconds = aheadSeconds;
+  }
+
+  void run(CycleState cycle) {
+    if (aheadSeconds == 0 || cycle.order().stream().noneMatch(AssignAheadPass::isCandidate)) {
+      return;
+    }
+    releaseEndingTasks(cycle);
+    cycle.onCapacityGrown();
+    allocateQueuedTasks(cycle);
+    minimumSharePass.run(cycle, AssignAheadPass::mayQueueAtOwner);
+    for (Job job : cycle.order()) {
+      if (mayQueueAtOwner(job)) {
+        assigner.assign(job, cycle);
+      }
+    }
+  }
+
+  private static boolean isCandidate(Job job) {
+    return mayQueueAtOwner(job) && job.waitingCount() > 0;
+  }
+
+  /** Where the job's other tasks are decides where a task may go: then it is not sent ahead. */
+  private static boolean mayQueueAtOwner(Job job) {
+    return job.state() == Job.State.ACTIVE
+        && job.spec().kind() == JobKind.ARRAY
+        && !job.spec().oneZone()
+        && !job.spec().spread();
+  }
+
+  /** Counts the capacity of tasks that should end soon as available. */
+  private void releaseEndingTasks(CycleState cycle) {
+    Map<MachineId, Optional<MachineCapacity>> byMachine = new HashMap<>();
+    cycle
+        .capacities()
+        .forEach(capacity -> byMachine.put(capacity.machine(), Optional.of(capacity)));
+    for (Job job : cycle.order()) {
+      for (TaskAssignment assignment : endingSoon(job)) {
+        byMachine
+            .computeIfAbsent(
+                assignment.machine().get(),
+                machine -> addSaturatedMachine(assignment.shard(), machine, cycle))
+            .ifPresent(capacity -> capacity.free(assignment.perTask()));
+      }
+    }
+  }
+
+  /** Adds a machine that was not collected since too little of it is available, if it is usable. */
+  private Optional<MachineCapacity> addSaturatedMachine(
+      ShardId shard, MachineId machine, CycleState cycle) {
+    Optional<MachineCapacity> capacity =
+        state
+            .shards()
+            .find(shard)
+            .flatMap(found -> availableCapacity.ofMachine(found, machine, Resources.ZERO));
+    capacity.ifPresent(cycle::addCapacity);
+    return capacity;
+  }
+
+  /** The tasks that wait at owners get the capacity that frees before any other. */
+  private void allocateQueuedTasks(CycleState cycle) {
+    for (AvailableCapacity.QueuedAtOwner queued : availableCapacity.queuedAtOwners()) {
+      List<MachineCapacity> ofShard =
+          cycle.capacities().stream()
+              .filter(capacity -> capacity.shard().equals(queued.shard()))
+              .toList();
+      BinPacker.fill(queued.request(), queued.count(), ofShard);
+    }
+  }
+
+  /** As many of the job's running tasks as should end soon, the longest running first. */
+  private List<TaskAssignment> endingSoon(Job job) {
+    List<TaskAssignment> running =
+        job.assignments().stream()
+            .filter(assignment -> assignment.state() == TaskAssignment.State.RUNNING)
+            .sorted(Comparator.comparing(assignment -> assignment.runningSince().get()))
+            .toList();
+    double expectedEnds =
+        running.size() * aheadSeconds / Math.max(1, state.runTimes().expectedSeconds(job));
+    return running.subList(0, (int) Math.min(running.size(), Math.round(expectedEnds)));
+  }
+}
--- a/src/main/java/org/mulleinshift/scheduling/JobRanking.java
+++ b/src/main/java/org/mulleinshift/scheduling/JobRanking.java
@@ -13,109 +13,115 @@
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.TeamId;
-import org.mulleinshift.settings.PlatformSettings;
 
 /**
- * The order in which jobs get room: priority, then guarantee, then who can make its deadline, then
- * whose last start is near and who asks for little: where not all can be in time, that lets most
- * be. Last come those that fail everywhere, which also use up nothing of a guarantee.
+ * The order in which jobs get capacity: priority, then guarantee, then who can make its deadline,
+ * then whose last start is near and who requests little: where not all can be on time, that lets
+ * most be. Last come those that fail everywhere, which also use up nothing of a guarantee.
  */
 public final class JobRanking {
+  private static final Comparator<Job> BY_ARRIVAL =
+      Comparator.comparingLong(Job::readyMillis).thenComparing(job -> job.spec().id());
+
   private final List<Job> order;
   private final Map<JobId, Integer> ranks;
-  private final Set<JobId> withinGuarantee = new HashSet<>();
+  private final Set<JobId> withinGuarantee;
 
-  private JobRanking(List<Entry> entries) {
-    order = new ArrayList<>(entries.size());
-    ranks = new HashMap<>(2 * entries.size());
+  private JobRanking(List<Entry> entries, Set<JobId> withinGuarantee) {
+    this.order = new ArrayList<>(entries.size());
+    this.ranks = new HashMap<>(2 * entries.size());
+    this.withinGuarantee = withinGuarantee;
     for (Entry entry : entries) {
       ranks.put(entry.job.spec().id(), order.size());
       order.add(entry.job);
-      if (entry.guaranteed) {
-        withinGuarantee.add(entry.job.spec().id());
-      }
     }
   }
 
+  /**
+   * Ranks jobs.
+   *
+   * @param faulty whether a job fails wherever it runs
+   * @param shares what the jobs' tasks take of the cluster
+   * @param nowMillis the time of day
+   */
   static JobRanking of(
       Collection<Job> jobs,
-      Predicate<Job> blamed,
-      Map<String, PlatformSettings.Team> teams,
-      Tardiness lateness,
-      MinimumShares.Snapshot picture,
+      Predicate<Job> faulty,
+      TeamQuotas quotas,
+      Tardiness tardiness,
+      ShareSnapshot shares,
       long nowMillis) {
-    List<Entry> entries = new ArrayList<>(jobs.size());
-    for (Job job : jobs) {
-      entries.add(new Entry(job, blamed.test(job), lateness.position(job, picture, nowMillis)));
-    }
-    entries.sort(Entry.BY_ARRIVAL);
-    Map<TeamId, double[]> earlier = new HashMap<>();
-    for (Entry entry : entries) {
-      if (!entry.faulty) {
-        Job job = entry.job;
-        Resources need = job.spec().perTask();
-        int left = job.spec().tasks() - job.doneCount();
-        double[] sum = earlier.computeIfAbsent(job.spec().team(), team -> new double[2]);
-        sum[0] += need.cpus() * left;
-        sum[1] += need.gpus() * left;
-        PlatformSettings.Team team = teams.get(job.spec().team().value());
-        entry.guaranteed =
-            team != null && sum[0] <= team.cpus() + 1e-6 && sum[1] <= team.gpus() + 1e-6;
+    List<Job> byArrival = new ArrayList<>(jobs);
+    byArrival.sort(BY_ARRIVAL);
+    List<Entry> entries = new ArrayList<>(byArrival.size());
+    Set<JobId> withinGuarantee = new HashSet<>();
+    Map<TeamId, Resources> requestedByTeam = new HashMap<>();
+    for (Job job : byArrival) {
+      boolean isFaulty = faulty.test(job);
+      boolean isGuaranteed = !isFaulty && countAgainstGuarantee(job, requestedByTeam, quotas);
+      if (isGuaranteed) {
+        withinGuarantee.add(job.spec().id());
       }
+      entries.add(
+          new Entry(job, isFaulty, isGuaranteed, tardiness.position(job, shares, nowMillis)));
     }
     entries.sort(Entry.BY_URGENCY);
-    return new JobRanking(entries);
+    return new JobRanking(entries, withinGuarantee);
   }
 
-  /** A job with all that its place depends on, each worked out once and not at each comparison. */
+  /**
+   * Adds the job to what its team requests.
+   *
+   * @return whether that is still within the team's guarantee
+   */
+  private static boolean countAgainstGuarantee(
+      Job job, Map<TeamId, Resources> requestedByTeam, TeamQuotas quotas) {
+    TeamId team = job.spec().team();
+    int remainingTasks = job.spec().tasks() - job.doneCount();
+    Resources requested =
+        requestedByTeam.merge(team, job.spec().perTask().times(remainingTasks), Resources::plus);
+    return quotas.isWithinGuarantee(team, requested);
+  }
+
+  /** A job with all that its rank depends on, each worked out once and not at each comparison. */
   private static final class Entry {
-    private static final Comparator<Entry> BY_ARRIVAL =
-        (one, other) -> {
-          int byTime = Long.compare(one.accepted, other.accepted);
-          return byTime != 0 ? byTime : one.job.spec().id().compareTo(other.job.spec().id());
-        };
+    /** A late job ranks below jobs of the next priority that are not late. */
+    private static final int LEVELS_PER_PRIORITY = 2;
+
+    private static final int LATE_LEVELS = 3;
 
     private static final Comparator<Entry> BY_URGENCY =
-        (one, other) -> {
-          int byClass = Integer.compare(one.urgency(), other.urgency());
-          int byTurn = byClass != 0 ? byClass : Double.compare(one.order, other.order);
-          return byTurn != 0 ? byTurn : BY_ARRIVAL.compare(other, one);
-        };
+        Comparator.comparing((Entry entry) -> entry.faulty)
+            .thenComparingInt(entry -> entry.level)
+            .thenComparing(entry -> !entry.guaranteed)
+            .thenComparingInt(entry -> entry.grade.rank())
+            .thenComparingDouble(entry -> entry.order)
+            .thenComparing(entry -> entry.job, BY_ARRIVAL.reversed());
 
     private final Job job;
     private final boolean faulty;
+    private final boolean guaranteed;
+    private final int level;
     private final Tardiness.Grade grade;
-    private final int priority;
     private final double order;
-    private final long accepted;
-    private boolean guaranteed;
 
-    Entry(Job job, boolean blamed, Tardiness.Position place) {
+    Entry(Job job, boolean faulty, boolean guaranteed, Tardiness.Position position) {
       this.job = job;
-      this.faulty = blamed;
-      this.grade = place.grade();
-      this.priority = job.priority().rank();
-      this.order = place.order();
-      this.accepted = job.readyMillis();
-    }
-
-    /**
-     * Blame before priority, before guarantee, before lateness; lower is served first. What is too
-     * late for any aim comes after all of the next priority that is not.
-     */
-    private int urgency() {
-      boolean late = grade == Tardiness.Grade.LATE;
-      int level = 2 * priority + (late ? 3 : 0);
-      return (faulty ? 256 : 0) + level * 8 + (guaranteed ? 0 : 4) + grade.rank();
+      this.faulty = faulty;
+      this.guaranteed = guaranteed;
+      this.grade = position.grade();
+      this.order = position.order();
+      int lateness = grade == Tardiness.Grade.LATE ? LATE_LEVELS : 0;
+      this.level = LEVELS_PER_PRIORITY * job.priority().rank() + lateness;
     }
   }
 
-  /** Most urgent first. */
+  /** All jobs, most urgent first. */
   public List<Job> order() {
     return order;
   }
 
-  /** The job's place in the order; one that came since is last. */
+  /** The job's place in the order, from 0; a job that arrived since is last. */
   public int rank(JobId job) {
     return ranks.getOrDefault(job, ranks.size());
   }
--- /dev/null
+++ b/src/main/java/org/mulleinshift/scheduling/MinimumSharePass.java
@@ -0,0 +1,28 @@
+package org.mulleinshift.scheduling;
+
+import java.util.List;
+import java.util.function.Predicate;
+import org.mulleinshift.model.Job;
+
+/** Assigns capacity to classes and teams below their minimum share, before the usual order. */
+final class MinimumSharePass {
+  private final TaskAssigner assigner;
+
+  MinimumSharePass(TaskAssigner assigner) {
+    this.assigner = assigner;
+  }
+
+  /** Assigns tasks of eligible jobs, in the cycle's order, up to what their entities may claim. */
+  void run(CycleState cycle, Predicate<Job> eligible) {
+    for (EntityGroup group : cycle.shares().groups()) {
+      List<Job> claimants = group.hasClaims() ? cycle.order() : List.of();
+      for (Job job : claimants) {
+        double sharePerTask = cycle.shares().shareOfTask(job);
+        int maxTasks = group.claimableTasks(job, sharePerTask);
+        if (maxTasks > 0 && job.waitingCount() > 0 && eligible.test(job)) {
+          group.onClaimed(job, sharePerTask * assigner.assign(job, maxTasks, cycle));
+        }
+      }
+    }
+  }
+}
--- a/src/main/java/org/mulleinshift/scheduling/Preemption.java
+++ b/src/main/java/org/mulleinshift/scheduling/Preemption.java
@@ -2,14 +2,9 @@
 
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.Comparator;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
 import java.util.PriorityQueue;
-import java.util.function.BiConsumer;
 import java.util.function.Predicate;
 import org.mulleinshift.model.Job;
 import org.mulleinshift.model.TaskAssignment;
@@ -24,170 +19,121 @@
  * the shortest first, so that little work is lost.
  */
 final class Preemption {
-  private static final int MAX_CAPACITY = 2;
+  /** A task is stopped for at most so many tasks of the preempting job. */
+  private static final int MAX_TASKS_PER_VICTIM = 2;
 
-  /** So many jobs of a cycle ask for a reason. */
-  private static final int MAX_ASKING = 24;
+  private static final int MILLIS_PER_SECOND = 1000;
 
-  /** Where a task is. */
+  /** The kind of machine that a task is on. */
   record Location(ZoneId zone, MachineTypeId type, boolean spot) {}
 
-  /** Tells where a told task is, if it is on a machine of a known shard. */
+  /** Finds the location of a task, if its owner has placed it on a machine of a known shard. */
   interface Locator {
     Optional<Location> of(TaskAssignment assignment);
   }
 
-  private record Candidate(TaskAssignment assignment, double ranSeconds) {}
-
-  /** A job's tasks on machines that are alike: for whoever asks, one may give way as the other. */
-  private static final class Group {
-    private final Job job;
-    private final Location where;
-    private final PriorityQueue<Candidate> candidates =
-        new PriorityQueue<>(Comparator.comparingDouble(Candidate::ranSeconds));
-    private int stopping;
-
-    Group(Job job, Location where) {
-      this.job = job;
-      this.where = where;
-    }
+  /** Decides whether work may be preempted for a job, and keeps count of what was. */
+  interface Policy {
+    boolean mayPreempt(Job other);
 
-    void add(TaskAssignment assignment, double ranSeconds) {
-      if (assignment.stopRequested()) {
-        stopping++;
-      } else {
-        candidates.add(new Candidate(assignment, ranSeconds));
-      }
-    }
+    void onPreempted(Job other);
   }
 
-  /** A group as one asker sees it, by the task that would lose least. */
-  private record Option(Group group, int capacity, double ranSeconds)
+  /** A group of candidates with the shortest run time of them, as one preempting job sees it. */
+  private record Option(PreemptionCandidates.Group group, int tasksPerVictim, double ranSeconds)
       implements Comparable<Option> {
+    static Option of(PreemptionCandidates.Group group, int tasksPerVictim) {
+      return new Option(group, tasksPerVictim, group.shortestRanSeconds());
+    }
+
     @Override
     public int compareTo(Option other) {
       return Double.compare(ranSeconds, other.ranSeconds);
     }
   }
 
-  private final double maxSeconds;
+  private final double maxRunSeconds;
   private final double slackSeconds;
 
-  Preemption(double maxSeconds, double slackSeconds) {
-    this.maxSeconds = maxSeconds;
+  /**
+   * Preemption within limits.
+   *
+   * @param maxRunSeconds a task that ran for longer is not preempted
+   * @param slackSeconds a job preempts only when its last start is as near as this
+   */
+  Preemption(double maxRunSeconds, double slackSeconds) {
+    this.maxRunSeconds = maxRunSeconds;
     this.slackSeconds = slackSeconds;
   }
 
-  /** What decides whether work may be stopped for a job, and keeps count of what was. */
-  interface Policy {
-    boolean mayPreempt(Job other);
-
-    void onPreempted(Job other);
+  /** The tasks of the jobs that may be preempted in one cycle. */
+  PreemptionCandidates candidates(Collection<Job> jobs, Locator locator, MonotonicTime now) {
+    return new PreemptionCandidates(jobs, locator, maxRunSeconds, now);
   }
 
   /**
    * Whether the job is so near the last moment for its start that work should be lost for it. On a
-   * large fleet tasks end all the time, and most jobs get their room from those.
+   * large cluster tasks end all the time, and most jobs get their capacity from those.
    */
-  boolean urgent(Job job, double expectedSeconds, long nowMillis) {
+  boolean isUrgent(Job job, double expectedSeconds, long nowMillis) {
     return !job.hasDeadline()
-        || job.deadlineMillis() - nowMillis - 1000 * expectedSeconds <= 1000 * slackSeconds;
+        || job.deadlineMillis() - nowMillis - MILLIS_PER_SECOND * expectedSeconds
+            <= MILLIS_PER_SECOND * slackSeconds;
   }
 
   /**
-   * Tasks whose stop makes room for so many of the job's tasks; they are taken out of the round.
+   * Tasks whose stop frees capacity for so many of the job's tasks; they are no longer candidates.
    */
   List<TaskAssignment> victims(
-      Job job, int wanted, Pass round, Policy rule, Predicate<Location> usable) {
-    ResourceRequest need = ResourceRequest.of(job.spec());
+      Job job,
+      int wanted,
+      PreemptionCandidates candidates,
+      Policy policy,
+      Predicate<Location> usable) {
+    ResourceRequest request = ResourceRequest.of(job.spec());
     int missing = wanted;
-    PriorityQueue<Option> open = new PriorityQueue<>();
-    for (Group group : round.groups()) {
-      int capacity = need.perTask().countIn(group.job.spec().perTask());
-      if (capacity == 0 || !rule.mayPreempt(group.job) || !usable.test(group.where)) {
-        continue;
-      }
-      // Already giving way: its room is on the way.
-      missing -= group.stopping * capacity;
-      // A large task that gives way to a few small ones loses more than they win.
-      if (capacity <= MAX_CAPACITY && !group.candidates.isEmpty()) {
-        open.add(new Option(group, capacity, group.candidates.peek().ranSeconds));
-      }
-    }
-    List<TaskAssignment> chosen = new ArrayList<>();
-    while (missing > 0 && !open.isEmpty()) {
-      Option next = open.poll();
-      Group group = next.group;
-      if (!rule.mayPreempt(group.job)) {
-        continue;
-      }
-      rule.onPreempted(group.job);
-      chosen.add(group.candidates.poll().assignment);
-      group.stopping++;
-      missing -= next.capacity;
-      if (!group.candidates.isEmpty()) {
-        open.add(new Option(group, next.capacity, group.candidates.peek().ranSeconds));
+    PriorityQueue<Option> options = new PriorityQueue<>();
+    for (PreemptionCandidates.Group group : candidates.groups()) {
+      int tasksPerVictim = request.perTask().countIn(group.job().spec().perTask());
+      if (tasksPerVictim > 0 && policy.mayPreempt(group.job()) && usable.test(group.location())) {
+        // Already stopping: that capacity is about to be released.
+        missing -= group.stopping() * tasksPerVictim;
+        // A large task that gives way to a few small ones loses more than they win.
+        if (tasksPerVictim <= MAX_TASKS_PER_VICTIM && group.hasCandidates()) {
+          options.add(Option.of(group, tasksPerVictim));
+        }
       }
     }
-    return chosen;
+    return choose(missing, options, policy);
   }
 
-  /**
-   * What could give way in one cycle. It is looked for once, however many jobs ask, and only so
-   * many ask: room that is made goes to the most urgent of those that wait, whoever asked for it.
-   */
-  final class Pass {
-    private final Collection<Job> jobs;
-    private final Locator placed;
-    private final MonotonicTime now;
-    private final Map<String, Integer> admitted = new HashMap<>();
-    private List<Group> groups;
-
-    Pass(Collection<Job> jobs, Locator placed, MonotonicTime now) {
-      this.jobs = jobs;
-      this.placed = placed;
-      this.now = now;
-    }
-
-    /** Whether one more job may ask for this reason; counts it. */
-    boolean admit(String reason) {
-      return admitted.merge(reason, 1, Integer::sum) <= MAX_ASKING;
-    }
-
-    private List<Group> groups() {
-      if (groups == null) {
-        groups = new ArrayList<>();
-        jobs.forEach(this::collect);
-      }
-      return groups;
-    }
-
-    private void collect(Job other) {
-      Map<Location, Group> byPlace = new LinkedHashMap<>();
-      for (TaskAssignment assignment : other.assignments()) {
-        double ran = assignment.runningSince().map(now::secondsSince).orElse(0.0);
-        if (assignment.stopRequested() || ran <= maxSeconds) {
-          placed
-              .of(assignment)
-              .map(where -> byPlace.computeIfAbsent(where, key -> new Group(other, key)))
-              .ifPresent(group -> group.add(assignment, ran));
+  private static List<TaskAssignment> choose(
+      int wanted, PriorityQueue<Option> options, Policy policy) {
+    int missing = wanted;
+    List<TaskAssignment> chosen = new ArrayList<>();
+    while (missing > 0 && !options.isEmpty()) {
+      Option next = options.poll();
+      PreemptionCandidates.Group group = next.group();
+      // Asked again: what was chosen meanwhile may have used up what the policy allows.
+      if (policy.mayPreempt(group.job())) {
+        policy.onPreempted(group.job());
+        chosen.add(group.preemptShortest());
+        missing -= next.tasksPerVictim();
+        if (group.hasCandidates()) {
+          options.add(Option.of(group, next.tasksPerVictim()));
         }
       }
-      groups.addAll(byPlace.values());
-    }
-
-    /** How many tasks of each job are giving way. */
-    void forEachStopping(BiConsumer<Job, Integer> consumer) {
-      groups().forEach(group -> consumer.accept(group.job, group.stopping));
     }
+    return chosen;
   }
 
+  /** Whether the job is of a priority that may preempt at all. */
   static boolean mayPreempt(Job job) {
     return job.state() == Job.State.ACTIVE && job.priority().above(Priority.NORMAL);
   }
 
-  /** On a machine that the preempting job may use. */
-  static boolean onUsableMachine(Job job, Location where) {
-    return ResourceRequest.of(job.spec()).allows(where.type(), where.spot());
+  /** Whether the preempting job may use the machine. */
+  static boolean isUsableMachine(Job job, Location location) {
+    return ResourceRequest.of(job.spec()).allows(location.type(), location.spot());
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/PreemptionPolicies.java
+++ b/src/main/java/org/mulleinshift/scheduling/PreemptionPolicies.java
@@ -7,7 +7,7 @@
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.TeamId;
 
-/** The two cases in which the protocol lets work be stopped to make room. */
+/** The cases in which the protocol lets work be preempted, and what narrows them. */
 final class PreemptionPolicies {
   private PreemptionPolicies() {}
 
@@ -25,106 +25,109 @@
   }
 
   /**
-   * What a rule allows, but only work that comes after the job: what is too late for its aims comes
-   * after less urgent work, and would stop what gets its room again at once.
+   * What a policy allows, but only work that ranks below the job: a job too late for its objectives
+   * ranks below less urgent work, and would preempt what gets its capacity back at once.
    */
-  record LowerRanked(Preemption.Policy rule, int rank, JobRanking ranking)
+  record LowerRanked(Preemption.Policy policy, int rank, JobRanking ranking)
       implements Preemption.Policy {
     @Override
     public boolean mayPreempt(Job other) {
-      return rank < ranking.rank(other.spec().id()) && rule.mayPreempt(other);
+      return rank < ranking.rank(other.spec().id()) && policy.mayPreempt(other);
     }
 
     @Override
     public void onPreempted(Job other) {
-      rule.onPreempted(other);
+      policy.onPreempted(other);
     }
   }
 
   /**
-   * What a rule allows, but nothing of the floor of another party: what was given to the floor
-   * would be stopped again in the same moment.
+   * What a policy allows, but nothing within the minimum share of another entity: what was assigned
+   * to a minimum share would be preempted again at once.
    */
   static final class AboveMinimumShare implements Preemption.Policy {
-    private final Preemption.Policy rule;
+    private final Preemption.Policy policy;
     private final Job job;
-    private final MinimumShares.EntityGroup side;
-    private final MinimumShares.Snapshot picture;
-    private final Map<String, Double> stopped = new HashMap<>();
+    private final EntityGroup group;
+    private final ShareSnapshot shares;
+    private final Map<String, Double> stoppedShares = new HashMap<>();
 
     AboveMinimumShare(
         Job job,
-        Preemption.Policy rule,
-        MinimumShares.EntityGroup side,
-        MinimumShares.Snapshot picture,
-        Preemption.Pass round) {
+        Preemption.Policy policy,
+        EntityGroup group,
+        ShareSnapshot shares,
+        PreemptionCandidates candidates) {
       this.job = job;
-      this.rule = rule;
-      this.side = side;
-      this.picture = picture;
-      round.forEachStopping(this::count);
+      this.policy = policy;
+      this.group = group;
+      this.shares = shares;
+      candidates.forEachStopping(this::count);
     }
 
     @Override
     public boolean mayPreempt(Job other) {
-      double left = side.aboveMinimum(other) - stopped.getOrDefault(side.entityOf(other), 0.0);
-      boolean own = side.entityOf(other).equals(side.entityOf(job));
-      return (own || left > 0) && rule.mayPreempt(other);
+      double remaining =
+          group.aboveMinimum(other) - stoppedShares.getOrDefault(group.entityNameOf(other), 0.0);
+      boolean sameEntity = group.entityNameOf(other).equals(group.entityNameOf(job));
+      return (sameEntity || remaining > 0) && policy.mayPreempt(other);
     }
 
     @Override
     public void onPreempted(Job other) {
       count(other, 1);
-      rule.onPreempted(other);
+      policy.onPreempted(other);
     }
 
     private void count(Job other, int tasks) {
-      stopped.merge(side.entityOf(other), tasks * picture.share(other), Double::sum);
+      stoppedShares.merge(
+          group.entityNameOf(other), tasks * shares.shareOfTask(other), Double::sum);
     }
   }
 
   /**
    * Only work that another team runs beyond its own guarantee, and only down to that. Narrower than
-   * the protocol allows: nothing more urgent, and nothing that itself has a start aim, which each
-   * stop would miss.
+   * the protocol allows: nothing of higher priority, and nothing that itself has a start objective,
+   * which each preemption would miss.
    */
   static final class ReclaimGuarantee implements Preemption.Policy {
     private final Job job;
     private final JobRanking ranking;
-    private final Predicate<Job> startsSoon;
-    private final Map<TeamId, Double> excess = new HashMap<>();
+    private final Predicate<Job> hasStartObjective;
+    private final Map<TeamId, Double> excessCpus = new HashMap<>();
 
     ReclaimGuarantee(
         Job job,
         JobRanking ranking,
-        Predicate<Job> startsSoon,
-        TeamQuotas quota,
-        Map<TeamId, Resources> inUse,
-        Preemption.Pass round) {
+        Predicate<Job> hasStartObjective,
+        TeamQuotas quotas,
+        Map<TeamId, Resources> usageByTeam,
+        PreemptionCandidates candidates) {
       this.job = job;
       this.ranking = ranking;
-      this.startsSoon = startsSoon;
-      inUse.forEach((team, used) -> excess.put(team, used.cpus() - quota.guaranteedCpus(team)));
-      // What is being stopped already no longer counts.
-      round.forEachStopping(this::stopped);
+      this.hasStartObjective = hasStartObjective;
+      usageByTeam.forEach(
+          (team, used) -> excessCpus.put(team, used.cpus() - quotas.guaranteedCpus(team)));
+      // What is stopping already no longer counts as excess.
+      candidates.forEachStopping(this::count);
     }
 
     @Override
     public boolean mayPreempt(Job other) {
       return !other.spec().team().equals(job.spec().team())
           && !other.priority().above(job.priority())
-          && !startsSoon.test(other)
+          && !hasStartObjective.test(other)
           && !ranking.withinGuarantee(other)
-          && excess.getOrDefault(other.spec().team(), 0.0) >= other.spec().perTask().cpus();
+          && excessCpus.getOrDefault(other.spec().team(), 0.0) >= other.spec().perTask().cpus();
     }
 
     @Override
     public void onPreempted(Job other) {
-      stopped(other, 1);
+      count(other, 1);
     }
 
-    private void stopped(Job other, int count) {
-      excess.merge(other.spec().team(), -count * other.spec().perTask().cpus(), Double::sum);
+    private void count(Job other, int tasks) {
+      excessCpus.merge(other.spec().team(), -tasks * other.spec().perTask().cpus(), Double::sum);
     }
   }
 }
--- /dev/null
+++ b/src/main/java/org/mulleinshift/scheduling/ShareSnapshot.java
@@ -0,0 +1,18 @@
+package org.mulleinshift.scheduling;
+
+import java.util.List;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.protocol.Resources;
+
+/**
+ * The shares of classes and teams in one cycle.
+ *
+ * @param clusterCapacity all that can be used
+ * @param groups the classes, and the teams
+ */
+record ShareSnapshot(Resources clusterCapacity, List<EntityGroup> groups) {
+  /** The share of the cluster that one task of the job takes. */
+  double shareOfTask(Job job) {
+    return job.spec().perTask().shareOf(clusterCapacity);
+  }
+}
--- a/src/main/java/org/mulleinshift/scheduling/Tardiness.java
+++ b/src/main/java/org/mulleinshift/scheduling/Tardiness.java
@@ -7,14 +7,14 @@
 import org.mulleinshift.settings.PlatformSettings;
 
 /**
- * How late a job will be at the least, and how long that may put it behind others: a queue of late
+ * How late a job will be at best, and for how long that may put it behind others: a queue of late
  * jobs must not make all that come after them late, too, nor may a late job wait for ever.
  */
 final class Tardiness {
-  /** As far as can be told; the earlier grade is served first. */
+  /** How late a job is expected to be; the earlier grade is served first. */
   enum Grade {
     ON_TIME(0),
-    /** By the most times its deadline that the class has an aim for. */
+    /** Late, but within the multiple of its deadline that its class's objectives tolerate. */
     WITHIN_TOLERANCE(1),
     LATE(2);
 
@@ -31,27 +31,34 @@
   }
 
   /**
-   * To find room for all tasks and start them; without it, jobs served at the last moment are all
-   * late.
+   * Time to find capacity for all tasks and start them; without it, jobs served at the last moment
+   * are all late.
    */
   private static final double START_SECONDS = 4;
 
-  /** The last of a job's tasks takes longer than the mean. */
-  private static final double SPREAD = 1.1;
+  /** How much longer than the mean the last of a job's tasks takes. */
+  private static final double SLOWEST_TASK_FACTOR = 1.1;
 
-  /** Seconds of a job's slack that a second of the whole fleet is worth. */
+  /** Seconds of a job's slack that a second of the whole cluster is worth. */
   private static final double WORK_WEIGHT = 60;
 
+  private static final double MILLIS_PER_SECOND = 1000.0;
+
   private final RunTimeEstimator runTimes;
   private final Map<String, Double> toleranceFactors = new HashMap<>();
   private final double overdueMillis;
 
+  /**
+   * Tardiness by the objectives of a deployment.
+   *
+   * @param overdueSeconds a job that is later than this counts as on time again
+   */
   Tardiness(
       RunTimeEstimator runTimes,
       List<PlatformSettings.Objective> objectives,
       double overdueSeconds) {
     this.runTimes = runTimes;
-    this.overdueMillis = 1000 * overdueSeconds;
+    this.overdueMillis = MILLIS_PER_SECOND * overdueSeconds;
     for (PlatformSettings.Objective objective : objectives) {
       objective
           .jobClass()
@@ -64,29 +71,30 @@
    * A job's place among those of its priority and guarantee.
    *
    * @param order the order of jobs of one grade; lower is served first. The seconds until the job's
-   *     last start, and what its waiting tasks ask for in seconds of the whole fleet, weighted.
-   *     Without the first a large job waits too long on a day that has room for it; without the
-   *     second all are late on one that has not
+   *     last start, plus what its waiting tasks take in seconds of the whole cluster, weighted.
+   *     Without the first a large job waits too long when there is capacity for it; without the
+   *     second all jobs are late when there is not
    */
   record Position(Grade grade, double order) {}
 
-  /** By the time of day. */
-  Position position(Job job, MinimumShares.Snapshot picture, long nowMillis) {
+  /** The job's place at a time of day. */
+  Position position(Job job, ShareSnapshot shares, long nowMillis) {
     double expected = runTimes.expectedSeconds(job);
-    double slack = (job.deadlineMillis() - nowMillis) / 1000.0 - expected;
-    double workLeft = picture.share(job) * job.waitingCount() * expected;
-    return new Position(grade(job, expected, nowMillis), slack + WORK_WEIGHT * workLeft);
+    double slack = (job.deadlineMillis() - nowMillis) / MILLIS_PER_SECOND - expected;
+    double remainingWork = shares.shareOfTask(job) * job.waitingCount() * expected;
+    return new Position(grade(job, expected, nowMillis), slack + WORK_WEIGHT * remainingWork);
   }
 
-  /** One that is long overdue counts as in time: it has waited enough. */
+  /** A job that is long overdue counts as on time: it has waited enough. */
   private Grade grade(Job job, double expected, long nowMillis) {
-    double end = nowMillis + 1000 * (START_SECONDS + SPREAD * expected);
-    if (end <= job.deadlineMillis() || nowMillis - job.deadlineMillis() > overdueMillis) {
+    double expectedEnd =
+        nowMillis + MILLIS_PER_SECOND * (START_SECONDS + SLOWEST_TASK_FACTOR * expected);
+    if (expectedEnd <= job.deadlineMillis() || nowMillis - job.deadlineMillis() > overdueMillis) {
       return Grade.ON_TIME;
     }
     double allowed = job.deadlineMillis() - job.acceptedMillis();
-    double last =
+    double latestEnd =
         job.acceptedMillis() + allowed * toleranceFactors.getOrDefault(job.spec().jobClass(), 1.0);
-    return end <= last ? Grade.WITHIN_TOLERANCE : Grade.LATE;
+    return expectedEnd <= latestEnd ? Grade.WITHIN_TOLERANCE : Grade.LATE;
   }
 }
--- /dev/null
+++ b/src/main/java/org/mulleinshift/scheduling/TaskAssigner.java
@@ -0,0 +1,135 @@
+package org.mulleinshift.scheduling;
+
+import java.util.Arrays;
+import java.util.List;
+import java.util.PrimitiveIterator;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.placement.BinPacker;
+import org.mulleinshift.placement.MachineCapacity;
+import org.mulleinshift.placement.PlacementConstraints;
+import org.mulleinshift.placement.ResourceRequest;
+import org.mulleinshift.protocol.Attempt;
+import org.mulleinshift.protocol.JobKind;
+import org.mulleinshift.protocol.Resources;
+import org.mulleinshift.protocol.Revision;
+import org.mulleinshift.protocol.TeamId;
+import org.mulleinshift.transport.EventLoop;
+
+/** Assigns tasks of one job to available capacity, within quotas and placement constraints. */
+final class TaskAssigner {
+  /** Attempts of a term are numbered in the low bits, so those of later terms are higher. */
+  private static final int ATTEMPT_BITS = 20;
+
+  private final EventLoop loop;
+  private final ClusterState state;
+  private final TaskActions actions;
+  private final Attempt firstAttempt;
+
+  TaskAssigner(EventLoop loop, Revision term, ClusterState state, TaskActions actions) {
+    this.loop = loop;
+    this.state = state;
+    this.actions = actions;
+    this.firstAttempt = new Attempt((term.value() << ATTEMPT_BITS) + 1);
+  }
+
+  /** Assigns as many of the job's waiting tasks as it may have and capacity allows. */
+  void assign(Job job, CycleState cycle) {
+    assign(job, Integer.MAX_VALUE, cycle);
+  }
+
+  /**
+   * Assigns at most so many of the job's waiting tasks; a gang is assigned whole or not at all,
+   * whatever the maximum.
+   *
+   * @return how many tasks were assigned
+   */
+  int assign(Job job, int maxTasks, CycleState cycle) {
+    TeamId team = job.spec().team();
+    Resources used = cycle.used(team);
+    int allowed = allowedTasks(job, used, maxTasks);
+    if (allowed == 0 || job.waitingCount() == 0) {
+      return 0;
+    }
+    ResourceRequest request = ResourceRequest.of(job.spec());
+    if (!mayFit(job, request, allowed, cycle)) {
+      return 0;
+    }
+    int[] waiting = job.waiting(allowed, loop.now());
+    BinPacker.CapacityConsumer consumer = assignmentsOf(job, waiting);
+    int assigned =
+        constrainsOwnTasks(job)
+            ? placeOneByOne(job, request, waiting.length, cycle, consumer)
+            : placeTogether(job, request, waiting.length, cycle, consumer);
+    cycle.recordUsage(team, used.plus(job.spec().perTask().times(assigned)));
+    return assigned;
+  }
+
+  private int allowedTasks(Job job, Resources used, int maxTasks) {
+    int allowed =
+        Math.min(
+            state.quotas().tasksWithinLimit(job, used),
+            state.failures().allowedAttempts(job, loop.now()));
+    return job.spec().kind() == JobKind.ARRAY ? Math.min(allowed, maxTasks) : allowed;
+  }
+
+  /** False only if no task of the job can be placed. */
+  private boolean mayFit(Job job, ResourceRequest request, int allowed, CycleState cycle) {
+    if (job.spec().kind() == JobKind.GANG
+        && !PlacementConstraints.gangFits(job, request, cycle.capacities(), allowed, loop.now())) {
+      return false;
+    }
+    return constrainsOwnTasks(job) || !cycle.isUnschedulable(request);
+  }
+
+  /** Whether each task of the job that is placed changes which zones the others may be in. */
+  private static boolean constrainsOwnTasks(Job job) {
+    return job.spec().spread() || job.spec().oneZone();
+  }
+
+  private BinPacker.CapacityConsumer assignmentsOf(Job job, int[] waiting) {
+    PrimitiveIterator.OfInt taskIndexes = Arrays.stream(waiting).iterator();
+    return (capacity, count) -> {
+      for (int i = 0; i < count; i++) {
+        int index = taskIndexes.nextInt();
+        state.allocations().add(job.assign(index, capacity.shard(), capacity.zone(), firstAttempt));
+        actions.onAssigned(job, index);
+      }
+    };
+  }
+
+  private static int placeOneByOne(
+      Job job,
+      ResourceRequest request,
+      int count,
+      CycleState cycle,
+      BinPacker.CapacityConsumer consumer) {
+    int placed = 0;
+    while (placed < count
+        && BinPacker.fill(request, 1, allowedCapacities(job, cycle), consumer) == 1) {
+      placed++;
+    }
+    return placed;
+  }
+
+  private static int placeTogether(
+      Job job,
+      ResourceRequest request,
+      int count,
+      CycleState cycle,
+      BinPacker.CapacityConsumer consumer) {
+    int placed = BinPacker.fill(request, count, allowedCapacities(job, cycle), consumer);
+    if (placed < count) {
+      cycle.markUnschedulable(request);
+    }
+    return placed;
+  }
+
+  private static List<MachineCapacity> allowedCapacities(Job job, CycleState cycle) {
+    if (job.spec().zone().isEmpty() && !constrainsOwnTasks(job)) {
+      return cycle.capacities();
+    }
+    return cycle.capacities().stream()
+        .filter(capacity -> PlacementConstraints.allows(job, capacity.zone()))
+        .toList();
+  }
+}
--- a/src/main/java/org/mulleinshift/scheduling/TeamQuotas.java
+++ b/src/main/java/org/mulleinshift/scheduling/TeamQuotas.java
@@ -4,6 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.mulleinshift.model.Job;
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.TeamId;
@@ -12,49 +13,77 @@
 /** The teams' limits and guarantees. What is assigned counts as running until its end is stored. */
 public final class TeamQuotas {
   private static final double NO_LIMIT = 1e12;
+  private static final Resources UNLIMITED = new Resources(NO_LIMIT, NO_LIMIT, NO_LIMIT);
+
+  /** Keeps rounding from taking a team that uses just its guarantee for one that uses more. */
+  private static final double ROUNDING_TOLERANCE = 1e-6;
 
   private final Map<String, PlatformSettings.Team> teams = new HashMap<>();
 
+  /** The quotas of a deployment's teams. */
   public TeamQuotas(List<PlatformSettings.Team> teams) {
     teams.forEach(team -> this.teams.put(team.name(), team));
   }
 
-  Map<String, PlatformSettings.Team> teams() {
-    return teams;
-  }
-
-  /** What each team has out. */
+  /** What the assigned tasks of each team take; teams without any are left out. */
   public static Map<TeamId, Resources> usageByTeam(Collection<Job> jobs) {
-    Map<TeamId, Resources> use = new HashMap<>();
+    Map<TeamId, Resources> usage = new HashMap<>();
     for (Job job : jobs) {
       if (!job.assignments().isEmpty()) {
-        use.merge(job.spec().team(), job.assignedResources(), Resources::plus);
+        usage.merge(job.spec().team(), job.assignedResources(), Resources::plus);
       }
     }
-    return use;
+    return usage;
   }
 
-  /** How many more of the job's tasks its team may have out. */
+  /** How many more of the job's tasks its team may run; none if the team is not known. */
   public int tasksWithinLimit(Job job, Resources used) {
-    PlatformSettings.Team team = teams.get(job.spec().team().value());
-    if (team == null) {
-      return 0;
-    }
-    return job.spec().perTask().countIn(limit(job.spec().team()).minus(used));
+    TeamId team = job.spec().team();
+    return find(team).isEmpty() ? 0 : job.spec().perTask().countIn(limit(team).minus(used));
   }
 
-  /** The most that a team may have out at once. */
+  /** The maximum that a team may use at once. */
   Resources limit(TeamId id) {
-    PlatformSettings.Team team = teams.get(id.value());
-    return new Resources(
-        team != null && team.cpusMax() > 0 ? team.cpusMax() : NO_LIMIT,
-        team != null && team.gpusMax() > 0 ? team.gpusMax() : NO_LIMIT,
-        NO_LIMIT);
+    return find(id)
+        .map(
+            team ->
+                new Resources(limitOrNone(team.cpusMax()), limitOrNone(team.gpusMax()), NO_LIMIT))
+        .orElse(UNLIMITED);
+  }
+
+  /** In the settings, 0 stands for no limit. */
+  private static double limitOrNone(double limit) {
+    return limit > 0 ? limit : NO_LIMIT;
   }
 
   /** The processors that a team is guaranteed. */
   double guaranteedCpus(TeamId team) {
-    PlatformSettings.Team found = teams.get(team.value());
-    return found == null ? 0 : found.cpus();
+    return find(team).map(PlatformSettings.Team::cpus).orElse(0.0);
+  }
+
+  /** Whether the team is guaranteed so many processors; a team that is not known has 0. */
+  boolean isWithinGuaranteedCpus(TeamId team, double cpus) {
+    return cpus <= guaranteedCpus(team) + ROUNDING_TOLERANCE;
+  }
+
+  /** Whether the team is known and guaranteed as many processors and accelerators as these. */
+  boolean isWithinGuarantee(TeamId id, Resources resources) {
+    return find(id)
+        .filter(
+            team ->
+                resources.cpus() <= team.cpus() + ROUNDING_TOLERANCE
+                    && resources.gpus() <= team.gpus() + ROUNDING_TOLERANCE)
+        .isPresent();
+  }
+
+  /** A team's weight in fair shares: the same for all, plus its part of all guarantees. */
+  double fairShareWeight(TeamId team) {
+    double allGuaranteed = teams.values().stream().mapToDouble(PlatformSettings.Team::cpus).sum();
+    double ofGuarantees = allGuaranteed > 0 ? guaranteedCpus(team) / allGuaranteed : 0;
+    return 1.0 / Math.max(1, teams.size()) + ofGuarantees;
+  }
+
+  private Optional<PlatformSettings.Team> find(TeamId team) {
+    return Optional.ofNullable(teams.get(team.value()));
   }
 }
--- a/src/test/java/org/mulleinshift/scheduling/LongQueueTest.java
+++ b/src/test/java/org/mulleinshift/scheduling/LongQueueTest.java
@@ -7,6 +7,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.OptionalDouble;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.Predicate;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.mulleinshift.model.Job;
@@ -26,11 +28,13 @@
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** What a cycle looks at while many jobs wait in vain does not grow with them. */
+/** The work of a preemption pass does not grow with the number of jobs that wait in vain. */
 final class LongQueueTest {
   private static final MonotonicTime NOW = new MonotonicTime(100_000_000_000L);
   private static final ZoneId ZONE = new ZoneId("a");
-  private static final int RUNNING = 2000;
+  private static final int RUNNING_TASKS = 2000;
+  private static final int WAITING_TASKS = 10;
+  private static final Preemption PREEMPTION = new Preemption(12, 20);
 
   private static Job job(int number, Priority priority, int tasks) {
     JobId id = new JobId("run-" + number);
@@ -57,11 +61,11 @@
     return new Job(new JobRecord(spec, 0, false, new Revision(number)));
   }
 
-  private static Job running(int number, double sinceSeconds) {
-    Job job = job(number, Priority.NORMAL, RUNNING);
-    for (int index = 0; index < RUNNING; index++) {
+  private static Job running(int number, double ranSeconds) {
+    Job job = job(number, Priority.NORMAL, RUNNING_TASKS);
+    for (int index = 0; index < RUNNING_TASKS; index++) {
       TaskAssignment assignment = job.assign(index, new ShardId("a-0"), ZONE, new Attempt(1));
-      MonotonicTime since = new MonotonicTime(NOW.nanos() - (long) (sinceSeconds * 1e9));
+      MonotonicTime since = new MonotonicTime(NOW.nanos() - (long) (ranSeconds * 1e9));
       assignment.markRunning(new MachineId("i-" + index), since);
     }
     return job;
@@ -70,64 +74,73 @@
   /** Fails where each waiting job looks at all that runs: 100 jobs then look 200,000 times. */
   @ParameterizedTest
   @ValueSource(ints = {100, 1000, 10_000})
-  void whatMayGiveWayIsLookedForOnce(int waiting) {
+  void candidatesAreCollectedOnceHoweverManyJobsPreempt(int waitingJobs) {
+    // Given many urgent jobs that wait, and one job whose tasks may all be preempted.
     List<Job> order = new ArrayList<>();
-    for (int i = 0; i < waiting; i++) {
-      order.add(job(i, Priority.HIGH, 10));
+    for (int i = 0; i < waitingJobs; i++) {
+      order.add(job(i, Priority.HIGH, WAITING_TASKS));
     }
-    order.add(running(waiting, 5));
-    int[] looks = new int[2];
-    Preemption preemption = new Preemption(12, 20);
-    Preemption.Pass round =
-        preemption
-        .new Pass(
-            order,
-            assignment -> {
-              looks[0]++;
-              return Optional.of(new Preemption.Location(ZONE, new MachineTypeId("small"), false));
-            },
-            NOW);
+    order.add(running(waitingJobs, 5));
+    AtomicInteger located = new AtomicInteger();
+    AtomicInteger tried = new AtomicInteger();
+    Preemption.Locator locator =
+        assignment -> {
+          located.incrementAndGet();
+          return Optional.of(new Preemption.Location(ZONE, new MachineTypeId("small"), false));
+        };
+    Predicate<Preemption.Location> usable =
+        location -> {
+          tried.incrementAndGet();
+          return true;
+        };
+    PreemptionCandidates candidates = PREEMPTION.candidates(order, locator, NOW);
+
+    // When each of the waiting jobs preempts, if it is admitted.
     int stopped = 0;
-    for (Job job : order.subList(0, waiting)) {
-      if (round.admit("priority")) {
-        PreemptionPolicies.LowerPriority rule = new PreemptionPolicies.LowerPriority(job);
-        List<TaskAssignment> victims =
-            preemption.victims(
-                job,
-                10,
-                round,
-                rule,
-                where -> {
-                  looks[1]++;
-                  return true;
-                });
-        victims.forEach(TaskAssignment::requestStop);
-        stopped += victims.size();
+    for (Job job : order.subList(0, waitingJobs)) {
+      if (candidates.admit(PreemptionCandidates.Reason.PRIORITY)) {
+        stopped += preempt(job, candidates, usable);
       }
     }
-    assertEquals(RUNNING, looks[0], "running tasks looked at");
-    assertTrue(looks[1] <= 100, "candidates tried: " + looks[1]);
-    // The first job stops what it needs; for those after it that room is already on its way.
-    assertEquals(10, stopped);
+
+    // Then the work does not grow with the queue.
+    assertEquals(RUNNING_TASKS, located.get(), "running tasks looked at");
+    assertTrue(tried.get() <= 100, "candidates tried: " + tried);
+    assertEquals(
+        WAITING_TASKS, stopped, "what the first job preempts is on its way for those after it");
+  }
+
+  private static int preempt(
+      Job job, PreemptionCandidates candidates, Predicate<Preemption.Location> usable) {
+    List<TaskAssignment> victims =
+        PREEMPTION.victims(
+            job, WAITING_TASKS, candidates, new PreemptionPolicies.LowerPriority(job), usable);
+    victims.forEach(TaskAssignment::requestStop);
+    return victims.size();
   }
 
-  /** What ran for long is left alone, and not even placed. */
   @ParameterizedTest
   @ValueSource(ints = {13, 60})
-  void workThatRanForLongIsNotLookedAt(int seconds) {
-    Job waiting = job(0, Priority.HIGH, 10);
-    Preemption preemption = new Preemption(12, 20);
-    Preemption.Pass round =
-        preemption
-        .new Pass(
-            List.of(waiting, running(1, seconds)),
-            assignment -> {
-              throw new AssertionError("looked at " + assignment.task());
-            },
-            NOW);
-    assertEquals(
-        List.of(),
-        preemption.victims(
-            waiting, 10, round, new PreemptionPolicies.LowerPriority(waiting), c -> true));
+  void tasksThatRanForLongAreNotEvenLocated(int ranSeconds) {
+    // Given a job whose tasks have run for longer than may be preempted.
+    Job waiting = job(0, Priority.HIGH, WAITING_TASKS);
+    Preemption.Locator failing =
+        assignment -> {
+          throw new AssertionError("looked at " + assignment.task());
+        };
+    PreemptionCandidates candidates =
+        PREEMPTION.candidates(List.of(waiting, running(1, ranSeconds)), failing, NOW);
+
+    // When a job of higher priority preempts.
+    List<TaskAssignment> victims =
+        PREEMPTION.victims(
+            waiting,
+            WAITING_TASKS,
+            candidates,
+            new PreemptionPolicies.LowerPriority(waiting),
+            location -> true);
+
+    // Then nothing is stopped.
+    assertEquals(List.of(), victims, "tasks preempted");
   }
 }
