--- /dev/null
+++ b/src/test/java/org/mulleinshift/fairness/MaxMinFairShareTest.java
@@ -0,0 +1,55 @@
+package org.mulleinshift.fairness;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.Random;
+import java.util.stream.IntStream;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** Fair shares of random mixes of entities. */
+final class MaxMinFairShareTest {
+  private static final double TOLERANCE = 1e-9;
+
+  static IntStream seeds() {
+    return RandomEntities.seeds();
+  }
+
+  /** No entity gets more than it wants, and one that gets less has as much a weight as any. */
+  @ParameterizedTest
+  @MethodSource("seeds")
+  void sharesAreMaxMinFair(int seed) {
+    // Given entities with weights and wishes.
+    List<ShareEntity> entities = RandomEntities.draw(new Random(seed));
+
+    // When they share one cluster.
+    MaxMinFairShare fair = MaxMinFairShare.of(entities);
+
+    // Then no entity could have more without taking from one that has less by weight.
+    for (ShareEntity entity : entities) {
+      double share = fair.of(entity.name());
+      assertTrue(share <= entity.wanted() + TOLERANCE, "more than wanted: " + entity);
+      boolean wantsMore = share < entity.wanted() - TOLERANCE;
+      for (ShareEntity other : entities) {
+        double shareOfOther = fair.of(other.name()) / other.weight();
+        assertTrue(
+            !wantsMore || shareOfOther <= share / entity.weight() + TOLERANCE,
+            other + " has more by weight than " + entity);
+      }
+    }
+  }
+
+  @ParameterizedTest
+  @MethodSource("seeds")
+  void allThatIsWantedIsSharedUpToTheWholeCluster(int seed) {
+    List<ShareEntity> entities = RandomEntities.draw(new Random(seed));
+
+    MaxMinFairShare fair = MaxMinFairShare.of(entities);
+
+    double wanted = entities.stream().mapToDouble(ShareEntity::wanted).sum();
+    double shared = entities.stream().mapToDouble(entity -> fair.of(entity.name())).sum();
+    assertEquals(Math.min(1, wanted), shared, TOLERANCE, "sum of the fair shares");
+  }
+}
