--- a/src/main/java/org/mulleinshift/fairness/MaxMinFairShare.java
+++ b/src/main/java/org/mulleinshift/fairness/MaxMinFairShare.java
@@ -7,36 +7,39 @@
 import java.util.Map;
 
 /**
- * Weighted max-min shares (water filling): whoever wants less than its part gets all it wants, and
- * the rest is shared again among the others by weight.
+ * Weighted max-min fair shares (water filling): an entity that wants less than its share by weight
+ * gets all that it wants, and the rest is shared among the others by weight.
  */
 public final class MaxMinFairShare {
   private final Map<String, Double> shares = new HashMap<>();
 
   private MaxMinFairShare() {}
 
-  public static MaxMinFairShare of(Collection<ShareEntity> parties) {
+  /** The fair shares of entities that share one cluster; their order matters to the rounding. */
+  public static MaxMinFairShare of(Collection<ShareEntity> entities) {
     MaxMinFairShare fair = new MaxMinFairShare();
-    List<ShareEntity> open = new ArrayList<>(parties);
-    double left = 1;
-    boolean settled = true;
-    while (settled && !open.isEmpty()) {
-      double weights = open.stream().mapToDouble(ShareEntity::weight).sum();
-      double level = Math.max(0, left) / weights;
-      List<ShareEntity> content =
-          open.stream().filter(party -> party.wanted() <= level * party.weight()).toList();
-      settled = !content.isEmpty();
-      for (ShareEntity party : settled ? content : open) {
-        double part = settled ? party.wanted() : level * party.weight();
-        fair.shares.put(party.name(), part);
-        left -= part;
+    List<ShareEntity> unsatisfied = new ArrayList<>(entities);
+    double remaining = 1;
+    boolean progress = true;
+    while (progress && !unsatisfied.isEmpty()) {
+      double weights = unsatisfied.stream().mapToDouble(ShareEntity::weight).sum();
+      double sharePerWeight = Math.max(0, remaining) / weights;
+      List<ShareEntity> satisfied =
+          unsatisfied.stream()
+              .filter(entity -> entity.wanted() <= sharePerWeight * entity.weight())
+              .toList();
+      progress = !satisfied.isEmpty();
+      for (ShareEntity entity : progress ? satisfied : unsatisfied) {
+        double share = progress ? entity.wanted() : sharePerWeight * entity.weight();
+        fair.shares.put(entity.name(), share);
+        remaining -= share;
       }
-      open.removeAll(content);
+      unsatisfied.removeAll(satisfied);
     }
     return fair;
   }
 
-  /** The share of the fleet that is the party's; 0 if it was not among them. */
+  /** The entity's fair share of the cluster; 0 if it was not among the entities. */
   public double of(String name) {
     return shares.getOrDefault(name, 0.0);
   }
--- a/src/main/java/org/mulleinshift/fairness/ShareClaims.java
+++ b/src/main/java/org/mulleinshift/fairness/ShareClaims.java
@@ -5,14 +5,15 @@
 import java.util.Map;
 
 /**
- * What parties may take of free room before anybody else. A party claims up to its floor, a stated
- * share of its fair part or of its part by weight, and only while another has more than its own
- * fair part: as long as nobody takes too much, the usual order stands. What has run in a window
- * shows in what is in use now, so nothing is remembered, and a new leader claims the same as the
- * old one.
+ * What entities may take of available capacity before the usual order applies. An entity claims up
+ * to its minimum share, a stated part of its fair share or of its share by weight, and only while
+ * another uses more than its own fair share: as long as none does, the usual order stands. What has
+ * run in a window shows in what is in use now, so there is no state, and a new leader computes the
+ * same claims as the old one.
  */
 public final class ShareClaims {
-  private static final double SLACK = 1e-9;
+  /** Differences up to this are due to rounding. */
+  private static final double ROUNDING_TOLERANCE = 1e-9;
 
   private final Map<String, Double> minimums = new LinkedHashMap<>();
   private final Map<String, Double> claims = new LinkedHashMap<>();
@@ -20,37 +21,39 @@
   private ShareClaims() {}
 
   /**
-   * Claims of parties that share one fleet.
+   * Claims of entities that share one cluster.
    *
-   * @param floorShare how much of its fair part is a party's floor; 0: there are no floors
+   * @param minimumShare how much of its fair share is an entity's minimum share; 0: there are no
+   *     minimum shares
    */
-  public static ShareClaims of(Collection<ShareEntity> parties, double floorShare) {
+  public static ShareClaims of(Collection<ShareEntity> entities, double minimumShare) {
     ShareClaims result = new ShareClaims();
-    if (parties.size() < 2 || floorShare <= 0) {
+    if (entities.size() < 2 || minimumShare <= 0) {
       return result;
     }
-    MaxMinFairShare fair = MaxMinFairShare.of(parties);
+    MaxMinFairShare fair = MaxMinFairShare.of(entities);
     boolean excess =
-        parties.stream().anyMatch(party -> party.inUse() > fair.of(party.name()) + SLACK);
-    double weights = parties.stream().mapToDouble(ShareEntity::weight).sum();
-    for (ShareEntity party : parties) {
-      double own = Math.max(fair.of(party.name()), party.weight() / weights);
-      double floor = Math.min(party.wanted(), floorShare * own);
-      result.minimums.put(party.name(), floor);
-      double missing = Math.min(floor - party.inUse(), party.waiting());
-      if (excess && missing > SLACK) {
-        result.claims.put(party.name(), missing);
+        entities.stream()
+            .anyMatch(entity -> entity.inUse() > fair.of(entity.name()) + ROUNDING_TOLERANCE);
+    double weights = entities.stream().mapToDouble(ShareEntity::weight).sum();
+    for (ShareEntity entity : entities) {
+      double share = Math.max(fair.of(entity.name()), entity.weight() / weights);
+      double minimum = Math.min(entity.wanted(), minimumShare * share);
+      result.minimums.put(entity.name(), minimum);
+      double missing = Math.min(minimum - entity.inUse(), entity.waiting());
+      if (excess && missing > ROUNDING_TOLERANCE) {
+        result.claims.put(entity.name(), missing);
       }
     }
     return result;
   }
 
-  /** What each may take first, as a share of the fleet; only those that claim. */
+  /** What each entity with a claim may take first, by name, as a share of the cluster. */
   public Map<String, Double> claims() {
     return claims;
   }
 
-  /** The share below which the party's work is not stopped for others, whoever wants less. */
+  /** The share of the cluster within which the entity's work is not preempted for others. */
   public double minimum(String name) {
     return minimums.getOrDefault(name, 0.0);
   }
--- a/src/main/java/org/mulleinshift/placement/BinPacker.java
+++ b/src/main/java/org/mulleinshift/placement/BinPacker.java
@@ -6,16 +6,17 @@
 import java.util.Optional;
 import java.util.PriorityQueue;
 
-/** Chooses a machine for a task; the leader's plans and the owners' placements share it. */
+/** Chooses machines for tasks; shared by the leader's plans and the owners' placements. */
 public final class BinPacker {
   private BinPacker() {}
 
-  /** Takes room for some of several equal tasks on a machine. */
+  /** Receives where capacity was allocated. */
   public interface CapacityConsumer {
+    /** Capacity for so many of several equal tasks was allocated on a machine. */
     void accept(MachineCapacity capacity, int count);
   }
 
-  /** A room that takes the tasks; of equal ones the first is chosen. */
+  /** A machine that fits the tasks; of equally good ones the first is chosen. */
   private record Scored(MachineCapacity capacity, double score, int position)
       implements Comparable<Scored> {
     @Override
@@ -26,58 +27,67 @@
   }
 
   /**
-   * Takes room for up to so many equal tasks; tells for how many. The outcome is that of choosing
-   * for each task anew: a room that was chosen only becomes a better choice, until it is full, and
-   * the others stay as they are. So each room is looked at once, however many tasks there are.
+   * Allocates capacity to up to so many equal tasks. The outcome is that of choosing for each task
+   * anew: a machine that was chosen only becomes a better choice, until it is full, and the others
+   * stay as they are. So each machine is looked at once, however many tasks there are.
+   *
+   * @param consumer is called for each machine, in the order of choice
+   * @return how many of the tasks were placed
    */
   public static int fill(
-      ResourceRequest need,
+      ResourceRequest request,
       int count,
       Collection<MachineCapacity> capacities,
       CapacityConsumer consumer) {
-    MachineCapacity best = best(need, capacities).orElse(null);
+    MachineCapacity best = best(request, capacities).orElse(null);
     if (best == null || count <= 0) {
       return 0;
     }
-    int left = count - take(need, count, best, consumer);
-    if (left == 0) {
+    int remaining = count - allocate(request, count, best, consumer);
+    if (remaining == 0) {
       return count;
     }
     List<Scored> others = new ArrayList<>();
     for (MachineCapacity capacity : capacities) {
-      if (capacity != best && capacity.fits(need)) {
-        others.add(new Scored(capacity, capacity.score(need), others.size()));
+      if (capacity != best && capacity.fits(request)) {
+        others.add(new Scored(capacity, capacity.score(request), others.size()));
       }
     }
     PriorityQueue<Scored> next = new PriorityQueue<>(others);
-    while (left > 0 && !next.isEmpty()) {
-      left -= take(need, left, next.poll().capacity(), consumer);
+    while (remaining > 0 && !next.isEmpty()) {
+      remaining -= allocate(request, remaining, next.poll().capacity(), consumer);
     }
-    return count - left;
+    return count - remaining;
   }
 
-  private static int take(
-      ResourceRequest need, int most, MachineCapacity capacity, CapacityConsumer consumer) {
-    int taken = Math.min(most, capacity.countOf(need));
-    capacity.allocate(need, taken);
-    consumer.accept(capacity, taken);
-    return taken;
+  private static int allocate(
+      ResourceRequest request, int maxTasks, MachineCapacity capacity, CapacityConsumer consumer) {
+    int allocated = Math.min(maxTasks, capacity.countOf(request));
+    capacity.allocate(request, allocated);
+    consumer.accept(capacity, allocated);
+    return allocated;
   }
 
-  /** The same where it does not matter on which machines. */
-  public static int fill(ResourceRequest need, int count, Collection<MachineCapacity> capacities) {
-    return fill(need, count, capacities, (capacity, taken) -> {});
+  /**
+   * Allocates capacity to up to so many equal tasks, on whichever machines.
+   *
+   * @return how many of the tasks were placed
+   */
+  public static int fill(
+      ResourceRequest request, int count, Collection<MachineCapacity> capacities) {
+    return fill(request, count, capacities, (capacity, allocated) -> {});
   }
 
+  /** The best machine for one task, if any fits; of equally good ones the first. */
   public static Optional<MachineCapacity> best(
-      ResourceRequest need, Collection<MachineCapacity> capacities) {
+      ResourceRequest request, Collection<MachineCapacity> capacities) {
     MachineCapacity best = null;
     double bestScore = 0;
     for (MachineCapacity capacity : capacities) {
-      if (!capacity.fits(need)) {
+      if (!capacity.fits(request)) {
         continue;
       }
-      double score = capacity.score(need);
+      double score = capacity.score(request);
       if (best == null || score < bestScore) {
         best = capacity;
         bestScore = score;
--- a/src/main/java/org/mulleinshift/placement/MachineCapacity.java
+++ b/src/main/java/org/mulleinshift/placement/MachineCapacity.java
@@ -10,19 +10,33 @@
 import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.ZoneId;
 
-/** Free room on one machine while a plan is made. */
+/**
+ * The available capacity of one machine while a plan is made: what the plan allocates is
+ * subtracted. Not safe for use by several threads.
+ */
 public final class MachineCapacity {
-  /** Of a machine that is in no shard yet. */
+  /** The shard of a machine that is in none yet. */
   public static final ShardId NO_SHARD = new ShardId("-");
 
+  /** The part of a machine that a task does not take. */
   private static final double SIZE_WEIGHT = 3000;
 
-  /** For each second of a fetch, and at most: a fetch is no reason to keep a dear machine up. */
+  /** Of each second that it takes to fetch an image. */
   private static final double FETCH_WEIGHT = 50;
 
+  /** Fetching an image is no reason to keep an expensive machine up. */
   private static final double MAX_FETCH_WEIGHT = 1000;
+
   private static final double PRICE_WEIGHT = 300;
 
+  /** Of each accelerator that remains available; each processor that does counts as 1. */
+  private static final double GPU_WEIGHT = 8;
+
+  /** So much memory that remains available counts as one processor. */
+  private static final double MEMORY_GB_PER_CPU = 16;
+
+  private static final int EXPECTED_INCOMING_IMAGES = 4;
+
   private final MachineId machine;
   private final ShardId shard;
   private final ZoneId zone;
@@ -34,14 +48,22 @@
   private final double relativePrice;
   private Resources available;
 
+  /**
+   * A machine's capacity at the start of a plan.
+   *
+   * @param shard the machine's shard, or {@link #NO_SHARD}
+   * @param spot whether the provider may take the machine back
+   * @param available what is not allocated yet
+   * @param cachedImages images that are on the machine or being fetched
+   */
   public MachineCapacity(
       MachineId machine,
       ShardId shard,
       ZoneId zone,
       MachineType type,
       boolean spot,
-      Resources free,
-      Collection<String> images) {
+      Resources available,
+      Collection<String> cachedImages) {
     this.machine = machine;
     this.shard = shard;
     this.zone = zone;
@@ -49,84 +71,97 @@
     this.spot = spot;
     this.relativePrice = type.relativePrice(spot);
     this.size = type.size();
-    this.available = free;
-    this.cachedImages = images;
+    this.available = available;
+    this.cachedImages = cachedImages;
   }
 
-  boolean fits(ResourceRequest need) {
-    return need.perTask().fitsInto(available) && allowedFor(need);
+  /** Whether one such task fits and may be here. */
+  boolean fits(ResourceRequest request) {
+    return request.perTask().fitsInto(available) && allowedFor(request);
   }
 
-  private boolean allowedFor(ResourceRequest need) {
-    return need.allows(type.id(), spot) && need.allowsZone(zone);
+  private boolean allowedFor(ResourceRequest request) {
+    return request.allows(type.id(), spot) && request.allowsZone(zone);
   }
 
-  /** How many such tasks fit. */
-  int countOf(ResourceRequest need) {
-    return allowedFor(need) ? need.perTask().countIn(available) : 0;
+  /** How many such tasks fit and may be here. */
+  int countOf(ResourceRequest request) {
+    return allowedFor(request) ? request.perTask().countIn(available) : 0;
   }
 
-  public void allocate(ResourceRequest need) {
-    allocate(need, 1);
+  /** Allocates capacity to one task. */
+  public void allocate(ResourceRequest request) {
+    allocate(request, 1);
   }
 
-  public void allocate(ResourceRequest need, int count) {
-    available = available.minus(count == 1 ? need.perTask() : need.perTask().times(count));
-    if (!incomingImages.contains(need.image())) {
-      incomingImages = incomingImages.isEmpty() ? new HashSet<>(4) : incomingImages;
-      incomingImages.add(need.image());
+  /** Allocates capacity to so many equal tasks. */
+  public void allocate(ResourceRequest request, int count) {
+    available = available.minus(count == 1 ? request.perTask() : request.perTask().times(count));
+    if (!incomingImages.contains(request.image())) {
+      incomingImages =
+          incomingImages.isEmpty() ? new HashSet<>(EXPECTED_INCOMING_IMAGES) : incomingImages;
+      incomingImages.add(request.image());
     }
   }
 
+  /** Makes an amount available, as when a task ends. */
   public void free(Resources amount) {
     available = available.plus(amount);
   }
 
   /**
-   * Lower is better: a machine of little size first, since large ones are what large tasks wait
-   * for; then one that has the image; then a cheap one, so that dear ones fall idle and are
-   * returned; then the one that is left fullest.
+   * How well a task fits here; lower is better. A small machine comes first, since large ones are
+   * what large tasks wait for; then one that has the image; then a cheap one, so that expensive
+   * ones fall idle and are released; then the one with the least capacity remaining.
    */
-  double score(ResourceRequest need) {
-    double left = PRICE_WEIGHT * relativePrice + SIZE_WEIGHT * (1 - need.perTask().shareOf(size));
-    left += size.cpus() > 0 ? (available.cpus() - need.perTask().cpus()) : 0;
-    left += size.gpus() > 0 ? 8 * (available.gpus() - need.perTask().gpus()) : 0;
-    left += size.memoryGb() > 0 ? (available.memoryGb() - need.perTask().memoryGb()) / 16 : 0;
-    return left + fetchWeight(need);
-  }
-
-  private double fetchWeight(ResourceRequest need) {
-    if (cachedImages.contains(need.image()) || incomingImages.contains(need.image())) {
+  double score(ResourceRequest request) {
+    double score =
+        PRICE_WEIGHT * relativePrice + SIZE_WEIGHT * (1 - request.perTask().shareOf(size));
+    score += size.cpus() > 0 ? (available.cpus() - request.perTask().cpus()) : 0;
+    score += size.gpus() > 0 ? GPU_WEIGHT * (available.gpus() - request.perTask().gpus()) : 0;
+    score +=
+        size.memoryGb() > 0
+            ? (available.memoryGb() - request.perTask().memoryGb()) / MEMORY_GB_PER_CPU
+            : 0;
+    return score + fetchWeight(request);
+  }
+
+  private double fetchWeight(ResourceRequest request) {
+    if (cachedImages.contains(request.image()) || incomingImages.contains(request.image())) {
       return 0;
     }
     double rate = type.fetchGbPerSecond();
     return rate <= 0
         ? MAX_FETCH_WEIGHT
-        : Math.min(MAX_FETCH_WEIGHT, FETCH_WEIGHT * need.imageGb() / rate);
+        : Math.min(MAX_FETCH_WEIGHT, FETCH_WEIGHT * request.imageGb() / rate);
   }
 
-  /** A measure for choosing what to drain first. */
+  /** The cost of keeping the machine; the machine with the highest is drained first. */
   public double drainWeight() {
     return (1 + relativePrice) * size.cpus();
   }
 
+  /** The machine. */
   public MachineId machine() {
     return machine;
   }
 
+  /** The machine's shard, or {@link #NO_SHARD}. */
   public ShardId shard() {
     return shard;
   }
 
+  /** The machine's zone. */
   public ZoneId zone() {
     return zone;
   }
 
+  /** All that the machine has. */
   public Resources size() {
     return size;
   }
 
-  /** The same room, to be taken from in a trial. */
+  /** An independent copy, to try allocations on. */
   public MachineCapacity copy() {
     MachineCapacity copy =
         new MachineCapacity(machine, shard, zone, type, spot, available, cachedImages);
@@ -138,10 +173,12 @@
     return spot;
   }
 
+  /** The machine's type. */
   public MachineTypeId type() {
     return type.id();
   }
 
+  /** What is not allocated. */
   public Resources available() {
     return available;
   }
--- a/src/main/java/org/mulleinshift/placement/MachineTypeCatalog.java
+++ b/src/main/java/org/mulleinshift/placement/MachineTypeCatalog.java
@@ -15,53 +15,66 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The machine types and their current prices, read again now and then. */
+/** The machine types and their current prices, refreshed from the cloud at intervals. */
 public final class MachineTypeCatalog {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
-  private static final Duration DEADLINE = Duration.ofSeconds(4);
-  private static final Duration RETRY = Duration.ofMillis(1500);
-  private static final Duration REFRESH = Duration.ofSeconds(60);
+  private static final Duration CALL_DEADLINE = Duration.ofSeconds(4);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(1500);
+  private static final Duration REFRESH_INTERVAL = Duration.ofSeconds(60);
+
+  /** Keeps the retries of several controllers apart. */
+  private static final int RETRY_JITTER_MILLIS = 500;
 
   private final EventLoop loop;
-  private final AsyncHttpClient calls;
+  private final AsyncHttpClient client;
   private final InetSocketAddress cloud;
   private final Runnable onChange;
   private Map<MachineTypeId, MachineType> types = Map.of();
 
+  /**
+   * An empty catalog.
+   *
+   * @param cloud the address of the cloud's API
+   * @param onChange is called on the event loop after each refresh
+   */
   public MachineTypeCatalog(
-      EventLoop loop, AsyncHttpClient calls, InetSocketAddress cloud, Runnable onChange) {
+      EventLoop loop, AsyncHttpClient client, InetSocketAddress cloud, Runnable onChange) {
     this.loop = loop;
-    this.calls = calls;
+    this.client = client;
     this.cloud = cloud;
     this.onChange = onChange;
   }
 
+  /** Reads the catalog now, and again at intervals from then on. */
   public void start() {
-    calls.call(cloud, HttpRequest.get(CloudCodec.CATALOG, DEADLINE), this::onResponse);
+    client.call(cloud, HttpRequest.get(CloudCodec.CATALOG, CALL_DEADLINE), this::onResponse);
   }
 
-  private void onResponse(HttpResponse reply) {
-    if (reply.ok()) {
+  private void onResponse(HttpResponse response) {
+    if (response.ok()) {
       try {
-        types = CloudCodec.parseCatalog(reply.body());
-        loop.after(REFRESH, this::start);
+        types = CloudCodec.parseCatalog(response.body());
+        loop.after(REFRESH_INTERVAL, this::start);
         onChange.run();
         return;
       } catch (MalformedMessageException e) {
-        LOG.warn("catalog: {}", e.getMessage());
+        LOG.warn("machine type catalog malformed, error={}", e.getMessage());
       }
     }
-    loop.after(RETRY.plusMillis((long) (500 * loop.random())), this::start);
+    loop.after(RETRY_DELAY.plusMillis((long) (RETRY_JITTER_MILLIS * loop.random())), this::start);
   }
 
+  /** Whether the catalog has been read. */
   public boolean isLoaded() {
     return !types.isEmpty();
   }
 
+  /** The type with that id, if the cloud offers it. */
   public Optional<MachineType> type(MachineTypeId id) {
     return Optional.ofNullable(types.get(id));
   }
 
+  /** All types, in the cloud's order. */
   public Map<MachineTypeId, MachineType> types() {
     return types;
   }
--- a/src/main/java/org/mulleinshift/placement/PlacementConstraints.java
+++ b/src/main/java/org/mulleinshift/placement/PlacementConstraints.java
@@ -7,11 +7,11 @@
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Where a job's tasks may be together: one zone, spread, and gangs as a whole. */
+/** Constraints between the tasks of a job: one zone for all, spread over zones, gangs. */
 public final class PlacementConstraints {
   private PlacementConstraints() {}
 
-  /** Whether one more of its tasks may be in the zone, given where the others are. */
+  /** Whether one more of the job's tasks may be in the zone, given where the others are. */
   public static boolean allows(Job job, ZoneId zone) {
     if (!job.spec().allowsZone(zone)) {
       return false;
@@ -19,14 +19,22 @@
     if (job.spec().oneZone() && !job.assignedPerZone().isEmpty() && job.assignedIn(zone) == 0) {
       return false;
     }
-    int half = (job.spec().tasks() + 1) / 2;
-    return !job.spec().spread() || job.assignedIn(zone) < half;
+    return !job.spec().spread() || job.assignedIn(zone) < maxPerZoneIfSpread(job);
   }
 
-  /** A gang starts as a whole: none of its tasks is out, and there is room for all of them. */
+  /** A job that is spread has at most half of its tasks, rounded up, in one zone. */
+  private static int maxPerZoneIfSpread(Job job) {
+    return (job.spec().tasks() + 1) / 2;
+  }
+
+  /**
+   * Whether a gang can start as a whole: none of its tasks is assigned, and all of them fit.
+   *
+   * @param allowed how many of its tasks quotas allow
+   */
   public static boolean gangFits(
       Job job,
-      ResourceRequest need,
+      ResourceRequest request,
       List<MachineCapacity> capacities,
       int allowed,
       MonotonicTime now) {
@@ -34,17 +42,18 @@
     if (job.assignedCount() > 0 || allowed < tasks || job.waiting(tasks, now).length < tasks) {
       return false;
     }
-    Map<ZoneId, Integer> perZone = new HashMap<>();
+    Map<ZoneId, Integer> fittingPerZone = new HashMap<>();
     for (MachineCapacity capacity : capacities) {
       ZoneId zone = capacity.zone();
       if (job.spec().allowsZone(zone)) {
-        perZone.merge(zone, capacity.countOf(need), Integer::sum);
+        fittingPerZone.merge(zone, capacity.countOf(request), Integer::sum);
       }
     }
     if (job.spec().oneZone()) {
-      return perZone.values().stream().anyMatch(fit -> fit >= tasks);
+      return fittingPerZone.values().stream().anyMatch(fitting -> fitting >= tasks);
     }
-    int half = job.spec().spread() ? (job.spec().tasks() + 1) / 2 : tasks;
-    return perZone.values().stream().mapToInt(fit -> Math.min(fit, half)).sum() >= tasks;
+    int maxPerZone = job.spec().spread() ? maxPerZoneIfSpread(job) : tasks;
+    int fitting = fittingPerZone.values().stream().mapToInt(fit -> Math.min(fit, maxPerZone)).sum();
+    return fitting >= tasks;
   }
 }
--- a/src/main/java/org/mulleinshift/placement/ResourceRequest.java
+++ b/src/main/java/org/mulleinshift/placement/ResourceRequest.java
@@ -9,7 +9,16 @@
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.protocol.peer.AssignedJob;
 
-/** What a task asks of a machine. An empty list of types allows all. */
+/**
+ * What a task requests of a machine.
+ *
+ * @param perTask what one task takes
+ * @param image the image that the task runs from
+ * @param imageGb size of the image
+ * @param types machine types that the task may be on; empty: all
+ * @param zone the only zone that the task may be in, if it is restricted to one
+ * @param spotAllowed whether the task may be on a spot machine
+ */
 public record ResourceRequest(
     Resources perTask,
     String image,
@@ -17,6 +26,7 @@
     List<MachineTypeId> types,
     Optional<ZoneId> zone,
     boolean spotAllowed) {
+  /** What each task of a job requests. */
   public static ResourceRequest of(JobSpec spec) {
     return new ResourceRequest(
         spec.perTask(),
@@ -27,7 +37,7 @@
         spec.spotAllowed());
   }
 
-  /** What a assigned job's tasks ask, as the leader told it; zones were decided there. */
+  /** What each task of an assigned job requests; the leader has decided on the zones. */
   public static ResourceRequest of(AssignedJob job) {
     return new ResourceRequest(
         new Resources(job.getCpus(), job.getGpus(), job.getMemoryGb()),
@@ -38,18 +48,21 @@
         job.getSpotAllowed());
   }
 
-  /** The same on some types only; none are left if it allows none of them. */
+  /**
+   * The same request, on those of some types that it allows. If it allows none of them, the list of
+   * types is empty and would allow all: callers must not use such a request.
+   */
   public ResourceRequest restrictedTo(List<MachineTypeId> some) {
-    List<MachineTypeId> left = some.stream().filter(this::allowsType).toList();
-    return new ResourceRequest(perTask, image, imageGb, left, zone, spotAllowed);
+    List<MachineTypeId> allowed = some.stream().filter(this::allowsType).toList();
+    return new ResourceRequest(perTask, image, imageGb, allowed, zone, spotAllowed);
   }
 
-  /** A task fits an empty machine of the type, and may be on it. */
+  /** Whether a task fits an empty machine of the type, and may be on it. */
   public boolean fits(MachineType type) {
     return perTask.fitsInto(type.size()) && allowsType(type.id());
   }
 
-  /** Every machine that the other may be on, this may be on. */
+  /** Whether this may be on every machine that the other may be on. */
   boolean isNoStricterThan(ResourceRequest other) {
     return (types.isEmpty() || types.equals(other.types))
         && (zone.isEmpty() || zone.equals(other.zone))
@@ -60,10 +73,12 @@
     return types.isEmpty() || types.contains(type);
   }
 
+  /** Whether a task may be in the zone. */
   public boolean allowsZone(ZoneId candidate) {
     return zone.isEmpty() || zone.get().equals(candidate);
   }
 
+  /** Whether a task may be on such a machine, whatever its size. */
   public boolean allows(MachineTypeId type, boolean spot) {
     return allowsType(type) && (spotAllowed || !spot);
   }
--- a/src/main/java/org/mulleinshift/placement/UnschedulableRequests.java
+++ b/src/main/java/org/mulleinshift/placement/UnschedulableRequests.java
@@ -7,39 +7,42 @@
 import org.mulleinshift.protocol.Resources;
 
 /**
- * What found no room while rooms only get smaller: whatever asks for as much or more, and is
- * allowed no more machines, finds none either and need not look at every machine again.
+ * Requests that fit no machine, while available capacity only shrinks: a request for as much or
+ * more, and allowed on no more machines, fits none either and need not look at every machine again.
  */
 public final class UnschedulableRequests {
-  private static final int MOST = 12;
+  /** Bounds the time of a look-up; requests beyond it are tried in vain. */
+  private static final int MAX_REQUESTS = 12;
 
   private final List<ResourceRequest> failed = new ArrayList<>();
 
-  public void add(ResourceRequest need) {
-    if (failed.size() < MOST && !covers(need)) {
-      failed.add(need);
+  /** Records that a request fits no machine. */
+  public void add(ResourceRequest request) {
+    if (failed.size() < MAX_REQUESTS && !covers(request)) {
+      failed.add(request);
     }
   }
 
-  public boolean covers(ResourceRequest need) {
+  /** Whether the request is known to fit no machine. */
+  public boolean covers(ResourceRequest request) {
     for (ResourceRequest known : failed) {
-      if (known.perTask().isAtMost(need.perTask()) && known.isNoStricterThan(need)) {
+      if (known.perTask().isAtMost(request.perTask()) && known.isNoStricterThan(request)) {
         return true;
       }
     }
     return false;
   }
 
-  /** The least that any of these asks for, of each kind; endless if there are none. */
-  public static <T> Resources minimumOf(Collection<T> all, Function<T, ResourceRequest> need) {
-    Resources least = Resources.UNBOUNDED;
-    for (T one : all) {
-      least = minimum(least, need.apply(one).perTask());
+  /** Of each resource the minimum that any of these requests; unbounded if there are none. */
+  public static <T> Resources minimumOf(Collection<T> all, Function<T, ResourceRequest> requestOf) {
+    Resources min = Resources.UNBOUNDED;
+    for (T element : all) {
+      min = minimum(min, requestOf.apply(element).perTask());
     }
-    return least;
+    return min;
   }
 
-  /** The least that any of the needs asks for, of each kind; no room without it is of any use. */
+  /** Of each resource the smaller amount; capacity that does not have it is of use to neither. */
   public static Resources minimum(Resources one, Resources other) {
     return new Resources(
         Math.min(one.cpus(), other.cpus()),
--- a/src/main/java/org/mulleinshift/scheduling/AllocationIndex.java
+++ b/src/main/java/org/mulleinshift/scheduling/AllocationIndex.java
@@ -13,32 +13,33 @@
 
 /**
  * Where the assigned tasks are: what they take of each machine, and which of a shard are not placed
- * yet. Kept in step with every change, so that a cycle need not look at every task.
+ * yet. Updated with every change, so that a cycle need not look at every task.
  */
 public final class AllocationIndex {
-  private static final class Load {
+  /** The tasks on one machine. */
+  private static final class MachineLoad {
     private final Map<TaskId, TaskAssignment> tasks = new LinkedHashMap<>();
     private Resources used = Resources.ZERO;
   }
 
-  private final Map<MachineId, Load> machines = new HashMap<>();
+  private final Map<MachineId, MachineLoad> machines = new HashMap<>();
   private final Map<ShardId, Map<TaskId, TaskAssignment>> unplaced = new HashMap<>();
 
-  /** Called before a assignment changes. */
+  /** Called before an assignment changes. */
   public void remove(TaskAssignment assignment) {
     if (assignment.state() == TaskAssignment.State.ENDED) {
       return;
     }
     TaskId task = assignment.task();
     if (assignment.machine().isEmpty()) {
-      Map<TaskId, TaskAssignment> waiting = unplaced.get(assignment.shard());
-      if (waiting != null) {
-        waiting.remove(task, assignment);
+      Map<TaskId, TaskAssignment> ofShard = unplaced.get(assignment.shard());
+      if (ofShard != null) {
+        ofShard.remove(task, assignment);
       }
       return;
     }
     MachineId machine = assignment.machine().get();
-    Load load = machines.get(machine);
+    MachineLoad load = machines.get(machine);
     if (load != null && load.tasks.remove(task, assignment)) {
       load.used = load.used.minus(assignment.perTask());
       if (load.tasks.isEmpty()) {
@@ -47,7 +48,7 @@
     }
   }
 
-  /** Called after a assignment has changed. */
+  /** Called after an assignment has changed. */
   public void add(TaskAssignment assignment) {
     if (assignment.state() == TaskAssignment.State.ENDED) {
       return;
@@ -59,22 +60,26 @@
           .put(task, assignment);
       return;
     }
-    Load load = machines.computeIfAbsent(assignment.machine().get(), key -> new Load());
+    MachineLoad load =
+        machines.computeIfAbsent(assignment.machine().get(), key -> new MachineLoad());
     if (load.tasks.put(task, assignment) == null) {
       load.used = load.used.plus(assignment.perTask());
     }
   }
 
+  /** What the tasks on a machine take. */
   Resources used(MachineId machine) {
-    Load load = machines.get(machine);
+    MachineLoad load = machines.get(machine);
     return load == null ? Resources.ZERO : load.used;
   }
 
+  /** The tasks on a machine. */
   public Collection<TaskAssignment> on(MachineId machine) {
-    Load load = machines.get(machine);
+    MachineLoad load = machines.get(machine);
     return load == null ? List.of() : load.tasks.values();
   }
 
+  /** The tasks assigned to a shard whose owner has not placed them yet. */
   Collection<TaskAssignment> unplaced(ShardId shard) {
     return unplaced.getOrDefault(shard, Map.of()).values();
   }
--- a/src/main/java/org/mulleinshift/scheduling/AvailableCapacity.java
+++ b/src/main/java/org/mulleinshift/scheduling/AvailableCapacity.java
@@ -15,6 +15,7 @@
 import org.mulleinshift.placement.ResourceRequest;
 import org.mulleinshift.placement.UnschedulableRequests;
 import org.mulleinshift.protocol.JobId;
+import org.mulleinshift.protocol.JobSpec;
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.MachineType;
 import org.mulleinshift.protocol.Resources;
@@ -24,9 +25,9 @@
 import org.mulleinshift.sharding.OwnedMachine;
 import org.mulleinshift.sharding.ShardView;
 
-/** The room that a cycle gives out, and the tasks that wait at owners for more of it. */
+/** The capacity that a cycle can assign, and the tasks that wait at owners for more of it. */
 public final class AvailableCapacity {
-  /** Tasks that wait at an owner for room. */
+  /** Equal tasks that wait at a shard's owner for capacity. */
   record QueuedAtOwner(ShardId shard, ResourceRequest request, int count) {}
 
   private final ClusterState state;
@@ -37,78 +38,92 @@
     this.state = state;
   }
 
-  /** What was assigned and found no room when the rooms were last asked for. */
+  /** What was assigned and did not fit when capacity was last collected. */
   List<QueuedAtOwner> queuedAtOwners() {
     return queuedAtOwners;
   }
 
   /**
-   * Free room as the owners report it, less what is assigned and not yet placed. Machines that have
-   * less left than the least that anybody asks for are left out.
+   * Capacity as the owners report it, less what is assigned and not yet placed. Machines that have
+   * less available than the minimum that is requested are left out.
    */
-  List<MachineCapacity> collect(Resources minAsked) {
+  List<MachineCapacity> collect(Resources minRequested) {
     List<MachineCapacity> capacities = new ArrayList<>();
     queuedAtOwners.clear();
     for (ShardView shard : state.shards().all()) {
-      Map<JobId, Integer> unplaced = new LinkedHashMap<>();
-      for (TaskAssignment assignment : state.allocations().unplaced(shard.id())) {
-        unplaced.merge(assignment.task().job(), 1, Integer::sum);
-      }
-      Resources least = minAsked;
-      for (JobId job : unplaced.keySet()) {
-        least =
-            UnschedulableRequests.minimum(
-                least, state.jobs().find(job).orElseThrow().spec().perTask());
-      }
-      List<MachineCapacity> found = ofShard(shard, least);
-      unplaced.forEach(
-          (job, count) -> {
-            ResourceRequest need = ResourceRequest.of(state.jobs().find(job).orElseThrow().spec());
-            int left = count - BinPacker.fill(need, count, found);
-            if (left > 0) {
-              queuedAtOwners.add(new QueuedAtOwner(shard.id(), need, left));
-            }
-          });
-      capacities.addAll(found);
+      capacities.addAll(collectShard(shard, minRequested));
+    }
+    return capacities;
+  }
+
+  private List<MachineCapacity> collectShard(ShardView shard, Resources minRequested) {
+    Map<JobId, Integer> unplaced = new LinkedHashMap<>();
+    for (TaskAssignment assignment : state.allocations().unplaced(shard.id())) {
+      unplaced.merge(assignment.task().job(), 1, Integer::sum);
     }
+    Resources min = minRequested;
+    for (JobId job : unplaced.keySet()) {
+      min = UnschedulableRequests.minimum(min, specOf(job).perTask());
+    }
+    List<MachineCapacity> capacities = ofShard(shard, min);
+    unplaced.forEach((job, count) -> allocateUnplaced(shard, job, count, capacities));
     return capacities;
   }
 
-  /** The rooms of a shard's machines that have at least so much left. */
-  public List<MachineCapacity> ofShard(ShardView shard, Resources least) {
+  private void allocateUnplaced(
+      ShardView shard, JobId job, int count, List<MachineCapacity> capacities) {
+    ResourceRequest request = ResourceRequest.of(specOf(job));
+    int remaining = count - BinPacker.fill(request, count, capacities);
+    if (remaining > 0) {
+      queuedAtOwners.add(new QueuedAtOwner(shard.id(), request, remaining));
+    }
+  }
+
+  private JobSpec specOf(JobId job) {
+    return state.jobs().find(job).orElseThrow().spec();
+  }
+
+  /** The capacities of a shard's machines that have at least so much available. */
+  public List<MachineCapacity> ofShard(ShardView shard, Resources minAvailable) {
     List<MachineCapacity> found = new ArrayList<>();
     if (shard.hasStatus()) {
       for (MachineId id : shard.machines().keySet()) {
-        ofMachine(shard, id, least).ifPresent(found::add);
+        ofMachine(shard, id, minAvailable).ifPresent(found::add);
       }
     }
     return found;
   }
 
-  /** What is left of a machine, if it may take tasks and has at least so much. */
-  Optional<MachineCapacity> ofMachine(ShardView shard, MachineId id, Resources least) {
+  /** What a machine has available, if it may take tasks and has at least so much. */
+  Optional<MachineCapacity> ofMachine(ShardView shard, MachineId id, Resources minAvailable) {
     MachineRecord record = shard.machines().get(id);
     MachineType type = record == null ? null : state.catalog().type(record.type()).orElse(null);
     if (type == null || !record.up() || !shard.hasStatus()) {
       return Optional.empty();
     }
-    // Most machines of a busy fleet are full: what else it takes to know them is asked later.
-    Resources free = type.size().minus(state.allocations().used(id));
-    if (!least.fitsInto(free)) {
+    // Most machines of a busy cluster are full: what costs more to find out comes after this.
+    Resources available = type.size().minus(state.allocations().used(id));
+    if (!minAvailable.fitsInto(available)) {
       return Optional.empty();
     }
     return shard
         .statusOf(id)
-        .filter(report -> usable(id, report))
+        .filter(status -> isUsable(id, status))
         .map(
-            report ->
+            status ->
                 new MachineCapacity(
-                    id, shard.id(), shard.zone(), type, record.spot(), free, images(id, report)));
+                    id,
+                    shard.id(),
+                    shard.zone(),
+                    type,
+                    record.spot(),
+                    available,
+                    images(id, status)));
   }
 
-  /** What the machine has, and what its tasks fetch: like tasks then share the fetch. */
-  private Set<String> images(MachineId machine, MachineStatus report) {
-    Set<String> images = new HashSet<>(report.getImages());
+  /** Images on the machine, and those its tasks fetch: equal tasks then share the fetch. */
+  private Set<String> images(MachineId machine, MachineStatus status) {
+    Set<String> images = new HashSet<>(status.getImages());
     for (TaskAssignment assignment : state.allocations().on(machine)) {
       Job job = state.jobs().find(assignment.task().job()).orElse(null);
       if (job != null) {
@@ -118,10 +133,10 @@
     return images;
   }
 
-  private boolean usable(MachineId machine, MachineStatus report) {
-    return report.getPhase().equals(MachinePhase.CONFIRMED.wireName())
-        && !report.getInterrupted()
-        && report.getLiveness().equals(OwnedMachine.Liveness.ALIVE.wireName())
+  private boolean isUsable(MachineId machine, MachineStatus status) {
+    return status.getPhase().equals(MachinePhase.CONFIRMED.wireName())
+        && !status.getInterrupted()
+        && status.getLiveness().equals(OwnedMachine.Liveness.ALIVE.wireName())
         && !state.isCordoned(machine);
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/CapacityReservation.java
+++ b/src/main/java/org/mulleinshift/scheduling/CapacityReservation.java
@@ -13,64 +13,79 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Room kept free of less urgent work for classes whose tasks must start soon: a share of what their
- * jobs ask for on average, as long as such jobs keep coming.
+ * Capacity kept free of less urgent work for classes whose tasks must start soon: a share of what
+ * their jobs request on average, as long as such jobs keep arriving.
  */
 public final class CapacityReservation {
-  private static final double WEIGHT = 0.2;
+  /** Of the latest job in the moving average. */
+  private static final double LATEST_WEIGHT = 0.2;
 
-  /** Tasks for which room is kept. */
+  private static final String START_OBJECTIVE = "wait";
+
+  /** Tasks of one class for which capacity is reserved. */
   public record Reservation(ResourceRequest request, int count) {}
 
-  private static final class Seen {
-    private ResourceRequest need;
-    private double tasks;
-    private MonotonicTime lastAt;
+  /** What the jobs of a class request. */
+  private static final class Arrivals {
+    private ResourceRequest latestRequest;
+    private double meanTasks;
+    private MonotonicTime latestAt;
   }
 
-  private final Set<String> classes = new HashSet<>();
-  private final Map<String, Seen> seen = new HashMap<>();
+  private final Set<String> reservedClasses = new HashSet<>();
+  private final Map<String, Arrivals> arrivalsByClass = new HashMap<>();
   private final double share;
-  private final Duration lasting;
+  private final Duration keepFor;
 
+  /**
+   * Reservations by the objectives of a deployment.
+   *
+   * @param share how much of what a job requests on average is reserved
+   * @param keepFor how long capacity is reserved after the last job of a class arrived
+   */
   public CapacityReservation(
-      List<PlatformSettings.Objective> objectives, double share, Duration lasting) {
+      List<PlatformSettings.Objective> objectives, double share, Duration keepFor) {
     for (PlatformSettings.Objective objective : objectives) {
-      if (objective.kind().equals("wait")) {
-        objective.jobClass().ifPresent(classes::add);
+      if (objective.kind().equals(START_OBJECTIVE)) {
+        objective.jobClass().ifPresent(reservedClasses::add);
       }
     }
     this.share = share;
-    this.lasting = lasting;
+    this.keepFor = keepFor;
   }
 
+  /** Whether capacity is reserved for the job's class. */
   boolean appliesTo(JobSpec spec) {
-    return classes.contains(spec.jobClass());
+    return reservedClasses.contains(spec.jobClass());
   }
 
-  /** Whether any class has a start aim. */
+  /** Whether any class has a start objective. */
   boolean isActive() {
-    return !classes.isEmpty();
+    return !reservedClasses.isEmpty();
   }
 
+  /** A job has arrived, of whichever class. */
   public void onJobArrived(JobSpec spec, MonotonicTime now) {
     if (appliesTo(spec)) {
-      Seen known = seen.computeIfAbsent(spec.jobClass(), key -> new Seen());
-      known.tasks =
-          known.need == null ? spec.tasks() : known.tasks * (1 - WEIGHT) + spec.tasks() * WEIGHT;
-      known.need = ResourceRequest.of(spec);
-      known.lastAt = now;
+      Arrivals known = arrivalsByClass.computeIfAbsent(spec.jobClass(), key -> new Arrivals());
+      known.meanTasks =
+          known.latestRequest == null
+              ? spec.tasks()
+              : known.meanTasks * (1 - LATEST_WEIGHT) + spec.tasks() * LATEST_WEIGHT;
+      known.latestRequest = ResourceRequest.of(spec);
+      known.latestAt = now;
     }
   }
 
+  /** What is reserved now. */
   public List<Reservation> reservations(MonotonicTime now) {
-    List<Reservation> kept = new ArrayList<>();
-    for (Seen known : seen.values()) {
-      int count = (int) Math.round(known.tasks * share);
-      if (count > 0 && now.since(known.lastAt).compareTo(lasting) < 0) {
-        kept.add(new Reservation(known.need, count));
+    List<Reservation> reserved = new ArrayList<>();
+    for (Arrivals known : arrivalsByClass.values()) {
+      int count = (int) Math.round(known.meanTasks * share);
+      if (count > 0 && now.since(known.latestAt).compareTo(keepFor) < 0) {
+        reserved.add(new Reservation(known.latestRequest, count));
       }
     }
-    return kept;
+    return reserved;
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/ClusterState.java
+++ b/src/main/java/org/mulleinshift/scheduling/ClusterState.java
@@ -20,10 +20,10 @@
  * @param loop the event loop, for its clock
  * @param jobs jobs that may run or are about to end
  * @param shards shards of machines and what their owners reported
- * @param machines rented machines
+ * @param machines provisioned machines
  * @param allocations where the assigned tasks are
  * @param quotas limits and guarantees of teams
- * @param failures which jobs and machines are at fault for failures
+ * @param failures attributes task failures to jobs or machines
  * @param reservation capacity kept free for classes whose tasks must start soon
  * @param unreadable jobs that this build can't read
  * @param catalog machine types and prices
--- a/src/main/java/org/mulleinshift/scheduling/FailureAttribution.java
+++ b/src/main/java/org/mulleinshift/scheduling/FailureAttribution.java
@@ -16,44 +16,54 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whose fault failures are. A job that fails on several machines and has never succeeded was
- * submitted with a mistake; a machine is faulty when jobs that succeed elsewhere fail there again
- * and again. What a blamed job did says nothing of machines: else one mistake takes the fleet out
- * of use.
+ * Attributes task failures to jobs or machines. A job that fails on several machines and has never
+ * succeeded was submitted with a mistake; a machine is faulty when jobs that succeed elsewhere fail
+ * there repeatedly. Failures of a faulty job are not counted against machines: else one mistake
+ * takes the whole cluster out of use.
  */
 public final class FailureAttribution {
   private static final Logger LOG = LoggerFactory.getLogger(FailureAttribution.class);
 
-  /** A job that failed on so many machines, and never succeeded, is to blame itself. */
-  private static final int JOB_MACHINES = 3;
+  /** A job that failed on so many machines, and never succeeded, is faulty. */
+  private static final int FAULTY_JOB_MACHINES = 3;
 
-  /** The same where there are too few machines to tell. */
-  private static final int JOB_FAILURES = 10;
+  /** A job that failed so often, and never succeeded, is faulty, on however few machines. */
+  private static final int FAULTY_JOB_FAILURES = 10;
 
-  private static final int MAX_DOUBLINGS = 4;
-  private static final Duration SUSPECT_FOR = Duration.ofSeconds(10);
+  private static final int MAX_BACKOFF_DOUBLINGS = 4;
+  private static final Duration SUSPICION_PERIOD = Duration.ofSeconds(10);
 
+  /** Failures of a job since its last success. */
   private static final class JobFailures {
     private final Set<MachineId> machines = new LinkedHashSet<>();
     private int failures;
-    private int attempts;
+    private int failedAttempts;
     private boolean faulty;
     private MonotonicTime notBefore;
   }
 
+  /** Failures on a machine since its last success. */
   private static final class MachineFailures {
     private final Map<Job, Integer> byJob = new LinkedHashMap<>();
     private MonotonicTime lastAt;
   }
 
   private final int faultyAfter;
-  private final Duration pause;
+  private final Duration retryDelay;
   private final Map<JobId, JobFailures> jobs = new HashMap<>();
   private final Map<MachineId, MachineFailures> machines = new HashMap<>();
 
-  public FailureAttribution(int faultyAfter, Duration pause) {
+  /**
+   * No failures yet.
+   *
+   * @param faultyAfter a machine on which several jobs that succeed elsewhere failed so often is
+   *     quarantined
+   * @param retryDelay the first delay between attempts of a faulty job; it doubles with each
+   *     attempt
+   */
+  public FailureAttribution(int faultyAfter, Duration retryDelay) {
     this.faultyAfter = faultyAfter;
-    this.pause = pause;
+    this.retryDelay = retryDelay;
   }
 
   /** A task of the job failed on the machine. */
@@ -61,31 +71,38 @@
     JobFailures known = jobs.computeIfAbsent(job.spec().id(), key -> new JobFailures());
     known.failures++;
     if (known.faulty) {
-      known.attempts++;
-      known.notBefore = now.plus(pause.multipliedBy(1L << Math.min(known.attempts, MAX_DOUBLINGS)));
+      known.failedAttempts++;
+      known.notBefore =
+          now.plus(
+              retryDelay.multipliedBy(1L << Math.min(known.failedAttempts, MAX_BACKOFF_DOUBLINGS)));
       return;
     }
-    MachineFailures there = machines.computeIfAbsent(machine, key -> new MachineFailures());
-    there.byJob.merge(job, 1, Integer::sum);
-    there.lastAt = now;
-    if (known.machines.size() < JOB_MACHINES && !isQuarantined(machine)) {
+    MachineFailures onMachine = machines.computeIfAbsent(machine, key -> new MachineFailures());
+    onMachine.byJob.merge(job, 1, Integer::sum);
+    onMachine.lastAt = now;
+    if (known.machines.size() < FAULTY_JOB_MACHINES && !isQuarantined(machine)) {
       known.machines.add(machine);
     }
-    boolean several = known.machines.size() >= JOB_MACHINES || known.failures >= JOB_FAILURES;
-    if (several && !hasSucceeded(job)) {
-      LOG.info("job {} fails on several machines: it gets few tries", job.spec().id());
+    boolean failsEverywhere =
+        known.machines.size() >= FAULTY_JOB_MACHINES || known.failures >= FAULTY_JOB_FAILURES;
+    if (failsEverywhere && !hasSucceeded(job)) {
+      LOG.info(
+          "job found faulty, job={} machines={} failures={}",
+          job.spec().id(),
+          known.machines.size(),
+          known.failures);
       known.faulty = true;
-      known.notBefore = now.plus(pause);
+      known.notBefore = now.plus(retryDelay);
       forgetOnMachines(job.spec().id());
     }
   }
 
-  /** A task of the job was done on the machine: neither is to blame. */
+  /** A task of the job was done on the machine: neither is faulty. */
   public void onSuccess(Job job, MachineId machine) {
     machines.remove(machine);
     JobFailures known = jobs.remove(job.spec().id());
     if (known != null && known.faulty) {
-      LOG.info("job {} succeeds after all", job.spec().id());
+      LOG.info("faulty job succeeded, job={}", job.spec().id());
     }
   }
 
@@ -93,33 +110,37 @@
     machines
         .values()
         .removeIf(
-            there -> {
-              there.byJob.keySet().removeIf(other -> other.spec().id().equals(job));
-              return there.byJob.isEmpty();
+            onMachine -> {
+              onMachine.byJob.keySet().removeIf(other -> other.spec().id().equals(job));
+              return onMachine.byJob.isEmpty();
             });
   }
 
+  /** The job needs no attribution any more. */
   public void onJobEnded(JobId job) {
     jobs.remove(job);
     forgetOnMachines(job);
   }
 
-  public void onMachinesDeleted(List<MachineId> returned) {
-    machines.keySet().removeAll(returned);
+  /** The machines are gone for good. */
+  public void onMachinesDeleted(List<MachineId> deleted) {
+    machines.keySet().removeAll(deleted);
   }
 
   private static boolean hasSucceeded(Job job) {
     return job.doneCount() > 0;
   }
 
+  /** Whether the job fails wherever it runs. */
   boolean isJobFaulty(Job job) {
     JobFailures known = jobs.get(job.spec().id());
     return known != null && known.faulty;
   }
 
   /**
-   * How many of the job's tasks may be tried now: of a blamed job one at a time, spaced out. A gang
-   * is tried whole: one task of it alone fits nowhere, and it would never get another try.
+   * How many of the job's tasks may be attempted now: of a faulty job one at a time, with backoff.
+   * A gang is attempted whole: one task of it alone fits nowhere, and it would never get another
+   * attempt.
    */
   public int allowedAttempts(Job job, MonotonicTime now) {
     JobFailures known = jobs.get(job.spec().id());
@@ -127,35 +148,35 @@
       return Integer.MAX_VALUE;
     }
     boolean due = job.assignedCount() == 0 && !known.notBefore.isAfter(now);
-    int whole = job.spec().kind() == JobKind.GANG ? job.spec().tasks() : 1;
-    return due ? whole : 0;
+    int tasks = job.spec().kind() == JobKind.GANG ? job.spec().tasks() : 1;
+    return due ? tasks : 0;
   }
 
   /**
-   * Jobs that succeed elsewhere failed there, with no success between: several jobs, or one twice
-   * as often.
+   * Whether jobs that succeed elsewhere failed on the machine repeatedly, with no success between:
+   * several jobs, or one job twice as often.
    */
   public boolean isQuarantined(MachineId machine) {
-    MachineFailures there = machines.get(machine);
-    if (there == null) {
+    MachineFailures onMachine = machines.get(machine);
+    if (onMachine == null) {
       return false;
     }
-    int accusers = 0;
+    int failedJobs = 0;
     int failures = 0;
-    for (Map.Entry<Job, Integer> entry : there.byJob.entrySet()) {
+    for (Map.Entry<Job, Integer> entry : onMachine.byJob.entrySet()) {
       if (hasSucceeded(entry.getKey())) {
-        accusers++;
+        failedJobs++;
         failures += entry.getValue();
       }
     }
-    return failures >= (accusers > 1 ? faultyAfter : 2 * faultyAfter);
+    return failures >= (failedJobs > 1 ? faultyAfter : 2 * faultyAfter);
   }
 
-  /** Something fails there and it is open whose fault that is: it takes nothing for a while. */
+  /** Whether tasks fail on the machine and it is not clear yet why: it takes none for a while. */
   public boolean isSuspect(MachineId machine, MonotonicTime now) {
-    MachineFailures there = machines.get(machine);
-    return there != null
-        && now.since(there.lastAt).compareTo(SUSPECT_FOR) < 0
-        && there.byJob.values().stream().mapToInt(Integer::intValue).sum() >= faultyAfter;
+    MachineFailures onMachine = machines.get(machine);
+    return onMachine != null
+        && now.since(onMachine.lastAt).compareTo(SUSPICION_PERIOD) < 0
+        && onMachine.byJob.values().stream().mapToInt(Integer::intValue).sum() >= faultyAfter;
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/RunTimeEstimator.java
+++ b/src/main/java/org/mulleinshift/scheduling/RunTimeEstimator.java
@@ -7,47 +7,61 @@
 import org.mulleinshift.protocol.JobSpec;
 
 /**
- * Expected run times: a job's own finished tasks say most, else its class's ratio of run time to
- * the owner's guess, else the guess alone.
+ * Estimates run times of tasks: by the job's own finished tasks if there are any, else by the
+ * submitted estimate and its class's ratio of run times to estimates.
  */
 public final class RunTimeEstimator {
-  private static final double WEIGHT = 0.1;
+  /** Of the latest task in the moving average. */
+  private static final double LATEST_WEIGHT = 0.1;
+
   private static final double MIN_RATIO = 0.2;
   private static final double MAX_RATIO = 5;
-  private static final double UNKNOWN_SECONDS = 60;
+  private static final double DEFAULT_SECONDS = 60;
 
-  private final Map<String, Double> ratios = new HashMap<>();
+  private final Map<String, Double> ratioByClass = new HashMap<>();
 
+  /** A task of the job finished after so many seconds. */
   public void onTaskDone(JobSpec spec, double seconds) {
     if (spec.estimateSeconds() > 0 && seconds > 0) {
       double ratio = Math.min(MAX_RATIO, Math.max(MIN_RATIO, seconds / spec.estimateSeconds()));
-      ratios.merge(spec.jobClass(), ratio, (old, seen) -> old * (1 - WEIGHT) + seen * WEIGHT);
+      ratioByClass.merge(
+          spec.jobClass(),
+          ratio,
+          (mean, latest) -> mean * (1 - LATEST_WEIGHT) + latest * LATEST_WEIGHT);
     }
   }
 
-  /** What was learned, by class; at most so many. */
-  public Map<String, Double> ratios(int most) {
-    Map<String, Double> some = new TreeMap<>();
-    ratios.entrySet().stream().limit(most).forEach(e -> some.put(e.getKey(), e.getValue()));
-    return some;
+  /** The learned ratios of run time to estimate, by class; at most so many. */
+  public Map<String, Double> ratios(int maxClasses) {
+    Map<String, Double> selected = new TreeMap<>();
+    ratioByClass.entrySet().stream()
+        .limit(maxClasses)
+        .forEach(ratio -> selected.put(ratio.getKey(), ratio.getValue()));
+    return selected;
   }
 
-  /** What another leader learned. */
+  /** Takes over a ratio that another leader learned; ignores one out of range. */
   public void learn(String jobClass, double ratio) {
     if (ratio >= MIN_RATIO && ratio <= MAX_RATIO) {
-      ratios.put(jobClass, ratio);
+      ratioByClass.put(jobClass, ratio);
     }
   }
 
-  /** What a task should still take; one past its expected end frees nothing to count on. */
-  public static double remaining(double expected, double ran) {
-    return ran > expected ? expected / 2 : expected - ran;
+  /**
+   * How many seconds a task should still run. One past its expected end is not counted on to end
+   * soon.
+   */
+  public static double remaining(double expectedSeconds, double ranSeconds) {
+    return ranSeconds > expectedSeconds ? expectedSeconds / 2 : expectedSeconds - ranSeconds;
   }
 
+  /** How many seconds a task of the job should run. */
   public double expectedSeconds(Job job) {
-    double guess = job.spec().estimateSeconds();
+    double estimate = job.spec().estimateSeconds();
     double byClass =
-        guess > 0 ? guess * ratios.getOrDefault(job.spec().jobClass(), 1.0) : UNKNOWN_SECONDS;
+        estimate > 0
+            ? estimate * ratioByClass.getOrDefault(job.spec().jobClass(), 1.0)
+            : DEFAULT_SECONDS;
     return job.meanRunSeconds().orElse(byClass);
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/SchedulingSettings.java
+++ b/src/main/java/org/mulleinshift/scheduling/SchedulingSettings.java
@@ -14,7 +14,7 @@
  * @param preemptSlackSeconds a job preempts only when its last start is as near as this
  * @param assignAheadSeconds tasks are assigned to capacity that frees within this time
  * @param startWithinSeconds the largest jobs of a class start within this time
- * @param overdueSeconds a job that is later than this counts as in time again
+ * @param overdueSeconds a job that is later than this counts as on time again
  */
 public record SchedulingSettings(
     List<PlatformSettings.Objective> objectives,
--- a/src/main/java/org/mulleinshift/scheduling/StarvationPrevention.java
+++ b/src/main/java/org/mulleinshift/scheduling/StarvationPrevention.java
@@ -1,5 +1,6 @@
 package org.mulleinshift.scheduling;
 
+import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -10,34 +11,38 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * The largest jobs of each class that have waited too long without any task. The order by work left
- * would put them off for as long as smaller ones come; a few at a time may begin before that order.
- * All of it follows from what is stored, so a new leader finds the same.
+ * Finds the largest jobs of each class that have waited too long without any task. The order by
+ * remaining work would put them off for as long as smaller ones arrive; a few at a time may start
+ * before that order. All of it follows from what is stored, so a new leader finds the same.
  */
 final class StarvationPrevention {
-  private static final int ONE_OF = 10;
-  private static final int MOST = 16;
-  private static final double LOOK_SECONDS = 1;
+  /** Of so many jobs of a class, one may start before the usual order. */
+  private static final int JOBS_PER_STARVED_JOB = 10;
+
+  private static final int MAX_JOBS_PER_CLASS = 16;
+  private static final Duration CHECK_INTERVAL = Duration.ofSeconds(1);
+  private static final int MILLIS_PER_SECOND = 1000;
 
   private static final Comparator<Job> LARGEST_FIRST =
       Comparator.comparingInt((Job job) -> -job.spec().tasks())
           .thenComparingLong(Job::readyMillis)
           .thenComparing(job -> job.spec().id());
 
-  private final long patienceMillis;
+  private final long maxWaitMillis;
   private List<Job> starved = List.of();
   private MonotonicTime checkedAt;
 
-  StarvationPrevention(double patienceSeconds, MonotonicTime now) {
-    this.patienceMillis = (long) (1000 * patienceSeconds);
-    this.checkedAt = now.minus(java.time.Duration.ofSeconds(1));
+  /** Jobs starve that wait for longer than this. */
+  StarvationPrevention(double maxWaitSeconds, MonotonicTime now) {
+    this.maxWaitMillis = (long) (MILLIS_PER_SECOND * maxWaitSeconds);
+    this.checkedAt = now.minus(CHECK_INTERVAL);
   }
 
-  /** Those that are to begin now, the one that waited longest first. */
+  /** The jobs that should start now, the one that waited longest first. */
   List<Job> jobsToStart(Collection<Job> jobs, MonotonicTime now, long wallMillis) {
-    if (now.secondsSince(checkedAt) >= LOOK_SECONDS) {
+    if (now.since(checkedAt).compareTo(CHECK_INTERVAL) >= 0) {
       checkedAt = now;
-      starved = findStarved(jobs, wallMillis - patienceMillis);
+      starved = findStarved(jobs, wallMillis - maxWaitMillis);
     }
     return starved.stream().filter(StarvationPrevention::notStarted).toList();
   }
@@ -46,24 +51,24 @@
     if (jobs.stream().noneMatch(job -> notStarted(job) && job.readyMillis() < readyBefore)) {
       return List.of();
     }
-    Map<String, List<Job>> classes = new HashMap<>();
+    Map<String, List<Job>> byClass = new HashMap<>();
     for (Job job : jobs) {
       if (job.state() == Job.State.ACTIVE) {
-        classes.computeIfAbsent(job.spec().jobClass(), key -> new ArrayList<>()).add(job);
+        byClass.computeIfAbsent(job.spec().jobClass(), key -> new ArrayList<>()).add(job);
       }
     }
-    List<Job> late = new ArrayList<>();
-    for (List<Job> ofClass : classes.values()) {
+    List<Job> found = new ArrayList<>();
+    for (List<Job> ofClass : byClass.values()) {
       ofClass.sort(LARGEST_FIRST);
-      int count = Math.max(1, Math.min(MOST, ofClass.size() / ONE_OF));
+      int count = Math.max(1, Math.min(MAX_JOBS_PER_CLASS, ofClass.size() / JOBS_PER_STARVED_JOB));
       for (Job job : ofClass.subList(0, count)) {
         if (notStarted(job) && job.readyMillis() < readyBefore) {
-          late.add(job);
+          found.add(job);
         }
       }
     }
-    late.sort(Comparator.comparingLong(Job::readyMillis));
-    return late;
+    found.sort(Comparator.comparingLong(Job::readyMillis));
+    return found;
   }
 
   private static boolean notStarted(Job job) {
--- a/src/main/java/org/mulleinshift/scheduling/TaskActions.java
+++ b/src/main/java/org/mulleinshift/scheduling/TaskActions.java
@@ -5,9 +5,9 @@
 
 /** What a scheduling cycle has decided, to be carried out by the leader. */
 public interface TaskActions {
-  /** A task was assigned: this has to be stored before its owner hears of it. */
+  /** A task was assigned: this has to be stored before it is sent to the shard's owner. */
   void onAssigned(Job job, int taskIndex);
 
-  /** A task is to stop. */
+  /** A task should be stopped, to be preempted. */
   void requestStop(TaskAssignment assignment);
 }
