--- a/src/main/java/org/mulleinshift/membership/AssignableShard.java
+++ b/src/main/java/org/mulleinshift/membership/AssignableShard.java
@@ -7,18 +7,21 @@
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** A shard as far as it matters for who holds it. */
+/** A shard as far as it matters for who owns it. */
 public interface AssignableShard {
+  /** The shard's id. */
   ShardId id();
 
+  /** The zone of its machines. */
   ZoneId zone();
 
   /** How many machines it has. */
   int size();
 
+  /** The controller that the shard is granted to; empty without a grant. */
   Optional<NodeId> owner();
 
-  /** Who held it last by its record: its machines report there. Advice only. */
+  /** The last owner by the stored record: its machines report there. Advice only. */
   Optional<NodeId> lastOwner();
 
   /** For how long it has had no grant at all. */
@@ -27,6 +30,9 @@
   /** The next owner, while the grant is being stored. */
   Optional<NodeId> pendingOwner();
 
-  /** For how long the owner has shown no sign of anything new that was sent to it. */
+  /**
+   * For how long the owner has not acknowledged anything new that was sent to it. Asking has an
+   * effect: that nothing is outstanding is noted as of {@code now}.
+   */
   Duration unacknowledgedFor(MonotonicTime now);
 }
--- a/src/main/java/org/mulleinshift/membership/ControllerSession.java
+++ b/src/main/java/org/mulleinshift/membership/ControllerSession.java
@@ -24,19 +24,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This process's lease at the state service, to which its shard grants are bound, and the proof
- * that the grants still stand. How long this node may act by them is its {@link OwnershipLease}.
+ * This process's session lease at the store, to which its shard grants are bound, and the evidence
+ * that the grants are current. How long this controller may act on them is decided by its {@link
+ * OwnershipLease}.
  */
 public final class ControllerSession {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerSession.class);
-  private static final Duration RETRY = Duration.ofMillis(500);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(500);
+
+  /** Changes of several grants that are watched within this time share one read. */
+  private static final Duration VERIFY_DELAY = Duration.ofMillis(5);
 
   /** States of the session. */
   public enum State {
-    /** Ending the lease of this label's earlier process, which is surely dead. */
+    /** Revoking the leases of this controller's earlier process, which has certainly ended. */
     REVOKING_OLD,
+    /** Asking the store for a lease. */
     ACQUIRING,
+    /** Creating this controller's node key, bound to the lease. */
     REGISTERING,
+    /** The node key exists and the lease is being renewed. */
     ACTIVE
   }
 
@@ -44,51 +51,57 @@
   private final KeyValueStore store;
   private final NodeId self;
   private final Duration ttl;
-  private final Duration renewEvery;
+  private final Duration renewInterval;
   private final Runnable confirmCancellations;
   private final Runnable onChange;
   private final OwnershipLease ownership;
   private State state = State.REVOKING_OLD;
   private Optional<LeaseId> lease = Optional.empty();
   private MonotonicTime verifiedAt;
-  private boolean couldAct;
-  private Map<ShardId, Revision> onGrantsVerified = Map.of();
+  private boolean loggedValid;
+  private Map<ShardId, Revision> verifiedGrants = Map.of();
   private boolean verifyScheduled;
 
   /**
-   * @param proveCancellations asks the store whether all cancellations are known; {@link
-   *     #cancellationsKnown} tells what came of it
+   * A session that has not started.
+   *
+   * @param ttl lifetime of the session lease, and of the shard leases
+   * @param renewInterval time between two renewals
+   * @param confirmCancellations asks the store whether all cancellations are known; {@link
+   *     #onCancellationsKnown} reports the result
+   * @param onChange called when the state or the verified grants have changed
    */
   public ControllerSession(
       EventLoop loop,
       KeyValueStore store,
       NodeId self,
       Duration ttl,
-      Duration renewEvery,
-      Runnable proveCancellations,
+      Duration renewInterval,
+      Runnable confirmCancellations,
       Runnable onChange) {
     this.loop = loop;
     this.store = store;
     this.self = self;
     this.ttl = ttl;
-    this.renewEvery = renewEvery;
-    this.confirmCancellations = proveCancellations;
+    this.renewInterval = renewInterval;
+    this.confirmCancellations = confirmCancellations;
     this.onChange = onChange;
     this.ownership = new OwnershipLease(ttl);
     this.verifiedAt = loop.now().minus(ttl);
   }
 
+  /** Ends what an earlier process of this controller left at the store, then opens a session. */
   public void start() {
     clearLeaderKey();
   }
 
   private void transitionTo(State next) {
-    LOG.info("session {} -> {}", state, next);
+    LOG.info("session state changed, from={} to={}", state, next);
     state = next;
     onChange.run();
   }
 
-  /** A restarted leader frees the leader's key at once instead of waiting for its lease. */
+  /** A restarted leader frees the leader key at once instead of waiting for its lease to expire. */
   private void clearLeaderKey() {
     store.get(
         StoreKeys.LEADER,
@@ -102,7 +115,7 @@
               || answer instanceof ReadResult.Absent<KeyValue>) {
             clearNodeKey();
           } else {
-            loop.after(RETRY, this::clearLeaderKey);
+            loop.after(RETRY_DELAY, this::clearLeaderKey);
           }
         });
   }
@@ -117,7 +130,7 @@
           } else if (answer instanceof ReadResult.Absent<KeyValue>) {
             acquire();
           } else {
-            loop.after(RETRY, this::clearNodeKey);
+            loop.after(RETRY_DELAY, this::clearNodeKey);
           }
         });
   }
@@ -130,7 +143,7 @@
               || answer instanceof ReadResult.Absent<Boolean>) {
             next.run();
           } else {
-            loop.after(RETRY, () -> revokeOldLease(old, next));
+            loop.after(RETRY_DELAY, () -> revokeOldLease(old, next));
           }
         });
   }
@@ -146,51 +159,51 @@
             onRenewed(sent);
             register(found.value());
           } else {
-            loop.after(RETRY, this::acquire);
+            loop.after(RETRY_DELAY, this::acquire);
           }
         });
   }
 
-  private void register(LeaseId mine) {
+  private void register(LeaseId own) {
     transitionTo(State.REGISTERING);
     store.commit(
         List.of(new Compare(StoreKeys.node(self), new Revision(0))),
-        List.of(Write.put(StoreKeys.node(self), ClusterView.nodeValue(mine), mine)),
+        List.of(Write.put(StoreKeys.node(self), ClusterView.nodeValue(own), own)),
         KeyValueStore.Urgency.URGENT,
         outcome -> {
           if (outcome instanceof KeyValueStore.CommitResult.Committed) {
             transitionTo(State.ACTIVE);
-            renew(mine);
+            renew(own);
           } else {
-            // Silence may mean that our own key is there already: start over, which finds it.
-            loop.after(RETRY, this::clearNodeKey);
+            // Without an answer the key may have been created: start over, which finds it.
+            loop.after(RETRY_DELAY, this::clearNodeKey);
           }
         });
   }
 
-  private void renew(LeaseId mine) {
-    if (!lease.equals(Optional.of(mine))) {
+  private void renew(LeaseId own) {
+    if (!lease.equals(Optional.of(own))) {
       return;
     }
     MonotonicTime sent = loop.now();
     verifyGrants();
-    if (!ownership.fresh(Evidence.CANCELLATIONS_KNOWN, sent, renewEvery.dividedBy(2))) {
+    if (!ownership.isFresh(Evidence.CANCELLATIONS_KNOWN, sent, renewInterval.dividedBy(2))) {
       confirmCancellations.run();
     }
     store.renewLease(
-        mine,
+        own,
         answer -> {
-          if (!lease.equals(Optional.of(mine))) {
-            // A peer found meanwhile that it is over.
+          if (!lease.equals(Optional.of(own))) {
+            // Meanwhile a peer reported that it has expired.
             return;
           }
           if (answer instanceof ReadResult.Found<Boolean>) {
             onRenewed(sent);
-            loop.after(renewEvery, () -> renew(mine));
+            loop.after(renewInterval, () -> renew(own));
           } else if (answer instanceof ReadResult.Absent<Boolean>) {
-            onLeaseExpired(mine);
+            onLeaseExpired(own);
           } else {
-            loop.after(RETRY, () -> renew(mine));
+            loop.after(RETRY_DELAY, () -> renew(own));
           }
         });
   }
@@ -199,20 +212,20 @@
     ownership.confirm(Evidence.SESSION_RENEWED, sent);
   }
 
-  private void onLeaseExpired(LeaseId mine) {
-    LOG.warn("session lease {} is over", mine);
+  private void onLeaseExpired(LeaseId own) {
+    LOG.warn("session lease expired, lease={}", own);
     lease = Optional.empty();
     ownership.invalidate(Evidence.SESSION_RENEWED);
-    onGrantsVerified = Map.of();
+    verifiedGrants = Map.of();
     acquire();
   }
 
-  private void onGrantsVerified(MonotonicTime sent, Map<ShardId, Revision> mine) {
+  private void onGrantsVerified(MonotonicTime sent, Map<ShardId, Revision> own) {
     if (sent.isAfter(verifiedAt)) {
       verifiedAt = sent;
       ownership.confirm(Evidence.GRANTS_READ, sent);
-      boolean changed = !mine.equals(onGrantsVerified);
-      onGrantsVerified = mine;
+      boolean changed = !own.equals(verifiedGrants);
+      verifiedGrants = own;
       if (changed) {
         onChange.run();
       }
@@ -220,51 +233,53 @@
   }
 
   /**
-   * A peer renewed this lease and read the grants for us. Both happened after we asked.
+   * A peer renewed the session lease and read the grants on behalf of this controller. Both
+   * happened after the request was sent, so the evidence counts from then.
    *
-   * @param sent when this node asked
+   * @param sent when this controller sent the request
+   * @param own the grants of this controller
    */
-  public void onRenewedByPeer(LeaseId renewed, MonotonicTime sent, Map<ShardId, Revision> mine) {
+  public void onRenewedByPeer(LeaseId renewed, MonotonicTime sent, Map<ShardId, Revision> own) {
     if (state == State.ACTIVE && lease.equals(Optional.of(renewed))) {
       onRenewed(sent);
-      onGrantsVerified(sent, mine);
+      onGrantsVerified(sent, own);
     }
   }
 
-  /** A peer found that the lease is over. */
-  public void onExpiryReportedByPeer(LeaseId ended) {
-    if (state == State.ACTIVE && lease.equals(Optional.of(ended))) {
-      onLeaseExpired(ended);
+  /** A peer found that the session lease has expired. */
+  public void onExpiryReportedByPeer(LeaseId expired) {
+    if (state == State.ACTIVE && lease.equals(Optional.of(expired))) {
+      onLeaseExpired(expired);
     }
   }
 
-  /** Reads which grants stand. A watch does not prove that: its news may be held back. */
+  /** Reads the current grants. A watch does not confirm them: its changes may be delayed. */
   private void verifyGrants() {
     MonotonicTime sent = loop.now();
     store.readAll(
         StoreKeys.GRANTS,
         answer -> {
           if (answer instanceof ReadResult.Found<StoreCodec.Range> found) {
-            Map<ShardId, Revision> mine = new HashMap<>();
+            Map<ShardId, Revision> own = new HashMap<>();
             for (KeyValue item : found.value().items()) {
               if (item.value().path("holder").asText().equals(self.value())) {
-                mine.put(
+                own.put(
                     new ShardId(item.key().substring(StoreKeys.GRANTS.length())), item.revision());
               }
             }
-            onGrantsVerified(sent, mine);
+            onGrantsVerified(sent, own);
           }
         });
   }
 
-  /** Called when a watch brings news of the grants. */
+  /** Reads the grants shortly; called when a watch shows a change of a grant. */
   public void verifyGrantsSoon() {
     if (verifyScheduled || state != State.ACTIVE) {
       return;
     }
     verifyScheduled = true;
     loop.after(
-        Duration.ofMillis(5),
+        VERIFY_DELAY,
         () -> {
           verifyScheduled = false;
           verifyGrants();
@@ -272,43 +287,49 @@
   }
 
   /**
-   * Every cancellation stored before that moment is known here.
+   * Every cancellation stored before that moment is known to this controller.
    *
-   * @param asked when the question was sent whose answer showed it
+   * @param requestedAt when the request was sent whose response showed it
    */
-  public void onCancellationsKnown(MonotonicTime asked) {
-    ownership.confirm(Evidence.CANCELLATIONS_KNOWN, asked);
+  public void onCancellationsKnown(MonotonicTime requestedAt) {
+    ownership.confirm(Evidence.CANCELLATIONS_KNOWN, requestedAt);
   }
 
-  /** Checked whenever this node acts, not only by a timer: timers may go off late. */
+  /**
+   * Whether this controller may act as the owner of the shard under that grant. Checked whenever it
+   * acts, not only by a timer: timers may go off late.
+   */
   public boolean mayActFor(ShardId shard, Revision grant) {
-    return mayAct() && grant.equals(onGrantsVerified.get(shard));
+    return hasValidOwnershipLease() && grant.equals(verifiedGrants.get(shard));
   }
 
-  /** Whether this node may act at all, for the shards that are its own. */
-  boolean mayAct() {
+  /** Whether this controller may act as the owner of the shards granted to it. */
+  boolean hasValidOwnershipLease() {
     return state == State.ACTIVE && ownership.isValid(loop.now());
   }
 
-  /** For the log; called a few times a second while shards are held. */
+  /** Logs changes of the ownership lease; called a few times a second while shards are owned. */
   public void logOwnershipChange() {
-    boolean stands = mayAct();
-    if (couldAct && !stands) {
-      LOG.warn("may not act for its blocks: {}", ownership.describeOldest(loop.now()));
-    } else if (!couldAct && stands) {
-      LOG.info("may act for its blocks");
+    boolean valid = hasValidOwnershipLease();
+    if (loggedValid && !valid) {
+      LOG.warn("ownership lease expired, {}", ownership.describeOldest(loop.now()));
+    } else if (!loggedValid && valid) {
+      LOG.info("ownership lease valid");
     }
-    couldAct = stands;
+    loggedValid = valid;
   }
 
+  /** The grants of this controller as last read from the store. */
   public Map<ShardId, Revision> grants() {
-    return onGrantsVerified;
+    return verifiedGrants;
   }
 
+  /** The session lease, while the session is active. */
   public Optional<LeaseId> lease() {
     return state == State.ACTIVE ? lease : Optional.empty();
   }
 
+  /** The state of the session. */
   public State state() {
     return state;
   }
--- a/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
+++ b/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
@@ -30,24 +30,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A controller that lost the state service asks a served peer to renew its session lease, to tell
- * what has changed among the control keys, and what among the active jobs, where cancellations are;
- * so it goes on holding its shards. What the peer does comes after the question: each ground of the
- * {@link OwnershipLease} counts from when it was asked for.
+ * Lease renewal through a peer. A controller that lost the store asks a peer that the store serves
+ * to renew its session lease and to read what has changed among the control keys and among the
+ * active jobs, where cancellations are recorded; so it keeps its shards. The peer does this after
+ * the request was sent: each {@link OwnershipLease.Evidence} counts from when it was requested.
  *
- * <p>The question for the active jobs names no lease. A peer of an earlier build finds that lease
- * over, says so, and proves nothing by it.
+ * <p>The request for the active jobs names no lease. A peer of an earlier build finds that lease
+ * expired and reports so, which is evidence of nothing.
  */
 public final class IndirectLeaseRenewal {
   private static final Logger LOG = LoggerFactory.getLogger(IndirectLeaseRenewal.class);
-  private static final Duration EVERY = Duration.ofSeconds(1);
+  private static final Duration REQUEST_INTERVAL = Duration.ofSeconds(1);
 
-  /** Longer answers are left out; the asker then runs to the end of its lease. */
+  /** Longer responses are not sent; the lease of the sender of the request then expires. */
   private static final int MAX_CHARACTERS = 1 << 19;
 
   private static final LeaseId NO_LEASE = new LeaseId(0);
   private static final Duration INVALID_LOG_INTERVAL = Duration.ofMinutes(1);
 
+  /**
+   * A request without a response so far; {@code since} is the revision up to which changes are
+   * known.
+   */
   private record PendingRequest(LeaseId lease, Revision since, MonotonicTime sentAt) {
     String prefix() {
       return lease.equals(NO_LEASE) ? StoreKeys.ACTIVE_JOBS : StoreKeys.CONTROL;
@@ -57,21 +61,30 @@
   private final EventLoop loop;
   private final NodeId self;
   private final KeyValueStore store;
-  private final StoreHealth link;
-  private final PeerFailureDetector links;
+  private final StoreHealth storeHealth;
+  private final PeerFailureDetector peers;
   private final ControllerSession session;
   private final ClusterView view;
   private final WatchCache control;
   private final WatchCache jobs;
-  private final BiConsumer<NodeId, Object> send;
+  private final BiConsumer<NodeId, Object> sendToPeer;
   private final Map<Long, PendingRequest> pending = new HashMap<>();
   private long lastRequestId;
-  private long turns;
+  private long attempts;
   private boolean running;
   private long invalidResponses;
   private Optional<MonotonicTime> invalidLoggedAt = Optional.empty();
 
-  /** What proofs are made of. */
+  /**
+   * What the renewal needs of its controller.
+   *
+   * @param link health of the connection to the store
+   * @param links which peers the store serves
+   * @param session the session to renew
+   * @param view the control keys, updated through {@code control}
+   * @param control the cached control keys
+   * @param jobs the cached records of active jobs
+   */
   public record Parts(
       KeyValueStore store,
       StoreHealth link,
@@ -81,21 +94,26 @@
       WatchCache control,
       WatchCache jobs) {}
 
+  /**
+   * Sends nothing before {@link #start}.
+   *
+   * @param sendToPeer sends a message to a peer
+   */
   public IndirectLeaseRenewal(
-      EventLoop loop, NodeId self, Parts parts, BiConsumer<NodeId, Object> send) {
+      EventLoop loop, NodeId self, Parts context, BiConsumer<NodeId, Object> sendToPeer) {
     this.loop = loop;
     this.self = self;
-    this.store = parts.store();
-    this.link = parts.link();
-    this.links = parts.links();
-    this.session = parts.session();
-    this.view = parts.view();
-    this.control = parts.control();
-    this.jobs = parts.jobs();
-    this.send = send;
+    this.store = context.store();
+    this.storeHealth = context.link();
+    this.peers = context.links();
+    this.session = context.session();
+    this.view = context.view();
+    this.control = context.control();
+    this.jobs = context.jobs();
+    this.sendToPeer = sendToPeer;
   }
 
-  /** The link was lost: from now on until it is back. */
+  /** The store was lost: requests renewals from now on until it is back. */
   public void start() {
     if (!running) {
       running = true;
@@ -104,66 +122,69 @@
   }
 
   private void requestRenewal() {
-    if (link.state() != StoreHealth.State.LOST) {
+    if (storeHealth.state() != StoreHealth.State.LOST) {
       running = false;
       pending.clear();
       return;
     }
-    loop.after(EVERY, this::requestRenewal);
-    List<NodeId> served = links.peersServedByStore();
-    Optional<LeaseId> hold = session.lease();
-    if (hold.isEmpty() || served.isEmpty()) {
+    loop.after(REQUEST_INTERVAL, this::requestRenewal);
+    List<NodeId> served = peers.peersServedByStore();
+    Optional<LeaseId> lease = session.lease();
+    if (lease.isEmpty() || served.isEmpty()) {
       return;
     }
-    pending.values().removeIf(old -> loop.now().since(old.sentAt).compareTo(EVERY) > 0);
-    // One after the other: a peer that does not answer costs one turn.
-    NodeId peer = served.get((int) (turns % served.size()));
-    turns++;
-    requestRenewal(peer, hold.get(), control.revision());
+    pending.values().removeIf(old -> loop.now().since(old.sentAt).compareTo(REQUEST_INTERVAL) > 0);
+    // In turn: a peer that does not answer costs one attempt.
+    NodeId peer = served.get((int) (attempts % served.size()));
+    attempts++;
+    requestRenewal(peer, lease.get(), control.revision());
     requestRenewal(peer, NO_LEASE, jobs.revision());
   }
 
-  private void requestRenewal(NodeId peer, LeaseId hold, Revision since) {
+  private void requestRenewal(NodeId peer, LeaseId lease, Revision since) {
     long id = ++lastRequestId;
-    pending.put(id, new PendingRequest(hold, since, loop.now()));
-    send.accept(peer, new LeaseRenewalRequest(id, hold.value(), since.value()));
+    pending.put(id, new PendingRequest(lease, since, loop.now()));
+    sendToPeer.accept(peer, new LeaseRenewalRequest(id, lease.value(), since.value()));
   }
 
-  /** A peer without the state service asks. Three requests at the service, with no write. */
-  public void onRequest(NodeId sender, LeaseRenewalRequest request) {
-    if (link.state() != StoreHealth.State.SERVED) {
+  /** A peer without the store asks for a renewal. Costs three requests at the store, no write. */
+  public void onRequest(NodeId peer, LeaseRenewalRequest request) {
+    if (storeHealth.state() != StoreHealth.State.SERVED) {
       return;
     }
-    LeaseId hold = new LeaseId(request.getLease());
-    if (hold.equals(NO_LEASE)) {
-      readChanges(sender, request, StoreKeys.ACTIVE_JOBS);
+    LeaseId lease = new LeaseId(request.getLease());
+    if (lease.equals(NO_LEASE)) {
+      readChanges(peer, request, StoreKeys.ACTIVE_JOBS);
       return;
     }
     store.renewLease(
-        hold,
+        lease,
         renewed -> {
           if (renewed instanceof ReadResult.Absent<Boolean>) {
-            send.accept(sender, response(request, true, new Changes(List.of(), new Revision(0))));
+            sendToPeer.accept(peer, expiredResponse(request));
           } else if (renewed instanceof ReadResult.Found<Boolean>) {
-            readChanges(sender, request, StoreKeys.CONTROL);
+            readChanges(peer, request, StoreKeys.CONTROL);
           }
         });
   }
 
-  private void readChanges(NodeId sender, LeaseRenewalRequest request, String prefix) {
+  private void readChanges(NodeId peer, LeaseRenewalRequest request, String prefix) {
     store.readChanges(
         prefix,
         new Revision(request.getSinceRevision()),
         KeyValueStore.Urgency.URGENT,
         answer -> {
           if (answer instanceof ReadResult.Found<Changes> found) {
-            send.accept(sender, response(request, false, found.value()));
+            sendToPeer.accept(peer, response(request, found.value()));
           }
         });
   }
 
-  private static LeaseRenewalResponse response(
-      LeaseRenewalRequest request, boolean over, Changes changes) {
+  private static LeaseRenewalResponse expiredResponse(LeaseRenewalRequest request) {
+    return new LeaseRenewalResponse(request.getId(), request.getLease(), true, true, 0L, List.of());
+  }
+
+  private static LeaseRenewalResponse response(LeaseRenewalRequest request, Changes changes) {
     List<KeyChange> list = new ArrayList<>();
     int characters = 0;
     for (Change change : changes.changes()) {
@@ -171,68 +192,75 @@
       characters += value.length();
       list.add(new KeyChange(change.key(), value, change.revision().value()));
     }
-    boolean fits = characters <= MAX_CHARACTERS;
+    boolean complete = characters <= MAX_CHARACTERS;
     return new LeaseRenewalResponse(
         request.getId(),
         request.getLease(),
-        over,
-        fits,
+        false,
+        complete,
         changes.revision().value(),
-        fits ? list : List.of());
+        complete ? list : List.of());
   }
 
-  /** Counted from when this node asked; an answer to no open question is out of date. */
-  public void onResponse(NodeId sender, LeaseRenewalResponse answer) {
-    PendingRequest question = pending.remove(answer.getId());
-    if (question == null) {
+  /**
+   * A peer's response. What it shows counts from when this controller sent the request; a response
+   * to no pending request is out of date and ignored.
+   */
+  public void onResponse(NodeId peer, LeaseRenewalResponse response) {
+    PendingRequest request = pending.remove(response.getId());
+    if (request == null) {
       return;
     }
-    if (question.lease.value() != answer.getLease()) {
-      onInvalidResponse(sender, "of another lease");
-    } else if (answer.getExpired()) {
-      if (!question.lease.equals(NO_LEASE)) {
-        session.onExpiryReportedByPeer(question.lease);
+    if (request.lease.value() != response.getLease()) {
+      onInvalidResponse(peer, "of another lease");
+    } else if (response.getExpired()) {
+      if (!request.lease.equals(NO_LEASE)) {
+        session.onExpiryReportedByPeer(request.lease);
       }
-    } else if (!answer.getComplete()) {
-      onInvalidResponse(sender, "too much has changed");
+    } else if (!response.getComplete()) {
+      onInvalidResponse(peer, "too much has changed");
     } else {
-      apply(sender, question, answer);
+      apply(peer, request, response);
     }
   }
 
-  private void apply(NodeId sender, PendingRequest question, LeaseRenewalResponse answer) {
+  private void apply(NodeId peer, PendingRequest request, LeaseRenewalResponse response) {
     Changes changes;
     try {
-      changes = parse(question, answer);
+      changes = parse(request, response);
     } catch (MalformedMessageException e) {
-      onInvalidResponse(sender, e.getMessage());
+      onInvalidResponse(peer, e.getMessage());
       return;
     }
-    if (question.lease.equals(NO_LEASE)) {
-      // What is taken tells the session by itself.
-      jobs.take(changes, question.sentAt);
-    } else if (control.take(changes, question.sentAt)) {
-      Map<ShardId, Revision> mine = new HashMap<>();
-      view.grants()
-          .forEach(
-              (shard, grant) -> {
-                if (grant.owner().equals(self)) {
-                  mine.put(shard, grant.revision());
-                }
-              });
-      session.onRenewedByPeer(question.lease, question.sentAt, mine);
+    if (request.lease.equals(NO_LEASE)) {
+      // The cache notifies the session once it is current.
+      jobs.take(changes, request.sentAt);
+    } else if (control.take(changes, request.sentAt)) {
+      session.onRenewedByPeer(request.lease, request.sentAt, ownGrants());
     }
   }
 
-  private static Changes parse(PendingRequest question, LeaseRenewalResponse answer)
+  private Map<ShardId, Revision> ownGrants() {
+    Map<ShardId, Revision> own = new HashMap<>();
+    view.grants()
+        .forEach(
+            (shard, grant) -> {
+              if (grant.owner().equals(self)) {
+                own.put(shard, grant.revision());
+              }
+            });
+    return own;
+  }
+
+  private static Changes parse(PendingRequest request, LeaseRenewalResponse response)
       throws MalformedMessageException {
-    if (answer.getRevision() < question.since.value()) {
+    if (response.getRevision() < request.since.value()) {
       throw new MalformedMessageException("of an earlier revision than asked for");
     }
     List<Change> changes = new ArrayList<>();
-    for (KeyChange change : answer.getChanges()) {
-      if (!change.getKey().startsWith(question.prefix())
-          || change.getVersion() > answer.getRevision()) {
+    for (KeyChange change : response.getChanges()) {
+      if (!change.getKey().startsWith(request.prefix())
+          || change.getVersion() > response.getRevision()) {
         throw new MalformedMessageException(change.getKey() + " does not belong there");
       }
       Optional<JsonNode> value =
@@ -241,15 +269,19 @@
               : Optional.of(Json.parseObject(change.getValue()));
       changes.add(new Change(change.getKey(), value, new Revision(change.getVersion())));
     }
-    return new Changes(changes, new Revision(answer.getRevision()));
+    return new Changes(changes, new Revision(response.getRevision()));
   }
 
-  private void onInvalidResponse(NodeId sender, String why) {
+  private void onInvalidResponse(NodeId peer, String reason) {
     invalidResponses++;
     MonotonicTime now = loop.now();
     if (invalidLoggedAt.filter(at -> now.since(at).compareTo(INVALID_LOG_INTERVAL) < 0).isEmpty()) {
       invalidLoggedAt = Optional.of(now);
-      LOG.warn("answer of {} proves nothing, {} so far: {}", sender, invalidResponses, why);
+      LOG.warn(
+          "lease renewal response invalid, peer={} reason={} count={}",
+          peer,
+          reason,
+          invalidResponses);
     }
   }
 }
--- a/src/main/java/org/mulleinshift/membership/LeaderElection.java
+++ b/src/main/java/org/mulleinshift/membership/LeaderElection.java
@@ -18,24 +18,58 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Who takes the leader's key leads; each of the leader's writes demands that it still has it. */
+/**
+ * Leader election by compare-and-swap: the controller that creates the leader key, bound to a lease
+ * of its own, leads for one term. Each of the leader's writes is conditional on the key being the
+ * one that it created.
+ */
 public final class LeaderElection {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
 
-  /** So long the others leave it to the one that was asked to lead. */
+  /** How long the other controllers wait for the successor that the old leader has chosen. */
   private static final Duration SUCCESSOR_GRACE = Duration.ofMillis(600);
 
-  /** States of a node in the election. */
+  /** Range of the random delay that keeps candidates from trying at the same moment. */
+  private static final double MIN_CAMPAIGN_JITTER_MS = 50;
+
+  private static final double CAMPAIGN_JITTER_RANGE_MS = 250;
+
+  /** Range of the random delay before another attempt after a lost campaign. */
+  private static final double MIN_RETRY_MS = 300;
+
+  private static final double RETRY_RANGE_MS = 400;
+
+  /** The lease is renewed this many times in its lifetime. */
+  private static final int RENEWALS_PER_TTL = 4;
+
+  /** After a renewal without an answer the next one follows sooner. */
+  private static final int RETRIES_PER_TTL = 8;
+
+  /** The share of the lease's lifetime, in tenths, during which the leader relies on it. */
+  private static final int USABLE_TENTHS = 9;
+
+  private static final int TENTHS = 10;
+
+  /** Role of this controller in the election. */
   public enum State {
+    /** Another controller leads, or nobody does and this one is not ready. */
     FOLLOWING,
+    /** The leader key is free and this controller tries to create it. */
     CANDIDATE,
+    /** This controller created the leader key and has not lost it. */
     LEADING
   }
 
-  /** Hears of the start and the end of a term of this node. */
+  /** Notified when a term of this controller starts and ends. */
   public interface Listener {
+    /**
+     * This controller leads now.
+     *
+     * @param term the revision at which the leader key was created
+     */
     void onElected(Revision term);
 
+    /** This controller leads no more; called once for each {@link #onElected}. */
     void onLeadershipLost();
   }
 
@@ -53,7 +87,10 @@
   private boolean preferred;
 
   /**
-   * @param yields how long a free key is left to another controller
+   * A follower; it campaigns once {@link #observe} shows that the leader key is free.
+   *
+   * @param ttl lifetime of the lease that the leader key is bound to
+   * @param campaignDelay how long a free key is left to another controller
    */
   public LeaderElection(
       EventLoop loop,
@@ -61,8 +98,8 @@
       NodeId self,
       Duration ttl,
       Listener listener,
-      Supplier<Duration> yields) {
-    this.campaignDelay = yields;
+      Supplier<Duration> campaignDelay) {
+    this.campaignDelay = campaignDelay;
     this.loop = loop;
     this.store = store;
     this.self = self;
@@ -77,35 +114,50 @@
     State old = state;
     state = next;
     if (old != next) {
-      LOG.info("election {} -> {}", old, next);
+      LOG.info("election state changed, from={} to={}", old, next);
     }
     if (next == State.LEADING) {
       listener.onElected(term);
     } else if (old == State.LEADING) {
-      lease.ifPresent(held -> store.revokeLease(held, answer -> {}));
+      lease.ifPresent(own -> store.revokeLease(own, answer -> {}));
       lease = Optional.empty();
       listener.onLeadershipLost();
     }
   }
 
-  /** Called whenever the view of the control keys changes. */
+  /**
+   * Called whenever the view of the control keys changes.
+   *
+   * @param ready whether this controller is able to lead
+   */
   public void observe(ClusterView view, boolean ready) {
     if (state == State.LEADING) {
-      Optional<ClusterView.LeaderRecord> seen = view.leader();
-      if (seen.isPresent() && seen.get().term().compareTo(term) > 0) {
-        resign("another leader");
+      Optional<ClusterView.LeaderRecord> leader = view.leader();
+      if (leader.isPresent() && leader.get().term().compareTo(term) > 0) {
+        resign("another controller leads");
       }
     } else if (state == State.FOLLOWING && ready && view.leader().isEmpty()) {
       transitionTo(State.CANDIDATE);
-      // Spread, so that not all nodes try at the same moment; one that was chosen need not wait.
-      Duration spread = Duration.ofMillis((long) (50 + 250 * loop.random()));
-      Duration wait = notBefore.isAfter(loop.now()) ? notBefore.since(loop.now()) : Duration.ZERO;
-      wait = wait.compareTo(campaignDelay.get()) > 0 ? wait : campaignDelay.get();
-      loop.after(preferred ? Duration.ZERO : wait.plus(spread), () -> campaign(view));
+      // Drawn also by the chosen successor, which does not wait.
+      Duration jitter = randomDelay(MIN_CAMPAIGN_JITTER_MS, CAMPAIGN_JITTER_RANGE_MS);
+      Duration delay = preferred ? Duration.ZERO : gracePeriod().plus(jitter);
+      loop.after(delay, () -> campaign(view));
       preferred = false;
     }
   }
 
+  /** How long a free leader key is left to a chosen successor or to the standby. */
+  private Duration gracePeriod() {
+    Duration untilAllowed =
+        notBefore.isAfter(loop.now()) ? notBefore.since(loop.now()) : Duration.ZERO;
+    Duration delay = campaignDelay.get();
+    return untilAllowed.compareTo(delay) > 0 ? untilAllowed : delay;
+  }
+
+  private Duration randomDelay(double minMillis, double rangeMillis) {
+    return Duration.ofMillis((long) (minMillis + rangeMillis * loop.random()));
+  }
+
   private void campaign(ClusterView view) {
     if (view.leader().isPresent()) {
       transitionTo(State.FOLLOWING);
@@ -125,19 +177,19 @@
         });
   }
 
-  private void claimLeadership(LeaseId held, ClusterView view) {
+  private void claimLeadership(LeaseId own, ClusterView view) {
     store.commit(
         List.of(new Compare(StoreKeys.LEADER, new Revision(0))),
-        List.of(Write.put(StoreKeys.LEADER, ClusterView.leaderValue(self, held), held)),
+        List.of(Write.put(StoreKeys.LEADER, ClusterView.leaderValue(self, own), own)),
         KeyValueStore.Urgency.URGENT,
         outcome -> {
           if (outcome instanceof KeyValueStore.CommitResult.Committed committed) {
             term = committed.revision();
             transitionTo(State.LEADING);
-            renew(held);
+            renew(own);
           } else {
-            // A win whose answer was lost ends with this lease.
-            store.revokeLease(held, ended -> {});
+            // The key may have been created although the answer was lost: it goes with this lease.
+            store.revokeLease(own, revoked -> {});
             lease = Optional.empty();
             abandonCampaign(view);
           }
@@ -146,58 +198,70 @@
 
   private void abandonCampaign(ClusterView view) {
     transitionTo(State.FOLLOWING);
-    loop.after(Duration.ofMillis((long) (300 + 400 * loop.random())), () -> observe(view, true));
+    loop.after(randomDelay(MIN_RETRY_MS, RETRY_RANGE_MS), () -> observe(view, true));
   }
 
-  private void renew(LeaseId held) {
-    if (state != State.LEADING || !lease.equals(Optional.of(held))) {
+  private void renew(LeaseId own) {
+    if (!isCurrent(own)) {
       return;
     }
     MonotonicTime sent = loop.now();
     store.renewLease(
-        held,
+        own,
         answer -> {
-          if (state != State.LEADING || !lease.equals(Optional.of(held))) {
+          if (!isCurrent(own)) {
             return;
           }
           if (answer instanceof ReadResult.Absent<Boolean>) {
-            resign("lease over");
+            resign("lease expired");
             return;
           }
           boolean renewed = answer instanceof ReadResult.Found<Boolean>;
           if (renewed) {
             renewedAt = sent;
           }
-          loop.after(renewed ? ttl.dividedBy(4) : ttl.dividedBy(8), () -> renew(held));
+          loop.after(ttl.dividedBy(renewed ? RENEWALS_PER_TTL : RETRIES_PER_TTL), () -> renew(own));
         });
   }
 
-  public void resign(String why) {
+  private boolean isCurrent(LeaseId own) {
+    return state == State.LEADING && lease.equals(Optional.of(own));
+  }
+
+  /**
+   * Ends the term of this controller; does nothing if it does not lead.
+   *
+   * @param reason for the log
+   */
+  public void resign(String reason) {
     if (state == State.LEADING) {
-      LOG.warn("leadership lost: {}", why);
+      LOG.warn("leadership lost, term={} reason={}", term, reason);
       transitionTo(State.FOLLOWING);
     }
   }
 
-  /** The standing term, and the lease that it hangs on. */
+  /** A term, and the lease that its leader key is bound to. */
   public record TermLease(Revision term, LeaseId lease) {}
 
-  /** What a peer needs to end this term's lease; none if this node does not lead. */
+  /** The current term and its lease, so that a peer can revoke it; empty unless leading. */
   public Optional<TermLease> termLease() {
-    return state == State.LEADING ? lease.map(held -> new TermLease(term, held)) : Optional.empty();
+    return state == State.LEADING ? lease.map(own -> new TermLease(term, own)) : Optional.empty();
   }
 
   /**
-   * A leader that lost the state service gave up its term. Ending its lease harms no rule: every
-   * write of that term demands that the key stands, and it has stopped acting. One controller is to
-   * do so and to lead; the others do if that does not come about. A late message ends nothing: the
-   * lease is long over.
+   * A leader that lost the store resigned from its term. Revoking its lease is safe: every write of
+   * that term is conditional on the leader key, and it has stopped acting. The chosen successor
+   * revokes it and campaigns; the others revoke it if that does not happen. A message that arrives
+   * late revokes nothing: the lease has expired long before.
+   *
+   * @param ended the term that its leader resigned from
+   * @param chosen whether this controller is the successor
    */
-  public void onLeadershipTransfer(TermLease ended, boolean asked, ClusterView view) {
+  public void onLeadershipTransfer(TermLease ended, boolean chosen, ClusterView view) {
     if (state != State.FOLLOWING) {
       return;
     }
-    if (asked) {
+    if (chosen) {
       preferred = isCurrent(ended, view);
       store.revokeLease(ended.lease(), answer -> {});
     } else {
@@ -216,12 +280,14 @@
     return view.leader().filter(leader -> leader.term().equals(known.term())).isPresent();
   }
 
+  /** Whether this controller leads, as far as it knows. */
   public boolean leading() {
     return state == State.LEADING;
   }
 
-  /** Whether nobody else can lead now, by our clock. */
+  /** Whether, by this controller's own steady clock, no other controller can lead now. */
   public boolean holdsValidLease() {
-    return leading() && renewedAt.plus(ttl.multipliedBy(9).dividedBy(10)).isAfter(loop.now());
+    Duration usable = ttl.multipliedBy(USABLE_TENTHS).dividedBy(TENTHS);
+    return leading() && renewedAt.plus(usable).isAfter(loop.now());
   }
 }
--- a/src/main/java/org/mulleinshift/membership/OwnerEligibility.java
+++ b/src/main/java/org/mulleinshift/membership/OwnerEligibility.java
@@ -13,82 +13,98 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which controllers can hold shards. One that is cut off from its workers alone looks well to its
- * peers and to the state service. It says itself that its machines have stopped reporting, and
- * either the machines knock at others, or all have stopped while other controllers hear theirs:
- * both together show that it is the controller, not a zone or the machines. It gets no shards until
- * it hears its workers again and for a while after, each time for longer.
+ * Decides which controllers may own shards. One that is cut off from its workers alone looks
+ * healthy to its peers and to the store. Two observations together show that the controller is at
+ * fault, not a zone or the machines: it reports itself that its machines' heartbeats have stopped,
+ * and either its machines report to other controllers, or all of them have stopped while other
+ * controllers reach theirs. It gets no shards until it reaches its workers again and for a
+ * probation after that, which is longer each time.
  */
 public final class OwnerEligibility {
   private static final Logger LOG = LoggerFactory.getLogger(OwnerEligibility.class);
-  private static final Duration FIRST = Duration.ofSeconds(5);
-  private static final Duration FORGIVEN = Duration.ofMinutes(3);
+  private static final Duration FIRST_PROBATION = Duration.ofSeconds(5);
+
+  /** An incident after this time counts as the first one again. */
+  private static final Duration INCIDENT_MEMORY = Duration.ofMinutes(3);
+
   private static final int MAX_DOUBLINGS = 4;
 
+  /** The incidents of one controller. */
   private static final class Incidents {
     private int count;
     private boolean unreachable;
     private MonotonicTime lastAt;
-    private MonotonicTime until;
+    private MonotonicTime ineligibleUntil;
   }
 
   private final Function<NodeId, WorkerReachability.State> reachability;
   private final Map<NodeId, Incidents> incidents = new HashMap<>();
 
-  public OwnerEligibility(Function<NodeId, WorkerReachability.State> hearing) {
-    this.reachability = hearing;
+  /**
+   * All controllers are eligible at first.
+   *
+   * @param reachability whether a controller reaches its workers, by its own report
+   */
+  public OwnerEligibility(Function<NodeId, WorkerReachability.State> reachability) {
+    this.reachability = reachability;
   }
 
   /**
-   * The controllers that can not hold shards now; all are judged in one go, before any shard moves.
+   * The controllers that may not own shards now; all are judged together, before any shard moves.
    *
-   * @param knocks how many machines of each owner reported elsewhere lately
-   * @param live the controllers that could hold shards
+   * @param suspicions how many machines of each owner reported to another controller lately
+   * @param live the controllers that could own shards
    */
   public Set<NodeId> ineligible(
       Map<NodeId, Integer> suspicions, Collection<NodeId> live, MonotonicTime now) {
-    boolean othersHear =
+    boolean anyReachesWorkers =
         live.stream().anyMatch(node -> reachability.apply(node) == WorkerReachability.State.WELL);
     for (NodeId node : live) {
-      WorkerReachability.State own = reachability.apply(node);
-      // Where no controller hears its workers it is not the controller.
-      boolean proven = own == WorkerReachability.State.ALL_SILENT && othersHear;
-      boolean most =
-          own == WorkerReachability.State.MOST_SILENT || own == WorkerReachability.State.ALL_SILENT;
-      Incidents known = incidents.get(node);
-      if (known != null && known.unreachable) {
-        if (!most) {
-          onReachableAgain(node, known, now);
-        }
-      } else if (proven || (most && suspicions.getOrDefault(node, 0) > 0)) {
-        recordIncident(node, now);
-      }
+      boolean suspected = suspicions.getOrDefault(node, 0) > 0;
+      update(node, suspected, anyReachesWorkers, now);
     }
-    Set<NodeId> unfit = new HashSet<>();
+    Set<NodeId> ineligible = new HashSet<>();
     incidents.forEach(
         (node, known) -> {
-          if (known.unreachable || known.until.isAfter(now)) {
-            unfit.add(node);
+          if (known.unreachable || known.ineligibleUntil.isAfter(now)) {
+            ineligible.add(node);
           }
         });
-    return unfit;
+    return ineligible;
+  }
+
+  private void update(
+      NodeId node, boolean suspected, boolean anyReachesWorkers, MonotonicTime now) {
+    WorkerReachability.State own = reachability.apply(node);
+    boolean allSilent = own == WorkerReachability.State.ALL_SILENT;
+    boolean mostSilent = allSilent || own == WorkerReachability.State.MOST_SILENT;
+    Incidents known = incidents.get(node);
+    if (known != null && known.unreachable) {
+      if (!mostSilent) {
+        onReachableAgain(node, known, now);
+      }
+    } else if ((allSilent && anyReachesWorkers) || (mostSilent && suspected)) {
+      // Where no controller reaches its workers, the controller is not at fault.
+      recordIncident(node, now);
+    }
   }
 
   private void recordIncident(NodeId node, MonotonicTime now) {
     Incidents known = incidents.computeIfAbsent(node, key -> new Incidents());
-    boolean forgiven = known.count > 0 && now.since(known.lastAt).compareTo(FORGIVEN) > 0;
-    known.count = forgiven ? 1 : known.count + 1;
+    boolean expired = known.count > 0 && now.since(known.lastAt).compareTo(INCIDENT_MEMORY) > 0;
+    known.count = expired ? 1 : known.count + 1;
     known.lastAt = now;
-    known.until = now;
+    known.ineligibleUntil = now;
     known.unreachable = true;
-    LOG.info("{} cannot reach its workers: its blocks go to others", node);
+    LOG.info("owner ineligible, node={} reason=workers unreachable", node);
   }
 
-  /** Its word is a sign of its workers; what comes and goes is trusted later each time. */
+  /** The controller's own report is evidence of its workers; each probation is longer. */
   private static void onReachableAgain(NodeId node, Incidents known, MonotonicTime now) {
-    Duration trial = FIRST.multipliedBy(1L << Math.min(known.count - 1, MAX_DOUBLINGS));
+    Duration probation =
+        FIRST_PROBATION.multipliedBy(1L << Math.min(known.count - 1, MAX_DOUBLINGS));
     known.unreachable = false;
-    known.until = now.plus(trial);
-    LOG.info("{} hears its workers again: it may hold blocks in {} s", node, trial.toSeconds());
+    known.ineligibleUntil = now.plus(probation);
+    LOG.info("owner reaches its workers, node={} probation_s={}", node, probation.toSeconds());
   }
 }
--- a/src/main/java/org/mulleinshift/membership/OwnershipLease.java
+++ b/src/main/java/org/mulleinshift/membership/OwnershipLease.java
@@ -7,63 +7,82 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Until when an owner may answer workers, start tasks and let them run, by its own steady clock: a
- * shard lease after the oldest of three moments. Each is the one at which a question was sent whose
- * answer showed its ground, whoever carried it: what the answer tells is true of that moment or a
- * later one. The store can't have ended the session by then, no grant can have been withdrawn, and
- * every cancellation that was confirmed before was known; one that was not is followed by the end
- * of this right and then of the workers' leases within the time that a cancellation has (see {@code
- * docs/cancellation.md}).
+ * Until when a shard owner may answer workers, start tasks and let them run, by its own steady
+ * clock: one shard lease after the oldest of three moments. Each moment is the one at which a
+ * request was sent whose response gave the {@link Evidence}, whoever carried it: what the response
+ * shows is true of that moment or a later one. The store can't have expired the session by then, no
+ * grant can have been revoked, and every cancellation that was confirmed before was known. A
+ * cancellation that was not known is followed by the expiry of this lease and then of the workers'
+ * leases within the time allowed for a cancellation (see {@code docs/cancellation.md}).
  */
 public final class OwnershipLease {
-  private static final Duration SAFETY = Duration.ofMillis(200);
-  private static final double DRIFT = 0.001;
+  /** Kept free for the time between the check and the action. */
+  private static final Duration SAFETY_MARGIN = Duration.ofMillis(200);
+
+  /** Bound on the rate by which two steady clocks differ. */
+  private static final double MAX_CLOCK_DRIFT = 0.001;
 
   /** What must be known, each as of its own moment. */
   public enum Evidence {
+    /** The store has renewed the session lease. */
     SESSION_RENEWED,
+    /** The shard grants were read from the store. */
     GRANTS_READ,
+    /** All stored cancellations are known to this controller. */
     CANCELLATIONS_KNOWN
   }
 
   private final Duration usable;
   private final Map<Evidence, MonotonicTime> asOf = new EnumMap<>(Evidence.class);
 
+  /**
+   * A lease without any evidence, and so not valid.
+   *
+   * @param lease lifetime of a shard lease
+   */
   OwnershipLease(Duration lease) {
-    this.usable = Duration.ofNanos((long) (lease.toNanos() * (1 - DRIFT))).minus(SAFETY);
+    this.usable =
+        Duration.ofNanos((long) (lease.toNanos() * (1 - MAX_CLOCK_DRIFT))).minus(SAFETY_MARGIN);
   }
 
-  /** The only place where the right grows. */
-  void confirm(Evidence ground, MonotonicTime asked) {
-    asOf.merge(ground, asked, (known, next) -> next.isAfter(known) ? next : known);
+  /**
+   * The only place where the lease is extended.
+   *
+   * @param requestedAt when the request was sent whose response gave the evidence
+   */
+  void confirm(Evidence evidence, MonotonicTime requestedAt) {
+    asOf.merge(evidence, requestedAt, (known, next) -> next.isAfter(known) ? next : known);
   }
 
-  /** The ground is gone, whatever was shown of it. */
-  void invalidate(Evidence ground) {
-    asOf.remove(ground);
+  /** The evidence no longer counts, however fresh it was. */
+  void invalidate(Evidence evidence) {
+    asOf.remove(evidence);
   }
 
+  /** Whether the owner may act at this moment. */
   boolean isValid(MonotonicTime now) {
     return asOf.size() == Evidence.values().length
-        && asOf.values().stream().allMatch(asked -> asked.plus(usable).isAfter(now));
+        && asOf.values().stream().allMatch(requestedAt -> requestedAt.plus(usable).isAfter(now));
   }
 
-  /** Whether the ground was shown as of so short a time ago. */
-  boolean fresh(Evidence ground, MonotonicTime now, Duration within) {
-    MonotonicTime asked = asOf.get(ground);
-    return asked != null && now.since(asked).compareTo(within) < 0;
+  /** Whether the evidence was requested less than {@code maxAge} ago. */
+  boolean isFresh(Evidence evidence, MonotonicTime now, Duration maxAge) {
+    MonotonicTime requestedAt = asOf.get(evidence);
+    return requestedAt != null && now.since(requestedAt).compareTo(maxAge) < 0;
   }
 
-  /** Which ground the right hangs on, for the log. */
+  /** The evidence that expires first, or that is missing, for the log. */
   String describeOldest(MonotonicTime now) {
-    for (Evidence ground : Evidence.values()) {
-      if (!asOf.containsKey(ground)) {
-        return ground + " not shown";
+    for (Evidence evidence : Evidence.values()) {
+      if (!asOf.containsKey(evidence)) {
+        return "missing=" + evidence;
       }
     }
     return asOf.entrySet().stream()
         .min(Comparator.comparing(Map.Entry::getValue))
-        .map(oldest -> oldest.getKey() + " " + now.since(oldest.getValue()).toMillis() + " ms ago")
+        .map(
+            oldest ->
+                "oldest=" + oldest.getKey() + " age_ms=" + now.since(oldest.getValue()).toMillis())
         .orElseThrow();
   }
 }
--- a/src/main/java/org/mulleinshift/membership/PeerFailureDetector.java
+++ b/src/main/java/org/mulleinshift/membership/PeerFailureDetector.java
@@ -18,97 +18,107 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * The links of all controllers as this one knows them: when each peer was last heard, and what each
- * says of its own links in its heartbeats.
+ * Failure detector for the other controllers: when each peer was last heard, and what each reports
+ * of its own connections in its heartbeats.
  */
 public final class PeerFailureDetector {
-  /** A heartbeat older than this says nothing of now. */
+  /** A heartbeat older than this shows nothing of the present state of its sender. */
   public static final Duration FRESH = Duration.ofMillis(2500);
 
-  private record ReceivedHeartbeat(Heartbeat heartbeat, MonotonicTime at) {}
+  private record ReceivedHeartbeat(Heartbeat heartbeat, MonotonicTime receivedAt) {}
 
   private final EventLoop loop;
   private final NodeId self;
   private final MonotonicTime startedAt;
-  private final Map<NodeId, MonotonicTime> heardAt = new HashMap<>();
-  private final Map<NodeId, MonotonicTime> directAt = new HashMap<>();
+  private final Map<NodeId, MonotonicTime> lastHeardAt = new HashMap<>();
+  private final Map<NodeId, MonotonicTime> lastHeardDirectlyAt = new HashMap<>();
   private final Map<NodeId, ReceivedHeartbeat> heartbeats =
       new TreeMap<>(Comparator.comparing(NodeId::value));
 
+  /** A detector that has heard no peer yet. */
   public PeerFailureDetector(EventLoop loop, NodeId self) {
     this.loop = loop;
     this.self = self;
     this.startedAt = loop.now();
   }
 
-  /** Anything came from the peer, by itself or by a third. */
+  /**
+   * Any message of the peer arrived.
+   *
+   * @param direct false if another controller relayed it
+   */
   public void onMessage(NodeId peer, boolean direct) {
-    heardAt.put(peer, loop.now());
+    lastHeardAt.put(peer, loop.now());
     if (direct) {
-      directAt.put(peer, loop.now());
+      lastHeardDirectlyAt.put(peer, loop.now());
     }
   }
 
   /**
-   * A third that can bring a frame to a peer: none if the peer and this controller hear each other,
-   * as far as each says, or if no controller hears it.
+   * A controller that can relay a frame to a peer: none if the peer and this controller receive
+   * each other's messages, as far as each reports, or if no controller receives the peer's.
    */
   public Optional<NodeId> relayTo(NodeId peer) {
-    boolean unheard = directSilence(peer).compareTo(FRESH) >= 0;
-    boolean unhearing = heardBy(peer, self).filter(ago -> ago.compareTo(FRESH) >= 0).isPresent();
-    if (!unheard && !unhearing) {
+    boolean notHeard = timeSinceDirectMessage(peer).compareTo(FRESH) >= 0;
+    boolean notHearing =
+        timeSinceHeardBy(peer, self).filter(ago -> ago.compareTo(FRESH) >= 0).isPresent();
+    if (!notHeard && !notHearing) {
       return Optional.empty();
     }
     return heartbeats.keySet().stream()
-        .filter(third -> !third.equals(peer) && directSilence(third).compareTo(FRESH) < 0)
-        .filter(third -> heardBy(third, peer).filter(ago -> ago.compareTo(FRESH) < 0).isPresent())
+        .filter(relay -> !relay.equals(peer) && timeSinceDirectMessage(relay).compareTo(FRESH) < 0)
+        .filter(
+            relay ->
+                timeSinceHeardBy(relay, peer).filter(ago -> ago.compareTo(FRESH) < 0).isPresent())
         .findFirst();
   }
 
-  private Duration directSilence(NodeId peer) {
-    return loop.now().since(directAt.getOrDefault(peer, startedAt));
+  private Duration timeSinceDirectMessage(NodeId peer) {
+    return loop.now().since(lastHeardDirectlyAt.getOrDefault(peer, startedAt));
   }
 
-  public void onHeartbeat(NodeId peer, Heartbeat beat) {
-    heartbeats.put(peer, new ReceivedHeartbeat(beat, loop.now()));
+  /** A heartbeat of the peer arrived. */
+  public void onHeartbeat(NodeId peer, Heartbeat heartbeat) {
+    heartbeats.put(peer, new ReceivedHeartbeat(heartbeat, loop.now()));
   }
 
-  /** What was not heard while this process stood still says nothing of the others. */
+  /** What was not received while this process was paused shows nothing of the others. */
   public void onProcessPause() {
-    heardAt.replaceAll((node, at) -> loop.now());
-    directAt.replaceAll((node, at) -> loop.now());
+    lastHeardAt.replaceAll((node, at) -> loop.now());
+    lastHeardDirectlyAt.replaceAll((node, at) -> loop.now());
   }
 
-  /** Of a peer never heard of it is known only that it was silent since this process began. */
+  /** Time since the peer was last heard; since this process started if it never was. */
   public Duration silence(NodeId peer) {
     if (peer.equals(self)) {
       return Duration.ZERO;
     }
-    return loop.now().since(heardAt.getOrDefault(peer, startedAt));
+    return loop.now().since(lastHeardAt.getOrDefault(peer, startedAt));
   }
 
-  /** The peer's last word of itself, if it is fresh. */
+  /** The peer's last heartbeat, if it is fresh. */
   public Optional<Heartbeat> freshHeartbeat(NodeId peer) {
     return Optional.ofNullable(heartbeats.get(peer))
-        .filter(known -> loop.now().since(known.at).compareTo(FRESH) < 0)
+        .filter(known -> loop.now().since(known.receivedAt).compareTo(FRESH) < 0)
         .map(ReceivedHeartbeat::heartbeat);
   }
 
-  /** How the sender stands to its workers, by its own word; an unknown word counts as well. */
-  public static WorkerReachability.State workerReachability(Heartbeat beat) {
-    return WorkerReachability.State.fromWireName(beat.getWorkers());
+  /** Whether the sender reaches its workers, by its own report; an unknown state counts as well. */
+  public static WorkerReachability.State workerReachability(Heartbeat heartbeat) {
+    return WorkerReachability.State.fromWireName(heartbeat.getWorkers());
   }
 
-  /** Whether the peer said lately that the state service serves it. */
+  /** Whether, by a fresh heartbeat, the store serves the peer. */
   public boolean isServedByStore(NodeId peer) {
-    return freshHeartbeat(peer).filter(beat -> !beat.getStoreLost()).isPresent();
+    return freshHeartbeat(peer).filter(heartbeat -> !heartbeat.getStoreLost()).isPresent();
   }
 
-  /** Whether some peer, by its fresh word, had an answer of the state service after the moment. */
+  /** Whether some peer, by its fresh heartbeat, had an answer of the store after the moment. */
   public boolean anyServedSince(MonotonicTime moment) {
     for (Map.Entry<NodeId, ReceivedHeartbeat> known : heartbeats.entrySet()) {
       ReceivedHeartbeat last = known.getValue();
-      MonotonicTime answered = last.at.minus(Duration.ofMillis(last.heartbeat.getStoreSilenceMs()));
+      MonotonicTime answered =
+          last.receivedAt.minus(Duration.ofMillis(last.heartbeat.getStoreSilenceMs()));
       if (isServedByStore(known.getKey()) && answered.isAfter(moment)) {
         return true;
       }
@@ -116,7 +126,7 @@
     return false;
   }
 
-  /** Peers that are served, those first that hear their workers and whose word is newest. */
+  /** Peers that the store serves; first those that reach their workers, then the last heard. */
   public List<NodeId> peersServedByStore() {
     List<NodeId> peers = new ArrayList<>();
     heartbeats.keySet().stream().filter(this::isServedByStore).forEach(peers::add);
@@ -127,66 +137,73 @@
     return peers;
   }
 
-  /** The newest leader that a served peer sees. */
+  /** The newest leader by the reports of peers that the store serves. */
   public Optional<LeaderRecord> leaderReportedByPeers() {
     return heartbeats.keySet().stream()
         .filter(this::isServedByStore)
         .map(peer -> heartbeats.get(peer).heartbeat)
-        .filter(beat -> beat.getLeaderTerm() > 0)
+        .filter(heartbeat -> heartbeat.getLeaderTerm() > 0)
         .max(Comparator.comparingLong(Heartbeat::getLeaderTerm))
         .map(
-            beat ->
+            heartbeat ->
                 new LeaderRecord(
-                    new NodeId(beat.getLeader()),
-                    new Revision(beat.getLeaderTerm()),
+                    new NodeId(heartbeat.getLeader()),
+                    new Revision(heartbeat.getLeaderTerm()),
                     new LeaseId(0)));
   }
 
   /**
-   * Whom this controller heard itself, for its own heartbeat: so each learns who does not hear it.
+   * When this controller last heard each peer directly, for its own heartbeat: so each learns who
+   * does not receive its messages.
    */
   public List<PeerLastHeard> lastHeardList() {
     List<PeerLastHeard> list = new ArrayList<>();
-    directAt
+    lastHeardDirectlyAt
         .keySet()
-        .forEach(p -> list.add(new PeerLastHeard(p.value(), directSilence(p).toMillis())));
+        .forEach(
+            peer ->
+                list.add(new PeerLastHeard(peer.value(), timeSinceDirectMessage(peer).toMillis())));
     return list;
   }
 
-  /** The peer's last word of itself, however old. */
+  /** The peer's last heartbeat, however old. */
   public Optional<Heartbeat> lastHeartbeat(NodeId peer) {
     return Optional.ofNullable(heartbeats.get(peer)).map(ReceivedHeartbeat::heartbeat);
   }
 
-  /** How long ago a peer last heard another controller, by its fresh word; none if never. */
-  public Optional<Duration> heardBy(NodeId peer, NodeId other) {
+  /** Time since a peer last heard another controller, by its fresh heartbeat; empty if never. */
+  Optional<Duration> timeSinceHeardBy(NodeId peer, NodeId other) {
     return freshHeartbeat(peer).stream()
-        .flatMap(beat -> beat.getLastHeard().stream())
+        .flatMap(heartbeat -> heartbeat.getLastHeard().stream())
         .filter(heard -> heard.getNode().equals(other.value()))
         .map(heard -> Duration.ofMillis(heard.getSilenceMs()).plus(age(peer)))
         .findFirst();
   }
 
   private Duration age(NodeId peer) {
-    return loop.now().since(heartbeats.get(peer).at);
+    return loop.now().since(heartbeats.get(peer).receivedAt);
   }
 
-  /** One line for the log: each peer, how long it and we were silent to each other, its links. */
+  /** One line for the log: when each peer and this controller last heard each other. */
   public String describe() {
     StringBuilder line = new StringBuilder();
     for (Map.Entry<NodeId, ReceivedHeartbeat> entry : heartbeats.entrySet()) {
-      Heartbeat beat = entry.getValue().heartbeat;
+      NodeId peer = entry.getKey();
+      Heartbeat heartbeat = entry.getValue().heartbeat;
       line.append(line.isEmpty() ? "" : "; ")
-          .append(entry.getKey())
-          .append(" heard ")
-          .append(silence(entry.getKey()).toMillis())
-          .append(" ms ago, hears us ")
+          .append("peer=")
+          .append(peer)
+          .append(" heard_ms=")
+          .append(silence(peer).toMillis())
+          .append(" heard_by_ms=")
           .append(
-              heardBy(entry.getKey(), self).map(ago -> ago.toMillis() + " ms ago").orElse("not"))
-          .append(", state service ")
-          .append(beat.getStoreLost() ? "lost" : beat.getStoreSilenceMs() + " ms ago")
-          .append(", workers ")
-          .append(beat.getWorkers());
+              timeSinceHeardBy(peer, self)
+                  .map(ago -> String.valueOf(ago.toMillis()))
+                  .orElse("never"))
+          .append(" store_ms=")
+          .append(heartbeat.getStoreLost() ? "lost" : heartbeat.getStoreSilenceMs())
+          .append(" workers=")
+          .append(heartbeat.getWorkers());
     }
     return line.isEmpty() ? "no peer heard" : line.toString();
   }
--- a/src/main/java/org/mulleinshift/membership/PeerStatus.java
+++ b/src/main/java/org/mulleinshift/membership/PeerStatus.java
@@ -5,7 +5,7 @@
 
 /** What this controller knows of the health of each controller, itself included. */
 public interface PeerStatus {
-  /** How long ago anything of the controller was last heard. */
+  /** Time since anything of the controller was last heard. */
   Duration silence(NodeId node);
 
   /** Whether the controller reaches its workers, by its own last heartbeat. */
--- a/src/main/java/org/mulleinshift/membership/ShardAssigner.java
+++ b/src/main/java/org/mulleinshift/membership/ShardAssigner.java
@@ -13,33 +13,58 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Which controller is to hold which shard: shards without a grant go back to their last owner if it
- * is there again; those without a live owner go to the controller with the least to do, near ones
- * first; when loads have come apart, one shard at a time moves.
+ * Decides which controller should own which shard. A shard without a grant goes back to its last
+ * owner if that is available again; a shard without a live owner goes to the controller with the
+ * lowest load, preferably one in its zone; when loads differ too much, one shard at a time moves.
  */
 public final class ShardAssigner {
-  private static final double OTHER_ZONE = 8;
-  private static final double PER_SHARD = 2;
+  /** What another zone than the shard's counts, in machines. */
+  private static final double OTHER_ZONE_PENALTY = 8;
 
-  /** What the leader does besides, as a share of an even load. */
-  private static final double LEADING = 0.25;
+  /** What a shard counts in addition to its machines. */
+  private static final double LOAD_PER_SHARD = 2;
 
-  private static final double MIN_LEADING = 6;
-  private static final double MIN_DIFFERENCE = 16;
-  private static final Duration SETTLED = Duration.ofSeconds(8);
-  private static final Duration BETWEEN_MOVES = Duration.ofSeconds(4);
+  /** Load of being the leader, as a share of an even load, and its lower bound. */
+  private static final double LEADER_LOAD_SHARE = 0.25;
+
+  private static final double MIN_LEADER_LOAD = 6;
+
+  /** Makes an owner that acknowledges nothing the last choice for its shard. */
+  private static final double UNRESPONSIVE_PENALTY = 1e6;
+
+  /** Loads that differ by less are not evened out. */
+  private static final double MIN_LOAD_DIFFERENCE = 16;
+
+  /** A shard is moved only if its load is at most this share of the difference. */
+  private static final double MAX_MOVED_SHARE = 0.75;
+
+  /** A controller takes part in evening out once it has been a candidate for this long. */
+  private static final Duration SETTLING_TIME = Duration.ofSeconds(8);
+
+  private static final Duration MIN_TIME_BETWEEN_MOVES = Duration.ofSeconds(4);
 
   /** How long a shard without a grant waits for its last owner. */
-  private static final Duration RETURNS = Duration.ofMillis(1500);
+  private static final Duration LAST_OWNER_WAIT = Duration.ofMillis(1500);
 
-  /** A shard and its next owner. */
+  /**
+   * A grant to make.
+   *
+   * @param shard the shard
+   * @param owner its next owner
+   */
   public record Move(AssignableShard shard, NodeId owner) {}
 
   private final NodeId self;
   private final Map<NodeId, ZoneId> zones;
-  private final Map<NodeId, MonotonicTime> liveSince = new HashMap<>();
+  private final Map<NodeId, MonotonicTime> candidateSince = new HashMap<>();
   private MonotonicTime movedAt;
 
+  /**
+   * The assigner of one term.
+   *
+   * @param self the leader
+   * @param zones the zone of each controller, the leader included
+   */
   public ShardAssigner(NodeId self, Map<NodeId, ZoneId> zones, MonotonicTime now) {
     this.self = self;
     this.zones = zones;
@@ -47,51 +72,41 @@
   }
 
   /**
-   * The grants to make now. An owner that hears nothing counts as the last choice for its shard.
+   * The grants to make now. An owner that acknowledges nothing is the last choice for its shard.
    *
-   * @param live controllers that keep what they hold
-   * @param takers those of them whose links can serve a shard that is new to them
+   * @param live controllers that keep the shards that they own
+   * @param candidates those of them whose connections allow them to own further shards
+   * @param unresponsiveAfter time without an acknowledgement after which an owner loses its shard
    */
   public List<Move> moves(
       Collection<? extends AssignableShard> shards,
       List<NodeId> live,
-      List<NodeId> takers,
-      Duration deafAfter,
+      List<NodeId> candidates,
+      Duration unresponsiveAfter,
       MonotonicTime now) {
-    liveSince.keySet().retainAll(takers);
-    takers.forEach(node -> liveSince.putIfAbsent(node, now));
-    Map<NodeId, Double> loads = loads(shards, takers);
+    candidateSince.keySet().retainAll(candidates);
+    candidates.forEach(node -> candidateSince.putIfAbsent(node, now));
+    Map<NodeId, Double> loads = loads(shards, candidates);
     List<Move> moves = new ArrayList<>();
-    if (takers.isEmpty()) {
+    if (candidates.isEmpty()) {
       return moves;
     }
     for (AssignableShard shard : shards) {
-      Optional<NodeId> owner = shard.owner();
-      boolean held = owner.filter(live::contains).isPresent();
-      boolean deaf = held && shard.unacknowledgedFor(now).compareTo(deafAfter) > 0;
-      if ((held && !deaf) || shard.pendingOwner().isPresent()) {
-        continue;
-      }
-      if (owner.isEmpty() && mayReturn(shard, takers, now)) {
+      boolean hasLiveOwner = shard.owner().filter(live::contains).isPresent();
+      // A shard notes when it is asked that nothing is outstanding: only a live owner counts.
+      boolean keepsOwner =
+          hasLiveOwner && shard.unacknowledgedFor(now).compareTo(unresponsiveAfter) <= 0;
+      if (keepsOwner
+          || shard.pendingOwner().isPresent()
+          || awaitsLastOwner(shard, candidates, now)) {
         continue;
       }
-      Optional<NodeId> last = shard.lastOwner().filter(takers::contains);
-      NodeId best =
-          owner.isEmpty() && last.isPresent()
-              ? last.get()
-              : takers.stream()
-                  .min(
-                      Comparator.comparingDouble(
-                          node ->
-                              loads.get(node)
-                                  + distance(node, shard)
-                                  + (deaf && owner.get().equals(node) ? 1e6 : 0)))
-                  .get();
-      loads.merge(best, weight(shard), Double::sum);
-      moves.add(new Move(shard, best));
+      NodeId owner = nextOwner(shard, candidates, loads);
+      loads.merge(owner, load(shard), Double::sum);
+      moves.add(new Move(shard, owner));
     }
-    if (moves.isEmpty() && now.since(movedAt).compareTo(BETWEEN_MOVES) >= 0) {
-      evenOut(shards, loads, now).ifPresent(moves::add);
+    if (moves.isEmpty() && now.since(movedAt).compareTo(MIN_TIME_BETWEEN_MOVES) >= 0) {
+      balancingMove(shards, loads, now).ifPresent(moves::add);
     }
     if (!moves.isEmpty()) {
       movedAt = now;
@@ -103,50 +118,76 @@
    * A process that ended may be back in a moment, and its machines report to its address: as long
    * as that may be, its shards wait for it.
    */
-  private static boolean mayReturn(AssignableShard shard, List<NodeId> takers, MonotonicTime now) {
-    return shard.lastOwner().filter(node -> !takers.contains(node)).isPresent()
-        && shard.unownedFor(now).compareTo(RETURNS) < 0;
+  private static boolean awaitsLastOwner(
+      AssignableShard shard, List<NodeId> candidates, MonotonicTime now) {
+    return shard.owner().isEmpty()
+        && shard.lastOwner().filter(node -> !candidates.contains(node)).isPresent()
+        && shard.unownedFor(now).compareTo(LAST_OWNER_WAIT) < 0;
+  }
+
+  private NodeId nextOwner(
+      AssignableShard shard, List<NodeId> candidates, Map<NodeId, Double> loads) {
+    Optional<NodeId> lastOwner = shard.lastOwner().filter(candidates::contains);
+    if (shard.owner().isEmpty() && lastOwner.isPresent()) {
+      return lastOwner.get();
+    }
+    return candidates.stream()
+        .min(
+            Comparator.comparingDouble(
+                node ->
+                    loads.get(node)
+                        + distance(node, shard)
+                        + (shard.owner().equals(Optional.of(node)) ? UNRESPONSIVE_PENALTY : 0)))
+        .orElseThrow();
   }
 
-  /** The move that brings the most and the least loaded controllers closest to each other. */
-  private Optional<Move> evenOut(
+  /** The move that brings the highest and the lowest load closest to each other. */
+  private Optional<Move> balancingMove(
       Collection<? extends AssignableShard> shards, Map<NodeId, Double> loads, MonotonicTime now) {
-    loads.keySet().removeIf(node -> now.since(liveSince.get(node)).compareTo(SETTLED) < 0);
+    loads
+        .keySet()
+        .removeIf(node -> now.since(candidateSince.get(node)).compareTo(SETTLING_TIME) < 0);
     if (loads.size() < 2) {
       return Optional.empty();
     }
-    Comparator<NodeId> byLoad = Comparator.<NodeId>comparingDouble(loads::get);
-    NodeId most = loads.keySet().stream().max(byLoad.thenComparing(NodeId::value)).get();
-    NodeId least = loads.keySet().stream().min(byLoad.thenComparing(NodeId::value)).get();
-    double difference = loads.get(most) - loads.get(least);
+    Comparator<NodeId> byLoad =
+        Comparator.<NodeId>comparingDouble(loads::get).thenComparing(NodeId::value);
+    NodeId highest = loads.keySet().stream().max(byLoad).orElseThrow();
+    NodeId lowest = loads.keySet().stream().min(byLoad).orElseThrow();
+    double difference = loads.get(highest) - loads.get(lowest);
     return shards.stream()
-        .filter(shard -> shard.pendingOwner().isEmpty() && shard.owner().equals(Optional.of(most)))
+        .filter(
+            shard -> shard.pendingOwner().isEmpty() && shard.owner().equals(Optional.of(highest)))
         .filter(shard -> shard.size() > 0)
-        .filter(shard -> difference >= MIN_DIFFERENCE && weight(shard) <= difference * 0.75)
-        .min(Comparator.comparingDouble(shard -> Math.abs(difference - 2 * weight(shard))))
-        .map(shard -> new Move(shard, least));
+        .filter(
+            shard ->
+                difference >= MIN_LOAD_DIFFERENCE && load(shard) <= difference * MAX_MOVED_SHARE)
+        .min(Comparator.comparingDouble(shard -> Math.abs(difference - 2 * load(shard))))
+        .map(shard -> new Move(shard, lowest));
   }
 
   private Map<NodeId, Double> loads(
-      Collection<? extends AssignableShard> shards, List<NodeId> takers) {
+      Collection<? extends AssignableShard> shards, List<NodeId> candidates) {
     Map<NodeId, Double> loads = new HashMap<>();
-    takers.forEach(node -> loads.put(node, 0.0));
+    candidates.forEach(node -> loads.put(node, 0.0));
     double total = 0;
     for (AssignableShard shard : shards) {
-      total += weight(shard);
+      total += load(shard);
       Optional<NodeId> owner = shard.pendingOwner().or(shard::owner);
-      owner.ifPresent(node -> loads.computeIfPresent(node, (n, load) -> load + weight(shard)));
+      owner.ifPresent(node -> loads.computeIfPresent(node, (n, sum) -> sum + load(shard)));
     }
-    double leading = Math.max(MIN_LEADING, LEADING * total / Math.max(1, takers.size()));
-    loads.computeIfPresent(self, (node, load) -> load + leading);
+    double leaderLoad =
+        Math.max(MIN_LEADER_LOAD, LEADER_LOAD_SHARE * total / Math.max(1, candidates.size()));
+    loads.computeIfPresent(self, (node, sum) -> sum + leaderLoad);
     return loads;
   }
 
-  private static double weight(AssignableShard shard) {
-    return PER_SHARD + shard.size();
+  /** The load of a shard, in machines. */
+  private static double load(AssignableShard shard) {
+    return LOAD_PER_SHARD + shard.size();
   }
 
   private double distance(NodeId node, AssignableShard shard) {
-    return shard.zone().equals(zones.get(node)) ? 0 : OTHER_ZONE;
+    return shard.zone().equals(zones.get(node)) ? 0 : OTHER_ZONE_PENALTY;
   }
 }
--- a/src/main/java/org/mulleinshift/membership/StandbyFailover.java
+++ b/src/main/java/org/mulleinshift/membership/StandbyFailover.java
@@ -15,35 +15,54 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The standby: one controller, named by the leader, that takes over as soon as the leader is silent
- * to it and to another. Without one, or where nobody agrees, the leader's lease ends by itself as
- * before.
+ * Fast failover: the leader names one controller as its standby, which takes over as soon as
+ * neither it nor another controller has heard the leader for a while. Without a standby, or where
+ * no other controller agrees, the leader's lease expires by itself.
  */
 public final class StandbyFailover {
   private static final Logger LOG = LoggerFactory.getLogger(StandbyFailover.class);
-  private static final Duration TICK = Duration.ofMillis(100);
-  private static final Duration CALM_TICK = Duration.ofMillis(200);
+  private static final Duration SUSPECTING_CHECK_INTERVAL = Duration.ofMillis(100);
+
+  /** Of a standby while the leader is heard. */
+  private static final Duration STANDBY_CHECK_INTERVAL = Duration.ofMillis(200);
 
   /** Of a controller that is not the standby. */
-  private static final Duration IDLE_TICK = Duration.ofMillis(500);
+  private static final Duration IDLE_CHECK_INTERVAL = Duration.ofMillis(500);
+
+  /** False alarms before this time no longer count. */
+  private static final Duration FALSE_ALARM_MEMORY = Duration.ofMinutes(3);
+
+  /** How long the other controllers leave a free leader key to a healthy standby. */
+  private static final Duration STANDBY_HEAD_START = Duration.ofMillis(600);
 
-  private static final Duration FORGIVEN = Duration.ofMinutes(3);
+  /** Another controller agrees once it has not heard the leader for four fifths of the limit. */
+  private static final int AGREEMENT_NUMERATOR = 4;
 
-  /** The others leave the leader's key to a standby that is well for so long. */
-  private static final Duration YIELD = Duration.ofMillis(600);
+  private static final int AGREEMENT_DENOMINATOR = 5;
+
+  private static final int MAX_DOUBLINGS = 10;
 
   /** States of this controller as the standby. */
   public enum State {
-    /** Another is the standby, or none. */
+    /** Another controller is the standby, or none is. */
     NONE,
+    /** This controller is the standby, and the leader is heard. */
     STANDBY,
-    /** The leader has been silent for half the time: the others are asked. */
+    /** The leader has not been heard for half the limit: the other controllers are asked. */
     SUSPECTING,
-    /** The leader's lease was ended; this node stands. */
+    /** The leader's lease is being revoked; this controller campaigns. */
     DEPOSED
   }
 
-  /** What it needs of its node. */
+  /**
+   * What the failover needs of its controller.
+   *
+   * @param peers when each peer was last heard, and its last heartbeat
+   * @param view the leader as the store last showed it
+   * @param ownLinksWell whether this controller reaches the store and its workers
+   * @param askPeers has the peers send a heartbeat at once
+   * @param depose revokes the lease of a term, and campaigns
+   */
   public record Parts(
       PeerFailureDetector peers,
       ClusterView view,
@@ -53,200 +72,227 @@
 
   private final EventLoop loop;
   private final NodeId self;
-  private final Duration patience;
-  private final Duration maxPatience;
-  private final Parts parts;
+  private final Duration leaderTimeout;
+  private final Duration maxLeaderTimeout;
+  private final Parts context;
   private State state = State.NONE;
-  private Duration silent = Duration.ZERO;
-  private MonotonicTime tickedAt;
-  private Duration planned = TICK;
+  private Duration leaderSilence = Duration.ZERO;
+  private MonotonicTime checkedAt;
+  private Duration currentInterval = SUSPECTING_CHECK_INTERVAL;
   private MonotonicTime deposedAt;
-  private Optional<NodeId> deposed = Optional.empty();
+  private Optional<NodeId> deposedLeader = Optional.empty();
   private long deposedSession;
   private int falseAlarms;
-  private Optional<NodeId> named = Optional.empty();
+  private Optional<NodeId> standby = Optional.empty();
   private Optional<NodeId> lastLeader = Optional.empty();
 
   /**
-   * @param patience silence of the leader after which it may be deposed
-   * @param mostPatience the leader's lease, beyond which nothing is gained
+   * A controller that is no standby yet.
+   *
+   * @param leaderTimeout time since the leader was last heard after which it may be deposed
+   * @param maxLeaderTimeout the leader's lease, beyond which nothing is gained
    */
   public StandbyFailover(
-      EventLoop loop, NodeId self, Duration patience, Duration maxPatience, Parts parts) {
+      EventLoop loop,
+      NodeId self,
+      Duration leaderTimeout,
+      Duration maxLeaderTimeout,
+      Parts context) {
     this.loop = loop;
     this.self = self;
-    this.patience = patience;
-    this.maxPatience = maxPatience;
-    this.parts = parts;
-    this.tickedAt = loop.now();
-    this.deposedAt = tickedAt.minus(FORGIVEN);
+    this.leaderTimeout = leaderTimeout;
+    this.maxLeaderTimeout = maxLeaderTimeout;
+    this.context = context;
+    this.checkedAt = loop.now();
+    this.deposedAt = checkedAt.minus(FALSE_ALARM_MEMORY);
   }
 
+  /** Starts the periodic check. */
   public void start() {
-    tickedAt = loop.now();
-    loop.after(TICK, this::tick);
+    checkedAt = loop.now();
+    loop.after(SUSPECTING_CHECK_INTERVAL, this::check);
   }
 
   /** The only place where the state changes. */
-  private void transitionTo(State next, String why) {
+  private void transitionTo(State next, String reason) {
     if (next == State.DEPOSED || (next == State.STANDBY) != (state == State.STANDBY)) {
-      LOG.info("standby {} -> {}: {}", state, next, why);
+      LOG.info("standby state changed, from={} to={} reason={}", state, next, reason);
     }
     state = next;
   }
 
-  /** Called by the leader: whom it names, kept as long as that one is well. */
+  /**
+   * Called by the leader: the controller that it names as its standby, kept as long as that one is
+   * healthy.
+   *
+   * @param otherZoneFirst the other controllers, in order of preference
+   * @return the name of the standby, empty if no controller is healthy
+   */
   public String choose(List<NodeId> otherZoneFirst) {
-    List<NodeId> well =
-        otherZoneFirst.stream()
-            .filter(parts.peers::isServedByStore)
-            .filter(
-                node ->
-                    parts
-                        .peers
-                        .freshHeartbeat(node)
-                        .filter(
-                            beat ->
-                                PeerFailureDetector.workerReachability(beat)
-                                    == WorkerReachability.State.WELL)
-                        .isPresent())
-            .toList();
-    if (named.filter(well::contains).isEmpty()) {
-      named = well.stream().findFirst();
-      LOG.info("standby: {}", named.map(NodeId::value).orElse("none"));
+    List<NodeId> healthy = otherZoneFirst.stream().filter(this::isHealthy).toList();
+    if (standby.filter(healthy::contains).isEmpty()) {
+      standby = healthy.stream().findFirst();
+      LOG.info("standby chosen, node={}", standby.map(NodeId::value).orElse("none"));
     }
-    return named.map(NodeId::value).orElse("");
+    return standby.map(NodeId::value).orElse("");
+  }
+
+  /** Whether the peer, by its fresh heartbeat, reaches the store and its workers. */
+  private boolean isHealthy(NodeId peer) {
+    return context.peers.isServedByStore(peer)
+        && context
+            .peers
+            .freshHeartbeat(peer)
+            .map(PeerFailureDetector::workerReachability)
+            .filter(reachability -> reachability == WorkerReachability.State.WELL)
+            .isPresent();
   }
 
-  /** Whom this node, as the leader, named last. */
+  /** The standby that this controller, as the leader, chose last. */
   public Optional<NodeId> named() {
-    return named;
+    return standby;
   }
 
-  /** How long this node leaves a free leader's key to a standby that is well. */
+  /** How long this controller leaves a free leader key to a healthy standby. */
   public Duration yields() {
-    Optional<String> standby = namedBy(lastLeader()).filter(name -> !name.isEmpty());
-    boolean other =
-        standby
+    boolean anotherIsStandby =
+        standbyNamedBy(lastLeader())
+            .filter(name -> !name.isEmpty())
             .map(NodeId::new)
-            .filter(node -> !node.equals(self) && parts.peers.isServedByStore(node))
+            .filter(node -> !node.equals(self) && context.peers.isServedByStore(node))
             .isPresent();
-    return other ? YIELD : Duration.ZERO;
+    return anotherIsStandby ? STANDBY_HEAD_START : Duration.ZERO;
   }
 
   private Optional<NodeId> lastLeader() {
-    parts.view.leader().map(LeaderRecord::node).ifPresent(node -> lastLeader = Optional.of(node));
+    context.view.leader().map(LeaderRecord::node).ifPresent(node -> lastLeader = Optional.of(node));
     return lastLeader;
   }
 
-  private Optional<String> namedBy(Optional<NodeId> leader) {
-    return leader.flatMap(parts.peers::lastHeartbeat).map(Heartbeat::getStandby);
+  private Optional<String> standbyNamedBy(Optional<NodeId> leader) {
+    return leader.flatMap(context.peers::lastHeartbeat).map(Heartbeat::getStandby);
   }
 
-  private void tick() {
-    Duration gap = loop.now().since(tickedAt);
-    tickedAt = loop.now();
-    // A turn that comes late says nothing of the leader: its frames may wait behind it.
-    judge(gap, gap.compareTo(planned.plus(TICK)) > 0);
-    planned = state == State.NONE ? IDLE_TICK : silent.isZero() ? CALM_TICK : TICK;
-    loop.after(planned, this::tick);
+  private void check() {
+    Duration gap = loop.now().since(checkedAt);
+    checkedAt = loop.now();
+    // A check that runs late shows nothing of the leader: its frames may be queued behind it.
+    updateState(gap, gap.compareTo(currentInterval.plus(SUSPECTING_CHECK_INTERVAL)) > 0);
+    currentInterval = nextInterval();
+    loop.after(currentInterval, this::check);
   }
 
-  private void judge(Duration gap, boolean late) {
-    Optional<LeaderRecord> leader = parts.view.leader();
+  private Duration nextInterval() {
+    if (state == State.NONE) {
+      return IDLE_CHECK_INTERVAL;
+    }
+    return leaderSilence.isZero() ? STANDBY_CHECK_INTERVAL : SUSPECTING_CHECK_INTERVAL;
+  }
+
+  /**
+   * @param gap time since the last check
+   * @param late whether this check ran so late that received frames may wait behind it
+   */
+  private void updateState(Duration gap, boolean late) {
+    Optional<LeaderRecord> leader = context.view.leader();
     lastLeader();
-    noteFalseAlarm();
-    boolean standby =
+    recordFalseAlarm();
+    boolean isStandby =
         leader.isPresent()
             && !leader.get().node().equals(self)
-            && namedBy(leader.map(LeaderRecord::node)).equals(Optional.of(self.value()))
-            && parts.ownLinksWell.getAsBoolean();
-    if (!standby) {
-      silent = Duration.ZERO;
+            && standbyNamedBy(leader.map(LeaderRecord::node)).equals(Optional.of(self.value()))
+            && context.ownLinksWell.getAsBoolean();
+    if (!isStandby) {
+      leaderSilence = Duration.ZERO;
       if (state != State.NONE) {
         transitionTo(
-            State.NONE, leader.isEmpty() ? "no leader" : "not named, or own links not well");
+            State.NONE,
+            leader.isEmpty() ? "no leader" : "not named, or own connections not healthy");
       }
       return;
     }
     if (state == State.NONE) {
       transitionTo(State.STANDBY, "named by " + leader.get().node());
     }
-    boolean heard = parts.peers.silence(leader.get().node()).compareTo(gap) <= 0;
-    silent = heard || late ? Duration.ZERO : silent.plus(gap);
-    watch(leader.get());
+    boolean heard = context.peers.silence(leader.get().node()).compareTo(gap) <= 0;
+    leaderSilence = heard || late ? Duration.ZERO : leaderSilence.plus(gap);
+    watchLeader(leader.get());
   }
 
-  private void watch(LeaderRecord leader) {
+  private void watchLeader(LeaderRecord leader) {
     Duration limit = limit();
     if (state == State.DEPOSED) {
-      if (silent.isZero()) {
-        // The word that was to end its lease was lost.
+      if (leaderSilence.isZero()) {
+        // The request to revoke its lease was lost.
         transitionTo(State.STANDBY, leader.node() + " still leads");
       }
       return;
     }
-    if (silent.compareTo(limit.dividedBy(2)) < 0) {
-      transitionTo(State.STANDBY, "the leader is heard");
+    if (leaderSilence.compareTo(limit.dividedBy(2)) < 0) {
+      transitionTo(State.STANDBY, "leader heard");
       return;
     }
     if (state == State.STANDBY) {
-      transitionTo(State.SUSPECTING, "the leader is silent");
-      parts.askPeers.run();
+      transitionTo(State.SUSPECTING, "leader not heard");
+      context.askPeers.run();
       return;
     }
-    if (silent.compareTo(limit) >= 0) {
-      if (agreed(leader.node(), limit)) {
+    if (leaderSilence.compareTo(limit) >= 0) {
+      if (peersAgree(leader.node(), limit)) {
         depose(leader);
       } else {
-        parts.askPeers.run();
+        context.askPeers.run();
       }
     }
   }
 
-  /** Another controller has not heard the leader either, and none that spoke since has. */
-  private boolean agreed(NodeId leader, Duration limit) {
+  /** Whether another controller has not heard the leader either, and none has heard it lately. */
+  private boolean peersAgree(NodeId leader, Duration limit) {
+    Duration agreement = limit.multipliedBy(AGREEMENT_NUMERATOR).dividedBy(AGREEMENT_DENOMINATOR);
     boolean agree = false;
-    for (NodeId peer : parts.peers.peersServedByStore()) {
-      if (!peer.equals(leader)) {
-        Optional<Duration> ago = parts.peers.heardBy(peer, leader);
-        if (ago.isPresent() && ago.get().compareTo(limit.dividedBy(2)) < 0) {
-          return false;
-        }
-        agree |= ago.isEmpty() || ago.get().compareTo(limit.multipliedBy(4).dividedBy(5)) >= 0;
+    for (NodeId peer : context.peers.peersServedByStore()) {
+      if (peer.equals(leader)) {
+        continue;
+      }
+      Optional<Duration> sinceHeard = context.peers.timeSinceHeardBy(peer, leader);
+      if (sinceHeard.filter(since -> since.compareTo(limit.dividedBy(2)) < 0).isPresent()) {
+        return false;
       }
+      agree |= sinceHeard.isEmpty() || sinceHeard.get().compareTo(agreement) >= 0;
     }
     return agree;
   }
 
   private void depose(LeaderRecord leader) {
     transitionTo(
-        State.DEPOSED, leader.node() + " silent for " + silent.toMillis() + " ms, another agrees");
-    deposed = Optional.of(leader.node());
+        State.DEPOSED,
+        leader.node() + " not heard for " + leaderSilence.toMillis() + " ms, another agrees");
+    deposedLeader = Optional.of(leader.node());
     deposedSession =
-        parts.peers.lastHeartbeat(leader.node()).map(Heartbeat::getSessionLease).orElse(0L);
-    falseAlarms = loop.now().since(deposedAt).compareTo(FORGIVEN) > 0 ? 0 : falseAlarms;
+        context.peers.lastHeartbeat(leader.node()).map(Heartbeat::getSessionLease).orElse(0L);
+    falseAlarms = loop.now().since(deposedAt).compareTo(FALSE_ALARM_MEMORY) > 0 ? 0 : falseAlarms;
     deposedAt = loop.now();
-    parts.depose.accept(new LeaderElection.TermLease(leader.term(), leader.lease()));
+    context.depose.accept(new LeaderElection.TermLease(leader.term(), leader.lease()));
   }
 
-  /** The same process speaks again: it was alive, and the next alarm takes longer. */
-  private void noteFalseAlarm() {
+  /** The same process is heard again: it was alive, and the next alarm takes longer. */
+  private void recordFalseAlarm() {
     boolean alive =
-        deposed
-            .filter(node -> parts.peers.silence(node).compareTo(loop.now().since(deposedAt)) < 0)
-            .flatMap(parts.peers::lastHeartbeat)
-            .filter(beat -> beat.getSessionLease() == deposedSession)
+        deposedLeader
+            .filter(node -> context.peers.silence(node).compareTo(loop.now().since(deposedAt)) < 0)
+            .flatMap(context.peers::lastHeartbeat)
+            .filter(heartbeat -> heartbeat.getSessionLease() == deposedSession)
             .isPresent();
     if (alive) {
-      LOG.info("{} was alive", deposed.get());
+      LOG.info("deposed leader was alive, node={}", deposedLeader.get());
       falseAlarms++;
-      deposed = Optional.empty();
+      deposedLeader = Optional.empty();
     }
   }
 
+  /** Time since the leader was last heard after which it is deposed; doubles with false alarms. */
   private Duration limit() {
-    Duration longer = patience.multipliedBy(1L << Math.min(falseAlarms, 10));
-    return longer.compareTo(maxPatience) < 0 ? longer : maxPatience;
+    Duration longer = leaderTimeout.multipliedBy(1L << Math.min(falseAlarms, MAX_DOUBLINGS));
+    return longer.compareTo(maxLeaderTimeout) < 0 ? longer : maxLeaderTimeout;
   }
 }
--- a/src/main/java/org/mulleinshift/membership/StoreHealth.java
+++ b/src/main/java/org/mulleinshift/membership/StoreHealth.java
@@ -9,92 +9,114 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's link to the state service, judged by the answers to its own calls and by what
- * peers say of theirs. A service that answers nobody is an outage, in which nothing is given up;
- * only a link that is bad while a peer's is good is lost.
+ * Health of this controller's connection to the store, judged by the responses to its own calls and
+ * by what peers report of theirs. A store that answers nobody is an outage, in which nothing is
+ * released; only a connection that fails while a peer's works is lost.
  */
 public final class StoreHealth implements KeyValueStore.CallObserver {
   private static final Logger LOG = LoggerFactory.getLogger(StoreHealth.class);
-  private static final Duration TICK = Duration.ofMillis(100);
+  private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
-  /** While all is well: half as many turns of the loop. */
-  private static final Duration CALM_TICK = Duration.ofMillis(200);
+  /** Interval while all is well: half as many turns of the loop. */
+  private static final Duration IDLE_CHECK_INTERVAL = Duration.ofMillis(200);
 
-  /** A peer's last answer counts as later than our loss only by so much: clocks of two messages. */
-  private static final Duration MARGIN = Duration.ofMillis(250);
+  /**
+   * A peer's last answer counts as later than the start of the failure only beyond this margin: its
+   * age went through two messages.
+   */
+  private static final Duration PEER_ANSWER_MARGIN = Duration.ofMillis(250);
+
+  /** Without a served peer for longer than this, the store may be down for everybody. */
+  private static final Duration PEER_TIMEOUT = Duration.ofSeconds(3);
+
+  /** While the connection fails, peers are asked about theirs once in this time. */
+  private static final Duration SUSPICION_REPEAT = Duration.ofSeconds(1);
+
+  private static final Duration FIRST_PROBATION = Duration.ofMillis(500);
+
+  /** A loss after this time counts as the first one again. */
+  private static final Duration LOSS_MEMORY = Duration.ofMinutes(3);
 
-  private static final Duration ALONE = Duration.ofSeconds(3);
-  private static final Duration FIRST_TRIAL = Duration.ofMillis(500);
-  private static final Duration FORGIVEN = Duration.ofMinutes(3);
   private static final int MAX_DOUBLINGS = 5;
 
-  /** States of the link. */
+  /** States of the connection. */
   public enum State {
+    /** Calls are answered. */
     SERVED,
-    /** Unanswered or refused for a while: peers are asked how they fare. */
+    /**
+     * Calls have been unanswered or refused for a while: peers are asked about their connections.
+     */
     DOUBTED,
     /** The same for longer, while a peer is served. */
     LOST
   }
 
-  /** What the link asks and tells. */
+  /** Connects the health check with the peers and with those who act on its result. */
   public interface Listener {
-    /** Peers should say now how their links are. */
+    /** The connection is suspect: peers should report now how theirs are. */
     void doubted();
 
     /** Whether some peer was served after that moment. */
     boolean peerServedSince(MonotonicTime moment);
 
+    /** The state has changed. */
     void changed(State next);
   }
 
   private final EventLoop loop;
   private final Duration lostAfter;
-  private final Duration probeEvery;
+  private final Duration probeInterval;
   private final Runnable probe;
   private final Listener listener;
   private State state = State.SERVED;
   private int outstanding;
   private boolean failing;
-  private Duration silent = Duration.ZERO;
-  private MonotonicTime lastTick;
-  private Duration planned = TICK;
-  private MonotonicTime sentAt;
-  private MonotonicTime servedAt;
+  private Duration failingFor = Duration.ZERO;
+  private MonotonicTime lastCheckAt;
+  private Duration currentInterval = CHECK_INTERVAL;
+  private MonotonicTime lastCallAt;
+  private MonotonicTime lastAnswerAt;
   private MonotonicTime lostAt;
-  private MonotonicTime wellSince;
-  private MonotonicTime peerServedAt;
+  private MonotonicTime servedSince;
+  private MonotonicTime lastPeerServedAt;
   private int losses;
-  private Optional<MonotonicTime> aheadSince = Optional.empty();
+  private Optional<MonotonicTime> peersAheadSince = Optional.empty();
 
   /**
-   * @param lostAfter silence after which the link is lost if a peer is served
-   * @param probeEvery a call is made at least so often
-   * @param probe makes one
+   * A connection that counts as good until calls fail.
+   *
+   * @param lostAfter time without an answer after which the connection is lost if a peer is served
+   * @param probeInterval a call is made at least this often
+   * @param probe makes such a call
    */
   public StoreHealth(
-      EventLoop loop, Duration lostAfter, Duration probeEvery, Runnable probe, Listener listener) {
+      EventLoop loop,
+      Duration lostAfter,
+      Duration probeInterval,
+      Runnable probe,
+      Listener listener) {
     this.loop = loop;
     this.lostAfter = lostAfter;
-    this.probeEvery = probeEvery;
+    this.probeInterval = probeInterval;
     this.probe = probe;
     this.listener = listener;
-    this.lastTick = loop.now();
-    this.sentAt = lastTick;
-    this.servedAt = lastTick;
-    this.wellSince = lastTick;
-    this.lostAt = lastTick.minus(FORGIVEN);
-    this.peerServedAt = lastTick;
+    this.lastCheckAt = loop.now();
+    this.lastCallAt = lastCheckAt;
+    this.lastAnswerAt = lastCheckAt;
+    this.servedSince = lastCheckAt;
+    this.lostAt = lastCheckAt.minus(LOSS_MEMORY);
+    this.lastPeerServedAt = lastCheckAt;
   }
 
+  /** Starts the periodic check. */
   public void start() {
-    lastTick = loop.now();
-    loop.after(TICK, this::tick);
+    lastCheckAt = loop.now();
+    loop.after(CHECK_INTERVAL, this::check);
   }
 
   /** The only place where the state changes. */
-  private void transitionTo(State next, String why) {
-    LOG.info("state service {} -> {}: {}", state, next, why);
+  private void transitionTo(State next, String reason) {
+    LOG.info("store health changed, from={} to={} reason={}", state, next, reason);
     state = next;
     listener.changed(next);
   }
@@ -102,116 +124,132 @@
   @Override
   public void sent() {
     outstanding++;
-    sentAt = loop.now();
+    lastCallAt = loop.now();
   }
 
   @Override
   public void served() {
     outstanding--;
     failing = false;
-    silent = Duration.ZERO;
-    servedAt = loop.now();
+    failingFor = Duration.ZERO;
+    lastAnswerAt = loop.now();
   }
 
   @Override
   public void failed(MonotonicTime calledAt) {
     outstanding--;
-    // A call from before the last answer says nothing new.
-    failing |= !servedAt.isAfter(calledAt);
+    // A call from before the last answer shows nothing new.
+    failing |= !lastAnswerAt.isAfter(calledAt);
   }
 
-  private void tick() {
+  private void check() {
     MonotonicTime now = loop.now();
-    // A turn that comes late says nothing of the link: answers may wait behind it in the queue.
-    Duration gap = now.since(lastTick);
-    lastTick = now;
-    gap = gap.compareTo(planned.plus(TICK)) > 0 ? TICK : gap;
-    silent = outstanding > 0 || failing ? silent.plus(gap) : Duration.ZERO;
-    if (silent.compareTo(lostAfter.dividedBy(2)) >= 0) {
-      wellSince = now;
+    // A check that runs late shows nothing of the connection: answers may be queued behind it.
+    Duration gap = now.since(lastCheckAt);
+    lastCheckAt = now;
+    gap = gap.compareTo(currentInterval.plus(CHECK_INTERVAL)) > 0 ? CHECK_INTERVAL : gap;
+    failingFor = outstanding > 0 || failing ? failingFor.plus(gap) : Duration.ZERO;
+    if (failingFor.compareTo(lostAfter.dividedBy(2)) >= 0) {
+      servedSince = now;
     }
-    judge(now);
-    if (now.since(sentAt).compareTo(probeEvery) >= 0) {
+    updateState(now);
+    if (now.since(lastCallAt).compareTo(probeInterval) >= 0) {
       probe.run();
     }
-    planned = state == State.SERVED && silent.isZero() ? CALM_TICK : TICK;
-    loop.after(planned, this::tick);
+    currentInterval =
+        state == State.SERVED && failingFor.isZero() ? IDLE_CHECK_INTERVAL : CHECK_INTERVAL;
+    loop.after(currentInterval, this::check);
   }
 
-  private void judge(MonotonicTime now) {
+  private void updateState(MonotonicTime now) {
     switch (state) {
-      case SERVED -> {
-        if (silent.compareTo(lostAfter.dividedBy(2)) >= 0) {
-          transitionTo(State.DOUBTED, "no answer for " + silent.toMillis() + " ms");
-          listener.doubted();
-        }
-      }
-      case DOUBTED -> {
-        if (silent.isZero()) {
-          aheadSince = Optional.empty();
-          transitionTo(State.SERVED, "answered");
-          return;
-        }
-        watchPeers(now);
-        if (silent.compareTo(lostAfter) >= 0) {
-          if (aheadSince.filter(since -> now.since(since).compareTo(proven()) >= 0).isPresent()) {
-            aheadSince = Optional.empty();
-            lose(now);
-          } else if (silent.toMillis() % 1000 < TICK.toMillis()) {
-            listener.doubted();
-          }
-        }
-      }
-      case LOST -> {
-        if (listener.peerServedSince(now.minus(ALONE))) {
-          peerServedAt = now;
-        }
-        if (now.since(wellSince).compareTo(trial()) >= 0) {
-          transitionTo(State.SERVED, "answered for " + trial().toMillis() + " ms");
-        } else if (now.since(peerServedAt).compareTo(ALONE) > 0) {
-          transitionTo(State.DOUBTED, "no peer is served either");
-        }
-      }
+      case SERVED -> checkServed();
+      case DOUBTED -> checkDoubted(now);
+      case LOST -> checkLost(now);
+    }
+  }
+
+  private void checkServed() {
+    if (failingFor.compareTo(lostAfter.dividedBy(2)) >= 0) {
+      transitionTo(State.DOUBTED, "no answer for " + failingFor.toMillis() + " ms");
+      listener.doubted();
+    }
+  }
+
+  private void checkDoubted(MonotonicTime now) {
+    if (failingFor.isZero()) {
+      peersAheadSince = Optional.empty();
+      transitionTo(State.SERVED, "answered");
+      return;
+    }
+    comparePeers(now);
+    if (failingFor.compareTo(lostAfter) < 0) {
+      return;
+    }
+    boolean confirmed =
+        peersAheadSince
+            .filter(since -> now.since(since).compareTo(confirmationTime()) >= 0)
+            .isPresent();
+    if (confirmed) {
+      peersAheadSince = Optional.empty();
+      onLost(now);
+    } else if (failingFor.toMillis() % SUSPICION_REPEAT.toMillis() < CHECK_INTERVAL.toMillis()) {
+      listener.doubted();
+    }
+  }
+
+  private void checkLost(MonotonicTime now) {
+    if (listener.peerServedSince(now.minus(PEER_TIMEOUT))) {
+      lastPeerServedAt = now;
+    }
+    if (now.since(servedSince).compareTo(probation()) >= 0) {
+      transitionTo(State.SERVED, "answered for " + probation().toMillis() + " ms");
+    } else if (now.since(lastPeerServedAt).compareTo(PEER_TIMEOUT) > 0) {
+      transitionTo(State.DOUBTED, "no peer is served either");
     }
   }
 
   /**
-   * Since when peers are served and we are not. At the end of an outage the service answers some a
-   * moment before others: that moment is no loss, and calls made meanwhile will tell.
+   * Records since when peers are served and this controller is not. At the end of an outage the
+   * store answers some controllers a moment before others: that is no loss, and calls made
+   * meanwhile will show it.
    */
-  private void watchPeers(MonotonicTime now) {
-    MonotonicTime lossBegan = now.minus(silent);
-    if (!listener.peerServedSince(lossBegan.plus(MARGIN))) {
-      aheadSince = Optional.empty();
+  private void comparePeers(MonotonicTime now) {
+    MonotonicTime failingSince = now.minus(failingFor);
+    if (!listener.peerServedSince(failingSince.plus(PEER_ANSWER_MARGIN))) {
+      peersAheadSince = Optional.empty();
     } else {
-      aheadSince = Optional.of(aheadSince.orElse(now));
+      peersAheadSince = Optional.of(peersAheadSince.orElse(now));
       probe.run();
     }
   }
 
-  private Duration proven() {
-    return lostAfter.dividedBy(2).minus(TICK.multipliedBy(2));
+  /** How long peers must have been served while this controller was not. */
+  private Duration confirmationTime() {
+    return lostAfter.dividedBy(2).minus(CHECK_INTERVAL.multipliedBy(2));
   }
 
-  private void lose(MonotonicTime now) {
-    losses = now.since(lostAt).compareTo(FORGIVEN) > 0 ? 0 : Math.min(MAX_DOUBLINGS, losses + 1);
+  private void onLost(MonotonicTime now) {
+    losses = now.since(lostAt).compareTo(LOSS_MEMORY) > 0 ? 0 : Math.min(MAX_DOUBLINGS, losses + 1);
     lostAt = now;
-    peerServedAt = now;
-    wellSince = now;
-    transitionTo(State.LOST, "no answer for " + silent.toMillis() + " ms while peers are served");
+    lastPeerServedAt = now;
+    servedSince = now;
+    transitionTo(
+        State.LOST, "no answer for " + failingFor.toMillis() + " ms while peers are served");
   }
 
-  /** What comes and goes must answer for longer before it is trusted again. */
-  private Duration trial() {
-    return FIRST_TRIAL.multipliedBy(1L << losses);
+  /** How long calls must be answered after a loss; doubles with each loss shortly after another. */
+  private Duration probation() {
+    return FIRST_PROBATION.multipliedBy(1L << losses);
   }
 
+  /** The state of the connection. */
   public State state() {
     return state;
   }
 
-  /** How long ago the service last answered. */
+  /** Time since the store last answered. */
   public Duration silence() {
-    return loop.now().since(servedAt);
+    return loop.now().since(lastAnswerAt);
   }
 }
--- a/src/main/java/org/mulleinshift/membership/WorkerReachability.java
+++ b/src/main/java/org/mulleinshift/membership/WorkerReachability.java
@@ -13,37 +13,53 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whether this controller is reached by its workers. Told by the reports that should have come:
- * their rate, the number of machines and the jitter say how long a silence can be chance. Once in
- * doubt it is trusted again on a sign only, a report or a worker that answers; that its shards went
- * to others, and nobody is expected any more, is none.
+ * Whether this controller is reached by its workers, judged by the heartbeats that were due: their
+ * rate, the number of machines and the jitter show for how long a gap can be chance. Once suspected
+ * it is trusted again only on positive evidence, a heartbeat or a worker that answers a ping; that
+ * its shards went to others, and no heartbeat is due any more, is none.
  */
 public final class WorkerReachability {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerReachability.class);
-  private static final Duration TICK = Duration.ofMillis(250);
-  private static final Duration PING_EVERY = Duration.ofSeconds(2);
+  private static final Duration CHECK_INTERVAL = Duration.ofMillis(250);
+  private static final Duration PING_INTERVAL = Duration.ofSeconds(2);
   private static final Duration PING_DEADLINE = Duration.ofMillis(1500);
 
-  /** Without any sign for so long it gets another try: the machines it knew may all be gone. */
-  private static final Duration FORGIVEN = Duration.ofSeconds(90);
+  /** Without any evidence for this long it is tried again: the machines it knew may be gone. */
+  private static final Duration SUSPICION_TIMEOUT = Duration.ofSeconds(90);
 
-  private static final int FEW_MACHINES = 2;
-  private static final int MANY_MACHINES = 20;
-  private static final int PINGED = 8;
+  /** From this many machines on, most of them missing counts. */
+  private static final int MIN_MACHINES_FOR_MOST = 2;
 
-  /** So many reports that should have come and did not are no chance. */
-  private static final int MISSED = 25;
+  /** From this many machines on, a gap in the heartbeats of all of them counts. */
+  private static final int MIN_MACHINES_FOR_ALL = 20;
 
-  private static final Duration MIN_SILENCE = Duration.ofMillis(1500);
+  /** How many of the machines known before are pinged in turn. */
+  private static final int MAX_PINGED_MACHINES = 8;
 
-  /** States of the link. */
+  /** This many heartbeats that were due and did not arrive are no chance. */
+  private static final int MISSED_HEARTBEATS = 25;
+
+  /** With jitter, a heartbeat is due within five quarters of the interval. */
+  private static final int JITTER_NUMERATOR = 5;
+
+  private static final long JITTER_DENOMINATOR = 4;
+
+  /** The part of the conclusive gap after which the state is doubted: one in so many. */
+  private static final int DOUBT_DIVISOR = 3;
+
+  private static final Duration MIN_CONCLUSIVE_GAP = Duration.ofMillis(1500);
+
+  private static final int HTTP_OK = 200;
+
+  /** States of the connection to the workers, from good to bad. */
   public enum State {
+    /** Heartbeats arrive, or too few are due to tell. */
     WELL("WELL"),
-    /** A third of what proves it: nothing follows but that no shard is given to this node. */
+    /** A third of the conclusive gap has passed: this controller is granted no further shards. */
     DOUBTED("DOUBTED"),
-    /** Most machines have stopped reporting here. */
+    /** The heartbeats of most machines have stopped. */
     MOST_SILENT("MOST_SILENT"),
-    /** None reports, of so many that this is no chance. */
+    /** No heartbeat arrives, of so many machines that this is no chance. */
     ALL_SILENT("ALL_SILENT");
 
     private final String wireName;
@@ -52,7 +68,7 @@
       this.wireName = wireName;
     }
 
-    /** How peer frames name it. */
+    /** The name of the state in peer frames. */
     public String wireName() {
       return wireName;
     }
@@ -68,10 +84,22 @@
     }
   }
 
-  /** What is known of the machines now. */
+  /**
+   * What is known of the machines now.
+   *
+   * @param known machines of the shards that this controller may act for
+   * @param silent those of them whose heartbeats have stopped
+   */
   public record Count(int known, int silent) {}
 
-  /** The ways of the link: its workers, by what it counts them, and who hears of changes. */
+  /**
+   * What the check needs of its controller.
+   *
+   * @param workers client for pings
+   * @param count counts the machines
+   * @param addresses addresses of the machines
+   * @param onChange called when the state has changed
+   */
   public record Parts(
       AsyncHttpClient workers,
       Supplier<Count> count,
@@ -79,118 +107,139 @@
       Runnable onChange) {}
 
   private final EventLoop loop;
-  private final Duration reportEvery;
-  private final Parts parts;
+  private final Duration heartbeatInterval;
+  private final Parts context;
   private State state = State.WELL;
-  private Duration noReport = Duration.ZERO;
-  private MonotonicTime tickedAt;
+  private Duration heartbeatGap = Duration.ZERO;
+  private MonotonicTime checkedAt;
   private MonotonicTime changedAt;
   private MonotonicTime pingedAt;
-  private boolean reported;
-  private boolean sign;
+  private boolean heartbeatReceived;
+  private boolean reachedSinceSuspected;
   private int pings;
-  private List<InetSocketAddress> known = List.of();
-
-  public WorkerReachability(EventLoop loop, Duration reportEvery, Parts parts) {
+  private List<InetSocketAddress> lastKnownAddresses = List.of();
+
+  /**
+   * A connection that counts as good until heartbeats are missing.
+   *
+   * @param heartbeatInterval time between two heartbeats of a machine
+   */
+  public WorkerReachability(EventLoop loop, Duration heartbeatInterval, Parts context) {
     this.loop = loop;
-    this.reportEvery = reportEvery;
-    this.parts = parts;
-    this.tickedAt = loop.now();
-    this.changedAt = tickedAt;
-    this.pingedAt = tickedAt;
+    this.heartbeatInterval = heartbeatInterval;
+    this.context = context;
+    this.checkedAt = loop.now();
+    this.changedAt = checkedAt;
+    this.pingedAt = checkedAt;
   }
 
+  /** Starts the periodic check. */
   public void start() {
-    tickedAt = loop.now();
-    loop.after(TICK, this::tick);
+    checkedAt = loop.now();
+    loop.after(CHECK_INTERVAL, this::check);
   }
 
-  /** A worker's report came, of whatever shard. */
+  /** A worker's heartbeat arrived, of whatever shard. */
   public void reported() {
-    reported = true;
-    sign = true;
+    heartbeatReceived = true;
+    reachedSinceSuspected = true;
   }
 
-  /** What could not be heard meanwhile is no silence. */
+  /** This process was paused: what could not be received meanwhile is no gap. */
   public void stoodStill() {
-    noReport = Duration.ZERO;
+    heartbeatGap = Duration.ZERO;
   }
 
-  private void tick() {
-    loop.after(TICK, this::tick);
-    Duration gap = loop.now().since(tickedAt);
-    tickedAt = loop.now();
-    // A turn that comes late says nothing: reports may wait behind it in the queue.
-    boolean late = gap.compareTo(TICK.multipliedBy(2)) > 0;
-    noReport = reported || late ? Duration.ZERO : noReport.plus(gap);
-    reported = false;
-    State next = judge(parts.count().get());
+  private void check() {
+    loop.after(CHECK_INTERVAL, this::check);
+    Duration gap = loop.now().since(checkedAt);
+    checkedAt = loop.now();
+    // A check that runs late shows nothing: heartbeats may be queued behind it.
+    boolean late = gap.compareTo(CHECK_INTERVAL.multipliedBy(2)) > 0;
+    heartbeatGap = heartbeatReceived || late ? Duration.ZERO : heartbeatGap.plus(gap);
+    heartbeatReceived = false;
+    State next = nextState(context.count().get());
     if (next != state) {
       transitionTo(next);
     }
-    if (state != State.WELL && loop.now().since(pingedAt).compareTo(PING_EVERY) >= 0) {
+    if (state != State.WELL && loop.now().since(pingedAt).compareTo(PING_INTERVAL) >= 0) {
       ping();
     }
   }
 
-  private State judge(Count count) {
-    Duration proof = provenAfter(count.known());
-    boolean many = count.known() >= MANY_MACHINES;
-    if (many && noReport.compareTo(proof) >= 0) {
+  private State nextState(Count count) {
+    Duration conclusiveGap = conclusiveGap(count.known());
+    boolean enoughMachines = count.known() >= MIN_MACHINES_FOR_ALL;
+    if (enoughMachines && heartbeatGap.compareTo(conclusiveGap) >= 0) {
       return State.ALL_SILENT;
     }
-    if (count.known() >= FEW_MACHINES && 2 * count.silent() >= count.known()) {
+    if (mostUnreachable(count)) {
       return state == State.ALL_SILENT ? state : State.MOST_SILENT;
     }
-    if (many && noReport.multipliedBy(3).compareTo(proof) >= 0) {
+    if (enoughMachines && heartbeatGap.multipliedBy(DOUBT_DIVISOR).compareTo(conclusiveGap) >= 0) {
       return state == State.WELL ? State.DOUBTED : state;
     }
-    boolean trusted = state == State.DOUBTED || state == State.WELL || sign || forgiven();
-    return trusted ? State.WELL : state;
+    return trustedAgain() ? State.WELL : state;
+  }
+
+  private static boolean mostUnreachable(Count count) {
+    return count.known() >= MIN_MACHINES_FOR_MOST && 2 * count.silent() >= count.known();
   }
 
-  private boolean forgiven() {
-    return loop.now().since(changedAt).compareTo(FORGIVEN) >= 0;
+  private boolean trustedAgain() {
+    return state == State.DOUBTED
+        || state == State.WELL
+        || reachedSinceSuspected
+        || loop.now().since(changedAt).compareTo(SUSPICION_TIMEOUT) >= 0;
   }
 
-  /** So long that {@link #MISSED} reports should have come, jitter included. */
-  private Duration provenAfter(int machines) {
-    Duration expected = reportEvery.multipliedBy(5 * MISSED).dividedBy(4L * Math.max(1, machines));
-    return expected.compareTo(MIN_SILENCE) > 0 ? expected : MIN_SILENCE;
+  /** The time in which {@link #MISSED_HEARTBEATS} heartbeats were due, jitter included. */
+  private Duration conclusiveGap(int machines) {
+    Duration expected =
+        heartbeatInterval
+            .multipliedBy(JITTER_NUMERATOR * MISSED_HEARTBEATS)
+            .dividedBy(JITTER_DENOMINATOR * Math.max(1, machines));
+    return expected.compareTo(MIN_CONCLUSIVE_GAP) > 0 ? expected : MIN_CONCLUSIVE_GAP;
   }
 
   /** The only place where the state changes. */
   private void transitionTo(State next) {
-    boolean sure = next != State.DOUBTED && state != State.DOUBTED;
-    if (sure || next.compareTo(State.DOUBTED) > 0) {
-      LOG.info("workers {} -> {}: no report for {} ms", state, next, noReport.toMillis());
+    boolean conclusive = next != State.DOUBTED && state != State.DOUBTED;
+    if (conclusive || next.compareTo(State.DOUBTED) > 0) {
+      LOG.info(
+          "worker reachability changed, from={} to={} heartbeat_gap_ms={}",
+          state,
+          next,
+          heartbeatGap.toMillis());
     }
     if (state == State.WELL || state == State.DOUBTED) {
-      sign = false;
-      known = parts.addresses().get();
+      reachedSinceSuspected = false;
+      lastKnownAddresses = context.addresses().get();
     }
     state = next;
     changedAt = loop.now();
-    parts.onChange().run();
+    context.onChange().run();
   }
 
   /** Asks one of the machines known before, in turn, whether it can be reached. */
   private void ping() {
     pingedAt = loop.now();
-    int machines = Math.min(PINGED, known.size());
+    int machines = Math.min(MAX_PINGED_MACHINES, lastKnownAddresses.size());
     if (machines == 0) {
       return;
     }
-    int step = Math.max(1, known.size() / machines);
-    InetSocketAddress address = known.get((pings++ * step) % known.size());
-    parts
+    int step = Math.max(1, lastKnownAddresses.size() / machines);
+    InetSocketAddress address =
+        lastKnownAddresses.get((pings++ * step) % lastKnownAddresses.size());
+    context
         .workers()
         .call(
             address,
             HttpRequest.get(WorkerCodec.STATUS, PING_DEADLINE),
-            reply -> sign |= reply.status() == 200);
+            response -> reachedSinceSuspected |= response.status() == HTTP_OK);
   }
 
+  /** The state of the connection. */
   public State state() {
     return state;
   }
--- a/src/test/java/org/mulleinshift/membership/IndirectLeaseRenewalTest.java
+++ b/src/test/java/org/mulleinshift/membership/IndirectLeaseRenewalTest.java
@@ -11,6 +11,8 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
 import org.mulleinshift.model.ClusterView;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Revision;
@@ -27,7 +29,7 @@
 import org.mulleinshift.transport.HttpResponse;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Entitlement by a peer's proof counts from when this node asked, however late the answer is. */
+/** What a peer reports counts from when this controller request, however late the response is. */
 final class IndirectLeaseRenewalTest {
   private static final Duration LEASE = Duration.ofSeconds(10);
   private static final NodeId SELF = new NodeId("node-0");
@@ -38,17 +40,17 @@
   private final VirtualEventLoop loop = new VirtualEventLoop();
   private final List<Object> sent = new ArrayList<>();
   private final ClusterView view = new ClusterView();
-  private final PeerFailureDetector links = new PeerFailureDetector(loop, SELF);
-  private boolean cut;
-  private boolean newsHeldBack;
+  private final PeerFailureDetector peers = new PeerFailureDetector(loop, SELF);
+  private boolean storeUnreachable;
+  private boolean watchDelayed;
   private final KeyValueStore store =
       new KeyValueStore(
           loop,
-          this::state,
-          this::state,
+          this::answerStoreCall,
+          this::answerStoreCall,
           new InetSocketAddress(1),
           new KeyValueStore.Rates(1000, 1000, 1, 1));
-  private final StoreHealth link =
+  private final StoreHealth storeHealth =
       new StoreHealth(
           loop,
           Duration.ofSeconds(1),
@@ -57,18 +59,18 @@
           new StoreHealth.Listener() {
             @Override
             public void doubted() {
-              peerSpeaks();
+              peerSendsHeartbeat();
             }
 
             @Override
             public boolean peerServedSince(MonotonicTime moment) {
-              return links.anyServedSince(moment);
+              return peers.anyServedSince(moment);
             }
 
             @Override
             public void changed(StoreHealth.State next) {
               if (next == StoreHealth.State.LOST) {
-                proofs.start();
+                renewal.start();
               }
             }
           });
@@ -86,11 +88,11 @@
       follow(
           StoreKeys.ACTIVE_JOBS,
           () -> jobs().currentAsOf().ifPresent(session::onCancellationsKnown));
-  private final IndirectLeaseRenewal proofs =
+  private final IndirectLeaseRenewal renewal =
       new IndirectLeaseRenewal(
           loop,
           SELF,
-          new IndirectLeaseRenewal.Parts(store, link, links, session, view, control, jobs),
+          new IndirectLeaseRenewal.Parts(store, storeHealth, peers, session, view, control, jobs),
           (node, body) -> sent.add(body));
 
   private WatchCache jobs() {
@@ -122,15 +124,16 @@
     store.get(StoreKeys.LEADER, KeyValueStore.Urgency.URGENT, answer -> {});
   }
 
-  private void peerSpeaks() {
+  private void peerSendsHeartbeat() {
     loop.post(
         () ->
-            links.onHeartbeat(
+            peers.onHeartbeat(
                 PEER, new Heartbeat(1L, 0L, false, "WELL", "", 0L, "", false, List.of())));
   }
 
-  /** The state service until it is cut off; watches never answer. */
-  private void state(InetSocketAddress target, HttpRequest request, Consumer<HttpResponse> reply) {
+  /** A store that answers until it is unreachable; watches never answer. */
+  private void answerStoreCall(
+      InetSocketAddress target, HttpRequest request, Consumer<HttpResponse> reply) {
     String path = request.path();
     String body =
         path.equals("/holds")
@@ -139,18 +142,18 @@
                 ? "{\"rows\":[],\"more\":false,\"epoch\":3}"
                 : "{\"epoch\":3,\"news\":[]}";
     boolean known = !path.startsWith("/keys/");
-    boolean waits = path.startsWith("/changes") && !path.endsWith("hold_ms=0");
-    boolean heldBack = newsHeldBack && path.startsWith("/changes");
-    if (cut || heldBack) {
+    boolean watching = path.startsWith("/changes") && !path.endsWith("hold_ms=0");
+    boolean delayed = watchDelayed && path.startsWith("/changes");
+    if (storeUnreachable || delayed) {
       loop.after(request.deadline(), () -> reply.accept(HttpResponse.NO_RESPONSE));
-    } else if (!waits) {
+    } else if (!watching) {
       loop.post(() -> reply.accept(new HttpResponse(known ? 200 : 404, body)));
     }
   }
 
-  private void served() {
-    store.observe(link);
-    link.start();
+  private void startWithReachableStore() {
+    store.observe(storeHealth);
+    storeHealth.start();
     session.start();
     control.start();
     jobs.start();
@@ -158,30 +161,31 @@
     assertEquals(ControllerSession.State.ACTIVE, session.state());
   }
 
-  private LeaseRenewalRequest cutOffAndAsked() {
-    served();
-    cut = true;
+  private LeaseRenewalRequest loseStoreAndRequestRenewal() {
+    startWithReachableStore();
+    storeUnreachable = true;
     for (int i = 0; i < 6 && sent.isEmpty(); i++) {
-      peerSpeaks();
+      peerSendsHeartbeat();
       loop.runFor(0.5);
     }
-    assertEquals(StoreHealth.State.LOST, link.state());
+    assertEquals(StoreHealth.State.LOST, storeHealth.state());
     return (LeaseRenewalRequest) sent.get(0);
   }
 
-  /** The question for what was cancelled, asked beside the one for the session. */
-  private LeaseRenewalRequest second() {
+  /** The request for cancellations, sent together with the one for the session. */
+  private LeaseRenewalRequest cancellationsRequest() {
     return (LeaseRenewalRequest) sent.get(1);
   }
 
-  private static LeaseRenewalResponse nothingCancelled(LeaseRenewalRequest asked) {
-    return new LeaseRenewalResponse(asked.getId(), asked.getLease(), false, true, 50L, List.of());
+  private static LeaseRenewalResponse nothingCancelledResponse(LeaseRenewalRequest request) {
+    return new LeaseRenewalResponse(
+        request.getId(), request.getLease(), false, true, 50L, List.of());
   }
 
-  private static LeaseRenewalResponse answerTo(LeaseRenewalRequest asked) {
+  private static LeaseRenewalResponse renewedResponse(LeaseRenewalRequest request) {
     return new LeaseRenewalResponse(
-        asked.getId(),
-        asked.getLease(),
+        request.getId(),
+        request.getLease(),
         false,
         true,
         50L,
@@ -189,110 +193,125 @@
   }
 
   @Test
-  void countsFromTheQuestion() {
-    LeaseRenewalRequest asked = cutOffAndAsked();
-    MonotonicTime askedBy = loop.now();
+  void evidenceCountsFromTheRequest() {
+    LeaseRenewalRequest request = loseStoreAndRequestRenewal();
+    MonotonicTime requestedBy = loop.now();
     loop.runFor(0.4);
-    proofs.onResponse(PEER, answerTo(asked));
-    proofs.onResponse(PEER, nothingCancelled(second()));
+    renewal.onResponse(PEER, renewedResponse(request));
+    renewal.onResponse(PEER, nothingCancelledResponse(cancellationsRequest()));
     assertTrue(session.mayActFor(SHARD, GRANT));
     loop.runFor(LEASE.toMillis() / 1000.0 - 0.4 - 0.3);
-    assertTrue(loop.now().since(askedBy).compareTo(LEASE) < 0);
+    assertTrue(loop.now().since(requestedBy).compareTo(LEASE) < 0);
     loop.runFor(0.3);
-    assertFalse(session.mayActFor(SHARD, GRANT), "a lease after the question, not the answer");
+    assertFalse(session.mayActFor(SHARD, GRANT), "a lease after the request, not the response");
   }
 
   @Test
-  void lateAnswerEntitlesToNothing() {
-    LeaseRenewalRequest asked = cutOffAndAsked();
+  void lateResponseIsNoEvidence() {
+    LeaseRenewalRequest request = loseStoreAndRequestRenewal();
     loop.runFor(12);
-    proofs.onResponse(PEER, answerTo(asked));
-    proofs.onResponse(PEER, nothingCancelled(second()));
+    renewal.onResponse(PEER, renewedResponse(request));
+    renewal.onResponse(PEER, nothingCancelledResponse(cancellationsRequest()));
     assertFalse(session.mayActFor(SHARD, GRANT));
   }
 
   @Test
-  void leaseFoundOverEndsEverything() {
-    LeaseRenewalRequest asked = cutOffAndAsked();
-    proofs.onResponse(PEER, answerTo(asked));
+  void expiryReportedByPeerEndsTheSession() {
+    LeaseRenewalRequest request = loseStoreAndRequestRenewal();
+    renewal.onResponse(PEER, renewedResponse(request));
     assertTrue(session.mayActFor(SHARD, GRANT));
-    peerSpeaks();
+    peerSendsHeartbeat();
     loop.runFor(1.2);
     LeaseRenewalRequest next = (LeaseRenewalRequest) sent.get(sent.size() - 2);
-    proofs.onResponse(
+    renewal.onResponse(
         PEER, new LeaseRenewalResponse(next.getId(), next.getLease(), true, true, 0L, List.of()));
     assertFalse(session.mayActFor(SHARD, GRANT));
     assertEquals(Optional.empty(), session.lease());
   }
 
-  /**
-   * Renews the session by the peer for so many seconds; the last question for what is cancelled.
-   */
-  private LeaseRenewalRequest renewedByPeerFor(int seconds) {
+  /** Renews the session through the peer, and returns the last request for cancellations. */
+  private LeaseRenewalRequest renewThroughPeerFor(int seconds) {
     for (int i = 0; i < seconds; i++) {
-      peerSpeaks();
+      peerSendsHeartbeat();
       loop.runFor(1);
-      proofs.onResponse(PEER, answerTo((LeaseRenewalRequest) sent.get(sent.size() - 2)));
+      renewal.onResponse(PEER, renewedResponse((LeaseRenewalRequest) sent.get(sent.size() - 2)));
     }
     return (LeaseRenewalRequest) sent.get(sent.size() - 1);
   }
 
   @Test
-  void sessionAndGrantsWithoutCancellationsEndTheRight() {
-    cutOffAndAsked();
-    LeaseRenewalRequest asked = renewedByPeerFor(12);
+  void renewalWithoutCancellationsLetsTheOwnershipLeaseExpire() {
+    loseStoreAndRequestRenewal();
+    LeaseRenewalRequest request = renewThroughPeerFor(12);
     assertFalse(session.mayActFor(SHARD, GRANT), "a lease after cancellations were last known");
-    proofs.onResponse(PEER, nothingCancelled(asked));
+    renewal.onResponse(PEER, nothingCancelledResponse(request));
     assertTrue(session.mayActFor(SHARD, GRANT));
   }
 
   @Test
-  void peerOfAnEarlierBuildProvesNoCancellations() {
-    cutOffAndAsked();
-    LeaseRenewalRequest asked = renewedByPeerFor(12);
-    // It looks for a lease of that name, finds none, and says that it is over.
-    proofs.onResponse(
-        PEER, new LeaseRenewalResponse(asked.getId(), asked.getLease(), true, true, 0L, List.of()));
+  void peerOfAnEarlierBuildGivesNoEvidenceOfCancellations() {
+    loseStoreAndRequestRenewal();
+    LeaseRenewalRequest request = renewThroughPeerFor(12);
+    // It looks for a lease of that id, finds none, and reports it as expired.
+    renewal.onResponse(
+        PEER,
+        new LeaseRenewalResponse(request.getId(), request.getLease(), true, true, 0L, List.of()));
     assertFalse(session.mayActFor(SHARD, GRANT));
-    assertEquals(ControllerSession.State.ACTIVE, session.state(), "the session's own lease stands");
+    assertEquals(
+        ControllerSession.State.ACTIVE, session.state(), "the session's own lease is still valid");
   }
 
-  @Test
-  void contradictionsProveNothing() {
-    cutOffAndAsked();
-    LeaseRenewalRequest asked = renewedByPeerFor(12);
-    long id = asked.getId();
-    KeyChange elsewhere = new KeyChange("c/g/a-0", "{}", 40L);
-    KeyChange later = new KeyChange("a/run-1", "{}", 60L);
-    KeyChange unreadable = new KeyChange("a/run-1", "[", 40L);
-    List<LeaseRenewalResponse> bad =
-        List.of(
-            new LeaseRenewalResponse(id, asked.getLease(), false, false, 50L, List.of()),
-            new LeaseRenewalResponse(id, asked.getLease(), false, true, 1L, List.of()),
-            new LeaseRenewalResponse(id, 9L, false, true, 50L, List.of()),
-            new LeaseRenewalResponse(id, asked.getLease(), false, true, 50L, List.of(elsewhere)),
-            new LeaseRenewalResponse(id, asked.getLease(), false, true, 50L, List.of(later)),
-            new LeaseRenewalResponse(id, asked.getLease(), false, true, 50L, List.of(unreadable)));
-    for (LeaseRenewalResponse answer : bad) {
-      LeaseRenewalRequest open = renewedByPeerFor(1);
-      answer.setId(open.getId());
-      proofs.onResponse(PEER, answer);
-      assertFalse(session.mayActFor(SHARD, GRANT), answer.toString());
+  /** What makes a response to the request for cancellations unusable. */
+  private enum Defect {
+    INCOMPLETE,
+    EARLIER_REVISION,
+    OTHER_LEASE,
+    KEY_OUTSIDE_THE_PREFIX,
+    CHANGE_AFTER_THE_REVISION,
+    UNREADABLE_VALUE;
+
+    private LeaseRenewalResponse responseTo(LeaseRenewalRequest request) {
+      LeaseRenewalResponse response = nothingCancelledResponse(request);
+      switch (this) {
+        case INCOMPLETE -> response.setComplete(false);
+        case EARLIER_REVISION -> response.setRevision(1L);
+        case OTHER_LEASE -> response.setLease(9L);
+        case KEY_OUTSIDE_THE_PREFIX ->
+            response.setChanges(List.of(new KeyChange("c/g/a-0", "{}", 40L)));
+        case CHANGE_AFTER_THE_REVISION ->
+            response.setChanges(List.of(new KeyChange("a/run-1", "{}", 60L)));
+        case UNREADABLE_VALUE -> response.setChanges(List.of(new KeyChange("a/run-1", "[", 40L)));
+      }
+      return response;
     }
-    proofs.onResponse(PEER, nothingCancelled(renewedByPeerFor(1)));
-    assertTrue(session.mayActFor(SHARD, GRANT));
+  }
+
+  @ParameterizedTest
+  @EnumSource(Defect.class)
+  void defectiveResponseIsNoEvidence(Defect defect) {
+    // Given a controller that does not know of late which jobs were cancelled
+    loseStoreAndRequestRenewal();
+    LeaseRenewalRequest request = renewThroughPeerFor(13);
+    // When the response is defective
+    LeaseRenewalResponse response = defect.responseTo(request);
+    renewal.onResponse(PEER, response);
+    // Then it may not act
+    assertFalse(session.mayActFor(SHARD, GRANT), response.toString());
+    // And once a sound response arrives, it may
+    renewal.onResponse(PEER, nothingCancelledResponse(renewThroughPeerFor(1)));
+    assertTrue(session.mayActFor(SHARD, GRANT), "a sound response is evidence");
   }
 
   @Test
-  void heldBackNewsEndTheRightThoughRenewalsAreAnswered() {
-    served();
+  void delayedWatchLetsTheOwnershipLeaseExpireThoughRenewalsAreAnswered() {
+    startWithReachableStore();
     loop.runFor(20);
-    assertTrue(session.mayAct());
-    newsHeldBack = true;
+    assertTrue(session.hasValidOwnershipLease());
+    watchDelayed = true;
     loop.runFor(LEASE.toMillis() / 1000.0 + 1);
-    assertFalse(session.mayAct());
-    newsHeldBack = false;
+    assertFalse(session.hasValidOwnershipLease());
+    watchDelayed = false;
     loop.runFor(5);
-    assertTrue(session.mayAct());
+    assertTrue(session.hasValidOwnershipLease());
   }
 }
--- a/src/test/java/org/mulleinshift/membership/StandbyFailoverTest.java
+++ b/src/test/java/org/mulleinshift/membership/StandbyFailoverTest.java
@@ -17,50 +17,50 @@
 import org.mulleinshift.protocol.peer.PeerLastHeard;
 import org.mulleinshift.store.StoreKeys;
 
-/** When the standby ends the leader's lease, and when it must not. */
+/** When the standby revokes the leader's lease, and when it must not. */
 final class StandbyFailoverTest {
   private static final NodeId SELF = new NodeId("node-0");
   private static final NodeId LEADER = new NodeId("node-1");
   private static final NodeId OTHER = new NodeId("node-2");
 
   private final VirtualEventLoop loop = new VirtualEventLoop();
-  private final PeerFailureDetector links = new PeerFailureDetector(loop, SELF);
+  private final PeerFailureDetector peers = new PeerFailureDetector(loop, SELF);
   private final ClusterView view = new ClusterView();
-  private final List<LeaderElection.TermLease> ended = new ArrayList<>();
-  private boolean ownLinksWell = true;
+  private final List<LeaderElection.TermLease> deposedTerms = new ArrayList<>();
+  private boolean healthy = true;
   private boolean otherHearsLeader;
-  private final StandbyFailover succession =
+  private final StandbyFailover failover =
       new StandbyFailover(
           loop,
           SELF,
           Duration.ofSeconds(1),
           Duration.ofSeconds(5),
           new StandbyFailover.Parts(
-              links, view, () -> ownLinksWell, this::otherSpeaks, ended::add));
+              peers, view, () -> healthy, this::otherSendsHeartbeat, deposedTerms::add));
 
   @BeforeEach
-  void leaderNamesUs() {
+  void becomeStandby() {
     KeyValue key =
         new KeyValue(
             StoreKeys.LEADER, ClusterView.leaderValue(LEADER, new LeaseId(9)), new Revision(4));
     view.apply(StoreKeys.LEADER, Optional.of(key));
-    succession.start();
-    leaderSpeaksFor(3);
+    failover.start();
+    leaderSendsHeartbeatsFor(3);
   }
 
-  private void leaderSpeaksFor(double seconds) {
+  private void leaderSendsHeartbeatsFor(double seconds) {
     for (double past = 0; past < seconds; past += 0.1) {
-      links.onMessage(LEADER, true);
-      links.onHeartbeat(
+      peers.onMessage(LEADER, true);
+      peers.onHeartbeat(
           LEADER, new Heartbeat(1L, 0L, false, "WELL", "node-1", 4L, "node-0", false, List.of()));
       loop.runFor(0.1);
     }
   }
 
-  private void otherSpeaks() {
-    long silent = otherHearsLeader ? 50 : 1000;
-    links.onMessage(OTHER, true);
-    links.onHeartbeat(
+  private void otherSendsHeartbeat() {
+    long silenceMillis = otherHearsLeader ? 50 : 1000;
+    peers.onMessage(OTHER, true);
+    peers.onHeartbeat(
         OTHER,
         new Heartbeat(
             2L,
@@ -71,38 +71,39 @@
             0L,
             "",
             false,
-            List.of(new PeerLastHeard("node-1", silent))));
+            List.of(new PeerLastHeard("node-1", silenceMillis))));
   }
 
   @Test
-  void silentLeaderIsReplacedOnce() {
+  void leaderThatNobodyHearsIsDeposedOnce() {
     loop.runFor(1.5);
-    assertEquals(List.of(new LeaderElection.TermLease(new Revision(4), new LeaseId(9))), ended);
+    assertEquals(
+        List.of(new LeaderElection.TermLease(new Revision(4), new LeaseId(9))), deposedTerms);
   }
 
   @Test
-  void leaderThatAnotherHearsStays() {
+  void leaderThatAnotherControllerHearsStays() {
     otherHearsLeader = true;
     loop.runFor(4);
-    assertEquals(List.of(), ended);
+    assertEquals(List.of(), deposedTerms);
   }
 
   @Test
-  void standbyWithBadLinksDoesNothing() {
-    ownLinksWell = false;
+  void unhealthyStandbyDeposesNobody() {
+    healthy = false;
     loop.runFor(4);
-    assertEquals(List.of(), ended);
+    assertEquals(List.of(), deposedTerms);
   }
 
-  /** Without it a standby whose word was lost would never act again. */
+  /** Otherwise a standby whose request to revoke the lease was lost would never act again. */
   @Test
-  void deposedInVainIsReadyAgainAndSlower() {
+  void deposesAgainLaterIfTheLeaderWasAlive() {
     loop.runFor(1.5);
-    leaderSpeaksFor(3);
-    assertEquals(1, ended.size());
+    leaderSendsHeartbeatsFor(3);
+    assertEquals(1, deposedTerms.size());
     loop.runFor(1.7);
-    assertEquals(1, ended.size(), "the second alarm takes twice as long");
+    assertEquals(1, deposedTerms.size(), "the second alarm takes twice as long");
     loop.runFor(1);
-    assertEquals(2, ended.size());
+    assertEquals(2, deposedTerms.size());
   }
 }
--- a/src/test/java/org/mulleinshift/membership/VirtualEventLoop.java
+++ b/src/test/java/org/mulleinshift/membership/VirtualEventLoop.java
@@ -7,8 +7,11 @@
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** A loop in virtual time. */
+/** An event loop in virtual time: a test runs its steps and moves its clock. */
 public final class VirtualEventLoop implements EventLoop {
+  private static final double NANOS_PER_SECOND = 1e9;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+
   private record Step(long at, long order, Runnable run) {}
 
   private final PriorityQueue<Step> steps =
@@ -16,8 +19,9 @@
   private long now;
   private long order;
 
+  /** Runs the steps that are due within the next seconds, in the order of their times. */
   public void runFor(double seconds) {
-    long end = now + (long) (seconds * 1e9);
+    long end = now + (long) (seconds * NANOS_PER_SECOND);
     while (!steps.isEmpty() && steps.peek().at <= end) {
       Step next = steps.poll();
       now = next.at;
@@ -44,7 +48,7 @@
 
   @Override
   public long wallMillis() {
-    return now / 1_000_000;
+    return now / NANOS_PER_MILLI;
   }
 
   @Override
@@ -54,6 +58,6 @@
 
   @Override
   public void onProcessPause(Consumer<Duration> listener) {
-    // Never stands still.
+    // Never paused.
   }
 }
