--- a/src/main/java/org/mulleinshift/compatibility/FeatureGates.java
+++ b/src/main/java/org/mulleinshift/compatibility/FeatureGates.java
@@ -16,19 +16,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which build each controller has shown. A process shows its own once, under a key that outlives
- * it: a controller that had its turn does not come back older. What an older build would misread is
- * written only after all members have shown one that reads it; since no key of these is ever taken
- * back, every later leader finds the same.
+ * Which feature level each controller has published. A process publishes its own once, under a key
+ * that outlives it: a controller that was upgraded does not come back with an older build. What an
+ * older build would misread is written only after all members have published a level that reads it;
+ * since none of these keys is ever deleted, every later leader finds the same.
  */
 public final class FeatureGates {
   private static final Logger LOG = LoggerFactory.getLogger(FeatureGates.class);
-  private static final Duration RETRY = Duration.ofSeconds(1);
+  private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
-  /** Since this build a chunk of progress may be cut into parts. */
+  /** From this level on a chunk of progress may be split. */
   public static final int SPLIT_CHUNKS = 1;
 
-  /** Since this build progress may stand in the log. */
+  /** From this level on progress may be stored in the log. */
   public static final int PROGRESS_LOG = 2;
 
   private static final int OWN_LEVEL = PROGRESS_LOG;
@@ -40,7 +40,12 @@
   private final ClusterView view;
   private int loggedLevel;
 
-  /** Of all configured members, this one included. */
+  /**
+   * Gates that are closed until all members have published their levels.
+   *
+   * @param members all configured controllers, this one included
+   * @param view where the published levels are read
+   */
   public FeatureGates(
       EventLoop loop, KeyValueStore store, NodeId self, List<NodeId> members, ClusterView view) {
     this.loop = loop;
@@ -50,7 +55,7 @@
     this.view = view;
   }
 
-  /** Shows the build of this process. */
+  /** Publishes the feature level of this process, unless that or a newer one is stored. */
   public void start() {
     store.get(
         StoreKeys.featureLevel(self),
@@ -63,31 +68,31 @@
               publish(found.value().revision());
             }
           } else {
-            loop.after(RETRY, this::start);
+            loop.after(RETRY_DELAY, this::start);
           }
         });
   }
 
-  private void publish(Revision version) {
+  private void publish(Revision revision) {
     String key = StoreKeys.featureLevel(self);
     store.commit(
-        List.of(new Compare(key, version)),
+        List.of(new Compare(key, revision)),
         List.of(Write.put(key, ClusterView.featureLevelValue(OWN_LEVEL))),
         KeyValueStore.Urgency.URGENT,
         outcome -> {
           if (!(outcome instanceof KeyValueStore.CommitResult.Committed)) {
-            loop.after(RETRY, this::start);
+            loop.after(RETRY_DELAY, this::start);
           }
         });
   }
 
-  /** Whether all members have shown that build, or a newer one. */
-  public boolean allSupport(int build) {
+  /** Whether all members have published that feature level, or a newer one. */
+  public boolean allSupport(int level) {
     boolean all =
-        members.stream().allMatch(node -> view.featureLevels().getOrDefault(node, 0) >= build);
-    if (all && loggedLevel < build) {
-      loggedLevel = build;
-      LOG.info("all controllers have shown build {}: its forms may be written", build);
+        members.stream().allMatch(node -> view.featureLevels().getOrDefault(node, 0) >= level);
+    if (all && loggedLevel < level) {
+      loggedLevel = level;
+      LOG.info("feature level supported by all controllers, level={}", level);
     }
     return all;
   }
--- a/src/main/java/org/mulleinshift/compatibility/UnreadableJobs.java
+++ b/src/main/java/org/mulleinshift/compatibility/UnreadableJobs.java
@@ -16,62 +16,72 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Jobs whose stored form this build can't read: a newer build wrote them, or they are damaged. They
- * are not this build's to judge: nothing stored of them is deleted or written, none of their tasks
- * is started, stopped or forgotten, and what they may take counts as taken. They stay aside until
- * the next term.
+ * Jobs whose stored form this build can't read: a newer build wrote them, or they are damaged. This
+ * build can't judge them: nothing stored of them is deleted or written, none of their tasks is
+ * started, stopped or forgotten, and the resources that they may use count as used. They stay
+ * quarantined until the next term.
  */
 public final class UnreadableJobs {
   private static final Logger LOG = LoggerFactory.getLogger(UnreadableJobs.class);
 
   private final Map<JobId, Footprint> jobs = new LinkedHashMap<>();
   private final Set<ShardId> shards = new HashSet<>();
-  private boolean anywhere;
+  private boolean shardsUnknown;
 
-  /** Sets a job aside; one log line for each. */
-  public void add(JobId job, JsonNode record, String why) {
+  /**
+   * Quarantines a job; logged once for each.
+   *
+   * @param record the stored record
+   * @param reason what can't be read, for the log
+   */
+  public void add(JobId job, JsonNode record, String reason) {
     if (jobs.putIfAbsent(job, JobRecord.footprint(record)) == null) {
-      LOG.warn("{} can't be read by this build and is left alone: {}", job, why);
+      LOG.warn("job quarantined as unreadable, job={} reason={}", job, reason);
     }
   }
 
-  /** Where a job that is set aside may have tasks, by its stored progress. */
-  public void addProgress(JsonNode value) {
-    JsonNode at = value.path("at");
-    if (!at.isArray()) {
-      anywhere = true;
+  /** Records where a quarantined job may have tasks, by a chunk of its stored progress. */
+  public void addProgress(JsonNode chunk) {
+    JsonNode assignments = chunk.path("at");
+    if (!assignments.isArray()) {
+      shardsUnknown = true;
       return;
     }
-    for (JsonNode item : at) {
-      if (item.path("b").isTextual()) {
-        addShard(new ShardId(item.path("b").asText()));
+    for (JsonNode assignment : assignments) {
+      if (assignment.path("b").isTextual()) {
+        addShard(new ShardId(assignment.path("b").asText()));
       } else {
-        anywhere = true;
+        shardsUnknown = true;
       }
     }
   }
 
+  /** A quarantined job may have tasks in that shard. */
   public void addShard(ShardId shard) {
     shards.add(shard);
   }
 
+  /** Whether the job is quarantined. */
   public boolean contains(JobId job) {
     return jobs.containsKey(job);
   }
 
+  /** All quarantined jobs. */
   public Set<JobId> jobs() {
     return Collections.unmodifiableSet(jobs.keySet());
   }
 
-  /** Whether tasks that nobody may stop may be on the shard's machines. */
+  /**
+   * Whether tasks of quarantined jobs, which must not be stopped, may be on the shard's machines.
+   */
   public boolean mayOccupy(ShardId shard) {
-    return !jobs.isEmpty() && (anywhere || shards.contains(shard));
+    return !jobs.isEmpty() && (shardsUnknown || shards.contains(shard));
   }
 
-  /** Adds what the jobs may have out to what their teams have. */
-  public void addUsage(Map<TeamId, Resources> use) {
+  /** Adds what the quarantined jobs may use to the usage of their teams. */
+  public void addUsage(Map<TeamId, Resources> usage) {
     for (Footprint footprint : jobs.values()) {
-      footprint.team().ifPresent(team -> use.merge(team, footprint.maximum(), Resources::plus));
+      footprint.team().ifPresent(team -> usage.merge(team, footprint.maximum(), Resources::plus));
     }
   }
 }
--- a/src/main/java/org/mulleinshift/membership/LeaderElection.java
+++ b/src/main/java/org/mulleinshift/membership/LeaderElection.java
@@ -202,14 +202,14 @@
   }
 
   private void renew(LeaseId own) {
-    if (!isCurrent(own)) {
+    if (!isCurrentLease(own)) {
       return;
     }
     MonotonicTime sent = loop.now();
     store.renewLease(
         own,
         answer -> {
-          if (!isCurrent(own)) {
+          if (!isCurrentLease(own)) {
             return;
           }
           if (answer instanceof ReadResult.Absent<Boolean>) {
@@ -224,7 +224,7 @@
         });
   }
 
-  private boolean isCurrent(LeaseId own) {
+  private boolean isCurrentLease(LeaseId own) {
     return state == State.LEADING && lease.equals(Optional.of(own));
   }
 
--- a/src/main/java/org/mulleinshift/memory/BoundedMap.java
+++ b/src/main/java/org/mulleinshift/memory/BoundedMap.java
@@ -5,23 +5,29 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Remembers so many entries; one more pushes out the one that came first. */
+/**
+ * A map of bounded size; one more entry evicts the one that was inserted first.
+ *
+ * @param <K> the type of the keys
+ * @param <V> the type of the values
+ */
 public final class BoundedMap<K, V> extends LinkedHashMap<K, V> {
   private static final long serialVersionUID = 1L;
 
-  private final int most;
+  private final int maxSize;
 
-  public BoundedMap(int most) {
-    this.most = most;
+  /** An empty map that keeps at most {@code maxSize} entries. */
+  public BoundedMap(int maxSize) {
+    this.maxSize = maxSize;
   }
 
-  /** A set that remembers so many elements. */
-  public static <T> Set<T> set(int most) {
-    return Collections.newSetFromMap(new BoundedMap<>(most));
+  /** An empty set that keeps at most {@code maxSize} elements, and evicts in the same way. */
+  public static <T> Set<T> set(int maxSize) {
+    return Collections.newSetFromMap(new BoundedMap<>(maxSize));
   }
 
   @Override
   protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-    return size() > most;
+    return size() > maxSize;
   }
 }
--- a/src/main/java/org/mulleinshift/memory/Heap.java
+++ b/src/main/java/org/mulleinshift/memory/Heap.java
@@ -1,11 +1,11 @@
 package org.mulleinshift.memory;
 
-/** The memory that objects take. */
+/** The heap, where the memory of objects is allocated. */
 public interface Heap {
-  /** Bytes taken, what is no longer reachable included. */
+  /** Bytes in use, those of unreachable objects included. */
   long used();
 
-  /** Frees what is no longer reachable; takes some tens of milliseconds. */
+  /** Frees unreachable objects; takes some tens of milliseconds. */
   void collect();
 
   /** The heap of this process. */
--- a/src/main/java/org/mulleinshift/memory/HeapMonitor.java
+++ b/src/main/java/org/mulleinshift/memory/HeapMonitor.java
@@ -7,78 +7,99 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the heap inside what the node has: frees what is unreachable before the limit is met, and
- * tells how short of memory the node is once that no longer helps. Only what is left after a
- * collection counts as pressure; before one, nobody knows how much of it is needed.
+ * Keeps the heap within the node's limit: collects garbage before the limit is reached, and reports
+ * memory pressure once that no longer helps. Only what remains after a collection counts as
+ * pressure; before one it is unknown how much of the heap is reachable.
  */
 public final class HeapMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(HeapMonitor.class);
-  private static final Duration EVERY = Duration.ofMillis(250);
-  private static final Duration MIN_PAUSE = Duration.ofSeconds(2);
-  private static final Duration PRESSING_PAUSE = Duration.ofMillis(500);
+  private static final Duration CHECK_INTERVAL = Duration.ofMillis(250);
+  private static final Duration MIN_TIME_BETWEEN_COLLECTIONS = Duration.ofSeconds(2);
+  private static final Duration MIN_TIME_BETWEEN_URGENT_COLLECTIONS = Duration.ofMillis(500);
 
-  /** A collection takes at most this part of the time: one in so many. */
-  private static final int TIME_SHARE = 20;
+  /** A collection is followed by a pause of at least this many times its duration. */
+  private static final int PAUSE_FACTOR = 20;
 
-  private static final double TIGHT = 0.70;
-  private static final double COLLECT = 0.80;
-  private static final double SCARCE = 0.85;
-  private static final double PRESSING = 0.95;
+  /** Shares of the limit: below this one the pressure is normal. */
+  private static final double HIGH_SHARE = 0.70;
+
+  private static final double COLLECT_SHARE = 0.80;
+  private static final double CRITICAL_SHARE = 0.85;
+
+  /** From here on a collection doesn't wait for the end of the pause. */
+  private static final double URGENT_SHARE = 0.95;
+
+  private static final int MIB_SHIFT = 20;
 
   private final EventLoop loop;
   private final Heap heap;
-  private final long limit;
+  private final long limitBytes;
   private MemoryPressure pressure = MemoryPressure.NORMAL;
   private MonotonicTime mayCollectAt;
   private MonotonicTime collectedAt;
 
+  /** A monitor that reports no pressure until it is started. */
   public HeapMonitor(EventLoop loop, Heap heap, long limitBytes) {
     this.loop = loop;
     this.heap = heap;
-    this.limit = limitBytes;
+    this.limitBytes = limitBytes;
     this.mayCollectAt = loop.now();
-    this.collectedAt = loop.now().minus(MIN_PAUSE);
+    this.collectedAt = loop.now().minus(MIN_TIME_BETWEEN_COLLECTIONS);
   }
 
-  /** Looks at the heap from now on, a few times a second. */
+  /** Checks the heap from now on, a few times a second. */
   public void start() {
-    loop.after(EVERY, this::start);
+    loop.after(CHECK_INTERVAL, this::start);
     check();
   }
 
+  /** The pressure by the last check. */
   public MemoryPressure pressure() {
     return pressure;
   }
 
   private void check() {
     long used = heap.used();
-    if (used < TIGHT * limit) {
+    if (used < HIGH_SHARE * limitBytes) {
       transitionTo(MemoryPressure.NORMAL, used);
       return;
     }
     MonotonicTime now = loop.now();
-    boolean due = used >= COLLECT * limit && !mayCollectAt.isAfter(now);
-    boolean pressing =
-        used >= PRESSING * limit && now.since(collectedAt).compareTo(PRESSING_PAUSE) >= 0;
-    if (!due && !pressing) {
+    boolean due = used >= COLLECT_SHARE * limitBytes && !mayCollectAt.isAfter(now);
+    boolean urgent =
+        used >= URGENT_SHARE * limitBytes
+            && now.since(collectedAt).compareTo(MIN_TIME_BETWEEN_URGENT_COLLECTIONS) >= 0;
+    if (!due && !urgent) {
       return;
     }
     heap.collect();
     collectedAt = loop.now();
-    Duration rest = collectedAt.since(now).multipliedBy(TIME_SHARE);
-    mayCollectAt = collectedAt.plus(rest.compareTo(MIN_PAUSE) > 0 ? rest : MIN_PAUSE);
-    long left = heap.used();
-    transitionTo(
-        left >= SCARCE * limit
-            ? MemoryPressure.CRITICAL
-            : left >= TIGHT * limit ? MemoryPressure.HIGH : MemoryPressure.NORMAL,
-        left);
+    Duration pause = collectedAt.since(now).multipliedBy(PAUSE_FACTOR);
+    mayCollectAt =
+        collectedAt.plus(
+            pause.compareTo(MIN_TIME_BETWEEN_COLLECTIONS) > 0
+                ? pause
+                : MIN_TIME_BETWEEN_COLLECTIONS);
+    long remaining = heap.used();
+    transitionTo(pressureOf(remaining), remaining);
+  }
+
+  private MemoryPressure pressureOf(long usedBytes) {
+    if (usedBytes >= CRITICAL_SHARE * limitBytes) {
+      return MemoryPressure.CRITICAL;
+    }
+    return usedBytes >= HIGH_SHARE * limitBytes ? MemoryPressure.HIGH : MemoryPressure.NORMAL;
   }
 
   /** The only place where the pressure changes. */
   private void transitionTo(MemoryPressure next, long used) {
     if (next != pressure) {
-      LOG.warn("memory {} -> {}: {} of {} MiB in use", pressure, next, used >> 20, limit >> 20);
+      LOG.warn(
+          "memory pressure changed, from={} to={} used_mib={} limit_mib={}",
+          pressure,
+          next,
+          used >> MIB_SHIFT,
+          limitBytes >> MIB_SHIFT);
       pressure = next;
     }
   }
--- a/src/main/java/org/mulleinshift/memory/MemoryPlan.java
+++ b/src/main/java/org/mulleinshift/memory/MemoryPlan.java
@@ -1,15 +1,15 @@
 package org.mulleinshift.memory;
 
 /**
- * How the memory of a node is shared out. The platform gives a node its amount in the settings file
- * only, which the virtual machine does not read: the heap's limit on the command line serves the
- * largest nodes, and what a smaller one may use of it is kept by {@link HeapMonitor}.
+ * How the memory of a node is divided. The platform states a node's memory in the settings file
+ * only, which the virtual machine does not read: the heap limit on the command line is that of the
+ * largest nodes, and {@link HeapMonitor} enforces the lower limit of a smaller one.
  *
- * @param heapBytes what objects may take
+ * @param heapBytes limit of the heap
  * @param idleConnections connections kept open between two requests
  * @param userBodyBytes bodies of users' requests that wait for the event loop
- * @param reportBodyBytes bodies of workers' reports that wait for it
- * @param peerQueueBytes frames that wait for one peer
+ * @param reportBodyBytes bodies of workers' heartbeats that wait for the event loop
+ * @param peerQueueBytes frames that wait to be sent to one peer
  * @param peerIncomingBytes frames of all peers that wait for the event loop
  */
 public record MemoryPlan(
@@ -21,8 +21,8 @@
     int peerIncomingBytes) {
   private static final long MIB = 1 << 20;
 
-  /** Of the node's memory; the rest is for what the process can't foresee. */
-  private static final double USABLE = 0.9;
+  /** Share of the node's memory that is planned for; the rest is a reserve. */
+  private static final double USABLE_SHARE = 0.9;
 
   /** Measured: code, classes, thread stacks, buffers outside the heap, the collector's tables. */
   private static final long OUTSIDE_HEAP = 64 * MIB;
@@ -34,18 +34,32 @@
 
   private static final double CONNECTION_SHARE = 0.35;
   private static final double SOCKET_SHARE = 0.8;
+  private static final int MIN_IDLE_CONNECTIONS = 16;
 
-  /** For a node of so much memory and so many sockets, under a heap limit of the process. */
+  /** Each of these queues may take one part of so many of the heap. */
+  private static final int USER_BODY_PARTS = 24;
+
+  private static final int HEARTBEAT_BODY_PARTS = 12;
+  private static final int PEER_QUEUE_PARTS = 48;
+  private static final int PEER_INCOMING_PARTS = 24;
+
+  /**
+   * The plan for a node.
+   *
+   * @param memoryMb memory of the node in MiB
+   * @param sockets sockets that the node may open
+   * @param maxHeapBytes heap limit of the process
+   */
   public static MemoryPlan of(double memoryMb, int sockets, long maxHeapBytes) {
-    long wanted = (long) (USABLE * memoryMb * MIB) - OUTSIDE_HEAP;
-    long heap = Math.min(maxHeapBytes, Math.max(MIN_HEAP, wanted));
+    long availableBytes = (long) (USABLE_SHARE * memoryMb * MIB) - OUTSIDE_HEAP;
+    long heap = Math.min(maxHeapBytes, Math.max(MIN_HEAP, availableBytes));
     int idle = (int) Math.min(SOCKET_SHARE * sockets, CONNECTION_SHARE * heap / CONNECTION_BYTES);
     return new MemoryPlan(
         heap,
-        Math.max(16, idle),
-        (int) (heap / 24),
-        (int) (heap / 12),
-        (int) (heap / 48),
-        (int) (heap / 24));
+        Math.max(MIN_IDLE_CONNECTIONS, idle),
+        (int) (heap / USER_BODY_PARTS),
+        (int) (heap / HEARTBEAT_BODY_PARTS),
+        (int) (heap / PEER_QUEUE_PARTS),
+        (int) (heap / PEER_INCOMING_PARTS));
   }
 }
--- a/src/main/java/org/mulleinshift/memory/MemoryPressure.java
+++ b/src/main/java/org/mulleinshift/memory/MemoryPressure.java
@@ -1,11 +1,11 @@
 package org.mulleinshift.memory;
 
-/** How short of memory this controller is. Leases, reports and orders are served at each level. */
+/** Memory pressure. Leases, heartbeats and commands to workers are served at each level. */
 public enum MemoryPressure {
-  /** Enough for everybody. */
+  /** No request is refused for lack of memory. */
   NORMAL,
-  /** Few polls may wait at a time; the others are refused. */
+  /** Few polls may wait at a time; further ones are refused. */
   HIGH,
-  /** New submissions are refused, too. */
+  /** New submissions are refused as well. */
   CRITICAL
 }
