--- a/src/main/java/org/mulleinshift/Main.java
+++ b/src/main/java/org/mulleinshift/Main.java
@@ -95,8 +95,8 @@
     Tunables tunables;
     try {
       settings = PlatformSettingsReader.read(config);
-      tunables = tunablesFile == null ? Tunables.standard() : TunablesReader.read(tunablesFile);
-      Leases.check(config.toString(), settings.cluster().workers(), tunables);
+      tunables = tunablesFile == null ? Tunables.defaults() : TunablesReader.read(tunablesFile);
+      Leases.check(config.toString(), settings.cluster().workerTiming(), tunables);
     } catch (SettingsException e) {
       System.err.println(e.getMessage());
       return BAD_SETTINGS;
@@ -108,7 +108,7 @@
     MemoryPlan memory =
         MemoryPlan.of(
             settings.limits().memoryMb(),
-            settings.limits().sockets(),
+            settings.limits().maxSockets(),
             Runtime.getRuntime().maxMemory());
     JdkHttpServer.configure(memory.idleConnections());
     settings = rehearse ? new RehearsalWorld().serve(settings) : settings;
@@ -160,11 +160,11 @@
             loop,
             controller,
             rehearse ? ANY_PORT : settings.publicAddress(),
-            new JdkHttpServer.Bounds(
+            new JdkHttpServer.Limits(
                 tunables.count(Tunables.Key.HTTP_THREADS),
                 memory.userBodyBytes(),
                 memory.reportBodyBytes(),
-                WorkerCodec.CHECKIN::equals));
+                WorkerCodec.HEARTBEAT_PATH::equals));
     link.start(rehearse ? ANY_PORT : settings.peerBind());
     frontend.start();
     log.info(
--- a/src/main/java/org/mulleinshift/Rehearsal.java
+++ b/src/main/java/org/mulleinshift/Rehearsal.java
@@ -75,7 +75,7 @@
         () ->
             caller.call(
                 address,
-                HttpRequest.post(JobCodec.RUNS, "{\"ref\":1}", Duration.ofSeconds(1)),
+                HttpRequest.post(JobCodec.JOBS_PATH, "{\"ref\":1}", Duration.ofSeconds(1)),
                 reply -> log.info("rehearsed: {}", reply.status())));
     Thread end =
         new Thread(
--- a/src/main/java/org/mulleinshift/RehearsalWorker.java
+++ b/src/main/java/org/mulleinshift/RehearsalWorker.java
@@ -46,15 +46,15 @@
     body.put("cpus", 1.0).put("cards", 0.0).put("ram_gb", 1.0).put("bundle", "b");
     body.put("pull_gb", 1.0).put("same_place", false).put("spread", false).put("loaner", true);
     body.put("guess_s", 1.0).put("snapshot_s", 0.0).put("flush_s", 0.0).put("due_s", 60.0);
-    call(HttpRequest.post(JobCodec.RUNS, body.toString(), DEADLINE));
-    call(HttpRequest.get(JobCodec.RUNS + "/" + job, DEADLINE));
+    call(HttpRequest.post(JobCodec.JOBS_PATH, body.toString(), DEADLINE));
+    call(HttpRequest.get(JobCodec.JOBS_PATH + "/" + job, DEADLINE));
     if (tick == 20) {
-      call(HttpRequest.post(JobCodec.RUNS + "/run-2/withdraw", "", DEADLINE));
+      call(HttpRequest.post(JobCodec.JOBS_PATH + "/run-2/withdraw", "", DEADLINE));
     }
   }
 
   private void call(HttpRequest request) {
-    caller.call(node, request, HttpResponse::answered);
+    caller.call(node, request, HttpResponse::isReceived);
   }
 
   private void report() {
@@ -64,7 +64,9 @@
     ArrayNode list = body.putArray("pieces");
     pieces.values().forEach(list::add);
     caller.call(
-        node, HttpRequest.post(WorkerCodec.CHECKIN, body.toString(), DEADLINE), this::answered);
+        node,
+        HttpRequest.post(WorkerCodec.HEARTBEAT_PATH, body.toString(), DEADLINE),
+        this::answered);
   }
 
   private void answered(HttpResponse reply) {
--- a/src/main/java/org/mulleinshift/api/JobApi.java
+++ b/src/main/java/org/mulleinshift/api/JobApi.java
@@ -100,7 +100,7 @@
   }
 
   /** Cancels a job, unless it has ended. */
-  public void cancelJob(JobId id, Responder responder) {
+  public void cancel(JobId id, Responder responder) {
     if (JobCodec.isJobId(id.value())) {
       cancellations.cancel(id, responder);
     } else {
--- a/src/main/java/org/mulleinshift/api/JobResponseWriter.java
+++ b/src/main/java/org/mulleinshift/api/JobResponseWriter.java
@@ -77,7 +77,7 @@
   /** Responds with a phase, and with the task counts of a job that has not ended. */
   void respondWithPhase(JobId id, int httpStatus, JobPhase phase, Responder responder) {
     Optional<JobTaskCounts> counts =
-        phase.terminal()
+        phase.isTerminal()
             ? Optional.empty()
             : Optional.ofNullable(taskCounts.get(id.value())).or(() -> defaultCounts);
     OptionalInt done = counts.map(c -> OptionalInt.of(c.getDone())).orElse(OptionalInt.empty());
@@ -88,17 +88,17 @@
 
   /** Responds that a request can never be carried out. */
   void respondRejected(int httpStatus, String reason, Responder responder) {
-    responder.respond(httpStatus, JobCodec.error(reason));
+    responder.respond(httpStatus, JobCodec.writeError(reason));
   }
 
   /** Responds that no such job was ever accepted. */
   void respondNotFound(Responder responder) {
-    responder.respond(HttpStatus.NOT_FOUND, JobCodec.error("no such job"));
+    responder.respond(HttpStatus.NOT_FOUND, JobCodec.writeError("no such job"));
   }
 
   /** Responds that the user may retry later. */
   void respondUnavailable(Responder responder) {
     responder.respondLater(
-        HttpStatus.SERVICE_UNAVAILABLE, JobCodec.error("try again"), retryAfterSeconds);
+        HttpStatus.SERVICE_UNAVAILABLE, JobCodec.writeError("try again"), retryAfterSeconds);
   }
 }
--- a/src/main/java/org/mulleinshift/api/ReadinessProbe.java
+++ b/src/main/java/org/mulleinshift/api/ReadinessProbe.java
@@ -35,12 +35,12 @@
   }
 
   /** Responds with 200 if the node can take requests, else with 503. */
-  public void answer(Responder responder) {
+  public void respond(Responder responder) {
     if (isStarting() && waiting < MAX_WAITING) {
       waiting++;
       loop.after(RECHECK_INTERVAL, () -> recheck(responder, MAX_RECHECKS - 1));
     } else {
-      respond(responder);
+      writeStatus(responder);
     }
   }
 
@@ -49,7 +49,7 @@
       loop.after(RECHECK_INTERVAL, () -> recheck(responder, remaining - 1));
     } else {
       waiting--;
-      respond(responder);
+      writeStatus(responder);
     }
   }
 
@@ -57,7 +57,7 @@
     return !ready.getAsBoolean() && !hasBeenReady;
   }
 
-  private void respond(Responder responder) {
+  private void writeStatus(Responder responder) {
     boolean readyNow = ready.getAsBoolean();
     hasBeenReady |= readyNow;
     responder.respond(readyNow ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE, EMPTY_BODY);
--- a/src/main/java/org/mulleinshift/api/SubmissionHandler.java
+++ b/src/main/java/org/mulleinshift/api/SubmissionHandler.java
@@ -62,10 +62,10 @@
     this.memoryPressure = context.memoryPressure();
     this.validator = new SubmissionValidator(context.catalog(), cluster.teams());
     this.dependencyValidator = new DependencyValidator(store, knownJobs::isAccepted);
-    this.maxValueBytes = cluster.store().minValueBytes();
+    this.maxValueBytes = cluster.storeLimits().minValueBytes();
     this.dependencyLists =
         new DependencyListWriter(
-            loop, store, maxValueBytes, cluster.store().minTransactionOperations());
+            loop, store, maxValueBytes, cluster.storeLimits().minTransactionOperations());
   }
 
   /** A job is no longer active: it has been accepted, whatever became of it. */
@@ -83,7 +83,7 @@
     List<JobId> dependencies;
     try {
       JsonNode submission = Json.parseObject(body);
-      spec = JobCodec.parse(submission);
+      spec = JobCodec.parseSubmission(submission);
       dependencies = JobCodec.awaits(submission);
     } catch (MalformedMessageException e) {
       rejectUnlessAccepted(body, HttpStatus.BAD_REQUEST, e.getMessage(), responder);
@@ -164,7 +164,7 @@
     }
     JsonNode record =
         JobRecord.value(spec, JobDependencies.of(dependencies), loop.wallMillis(), false);
-    if (StoreCodec.bytes(record) <= maxValueBytes) {
+    if (StoreCodec.encodedLength(record) <= maxValueBytes) {
       store(id, record, MAX_COMMIT_ATTEMPTS, responder);
     } else if (dependencies.isEmpty()) {
       responses.respondRejected(HttpStatus.BAD_REQUEST, "job too long", responder);
--- a/src/main/java/org/mulleinshift/autoscaling/Autoscaler.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Autoscaler.java
@@ -111,9 +111,9 @@
   }
 
   private void runPeriodically() {
-    if (term.active()) {
+    if (term.isActive()) {
       loop.after(settings.interval(), this::runPeriodically);
-      if (term.holdsValidLease()) {
+      if (term.hasValidLease()) {
         healthCheck.run();
         resize();
         releaser.deleteBatch();
--- a/src/main/java/org/mulleinshift/autoscaling/AutoscalerSettings.java
+++ b/src/main/java/org/mulleinshift/autoscaling/AutoscalerSettings.java
@@ -36,18 +36,18 @@
 
   /** The settings of a deployment. */
   public static AutoscalerSettings of(PlatformSettings platform, Tunables tunables) {
-    int fittingMachines = platform.cluster().store().minValueBytes() / MACHINE_RECORD_BYTES;
+    int fittingMachines = platform.cluster().storeLimits().minValueBytes() / MACHINE_RECORD_BYTES;
     return new AutoscalerSettings(
-        tunables.seconds(Tunables.Key.WALK_S),
-        tunables.count(Tunables.Key.WALK_STEPS),
-        tunables.number(Tunables.Key.RESIZE_AT_ONCE),
-        tunables.seconds(Tunables.Key.REFUSED_PAUSE_S),
+        tunables.seconds(Tunables.Key.FORECAST_INTERVAL_S),
+        tunables.count(Tunables.Key.FORECAST_STEPS),
+        tunables.number(Tunables.Key.IMMEDIATE_RESIZE_SHARE),
+        tunables.seconds(Tunables.Key.PROVISIONING_BACKOFF_S),
         tunables.number(Tunables.Key.BOOT_DEFAULT_S),
         tunables.number(Tunables.Key.BOOT_OVERDUE_FACTOR),
-        tunables.number(Tunables.Key.IDLE_RETURN_S),
-        tunables.number(Tunables.Key.MINIMUM_HELD_S),
-        tunables.number(Tunables.Key.SPARE_S),
-        tunables.number(Tunables.Key.PATIENT_S),
-        Math.min(tunables.count(Tunables.Key.SHARD_MACHINES), fittingMachines));
+        tunables.number(Tunables.Key.IDLE_RELEASE_S),
+        tunables.number(Tunables.Key.MINIMUM_AGE_S),
+        tunables.number(Tunables.Key.SURPLUS_S),
+        tunables.number(Tunables.Key.LOW_PRIORITY_WAIT_S),
+        Math.min(tunables.count(Tunables.Key.MAX_SHARD_MACHINES), fittingMachines));
   }
 }
--- a/src/main/java/org/mulleinshift/autoscaling/BootTimeEstimator.java
+++ b/src/main/java/org/mulleinshift/autoscaling/BootTimeEstimator.java
@@ -99,7 +99,7 @@
   }
 
   /** The latest boot times of each type in seconds, oldest first. */
-  public Map<MachineTypeId, List<Double>> latest() {
+  public Map<MachineTypeId, List<Double>> latestSamples() {
     Map<MachineTypeId, List<Double>> latest = new LinkedHashMap<>();
     histories.forEach((type, history) -> latest.put(type, List.copyOf(history.seconds)));
     return latest;
--- a/src/main/java/org/mulleinshift/autoscaling/CapacityPlanner.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CapacityPlanner.java
@@ -109,7 +109,7 @@
     if (!record.up()) {
       // Within the horizon even if its type boots slower than that: a booting machine that were
       // no capacity would be provisioned again with every resize.
-      double remaining = bootTimes.expected(type) - machine.heldSeconds(loop.now());
+      double remaining = bootTimes.expected(type) - machine.ageSeconds(loop.now());
       double upAt = Math.min(snapshot.horizonSeconds(), Math.max(0, remaining));
       snapshot.addRelease(upAt, capacity, type.size());
     }
--- a/src/main/java/org/mulleinshift/autoscaling/CloudInventory.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CloudInventory.java
@@ -37,11 +37,11 @@
 
   /** Lists the machines now, and again after each interval until the term ends. */
   void listPeriodically() {
-    if (!term.active()) {
+    if (!term.isActive()) {
       return;
     }
     loop.after(LIST_INTERVAL, this::listPeriodically);
-    if (term.holdsValidLease()) {
+    if (term.hasValidLease()) {
       list(Optional.empty());
     }
   }
@@ -53,7 +53,7 @@
     cloud.call(
         HttpRequest.get(CloudCodec.listPath(after), REQUEST_TIMEOUT),
         response -> {
-          if (response.ok() && term.active()) {
+          if (response.isOk() && term.isActive()) {
             onPage(response.body());
           }
         });
--- a/src/main/java/org/mulleinshift/autoscaling/Consolidator.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Consolidator.java
@@ -134,7 +134,7 @@
 
   private boolean isDrainable(Machine machine) {
     return machine.state() == Machine.State.UP
-        && machine.heldSeconds(loop.now()) >= settings.minimumRetentionSeconds();
+        && machine.ageSeconds(loop.now()) >= settings.minimumRetentionSeconds();
   }
 
   /**
--- a/src/main/java/org/mulleinshift/autoscaling/MachineHealthCheck.java
+++ b/src/main/java/org/mulleinshift/autoscaling/MachineHealthCheck.java
@@ -52,7 +52,7 @@
     // before, or that an earlier leader provisioned, would seem to boot in no time: then there
     // would be no horizon and no spacing of resizes, and every booting machine would be overdue.
     bootTimes.onUp(record.type(), machine.provisionedAt(), machine.onUp(loop.now()));
-    long seconds = Math.round(machine.heldSeconds(loop.now()));
+    long seconds = Math.round(machine.ageSeconds(loop.now()));
     LOG.info("machine up, machine={} after_s={}", id, seconds);
     state.shards().store(shard);
   }
--- a/src/main/java/org/mulleinshift/autoscaling/MachineReleaser.java
+++ b/src/main/java/org/mulleinshift/autoscaling/MachineReleaser.java
@@ -61,7 +61,7 @@
     if (deleting.isEmpty() || inFlight || !cloud.limiter().tryAcquire(1, 0)) {
       return;
     }
-    List<MachineId> batch = deleting.stream().limit(CloudCodec.MAX_DELETED).toList();
+    List<MachineId> batch = deleting.stream().limit(CloudCodec.MAX_MACHINES_PER_DELETION).toList();
     inFlight = true;
     // The state of a leader that was replaced is stale: a machine that it drained may have tasks
     // by now.
@@ -70,11 +70,11 @@
 
   private void delete(List<MachineId> batch) {
     cloud.call(
-        HttpRequest.post(CloudCodec.DELETE, CloudCodec.delete(batch), REQUEST_TIMEOUT),
+        HttpRequest.post(CloudCodec.DELETE_PATH, CloudCodec.writeDeletion(batch), REQUEST_TIMEOUT),
         response -> {
           inFlight = false;
           // Only a 200 confirms that the machines and all on them are gone.
-          if (response.ok() && term.active()) {
+          if (response.isOk() && term.isActive()) {
             onDeleted(batch);
           }
         });
--- a/src/main/java/org/mulleinshift/autoscaling/OfferSelector.java
+++ b/src/main/java/org/mulleinshift/autoscaling/OfferSelector.java
@@ -86,7 +86,7 @@
   boolean isSaturated(Offer offer, Map<Offer, Integer> wanted) {
     int maxRequests = refusals.containsKey(offer) ? 1 : MAX_REQUESTS;
     int machines = wanted.getOrDefault(offer, 0) + outstanding.applyAsInt(offer);
-    return machines >= maxRequests * CloudCodec.MAX_PROVISIONED;
+    return machines >= maxRequests * CloudCodec.MAX_MACHINES_PER_REQUEST;
   }
 
   /**
--- a/src/main/java/org/mulleinshift/autoscaling/PendingQueue.java
+++ b/src/main/java/org/mulleinshift/autoscaling/PendingQueue.java
@@ -77,7 +77,7 @@
     for (DependencyResolver.ExpectedRelease release : demand.expectedReleases(horizonSeconds)) {
       int position = 0;
       while (position < queue.size()
-          && !release.job().priority().above(queue.get(position).job().priority())) {
+          && !release.job().priority().isAbove(queue.get(position).job().priority())) {
         position++;
       }
       queue.add(position, new QueuedJob(release.job(), release.inSeconds()));
--- a/src/main/java/org/mulleinshift/autoscaling/Provisioner.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Provisioner.java
@@ -114,8 +114,8 @@
 
   /** Requests so many machines of an offer. */
   void provision(Offer offer, int count) {
-    for (int remaining = count; remaining > 0; remaining -= CloudCodec.MAX_PROVISIONED) {
-      provisionBatch(offer, Math.min(remaining, CloudCodec.MAX_PROVISIONED));
+    for (int remaining = count; remaining > 0; remaining -= CloudCodec.MAX_MACHINES_PER_REQUEST) {
+      provisionBatch(offer, Math.min(remaining, CloudCodec.MAX_MACHINES_PER_REQUEST));
     }
   }
 
@@ -136,26 +136,26 @@
   }
 
   private void send(ProvisioningRequest request) {
-    if (!term.active() || request.state() != ProvisioningRequest.State.SENT) {
+    if (!term.isActive() || request.state() != ProvisioningRequest.State.SENT) {
       return;
     }
-    if (!term.holdsValidLease() || !cloud.limiter().tryAcquire(1, 0)) {
+    if (!term.hasValidLease() || !cloud.limiter().tryAcquire(1, 0)) {
       loop.after(RETRY_DELAY, () -> send(request));
       return;
     }
     String body =
-        CloudCodec.provision(
+        CloudCodec.writeProvisioningRequest(
             request.name(), request.type(), request.zone(), request.spot(), request.count());
     cloud.call(
-        HttpRequest.post(CloudCodec.MACHINES, body, REQUEST_TIMEOUT),
+        HttpRequest.post(CloudCodec.MACHINES_PATH, body, REQUEST_TIMEOUT),
         response -> onResponse(request, response));
   }
 
   private void onResponse(ProvisioningRequest request, HttpResponse response) {
-    if (!term.active()) {
+    if (!term.isActive()) {
       return;
     }
-    if (response.ok()) {
+    if (response.isOk()) {
       try {
         onProvisioned(request, CloudCodec.parseProvisioned(response.body()));
         return;
--- a/src/main/java/org/mulleinshift/autoscaling/ScaleIn.java
+++ b/src/main/java/org/mulleinshift/autoscaling/ScaleIn.java
@@ -60,7 +60,7 @@
     return record.up()
         && !boots.isDelayed(record.type())
         && machine.state() != Machine.State.RETURNING
-        && machine.heldSeconds(loop.now()) >= settings.minimumRetentionSeconds();
+        && machine.ageSeconds(loop.now()) >= settings.minimumRetentionSeconds();
   }
 
   private boolean isUnused(Machine machine, boolean usedByQueue) {
--- a/src/main/java/org/mulleinshift/controller/ComponentEvents.java
+++ b/src/main/java/org/mulleinshift/controller/ComponentEvents.java
@@ -26,7 +26,7 @@
 
   /** Peers are asked how their links to the store are. */
   @Override
-  public void doubted() {
+  public void onSuspected() {
     components.heartbeats().requestReplies();
   }
 
@@ -37,7 +37,7 @@
 
   /** The link to the store has changed: a leader that lost it has to transfer its leadership. */
   @Override
-  public void changed(StoreHealth.State next) {
+  public void onStateChanged(StoreHealth.State next) {
     logPeerLinks();
     components.heartbeats().send();
     if (next == StoreHealth.State.LOST) {
--- a/src/main/java/org/mulleinshift/controller/ControllerComponents.java
+++ b/src/main/java/org/mulleinshift/controller/ControllerComponents.java
@@ -86,7 +86,7 @@
     this.ports = ports;
     this.loop = ports.loop();
     this.members = ClusterMembers.of(settings);
-    this.shardLease = Leases.shard(cluster.workers(), tunables);
+    this.shardLease = Leases.shardLease(cluster.workerTiming(), tunables);
     this.estimates = new EstimateReplicator(loop, runTimes);
     this.rateLimits = new StoreRateLimits(cluster);
     this.store = createStore();
@@ -105,7 +105,8 @@
     this.failover = createFailover();
     this.indirectRenewal = createIndirectRenewal();
     this.catalog =
-        new MachineTypeCatalog(loop, ports.cloud(), settings.cloud(), events::onPreconditionChange);
+        new MachineTypeCatalog(
+            loop, ports.cloud(), settings.cloudAddress(), events::onPreconditionChange);
     this.status = createStatus();
     this.ownedShards = createOwnedShards();
     this.featureGates = new FeatureGates(loop, store, members.self(), members.all(), view);
@@ -200,12 +201,12 @@
         loop,
         ports.store(),
         ports.watches(),
-        settings.store(),
+        settings.storeAddress(),
         new KeyValueStore.Rates(
             rateLimits.requests(),
             rateLimits.followerWrites(),
-            cluster.store().requestsShareAfterReduction(),
-            cluster.store().writesShareAfterReduction()));
+            cluster.storeLimits().requestsShareAfterReduction(),
+            cluster.storeLimits().writesShareAfterReduction()));
   }
 
   private WatchCache createControlKeys() {
@@ -223,7 +224,7 @@
     StoreHealth health =
         new StoreHealth(
             loop,
-            tunables.seconds(Tunables.Key.STATE_LOST_S),
+            tunables.seconds(Tunables.Key.STORE_TIMEOUT_S),
             rateLimits.probeSpacing(),
             this::probeStore,
             events);
@@ -242,7 +243,9 @@
         store,
         members.self(),
         shardLease,
-        shorter(tunables.seconds(Tunables.Key.RENEW_S), shardLease.dividedBy(RENEWALS_PER_LEASE)),
+        shorter(
+            tunables.seconds(Tunables.Key.RENEW_INTERVAL_S),
+            shardLease.dividedBy(RENEWALS_PER_LEASE)),
         activeJobs::confirmCurrentUrgently,
         events::onPreconditionChange);
   }
@@ -258,16 +261,16 @@
         members.self(),
         tunables.seconds(Tunables.Key.LEADER_LEASE_S),
         currentTerm,
-        () -> failover.yields());
+        () -> failover.campaignDelay());
   }
 
   private StandbyFailover createFailover() {
     return new StandbyFailover(
         loop,
         members.self(),
-        tunables.seconds(Tunables.Key.LEADER_SILENT_S),
+        tunables.seconds(Tunables.Key.LEADER_TIMEOUT_S),
         tunables.seconds(Tunables.Key.LEADER_LEASE_S),
-        new StandbyFailover.Parts(
+        new StandbyFailover.Context(
             failureDetector,
             view,
             () -> readiness.linksHealthy(),
@@ -279,7 +282,7 @@
     return new IndirectLeaseRenewal(
         loop,
         members.self(),
-        new IndirectLeaseRenewal.Parts(
+        new IndirectLeaseRenewal.Context(
             store, storeHealth, failureDetector, session, view, controlKeys, activeJobs),
         messenger::send);
   }
@@ -295,7 +298,7 @@
             loop,
             ports.workers(),
             catalog,
-            cluster.workers(),
+            cluster.workerTiming(),
             shardLease,
             cancelledJobs::contains,
             () -> ownedShards.reportStatusSoon());
@@ -310,21 +313,22 @@
   }
 
   private JobApi createJobApi() {
-    return new JobApi(new JobApi.Context(
-        loop,
-        store,
-        catalog,
-        cluster,
-        tunables.count(Tunables.Key.RETRY_AFTER_S),
-        activeJobs::confirmCurrent,
-        ports.heapMonitor()::pressure,
-        cancelledJobs::add));
+    return new JobApi(
+        new JobApi.Context(
+            loop,
+            store,
+            catalog,
+            cluster,
+            tunables.count(Tunables.Key.RETRY_AFTER_S),
+            activeJobs::confirmCurrent,
+            ports.heapMonitor()::pressure,
+            cancelledJobs::add));
   }
 
   private CloudClient createCloudClient() {
-    double requestsPerSecond = cluster.cloud().requestsPerSecond() * CLOUD_REQUEST_SHARE;
+    double requestsPerSecond = cluster.cloudLimits().requestsPerSecond() * CLOUD_REQUEST_SHARE;
     return new CloudClient(
-        ports.cloud(), settings.cloud(), new RateLimiter(loop, requestsPerSecond));
+        ports.cloud(), settings.cloudAddress(), new RateLimiter(loop, requestsPerSecond));
   }
 
   private ControllerReadiness createReadiness() {
--- a/src/main/java/org/mulleinshift/controller/ControllerReadiness.java
+++ b/src/main/java/org/mulleinshift/controller/ControllerReadiness.java
@@ -39,7 +39,7 @@
   /** All its own links work, so that it may judge those of others. */
   boolean linksHealthy() {
     return servedByStore()
-        && reachability.get() == WorkerReachability.State.WELL
+        && reachability.get() == WorkerReachability.State.REACHABLE
         && watchesControlKeys();
   }
 
@@ -50,7 +50,7 @@
   }
 
   private boolean servedByStore() {
-    return storeHealth.state() == StoreHealth.State.SERVED;
+    return storeHealth.state() == StoreHealth.State.CONNECTED;
   }
 
   private boolean watchesControlKeys() {
--- a/src/main/java/org/mulleinshift/controller/ControllerStatus.java
+++ b/src/main/java/org/mulleinshift/controller/ControllerStatus.java
@@ -36,8 +36,8 @@
   }
 
   @Override
-  public Duration silence(NodeId node) {
-    return failureDetector.silence(node);
+  public Duration timeSinceLastHeard(NodeId node) {
+    return failureDetector.timeSinceLastHeard(node);
   }
 
   @Override
@@ -48,7 +48,7 @@
     return failureDetector
         .freshHeartbeat(node)
         .map(PeerFailureDetector::workerReachability)
-        .orElse(WorkerReachability.State.WELL);
+        .orElse(WorkerReachability.State.REACHABLE);
   }
 
   @Override
@@ -60,7 +60,7 @@
 
   /** Whether workers may be sent to the node: its heartbeats arrive, and its workers reach it. */
   boolean answersWorkers(NodeId node) {
-    return silence(node).compareTo(PeerFailureDetector.FRESH) < 0
-        && workerReachability(node).compareTo(WorkerReachability.State.DOUBTED) <= 0;
+    return timeSinceLastHeard(node).compareTo(PeerFailureDetector.HEARTBEAT_TIMEOUT) < 0
+        && workerReachability(node).compareTo(WorkerReachability.State.SUSPECTED) <= 0;
   }
 }
--- a/src/main/java/org/mulleinshift/controller/CurrentTerm.java
+++ b/src/main/java/org/mulleinshift/controller/CurrentTerm.java
@@ -48,7 +48,7 @@
   public void onElected(Revision term) {
     Leader next = leaderFactory.apply(term);
     leader = Optional.of(next);
-    store.writeRate(rateLimits.leaderWrites());
+    store.setWriteRate(rateLimits.leaderWrites());
     next.start();
   }
 
@@ -56,7 +56,7 @@
   public void onLeadershipLost() {
     leader.ifPresent(Leader::retire);
     leader = Optional.empty();
-    store.writeRate(rateLimits.followerWrites());
+    store.setWriteRate(rateLimits.followerWrites());
     loop.after(CANDIDACY_PAUSE, candidacy);
   }
 
--- a/src/main/java/org/mulleinshift/controller/HeartbeatExchange.java
+++ b/src/main/java/org/mulleinshift/controller/HeartbeatExchange.java
@@ -69,7 +69,7 @@
 
   /** Sends now and then periodically. */
   void start() {
-    Duration interval = context.election().leading() ? LEADER_INTERVAL : FOLLOWER_INTERVAL;
+    Duration interval = context.election().isLeading() ? LEADER_INTERVAL : FOLLOWER_INTERVAL;
     context.loop().after(interval, this::start);
     send();
   }
@@ -89,7 +89,7 @@
     Heartbeat heartbeat =
         new Heartbeat(
             context.session().lease().map(LeaseId::value).orElse(0L),
-            context.storeHealth().silence().toMillis(),
+            context.storeHealth().timeSinceLastAnswer().toMillis(),
             context.storeHealth().state() == StoreHealth.State.LOST,
             context.reachability().get().wireName(),
             leader.map(record -> record.node().value()).orElse(""),
@@ -101,8 +101,8 @@
   }
 
   private String chooseStandby() {
-    return context.election().leading()
-        ? context.failover().choose(context.members().otherZoneFirst())
+    return context.election().isLeading()
+        ? context.failover().chooseStandby(context.members().otherZoneFirst())
         : "";
   }
 
--- a/src/main/java/org/mulleinshift/controller/LeaderLocator.java
+++ b/src/main/java/org/mulleinshift/controller/LeaderLocator.java
@@ -45,6 +45,6 @@
   }
 
   private boolean servedByStore() {
-    return storeHealth.state() == StoreHealth.State.SERVED;
+    return storeHealth.state() == StoreHealth.State.CONNECTED;
   }
 }
--- a/src/main/java/org/mulleinshift/controller/LeadershipCoordinator.java
+++ b/src/main/java/org/mulleinshift/controller/LeadershipCoordinator.java
@@ -106,7 +106,7 @@
 
   /** A leader has transferred its leadership, to this controller or to another. */
   void onLeadershipTransfer(LeadershipTransfer transfer) {
-    if (context.storeHealth().state() == StoreHealth.State.SERVED) {
+    if (context.storeHealth().state() == StoreHealth.State.CONNECTED) {
       election.onLeadershipTransfer(
           new LeaderElection.TermLease(
               new Revision(transfer.getTerm()), new LeaseId(transfer.getLease())),
--- a/src/main/java/org/mulleinshift/controller/RequestRouter.java
+++ b/src/main/java/org/mulleinshift/controller/RequestRouter.java
@@ -39,14 +39,14 @@
 
   @Override
   public void handle(String method, String path, String body, Responder responder) {
-    if (path.equals(WorkerCodec.CHECKIN)) {
+    if (path.equals(WorkerCodec.HEARTBEAT_PATH)) {
       handleOnly(POST, method, responder, () -> ownedShards.onHeartbeat(body, responder));
-    } else if (path.equals(JobCodec.RUNS)) {
+    } else if (path.equals(JobCodec.JOBS_PATH)) {
       handleOnly(POST, method, responder, () -> jobApi.submit(body, responder));
-    } else if (path.startsWith(JobCodec.RUNS + "/")) {
-      handleJob(method, path.substring(JobCodec.RUNS.length() + 1), responder);
+    } else if (path.startsWith(JobCodec.JOBS_PATH + "/")) {
+      handleJob(method, path.substring(JobCodec.JOBS_PATH.length() + 1), responder);
     } else if (path.equals(READINESS_PATH)) {
-      handleOnly(GET, method, responder, () -> readiness.answer(responder));
+      handleOnly(GET, method, responder, () -> readiness.respond(responder));
     } else {
       refuseUnknownPath(responder);
     }
@@ -59,7 +59,7 @@
       handleOnly(GET, method, responder, () -> jobApi.poll(job, responder));
     } else if (pathBelowJobs.substring(slash).equals(CANCEL_SUFFIX)) {
       JobId job = new JobId(pathBelowJobs.substring(0, slash));
-      handleOnly(POST, method, responder, () -> jobApi.cancelJob(job, responder));
+      handleOnly(POST, method, responder, () -> jobApi.cancel(job, responder));
     } else {
       refuseUnknownPath(responder);
     }
@@ -70,11 +70,12 @@
     if (method.equals(allowed)) {
       handler.run();
     } else {
-      responder.respond(HttpURLConnection.HTTP_BAD_METHOD, JobCodec.error("method not allowed"));
+      responder.respond(
+          HttpURLConnection.HTTP_BAD_METHOD, JobCodec.writeError("method not allowed"));
     }
   }
 
   private static void refuseUnknownPath(Responder responder) {
-    responder.respond(HttpURLConnection.HTTP_NOT_FOUND, JobCodec.error("no such path"));
+    responder.respond(HttpURLConnection.HTTP_NOT_FOUND, JobCodec.writeError("no such path"));
   }
 }
--- a/src/main/java/org/mulleinshift/controller/StoreRateLimits.java
+++ b/src/main/java/org/mulleinshift/controller/StoreRateLimits.java
@@ -37,12 +37,12 @@
   /** Requests a second of one controller. */
   double requests() {
     double evenShare = 1.0 / Math.max(1, cluster.size());
-    return cluster.store().requestsPerSecond() * Math.min(1, evenShare * EVEN_SHARE_FACTOR);
+    return cluster.storeLimits().requestsPerSecond() * Math.min(1, evenShare * EVEN_SHARE_FACTOR);
   }
 
   /** Writes a second of the leader, which stores all progress of jobs and machines. */
   double leaderWrites() {
-    return cluster.store().writesPerSecond() * LEADER_WRITE_SHARE;
+    return cluster.storeLimits().writesPerSecond() * LEADER_WRITE_SHARE;
   }
 
   /** Writes a second of one of the others, which accept and cancel jobs. */
@@ -52,7 +52,7 @@
     }
     int followers = Math.max(1, cluster.size() - 1);
     double share = Math.max(MIN_WRITE_SHARE, FOLLOWERS_WRITE_SHARE / followers);
-    return cluster.store().writesPerSecond() * share;
+    return cluster.storeLimits().writesPerSecond() * share;
   }
 
   /**
@@ -60,13 +60,15 @@
    * request: they share a part of the rate.
    */
   Duration watchSpacing() {
-    double seconds = WATCHES * cluster.size() / (WATCH_SHARE * cluster.store().requestsPerSecond());
+    double seconds =
+        WATCHES * cluster.size() / (WATCH_SHARE * cluster.storeLimits().requestsPerSecond());
     return Duration.ofMillis((long) (MILLIS_PER_SECOND * seconds));
   }
 
   /** Time between two probes of one controller's link to the store. */
   Duration probeSpacing() {
-    double probesPerSecond = PROBE_SHARE * cluster.store().requestsPerSecond() / cluster.size();
+    double probesPerSecond =
+        PROBE_SHARE * cluster.storeLimits().requestsPerSecond() / cluster.size();
     Duration spacing = Duration.ofMillis((long) (MILLIS_PER_SECOND / probesPerSecond));
     return spacing.compareTo(MIN_PROBE_SPACING) < 0 ? MIN_PROBE_SPACING : spacing;
   }
--- a/src/main/java/org/mulleinshift/dependencies/DependencyTracker.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyTracker.java
@@ -25,7 +25,7 @@
   private static final double PROPAGATION_INTERVAL_SECONDS = 2;
 
   /** The term that the jobs belong to. */
-  public interface Owner {
+  public interface TermContext {
     /** The term has loaded its state and has not ended. */
     boolean active();
 
@@ -40,7 +40,7 @@
   }
 
   private final EventLoop loop;
-  private final Owner term;
+  private final TermContext term;
   private final JobTable jobs;
   private final TransactionBatcher batcher;
   private final DependencyResolver resolver;
@@ -64,7 +64,7 @@
       TransactionBatcher batcher,
       JobTable jobs,
       RunTimeEstimator runTimes,
-      Owner term) {
+      TermContext term) {
     this.loop = loop;
     this.batcher = batcher;
     this.jobs = jobs;
@@ -77,7 +77,7 @@
   }
 
   /** The job, if it waits for others. */
-  public Optional<Job> waitingJob(JobId job) {
+  public Optional<Job> findWaitingJob(JobId job) {
     return resolver.findWaiting(job);
   }
 
@@ -119,7 +119,8 @@
   }
 
   private void addDependencies(Job job, List<JobId> dependencies) {
-    boolean stillWaiting = waitingJob(job.spec().id()).filter(found -> found == job).isPresent();
+    boolean stillWaiting =
+        findWaitingJob(job.spec().id()).filter(found -> found == job).isPresent();
     if (stillWaiting) {
       resolver.addDependencies(job, dependencies);
       dependencies.forEach(this::resolve);
--- a/src/main/java/org/mulleinshift/dependencies/PriorityPropagation.java
+++ b/src/main/java/org/mulleinshift/dependencies/PriorityPropagation.java
@@ -79,7 +79,8 @@
   }
 
   private static Job.Inherited moreUrgent(Job.Inherited one, Job.Inherited other) {
-    Priority priority = one.priority().above(other.priority()) ? one.priority() : other.priority();
+    Priority priority =
+        one.priority().isAbove(other.priority()) ? one.priority() : other.priority();
     return new Job.Inherited(priority, Math.min(one.deadlineMillis(), other.deadlineMillis()));
   }
 }
--- a/src/main/java/org/mulleinshift/leader/CycleScheduler.java
+++ b/src/main/java/org/mulleinshift/leader/CycleScheduler.java
@@ -34,7 +34,7 @@
 
   /** Runs a cycle as soon as the spacing allows. */
   void schedule() {
-    if (scheduled || !term.active()) {
+    if (scheduled || !term.isActive()) {
       return;
     }
     scheduled = true;
@@ -54,7 +54,7 @@
   }
 
   private void run() {
-    if (!term.active() || !term.holdsValidLease()) {
+    if (!term.isActive() || !term.hasValidLease()) {
       return;
     }
     lastStart = loop.now();
--- a/src/main/java/org/mulleinshift/leader/EstimateReplicator.java
+++ b/src/main/java/org/mulleinshift/leader/EstimateReplicator.java
@@ -101,7 +101,7 @@
 
   private static List<BootTimeSamples> bootTimeSamples(BootTimeEstimator bootTimes) {
     List<BootTimeSamples> samples = new ArrayList<>();
-    bootTimes.latest().entrySet().stream()
+    bootTimes.latestSamples().entrySet().stream()
         .limit(MAX_TYPES)
         .forEach(
             entry -> samples.add(new BootTimeSamples(entry.getKey().value(), entry.getValue())));
--- a/src/main/java/org/mulleinshift/leader/JobLifecycle.java
+++ b/src/main/java/org/mulleinshift/leader/JobLifecycle.java
@@ -23,10 +23,10 @@
  * dependencies they await, and when their tasks are to stop.
  */
 final class JobLifecycle
-    implements JobDirectory, ProgressListener, DependencyTracker.Owner, TaskActions {
+    implements JobDirectory, ProgressListener, DependencyTracker.TermContext, TaskActions {
   /** The term that the jobs belong to. */
   interface Term {
-    boolean active();
+    boolean isActive();
 
     boolean serving();
 
@@ -81,7 +81,7 @@
 
   @Override
   public boolean active() {
-    return term.active();
+    return term.isActive();
   }
 
   @Override
@@ -92,7 +92,7 @@
   @Override
   public void onReady(Job job) {
     state.jobs().add(job);
-    if (term.active()) {
+    if (term.isActive()) {
       restoreAssignments(job);
       state.reservation().onJobArrived(job.spec(), state.loop().now());
       term.scheduleCycle();
@@ -107,7 +107,7 @@
 
   @Override
   public Optional<Job> findJob(JobId id) {
-    return state.jobs().find(id).or(() -> dependencies.waitingJob(id));
+    return state.jobs().find(id).or(() -> dependencies.findWaitingJob(id));
   }
 
   @Override
@@ -124,7 +124,7 @@
     dependencies.remove(id);
     for (TaskAssignment assignment : job.map(Job::assignments).orElse(List.of())) {
       unreadable.addShard(assignment.shard());
-      if (term.active()) {
+      if (term.isActive()) {
         state.allocations().remove(assignment);
         state.shards().retract(assignment);
       }
--- a/src/main/java/org/mulleinshift/leader/Leader.java
+++ b/src/main/java/org/mulleinshift/leader/Leader.java
@@ -181,7 +181,8 @@
     loader.load(
         StoreKeys.PROGRESS_LOG,
         progress::loadSegments,
-        () -> loader.load(StoreKeys.PROGRESS, progress::loadParts, this::loadProvisioningRequests));
+        () ->
+            loader.load(StoreKeys.PROGRESS, progress::loadChunks, this::loadProvisioningRequests));
   }
 
   private void loadShard(ShardId id, ClusterView.ShardRecord record) {
@@ -336,7 +337,7 @@
     }
 
     @Override
-    public boolean active() {
+    public boolean isActive() {
       return state == State.LEADING;
     }
 
@@ -346,7 +347,7 @@
     }
 
     @Override
-    public boolean holdsValidLease() {
+    public boolean hasValidLease() {
       return context.election().holdsValidLease();
     }
 
--- a/src/main/java/org/mulleinshift/leader/SummaryBroadcaster.java
+++ b/src/main/java/org/mulleinshift/leader/SummaryBroadcaster.java
@@ -44,12 +44,12 @@
 
   /** Sends now and then periodically, until the term ends. */
   void start() {
-    if (!term.active()) {
+    if (!term.isActive()) {
       return;
     }
     state.loop().after(INTERVAL, this::start);
     failover
-        .named()
+        .chosenStandby()
         .ifPresent(
             standby ->
                 estimates
--- a/src/main/java/org/mulleinshift/leader/TermComponents.java
+++ b/src/main/java/org/mulleinshift/leader/TermComponents.java
@@ -56,7 +56,7 @@
     this.context = context;
     this.term = term;
     this.state = state;
-    this.batchLimits = BatchLimits.of(context.settings().cluster().store());
+    this.batchLimits = BatchLimits.of(context.settings().cluster().storeLimits());
     this.batcher = createBatcher();
     this.cluster = createClusterState();
     this.loader = new TermLoader(context.loop(), context.store(), state::loading);
@@ -148,12 +148,12 @@
         new AllocationIndex(),
         new TeamQuotas(settings.teams()),
         new FailureAttribution(
-            tunables.count(Tunables.Key.FAULTY_AFTER),
-            tunables.seconds(Tunables.Key.ERROR_PAUSE_S)),
+            tunables.count(Tunables.Key.QUARANTINE_FAILURES),
+            tunables.seconds(Tunables.Key.RETRY_BACKOFF_S)),
         new CapacityReservation(
             settings.objectives(),
             tunables.number(Tunables.Key.HEADROOM_JOBS),
-            tunables.seconds(Tunables.Key.HEADROOM_LASTS_S)),
+            tunables.seconds(Tunables.Key.HEADROOM_DURATION_S)),
         new UnreadableJobs(),
         context.catalog(),
         context.runTimes(),
@@ -161,10 +161,10 @@
   }
 
   private JobLifecycle createJobLifecycle() {
-    boolean logEnabled = context.tunables().number(Tunables.Key.PROGRESS_LOG) > 0;
+    boolean logEnabled = context.tunables().number(Tunables.Key.PROGRESS_LOG_ENABLED) > 0;
     ProgressSettings settings =
         new ProgressSettings(
-            context.settings().cluster().store(),
+            context.settings().cluster().storeLimits(),
             batchLimits.maxOperations(),
             context.featureGates(),
             logEnabled);
@@ -183,7 +183,10 @@
 
   private CycleScheduler createCycleScheduler() {
     return new CycleScheduler(
-        context.loop(), state, context.tunables().millis(Tunables.Key.CYCLE_MS), this::runCycle);
+        context.loop(),
+        state,
+        context.tunables().millis(Tunables.Key.CYCLE_INTERVAL_MS),
+        this::runCycle);
   }
 
   private void runCycle() {
@@ -223,7 +226,7 @@
         context.view(),
         context.peers(),
         new ShardAssigner(context.self(), zonesOfControllers(), context.loop().now()),
-        context.tunables().seconds(Tunables.Key.PEER_SILENT_S));
+        context.tunables().seconds(Tunables.Key.PEER_TIMEOUT_S));
   }
 
   private Map<NodeId, ZoneId> zonesOfControllers() {
@@ -237,7 +240,7 @@
   }
 
   private ShardStatusHandler createShardStatusHandler() {
-    double failurePauseSeconds = context.tunables().number(Tunables.Key.ERROR_PAUSE_S);
+    double failurePauseSeconds = context.tunables().number(Tunables.Key.RETRY_BACKOFF_S);
     return new ShardStatusHandler(
         cluster,
         term,
--- a/src/main/java/org/mulleinshift/leader/TermState.java
+++ b/src/main/java/org/mulleinshift/leader/TermState.java
@@ -9,5 +9,5 @@
   boolean loading();
 
   @Override
-  boolean active();
+  boolean isActive();
 }
--- a/src/main/java/org/mulleinshift/membership/AssignableShard.java
+++ b/src/main/java/org/mulleinshift/membership/AssignableShard.java
@@ -16,7 +16,7 @@
   ZoneId zone();
 
   /** How many machines it has. */
-  int size();
+  int machineCount();
 
   /** The controller that the shard is granted to; empty without a grant. */
   Optional<NodeId> owner();
--- a/src/main/java/org/mulleinshift/membership/ControllerSession.java
+++ b/src/main/java/org/mulleinshift/membership/ControllerSession.java
@@ -126,7 +126,7 @@
         KeyValueStore.Urgency.URGENT,
         answer -> {
           if (answer instanceof ReadResult.Found<KeyValue> found) {
-            revokeOldLease(ClusterView.nodeRecord(found.value()).lease(), this::acquire);
+            revokeOldLease(ClusterView.readNode(found.value()).lease(), this::acquire);
           } else if (answer instanceof ReadResult.Absent<KeyValue>) {
             acquire();
           } else {
@@ -299,7 +299,7 @@
    * Whether this controller may act as the owner of the shard under that grant. Checked whenever it
    * acts, not only by a timer: timers may go off late.
    */
-  public boolean mayActFor(ShardId shard, Revision grant) {
+  public boolean isValidOwner(ShardId shard, Revision grant) {
     return hasValidOwnershipLease() && grant.equals(verifiedGrants.get(shard));
   }
 
@@ -320,7 +320,7 @@
   }
 
   /** The grants of this controller as last read from the store. */
-  public Map<ShardId, Revision> grants() {
+  public Map<ShardId, Revision> verifiedGrants() {
     return verifiedGrants;
   }
 
--- a/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
+++ b/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
@@ -78,17 +78,17 @@
   /**
    * What the renewal needs of its controller.
    *
-   * @param link health of the connection to the store
-   * @param links which peers the store serves
+   * @param storeHealth health of the connection to the store
+   * @param peers which peers the store serves
    * @param session the session to renew
    * @param view the control keys, updated through {@code control}
    * @param control the cached control keys
    * @param jobs the cached records of active jobs
    */
-  public record Parts(
+  public record Context(
       KeyValueStore store,
-      StoreHealth link,
-      PeerFailureDetector links,
+      StoreHealth storeHealth,
+      PeerFailureDetector peers,
       ControllerSession session,
       ClusterView view,
       WatchCache control,
@@ -100,12 +100,12 @@
    * @param sendToPeer sends a message to a peer
    */
   public IndirectLeaseRenewal(
-      EventLoop loop, NodeId self, Parts context, BiConsumer<NodeId, Object> sendToPeer) {
+      EventLoop loop, NodeId self, Context context, BiConsumer<NodeId, Object> sendToPeer) {
     this.loop = loop;
     this.self = self;
     this.store = context.store();
-    this.storeHealth = context.link();
-    this.peers = context.links();
+    this.storeHealth = context.storeHealth();
+    this.peers = context.peers();
     this.session = context.session();
     this.view = context.view();
     this.control = context.control();
@@ -149,7 +149,7 @@
 
   /** A peer without the store asks for a renewal. Costs three requests at the store, no write. */
   public void onRequest(NodeId peer, LeaseRenewalRequest request) {
-    if (storeHealth.state() != StoreHealth.State.SERVED) {
+    if (storeHealth.state() != StoreHealth.State.CONNECTED) {
       return;
     }
     LeaseId lease = new LeaseId(request.getLease());
@@ -234,8 +234,8 @@
     }
     if (request.lease.equals(NO_LEASE)) {
       // The cache notifies the session once it is current.
-      jobs.take(changes, request.sentAt);
-    } else if (control.take(changes, request.sentAt)) {
+      jobs.offer(changes, request.sentAt);
+    } else if (control.offer(changes, request.sentAt)) {
       session.onRenewedByPeer(request.lease, request.sentAt, ownGrants());
     }
   }
--- a/src/main/java/org/mulleinshift/membership/LeaderElection.java
+++ b/src/main/java/org/mulleinshift/membership/LeaderElection.java
@@ -281,13 +281,13 @@
   }
 
   /** Whether this controller leads, as far as it knows. */
-  public boolean leading() {
+  public boolean isLeading() {
     return state == State.LEADING;
   }
 
   /** Whether, by this controller's own steady clock, no other controller can lead now. */
   public boolean holdsValidLease() {
     Duration usable = ttl.multipliedBy(USABLE_TENTHS).dividedBy(TENTHS);
-    return leading() && renewedAt.plus(usable).isAfter(loop.now());
+    return isLeading() && renewedAt.plus(usable).isAfter(loop.now());
   }
 }
--- a/src/main/java/org/mulleinshift/membership/LeadershipTerm.java
+++ b/src/main/java/org/mulleinshift/membership/LeadershipTerm.java
@@ -3,8 +3,8 @@
 /** Whether this controller may act as the leader of one term. */
 public interface LeadershipTerm {
   /** The term has loaded its state and has not ended. */
-  boolean active();
+  boolean isActive();
 
   /** By this controller's own clock no other controller can lead now. */
-  boolean holdsValidLease();
+  boolean hasValidLease();
 }
--- a/src/main/java/org/mulleinshift/membership/OwnerEligibility.java
+++ b/src/main/java/org/mulleinshift/membership/OwnerEligibility.java
@@ -58,7 +58,8 @@
   public Set<NodeId> ineligible(
       Map<NodeId, Integer> suspicions, Collection<NodeId> live, MonotonicTime now) {
     boolean anyReachesWorkers =
-        live.stream().anyMatch(node -> reachability.apply(node) == WorkerReachability.State.WELL);
+        live.stream()
+            .anyMatch(node -> reachability.apply(node) == WorkerReachability.State.REACHABLE);
     for (NodeId node : live) {
       boolean suspected = suspicions.getOrDefault(node, 0) > 0;
       update(node, suspected, anyReachesWorkers, now);
@@ -76,8 +77,8 @@
   private void update(
       NodeId node, boolean suspected, boolean anyReachesWorkers, MonotonicTime now) {
     WorkerReachability.State own = reachability.apply(node);
-    boolean allSilent = own == WorkerReachability.State.ALL_SILENT;
-    boolean mostSilent = allSilent || own == WorkerReachability.State.MOST_SILENT;
+    boolean allSilent = own == WorkerReachability.State.ALL_UNREACHABLE;
+    boolean mostSilent = allSilent || own == WorkerReachability.State.MOST_UNREACHABLE;
     Incidents known = incidents.get(node);
     if (known != null && known.unreachable) {
       if (!mostSilent) {
--- a/src/main/java/org/mulleinshift/membership/PeerFailureDetector.java
+++ b/src/main/java/org/mulleinshift/membership/PeerFailureDetector.java
@@ -23,7 +23,7 @@
  */
 public final class PeerFailureDetector {
   /** A heartbeat older than this shows nothing of the present state of its sender. */
-  public static final Duration FRESH = Duration.ofMillis(2500);
+  public static final Duration HEARTBEAT_TIMEOUT = Duration.ofMillis(2500);
 
   private record ReceivedHeartbeat(Heartbeat heartbeat, MonotonicTime receivedAt) {}
 
@@ -59,17 +59,24 @@
    * each other's messages, as far as each reports, or if no controller receives the peer's.
    */
   public Optional<NodeId> relayTo(NodeId peer) {
-    boolean notHeard = timeSinceDirectMessage(peer).compareTo(FRESH) >= 0;
+    boolean notHeard = timeSinceDirectMessage(peer).compareTo(HEARTBEAT_TIMEOUT) >= 0;
     boolean notHearing =
-        timeSinceHeardBy(peer, self).filter(ago -> ago.compareTo(FRESH) >= 0).isPresent();
+        timeSinceHeardBy(peer, self)
+            .filter(ago -> ago.compareTo(HEARTBEAT_TIMEOUT) >= 0)
+            .isPresent();
     if (!notHeard && !notHearing) {
       return Optional.empty();
     }
     return heartbeats.keySet().stream()
-        .filter(relay -> !relay.equals(peer) && timeSinceDirectMessage(relay).compareTo(FRESH) < 0)
         .filter(
             relay ->
-                timeSinceHeardBy(relay, peer).filter(ago -> ago.compareTo(FRESH) < 0).isPresent())
+                !relay.equals(peer)
+                    && timeSinceDirectMessage(relay).compareTo(HEARTBEAT_TIMEOUT) < 0)
+        .filter(
+            relay ->
+                timeSinceHeardBy(relay, peer)
+                    .filter(ago -> ago.compareTo(HEARTBEAT_TIMEOUT) < 0)
+                    .isPresent())
         .findFirst();
   }
 
@@ -89,7 +96,7 @@
   }
 
   /** Time since the peer was last heard; since this process started if it never was. */
-  public Duration silence(NodeId peer) {
+  public Duration timeSinceLastHeard(NodeId peer) {
     if (peer.equals(self)) {
       return Duration.ZERO;
     }
@@ -99,7 +106,7 @@
   /** The peer's last heartbeat, if it is fresh. */
   public Optional<Heartbeat> freshHeartbeat(NodeId peer) {
     return Optional.ofNullable(heartbeats.get(peer))
-        .filter(known -> loop.now().since(known.receivedAt).compareTo(FRESH) < 0)
+        .filter(known -> loop.now().since(known.receivedAt).compareTo(HEARTBEAT_TIMEOUT) < 0)
         .map(ReceivedHeartbeat::heartbeat);
   }
 
@@ -133,7 +140,7 @@
     peers.sort(
         Comparator.<NodeId, WorkerReachability.State>comparing(
                 peer -> workerReachability(heartbeats.get(peer).heartbeat))
-            .thenComparing(this::silence));
+            .thenComparing(this::timeSinceLastHeard));
     return peers;
   }
 
@@ -194,7 +201,7 @@
           .append("peer=")
           .append(peer)
           .append(" heard_ms=")
-          .append(silence(peer).toMillis())
+          .append(timeSinceLastHeard(peer).toMillis())
           .append(" heard_by_ms=")
           .append(
               timeSinceHeardBy(peer, self)
--- a/src/main/java/org/mulleinshift/membership/ShardAssigner.java
+++ b/src/main/java/org/mulleinshift/membership/ShardAssigner.java
@@ -158,7 +158,7 @@
     return shards.stream()
         .filter(
             shard -> shard.pendingOwner().isEmpty() && shard.owner().equals(Optional.of(highest)))
-        .filter(shard -> shard.size() > 0)
+        .filter(shard -> shard.machineCount() > 0)
         .filter(
             shard ->
                 difference >= MIN_LOAD_DIFFERENCE && load(shard) <= difference * MAX_MOVED_SHARE)
@@ -184,7 +184,7 @@
 
   /** The load of a shard, in machines. */
   private static double load(AssignableShard shard) {
-    return LOAD_PER_SHARD + shard.size();
+    return LOAD_PER_SHARD + shard.machineCount();
   }
 
   private double distance(NodeId node, AssignableShard shard) {
--- a/src/main/java/org/mulleinshift/membership/StandbyFailover.java
+++ b/src/main/java/org/mulleinshift/membership/StandbyFailover.java
@@ -59,14 +59,14 @@
    *
    * @param peers when each peer was last heard, and its last heartbeat
    * @param view the leader as the store last showed it
-   * @param ownLinksWell whether this controller reaches the store and its workers
+   * @param healthy whether this controller reaches the store and its workers
    * @param askPeers has the peers send a heartbeat at once
    * @param depose revokes the lease of a term, and campaigns
    */
-  public record Parts(
+  public record Context(
       PeerFailureDetector peers,
       ClusterView view,
-      BooleanSupplier ownLinksWell,
+      BooleanSupplier healthy,
       Runnable askPeers,
       Consumer<LeaderElection.TermLease> depose) {}
 
@@ -74,7 +74,7 @@
   private final NodeId self;
   private final Duration leaderTimeout;
   private final Duration maxLeaderTimeout;
-  private final Parts context;
+  private final Context context;
   private State state = State.NONE;
   private Duration leaderSilence = Duration.ZERO;
   private MonotonicTime checkedAt;
@@ -97,7 +97,7 @@
       NodeId self,
       Duration leaderTimeout,
       Duration maxLeaderTimeout,
-      Parts context) {
+      Context context) {
     this.loop = loop;
     this.self = self;
     this.leaderTimeout = leaderTimeout;
@@ -128,7 +128,7 @@
    * @param otherZoneFirst the other controllers, in order of preference
    * @return the name of the standby, empty if no controller is healthy
    */
-  public String choose(List<NodeId> otherZoneFirst) {
+  public String chooseStandby(List<NodeId> otherZoneFirst) {
     List<NodeId> healthy = otherZoneFirst.stream().filter(this::isHealthy).toList();
     if (standby.filter(healthy::contains).isEmpty()) {
       standby = healthy.stream().findFirst();
@@ -144,17 +144,17 @@
             .peers
             .freshHeartbeat(peer)
             .map(PeerFailureDetector::workerReachability)
-            .filter(reachability -> reachability == WorkerReachability.State.WELL)
+            .filter(reachability -> reachability == WorkerReachability.State.REACHABLE)
             .isPresent();
   }
 
   /** The standby that this controller, as the leader, chose last. */
-  public Optional<NodeId> named() {
+  public Optional<NodeId> chosenStandby() {
     return standby;
   }
 
   /** How long this controller leaves a free leader key to a healthy standby. */
-  public Duration yields() {
+  public Duration campaignDelay() {
     boolean anotherIsStandby =
         standbyNamedBy(lastLeader())
             .filter(name -> !name.isEmpty())
@@ -201,7 +201,7 @@
         leader.isPresent()
             && !leader.get().node().equals(self)
             && standbyNamedBy(leader.map(LeaderRecord::node)).equals(Optional.of(self.value()))
-            && context.ownLinksWell.getAsBoolean();
+            && context.healthy.getAsBoolean();
     if (!isStandby) {
       leaderSilence = Duration.ZERO;
       if (state != State.NONE) {
@@ -214,7 +214,7 @@
     if (state == State.NONE) {
       transitionTo(State.STANDBY, "named by " + leader.get().node());
     }
-    boolean heard = context.peers.silence(leader.get().node()).compareTo(gap) <= 0;
+    boolean heard = context.peers.timeSinceLastHeard(leader.get().node()).compareTo(gap) <= 0;
     leaderSilence = heard || late ? Duration.ZERO : leaderSilence.plus(gap);
     watchLeader(leader.get());
   }
@@ -279,7 +279,10 @@
   private void recordFalseAlarm() {
     boolean alive =
         deposedLeader
-            .filter(node -> context.peers.silence(node).compareTo(loop.now().since(deposedAt)) < 0)
+            .filter(
+                node ->
+                    context.peers.timeSinceLastHeard(node).compareTo(loop.now().since(deposedAt))
+                        < 0)
             .flatMap(context.peers::lastHeartbeat)
             .filter(heartbeat -> heartbeat.getSessionLease() == deposedSession)
             .isPresent();
--- a/src/main/java/org/mulleinshift/membership/StoreHealth.java
+++ b/src/main/java/org/mulleinshift/membership/StoreHealth.java
@@ -42,11 +42,11 @@
   /** States of the connection. */
   public enum State {
     /** Calls are answered. */
-    SERVED,
+    CONNECTED,
     /**
      * Calls have been unanswered or refused for a while: peers are asked about their connections.
      */
-    DOUBTED,
+    SUSPECTED,
     /** The same for longer, while a peer is served. */
     LOST
   }
@@ -54,13 +54,13 @@
   /** Connects the health check with the peers and with those who act on its result. */
   public interface Listener {
     /** The connection is suspect: peers should report now how theirs are. */
-    void doubted();
+    void onSuspected();
 
     /** Whether some peer was served after that moment. */
     boolean peerServedSince(MonotonicTime moment);
 
     /** The state has changed. */
-    void changed(State next);
+    void onStateChanged(State next);
   }
 
   private final EventLoop loop;
@@ -68,7 +68,7 @@
   private final Duration probeInterval;
   private final Runnable probe;
   private final Listener listener;
-  private State state = State.SERVED;
+  private State state = State.CONNECTED;
   private int outstanding;
   private boolean failing;
   private Duration failingFor = Duration.ZERO;
@@ -118,7 +118,7 @@
   private void transitionTo(State next, String reason) {
     LOG.info("store health changed, from={} to={} reason={}", state, next, reason);
     state = next;
-    listener.changed(next);
+    listener.onStateChanged(next);
   }
 
   @Override
@@ -157,29 +157,29 @@
       probe.run();
     }
     currentInterval =
-        state == State.SERVED && failingFor.isZero() ? IDLE_CHECK_INTERVAL : CHECK_INTERVAL;
+        state == State.CONNECTED && failingFor.isZero() ? IDLE_CHECK_INTERVAL : CHECK_INTERVAL;
     loop.after(currentInterval, this::check);
   }
 
   private void updateState(MonotonicTime now) {
     switch (state) {
-      case SERVED -> checkServed();
-      case DOUBTED -> checkDoubted(now);
+      case CONNECTED -> checkServed();
+      case SUSPECTED -> checkDoubted(now);
       case LOST -> checkLost(now);
     }
   }
 
   private void checkServed() {
     if (failingFor.compareTo(lostAfter.dividedBy(2)) >= 0) {
-      transitionTo(State.DOUBTED, "no answer for " + failingFor.toMillis() + " ms");
-      listener.doubted();
+      transitionTo(State.SUSPECTED, "no answer for " + failingFor.toMillis() + " ms");
+      listener.onSuspected();
     }
   }
 
   private void checkDoubted(MonotonicTime now) {
     if (failingFor.isZero()) {
       peersAheadSince = Optional.empty();
-      transitionTo(State.SERVED, "answered");
+      transitionTo(State.CONNECTED, "answered");
       return;
     }
     comparePeers(now);
@@ -194,7 +194,7 @@
       peersAheadSince = Optional.empty();
       onLost(now);
     } else if (failingFor.toMillis() % SUSPICION_REPEAT.toMillis() < CHECK_INTERVAL.toMillis()) {
-      listener.doubted();
+      listener.onSuspected();
     }
   }
 
@@ -203,9 +203,9 @@
       lastPeerServedAt = now;
     }
     if (now.since(servedSince).compareTo(probation()) >= 0) {
-      transitionTo(State.SERVED, "answered for " + probation().toMillis() + " ms");
+      transitionTo(State.CONNECTED, "answered for " + probation().toMillis() + " ms");
     } else if (now.since(lastPeerServedAt).compareTo(PEER_TIMEOUT) > 0) {
-      transitionTo(State.DOUBTED, "no peer is served either");
+      transitionTo(State.SUSPECTED, "no peer is served either");
     }
   }
 
@@ -249,7 +249,7 @@
   }
 
   /** Time since the store last answered. */
-  public Duration silence() {
+  public Duration timeSinceLastAnswer() {
     return loop.now().since(lastAnswerAt);
   }
 }
--- a/src/main/java/org/mulleinshift/membership/WorkerReachability.java
+++ b/src/main/java/org/mulleinshift/membership/WorkerReachability.java
@@ -54,13 +54,13 @@
   /** States of the connection to the workers, from good to bad. */
   public enum State {
     /** Heartbeats arrive, or too few are due to tell. */
-    WELL("WELL"),
+    REACHABLE("WELL"),
     /** A third of the conclusive gap has passed: this controller is granted no further shards. */
-    DOUBTED("DOUBTED"),
+    SUSPECTED("DOUBTED"),
     /** The heartbeats of most machines have stopped. */
-    MOST_SILENT("MOST_SILENT"),
+    MOST_UNREACHABLE("MOST_SILENT"),
     /** No heartbeat arrives, of so many machines that this is no chance. */
-    ALL_SILENT("ALL_SILENT");
+    ALL_UNREACHABLE("ALL_SILENT");
 
     private final String wireName;
 
@@ -80,7 +80,7 @@
           return state;
         }
       }
-      return WELL;
+      return REACHABLE;
     }
   }
 
@@ -88,9 +88,9 @@
    * What is known of the machines now.
    *
    * @param known machines of the shards that this controller may act for
-   * @param silent those of them whose heartbeats have stopped
+   * @param unreachable those of them whose heartbeats have stopped
    */
-  public record Count(int known, int silent) {}
+  public record Count(int known, int unreachable) {}
 
   /**
    * What the check needs of its controller.
@@ -100,7 +100,7 @@
    * @param addresses addresses of the machines
    * @param onChange called when the state has changed
    */
-  public record Parts(
+  public record Context(
       AsyncHttpClient workers,
       Supplier<Count> count,
       Supplier<List<InetSocketAddress>> addresses,
@@ -108,8 +108,8 @@
 
   private final EventLoop loop;
   private final Duration heartbeatInterval;
-  private final Parts context;
-  private State state = State.WELL;
+  private final Context context;
+  private State state = State.REACHABLE;
   private Duration heartbeatGap = Duration.ZERO;
   private MonotonicTime checkedAt;
   private MonotonicTime changedAt;
@@ -124,7 +124,7 @@
    *
    * @param heartbeatInterval time between two heartbeats of a machine
    */
-  public WorkerReachability(EventLoop loop, Duration heartbeatInterval, Parts context) {
+  public WorkerReachability(EventLoop loop, Duration heartbeatInterval, Context context) {
     this.loop = loop;
     this.heartbeatInterval = heartbeatInterval;
     this.context = context;
@@ -140,13 +140,13 @@
   }
 
   /** A worker's heartbeat arrived, of whatever shard. */
-  public void reported() {
+  public void onHeartbeat() {
     heartbeatReceived = true;
     reachedSinceSuspected = true;
   }
 
   /** This process was paused: what could not be received meanwhile is no gap. */
-  public void stoodStill() {
+  public void onProcessPause() {
     heartbeatGap = Duration.ZERO;
   }
 
@@ -162,7 +162,7 @@
     if (next != state) {
       transitionTo(next);
     }
-    if (state != State.WELL && loop.now().since(pingedAt).compareTo(PING_INTERVAL) >= 0) {
+    if (state != State.REACHABLE && loop.now().since(pingedAt).compareTo(PING_INTERVAL) >= 0) {
       ping();
     }
   }
@@ -171,24 +171,24 @@
     Duration conclusiveGap = conclusiveGap(count.known());
     boolean enoughMachines = count.known() >= MIN_MACHINES_FOR_ALL;
     if (enoughMachines && heartbeatGap.compareTo(conclusiveGap) >= 0) {
-      return State.ALL_SILENT;
+      return State.ALL_UNREACHABLE;
     }
     if (mostUnreachable(count)) {
-      return state == State.ALL_SILENT ? state : State.MOST_SILENT;
+      return state == State.ALL_UNREACHABLE ? state : State.MOST_UNREACHABLE;
     }
     if (enoughMachines && heartbeatGap.multipliedBy(DOUBT_DIVISOR).compareTo(conclusiveGap) >= 0) {
-      return state == State.WELL ? State.DOUBTED : state;
+      return state == State.REACHABLE ? State.SUSPECTED : state;
     }
-    return trustedAgain() ? State.WELL : state;
+    return trustedAgain() ? State.REACHABLE : state;
   }
 
   private static boolean mostUnreachable(Count count) {
-    return count.known() >= MIN_MACHINES_FOR_MOST && 2 * count.silent() >= count.known();
+    return count.known() >= MIN_MACHINES_FOR_MOST && 2 * count.unreachable() >= count.known();
   }
 
   private boolean trustedAgain() {
-    return state == State.DOUBTED
-        || state == State.WELL
+    return state == State.SUSPECTED
+        || state == State.REACHABLE
         || reachedSinceSuspected
         || loop.now().since(changedAt).compareTo(SUSPICION_TIMEOUT) >= 0;
   }
@@ -204,15 +204,15 @@
 
   /** The only place where the state changes. */
   private void transitionTo(State next) {
-    boolean conclusive = next != State.DOUBTED && state != State.DOUBTED;
-    if (conclusive || next.compareTo(State.DOUBTED) > 0) {
+    boolean conclusive = next != State.SUSPECTED && state != State.SUSPECTED;
+    if (conclusive || next.compareTo(State.SUSPECTED) > 0) {
       LOG.info(
           "worker reachability changed, from={} to={} heartbeat_gap_ms={}",
           state,
           next,
           heartbeatGap.toMillis());
     }
-    if (state == State.WELL || state == State.DOUBTED) {
+    if (state == State.REACHABLE || state == State.SUSPECTED) {
       reachedSinceSuspected = false;
       lastKnownAddresses = context.addresses().get();
     }
@@ -235,7 +235,7 @@
         .workers()
         .call(
             address,
-            HttpRequest.get(WorkerCodec.STATUS, PING_DEADLINE),
+            HttpRequest.get(WorkerCodec.STATUS_PATH, PING_DEADLINE),
             response -> reachedSinceSuspected |= response.status() == HTTP_OK);
   }
 
--- a/src/main/java/org/mulleinshift/model/ClusterView.java
+++ b/src/main/java/org/mulleinshift/model/ClusterView.java
@@ -174,7 +174,7 @@
     } else if (key.startsWith(StoreKeys.NODES)) {
       NodeId node = new NodeId(key.substring(StoreKeys.NODES.length()));
       // One without a readable lease gets no shard: the grant could not be bound to it.
-      set(nodes, node, item.filter(ClusterView::hasLease).map(ClusterView::nodeRecord));
+      set(nodes, node, item.filter(ClusterView::hasLease).map(ClusterView::readNode));
     } else if (key.startsWith(StoreKeys.FEATURE_LEVELS)) {
       set(
           featureLevels,
@@ -188,7 +188,7 @@
   }
 
   /** Reads the session of a controller. */
-  public static NodeRecord nodeRecord(KeyValue item) {
+  public static NodeRecord readNode(KeyValue item) {
     return new NodeRecord(readLease(item), item.revision());
   }
 
--- a/src/main/java/org/mulleinshift/model/Job.java
+++ b/src/main/java/org/mulleinshift/model/Job.java
@@ -271,7 +271,7 @@
 
   /** The higher one of its own priority and that of jobs that depend on it. */
   public Priority priority() {
-    return inherited.priority().above(spec.priority()) ? inherited.priority() : spec.priority();
+    return inherited.priority().isAbove(spec.priority()) ? inherited.priority() : spec.priority();
   }
 
   /**
--- a/src/main/java/org/mulleinshift/model/JobDependencies.java
+++ b/src/main/java/org/mulleinshift/model/JobDependencies.java
@@ -59,7 +59,7 @@
       return new JobDependencies(
           List.of(), (int) Json.count(node, LISTS, 1, MAX_LISTS), Json.text(node, DIGEST));
     }
-    List<JobId> named = JobCodec.jobIds(node.path(NAMED));
+    List<JobId> named = JobCodec.parseJobIds(node.path(NAMED));
     if (named.isEmpty()) {
       throw new MalformedMessageException("no dependencies are named");
     }
@@ -73,7 +73,7 @@
 
   /** Reads one list. */
   public static List<JobId> readList(JsonNode value) throws MalformedMessageException {
-    return JobCodec.jobIds(value.path(NAMED));
+    return JobCodec.parseJobIds(value.path(NAMED));
   }
 
   private static ArrayNode array(List<JobId> jobs) {
--- a/src/main/java/org/mulleinshift/model/JobRecord.java
+++ b/src/main/java/org/mulleinshift/model/JobRecord.java
@@ -53,7 +53,7 @@
   public static JsonNode value(
       JobSpec spec, JobDependencies dependencies, long acceptedMillis, boolean cancelled) {
     ObjectNode node = Json.object();
-    node.set(SPEC, JobCodec.write(spec));
+    node.set(SPEC, JobCodec.writeSubmission(spec));
     if (dependencies.isEmpty()) {
       node.put(AT, acceptedMillis);
     } else {
@@ -76,7 +76,7 @@
   public static Optional<JobRecord> read(KeyValue item) {
     JsonNode value = item.value();
     try {
-      JobSpec spec = JobCodec.parse(value.path(SPEC));
+      JobSpec spec = JobCodec.parseSubmission(value.path(SPEC));
       boolean dependent = value.has(DEPENDENCIES);
       JsonNode inner = value.path(DEPENDENCIES);
       JobDependencies dependencies = dependent ? JobDependencies.read(inner) : JobDependencies.NONE;
@@ -117,7 +117,7 @@
    * @param atMillis time of day of the end, for jobs that depend on it; older builds leave it out
    */
   public static JsonNode endedValue(JobPhase phase, long atMillis) {
-    return Json.object().put(PHASE, phase.wire()).put(AT, atMillis);
+    return Json.object().put(PHASE, phase.wireName()).put(AT, atMillis);
   }
 
   /** The time of day of a job's end, if the build that stored it wrote one. */
@@ -130,7 +130,7 @@
   public static Optional<JobPhase> endedPhase(KeyValue item) {
     String phase = item.value().path(PHASE).asText();
     for (JobPhase known : JobPhase.values()) {
-      if (known.terminal() && known.wire().equals(phase)) {
+      if (known.isTerminal() && known.wireName().equals(phase)) {
         return Optional.of(known);
       }
     }
--- a/src/main/java/org/mulleinshift/model/Machine.java
+++ b/src/main/java/org/mulleinshift/model/Machine.java
@@ -132,7 +132,7 @@
   }
 
   /** Seconds since it was provisioned. */
-  public double heldSeconds(MonotonicTime now) {
+  public double ageSeconds(MonotonicTime now) {
     return now.secondsSince(provisionedAt);
   }
 
--- a/src/main/java/org/mulleinshift/placement/MachineTypeCatalog.java
+++ b/src/main/java/org/mulleinshift/placement/MachineTypeCatalog.java
@@ -47,11 +47,11 @@
 
   /** Reads the catalog now, and again at intervals from then on. */
   public void start() {
-    client.call(cloud, HttpRequest.get(CloudCodec.CATALOG, CALL_DEADLINE), this::onResponse);
+    client.call(cloud, HttpRequest.get(CloudCodec.CATALOG_PATH, CALL_DEADLINE), this::onResponse);
   }
 
   private void onResponse(HttpResponse response) {
-    if (response.ok()) {
+    if (response.isOk()) {
       try {
         types = CloudCodec.parseCatalog(response.body());
         loop.after(REFRESH_INTERVAL, this::start);
--- a/src/main/java/org/mulleinshift/placement/PlacementConstraints.java
+++ b/src/main/java/org/mulleinshift/placement/PlacementConstraints.java
@@ -16,10 +16,12 @@
     if (!job.spec().allowsZone(zone)) {
       return false;
     }
-    if (job.spec().oneZone() && !job.assignedPerZone().isEmpty() && job.assignedIn(zone) == 0) {
+    if (job.spec().requiresSingleZone()
+        && !job.assignedPerZone().isEmpty()
+        && job.assignedIn(zone) == 0) {
       return false;
     }
-    return !job.spec().spread() || job.assignedIn(zone) < maxPerZoneIfSpread(job);
+    return !job.spec().requiresSpread() || job.assignedIn(zone) < maxPerZoneIfSpread(job);
   }
 
   /** A job that is spread has at most half of its tasks, rounded up, in one zone. */
@@ -49,10 +51,10 @@
         fittingPerZone.merge(zone, capacity.countOf(request), Integer::sum);
       }
     }
-    if (job.spec().oneZone()) {
+    if (job.spec().requiresSingleZone()) {
       return fittingPerZone.values().stream().anyMatch(fitting -> fitting >= tasks);
     }
-    int maxPerZone = job.spec().spread() ? maxPerZoneIfSpread(job) : tasks;
+    int maxPerZone = job.spec().requiresSpread() ? maxPerZoneIfSpread(job) : tasks;
     int fitting = fittingPerZone.values().stream().mapToInt(fit -> Math.min(fit, maxPerZone)).sum();
     return fitting >= tasks;
   }
--- a/src/main/java/org/mulleinshift/progress/ChunkUpdate.java
+++ b/src/main/java/org/mulleinshift/progress/ChunkUpdate.java
@@ -86,7 +86,7 @@
       return false;
     }
     JsonNode progress = job.progress(chunk);
-    int bytes = StoreCodec.bytes(progress);
+    int bytes = StoreCodec.encodedLength(progress);
     if (chunk.canSplit() && bytes > splitAbove) {
       job.split(chunk);
       return true;
--- a/src/main/java/org/mulleinshift/progress/JobEndMutation.java
+++ b/src/main/java/org/mulleinshift/progress/JobEndMutation.java
@@ -79,7 +79,10 @@
   public void onCommitted(Revision revision) {
     JobId id = job.spec().id();
     LOG.info(
-        "job ended, job={} phase={} {}", id, job.terminalPhase().wire(), job.summary(endedMillis));
+        "job ended, job={} phase={} {}",
+        id,
+        job.terminalPhase().wireName(),
+        job.summary(endedMillis));
     List.copyOf(job.chunks().stored()).forEach(chunk -> keyWriter.delete(job, chunk));
     deleteDependencyLists(id);
     log.release(id);
--- a/src/main/java/org/mulleinshift/progress/LogSegment.java
+++ b/src/main/java/org/mulleinshift/progress/LogSegment.java
@@ -44,13 +44,13 @@
   public record Entry(JobId job, Chunk chunk, JsonNode progress, int bytes) {
     /** An entry whose progress alone has that length. */
     public static Entry of(JobId job, Chunk chunk, JsonNode progress, int progressBytes) {
-      int names = StoreCodec.bytes(job.value()) + chunk.toString().length();
+      int names = StoreCodec.encodedLength(job.value()) + chunk.toString().length();
       return new Entry(job, chunk, progress, progressBytes + names + ENTRY_BYTES);
     }
 
     /** An entry whose length is computed here. */
     public static Entry of(JobId job, Chunk chunk, JsonNode progress) {
-      return of(job, chunk, progress, StoreCodec.bytes(progress));
+      return of(job, chunk, progress, StoreCodec.encodedLength(progress));
     }
   }
 
--- a/src/main/java/org/mulleinshift/progress/ProgressLoader.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressLoader.java
@@ -130,7 +130,7 @@
   }
 
   /** Loads a page of the keys of chunks; a whole chunk comes before its halves. */
-  public void loadParts(StoreCodec.Range page) {
+  public void loadChunks(StoreCodec.Range page) {
     for (KeyValue item : page.items()) {
       Optional<ChunkKey> key = ChunkKey.parse(item.key());
       if (key.isEmpty()) {
--- a/src/main/java/org/mulleinshift/progress/ProgressPersister.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressPersister.java
@@ -123,7 +123,8 @@
     for (Chunk chunk : List.copyOf(job.chunks().live())) {
       // Also what could not be stored before.
       boolean waits = job.assignments(chunk).stream().anyMatch(ProgressPersister::isUnstored);
-      if (waits || (limitsWillShrink && StoreCodec.bytes(job.progress(chunk)) > valueBytes)) {
+      if (waits
+          || (limitsWillShrink && StoreCodec.encodedLength(job.progress(chunk)) > valueBytes)) {
         oversized.add(chunk);
       }
     }
--- a/src/main/java/org/mulleinshift/protocol/CloudCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/CloudCodec.java
@@ -14,19 +14,19 @@
 /** Messages of the cloud's interface. */
 public final class CloudCodec {
   /** Path of the catalog of machine types. */
-  public static final String CATALOG = "/catalog";
+  public static final String CATALOG_PATH = "/catalog";
 
   /** Path of the machine list and of provisioning requests. */
-  public static final String MACHINES = "/rentals";
+  public static final String MACHINES_PATH = "/rentals";
 
   /** Path of deletion requests. */
-  public static final String DELETE = "/rentals/delete";
+  public static final String DELETE_PATH = "/rentals/delete";
 
   /** The most machines of one provisioning request. */
-  public static final int MAX_PROVISIONED = 50;
+  public static final int MAX_MACHINES_PER_REQUEST = 50;
 
   /** The most machines of one deletion request. */
-  public static final int MAX_DELETED = 100;
+  public static final int MAX_MACHINES_PER_DELETION = 100;
 
   /** The most machines of one page of the list. */
   public static final int LIST_LIMIT = 500;
@@ -84,7 +84,7 @@
    *
    * @param name makes the request idempotent; a name must never be reused
    */
-  public static String provision(
+  public static String writeProvisioningRequest(
       String name, MachineTypeId type, ZoneId zone, boolean spot, int count) {
     ObjectNode node = Json.object();
     node.put(WireNames.PROVISIONING_REQUEST, name);
@@ -112,7 +112,7 @@
   }
 
   /** Writes a deletion request. */
-  public static String delete(Collection<MachineId> machines) {
+  public static String writeDeletion(Collection<MachineId> machines) {
     ObjectNode node = Json.object();
     ArrayNode list = node.putArray(WireNames.MACHINES);
     machines.forEach(machine -> list.add(machine.value()));
@@ -122,7 +122,7 @@
   /** The path of the page that starts after a machine, or of the first page. */
   public static String listPath(Optional<MachineId> after) {
     String from = after.map(machine -> "from=" + machine.value() + "&").orElse("");
-    return MACHINES + "?" + from + "limit=" + LIST_LIMIT;
+    return MACHINES_PATH + "?" + from + "limit=" + LIST_LIMIT;
   }
 
   /**
--- a/src/main/java/org/mulleinshift/protocol/HeartbeatParser.java
+++ b/src/main/java/org/mulleinshift/protocol/HeartbeatParser.java
@@ -35,7 +35,7 @@
   private long sequence = NOT_GIVEN;
   private long token = NOT_GIVEN;
   private Optional<Duration> interruptionNotice = Optional.empty();
-  private List<WorkerHeartbeat.Entry> tasks;
+  private List<WorkerHeartbeat.ReportedTask> tasks;
 
   private HeartbeatParser(JsonParser in) {
     this.in = in;
@@ -98,18 +98,19 @@
     }
   }
 
-  private List<WorkerHeartbeat.Entry> entries() throws IOException, MalformedMessageException {
+  private List<WorkerHeartbeat.ReportedTask> entries()
+      throws IOException, MalformedMessageException {
     if (!in.hasToken(JsonToken.START_ARRAY)) {
       throw new MalformedMessageException("pieces is missing");
     }
-    List<WorkerHeartbeat.Entry> found = new ArrayList<>(EXPECTED_TASKS);
+    List<WorkerHeartbeat.ReportedTask> found = new ArrayList<>(EXPECTED_TASKS);
     while (in.nextToken() != JsonToken.END_ARRAY) {
       found.add(entry());
     }
     return found;
   }
 
-  private WorkerHeartbeat.Entry entry() throws IOException, MalformedMessageException {
+  private WorkerHeartbeat.ReportedTask entry() throws IOException, MalformedMessageException {
     if (!in.hasToken(JsonToken.START_OBJECT)) {
       throw new MalformedMessageException("piece is missing or not a short text");
     }
@@ -130,7 +131,7 @@
         default -> in.skipChildren();
       }
     }
-    return new WorkerHeartbeat.Entry(
+    return new WorkerHeartbeat.ReportedTask(
         given(task, WireNames.TASK),
         new Attempt(given(attempt, WireNames.ATTEMPT)),
         given(state, WireNames.PHASE),
--- a/src/main/java/org/mulleinshift/protocol/JobCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/JobCodec.java
@@ -19,7 +19,7 @@
  */
 public final class JobCodec {
   /** Path of submissions; that of a job adds a slash and its id. */
-  public static final String RUNS = "/v2/runs";
+  public static final String JOBS_PATH = "/v2/runs";
 
   private static final Pattern ID = Pattern.compile("run-[0-9A-Za-z_.-]{1,64}");
   private static final int MAX_TASKS = 100_000;
@@ -43,7 +43,7 @@
    *
    * @throws MalformedMessageException if a field is missing or invalid
    */
-  public static JobSpec parse(JsonNode node) throws MalformedMessageException {
+  public static JobSpec parseSubmission(JsonNode node) throws MalformedMessageException {
     String id = Json.text(node, WireNames.ID);
     if (!isJobId(id)) {
       throw new MalformedMessageException("ref is not a job id");
@@ -57,8 +57,8 @@
         new JobId(id),
         Json.text(node, WireNames.JOB_CLASS),
         new TeamId(Json.text(node, WireNames.TEAM)),
-        oneOf(node, WireNames.JOB_KIND, JobKind.values(), JobKind::wire),
-        oneOf(node, WireNames.PRIORITY, Priority.values(), Priority::wire),
+        oneOf(node, WireNames.JOB_KIND, JobKind.values(), JobKind::wireName),
+        oneOf(node, WireNames.PRIORITY, Priority.values(), Priority::wireName),
         (int) Json.count(node, WireNames.TASKS, 1, MAX_TASKS),
         perTask,
         Json.text(node, WireNames.IMAGE),
@@ -85,7 +85,7 @@
     if (!node.hasNonNull(WireNames.DEPENDENCIES)) {
       return List.of();
     }
-    return jobIds(node.get(WireNames.DEPENDENCIES));
+    return parseJobIds(node.get(WireNames.DEPENDENCIES));
   }
 
   /**
@@ -93,7 +93,7 @@
    *
    * @throws MalformedMessageException if it is something else
    */
-  public static List<JobId> jobIds(JsonNode list) throws MalformedMessageException {
+  public static List<JobId> parseJobIds(JsonNode list) throws MalformedMessageException {
     if (!list.isArray()) {
       throw new MalformedMessageException("awaits is not a list");
     }
@@ -144,13 +144,13 @@
   }
 
   /** The inverse of {@link #parse(JsonNode)}. */
-  public static ObjectNode write(JobSpec spec) {
+  public static ObjectNode writeSubmission(JobSpec spec) {
     ObjectNode node = Json.object();
     node.put(WireNames.ID, spec.id().value());
     node.put(WireNames.JOB_CLASS, spec.jobClass());
     node.put(WireNames.TEAM, spec.team().value());
-    node.put(WireNames.JOB_KIND, spec.kind().wire());
-    node.put(WireNames.PRIORITY, spec.priority().wire());
+    node.put(WireNames.JOB_KIND, spec.kind().wireName());
+    node.put(WireNames.PRIORITY, spec.priority().wireName());
     node.put(WireNames.TASKS, spec.tasks());
     node.put(WireNames.CPUS, spec.perTask().cpus());
     node.put(WireNames.GPUS, spec.perTask().gpus());
@@ -164,8 +164,8 @@
               types.forEach(type -> list.add(type.value()));
             });
     spec.zone().ifPresent(zone -> node.put(WireNames.ZONE, zone.value()));
-    node.put(WireNames.ONE_ZONE, spec.oneZone());
-    node.put(WireNames.SPREAD, spec.spread());
+    node.put(WireNames.ONE_ZONE, spec.requiresSingleZone());
+    node.put(WireNames.SPREAD, spec.requiresSpread());
     node.put(WireNames.SPOT, spec.spotAllowed());
     node.put(WireNames.ESTIMATE_SECONDS, spec.estimateSeconds());
     node.put(WireNames.CHECKPOINT_SECONDS, spec.checkpointSeconds());
@@ -178,14 +178,14 @@
   public static String view(JobId id, JobPhase phase, OptionalInt done, OptionalInt running) {
     ObjectNode node = Json.object();
     node.put(WireNames.ID, id.value());
-    node.put(WireNames.PHASE, phase.wire());
+    node.put(WireNames.PHASE, phase.wireName());
     done.ifPresent(count -> node.put(WireNames.DONE_TASKS, count));
     running.ifPresent(count -> node.put(WireNames.RUNNING_TASKS, count));
     return Json.write(node);
   }
 
   /** Writes the reason of a rejection. */
-  public static String error(String reason) {
+  public static String writeError(String reason) {
     return Json.write(Json.object().put(WireNames.ERROR, reason));
   }
 }
--- a/src/main/java/org/mulleinshift/protocol/JobKind.java
+++ b/src/main/java/org/mulleinshift/protocol/JobKind.java
@@ -9,14 +9,14 @@
   /** The tasks run until the job is cancelled. */
   SERVICE("standing");
 
-  private final String wire;
+  private final String wireName;
 
   JobKind(String wire) {
-    this.wire = wire;
+    this.wireName = wire;
   }
 
   /** The name of this kind in submissions. */
-  public String wire() {
-    return wire;
+  public String wireName() {
+    return wireName;
   }
 }
--- a/src/main/java/org/mulleinshift/protocol/JobPhase.java
+++ b/src/main/java/org/mulleinshift/protocol/JobPhase.java
@@ -7,19 +7,19 @@
   DONE("done"),
   CANCELLED("cancelled");
 
-  private final String wire;
+  private final String wireName;
 
   JobPhase(String wire) {
-    this.wire = wire;
+    this.wireName = wire;
   }
 
   /** The name of this phase in responses and in stored records. */
-  public String wire() {
-    return wire;
+  public String wireName() {
+    return wireName;
   }
 
   /** Whether a job stays in this phase for ever. */
-  public boolean terminal() {
+  public boolean isTerminal() {
     return this == DONE || this == CANCELLED;
   }
 }
--- a/src/main/java/org/mulleinshift/protocol/JobSpec.java
+++ b/src/main/java/org/mulleinshift/protocol/JobSpec.java
@@ -18,8 +18,8 @@
  * @param imageGb size of the image
  * @param machineTypes allowed types; empty: any
  * @param zone the only allowed zone; empty: any
- * @param oneZone whether all tasks must be in one zone
- * @param spread whether at most half of the tasks, rounded up, may be in one zone
+ * @param requiresSingleZone whether all tasks must be in one zone
+ * @param requiresSpread whether at most half of the tasks, rounded up, may be in one zone
  * @param spotAllowed whether the tasks may run on spot machines
  * @param estimateSeconds the user's estimate of a task's run time
  * @param checkpointSeconds progress between two checkpoints; 0: a task saves none
@@ -38,8 +38,8 @@
     double imageGb,
     Optional<List<MachineTypeId>> machineTypes,
     Optional<ZoneId> zone,
-    boolean oneZone,
-    boolean spread,
+    boolean requiresSingleZone,
+    boolean requiresSpread,
     boolean spotAllowed,
     double estimateSeconds,
     double checkpointSeconds,
--- a/src/main/java/org/mulleinshift/protocol/Priority.java
+++ b/src/main/java/org/mulleinshift/protocol/Priority.java
@@ -7,17 +7,17 @@
   NORMAL("standard", 2),
   LOW("idle", 3);
 
-  private final String wire;
+  private final String wireName;
   private final int rank;
 
   Priority(String wire, int rank) {
-    this.wire = wire;
+    this.wireName = wire;
     this.rank = rank;
   }
 
   /** The name of this priority in submissions. */
-  public String wire() {
-    return wire;
+  public String wireName() {
+    return wireName;
   }
 
   /** Its place in the order of priorities; 0 is the most urgent. */
@@ -26,7 +26,7 @@
   }
 
   /** Whether this is more urgent than the other. */
-  public boolean above(Priority other) {
+  public boolean isAbove(Priority other) {
     return rank < other.rank;
   }
 }
--- a/src/main/java/org/mulleinshift/protocol/StoreCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/StoreCodec.java
@@ -13,10 +13,10 @@
 /** Messages of the key-value store's interface. */
 public final class StoreCodec {
   /** Path of transactions. */
-  public static final String COMMIT = "/commit";
+  public static final String COMMIT_PATH = "/commit";
 
   /** Path of lease grants; that of a lease adds a slash and its id. */
-  public static final String LEASES = "/holds";
+  public static final String LEASES_PATH = "/holds";
 
   /** The most keys of one page: their values fit into a response. */
   public static final int RANGE_LIMIT = 250;
@@ -75,7 +75,7 @@
 
     /** What the store counts against its limit of a value. */
     public int bytes() {
-      return value.map(text -> StoreCodec.bytes(text)).orElse(0);
+      return value.map(text -> StoreCodec.encodedLength(text)).orElse(0);
     }
 
     /** Deletes a key. */
@@ -87,12 +87,12 @@
   private StoreCodec() {}
 
   /** The length of a value as the store counts it. */
-  public static int bytes(JsonNode value) {
-    return bytes(Json.write(value));
+  public static int encodedLength(JsonNode value) {
+    return encodedLength(Json.write(value));
   }
 
   /** The length of a text as the store counts it. */
-  public static int bytes(String text) {
+  public static int encodedLength(String text) {
     return text.getBytes(StandardCharsets.UTF_8).length;
   }
 
@@ -126,21 +126,21 @@
 
   /** The path that renews a lease. */
   public static String renewLeasePath(LeaseId lease) {
-    return LEASES + "/" + lease + "/renew";
+    return LEASES_PATH + "/" + lease + "/renew";
   }
 
   /** The path of a lease, which ends it when it is deleted. */
   public static String leasePath(LeaseId lease) {
-    return LEASES + "/" + lease;
+    return LEASES_PATH + "/" + lease;
   }
 
   /** Writes a request for a lease. */
-  public static String grantLease(Duration ttl) {
+  public static String writeLeaseRequest(Duration ttl) {
     return Json.write(Json.object().put(WireNames.TTL_MILLIS, ttl.toMillis()));
   }
 
   /** Writes a transaction: all writes take place if all conditions hold, else none. */
-  public static String commit(List<Compare> compares, List<Write> writes) {
+  public static String writeTransaction(List<Compare> compares, List<Write> writes) {
     ObjectNode node = Json.object();
     ArrayNode compareItems = node.putArray(WireNames.COMPARES);
     for (Compare compare : compares) {
--- a/src/main/java/org/mulleinshift/protocol/WorkerCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/WorkerCodec.java
@@ -8,13 +8,13 @@
 /** Messages of the workers' interface: reads heartbeats and writes commands. */
 public final class WorkerCodec {
   /** Path at a controller that takes heartbeats. */
-  public static final String CHECKIN = "/checkin";
+  public static final String HEARTBEAT_PATH = "/checkin";
 
   /** Path at a worker that returns its status. */
-  public static final String STATUS = "/status";
+  public static final String STATUS_PATH = "/status";
 
   /** Path at a worker that takes commands. */
-  public static final String COMMANDS = "/orders";
+  public static final String COMMANDS_PATH = "/orders";
 
   private static final double MILLIS_PER_SECOND = 1000.0;
 
@@ -54,7 +54,7 @@
   }
 
   /** Writes the response to a heartbeat; the worker drops it if it has seen a higher token. */
-  public static String response(FencingToken token, List<WorkerCommand> commands) {
+  public static String writeHeartbeatResponse(FencingToken token, List<WorkerCommand> commands) {
     if (commands.isEmpty()) {
       // Most heartbeats get no commands: the short form needs no tree.
       return "{\"baton\":" + token.value() + ",\"orders\":[]}";
@@ -69,7 +69,7 @@
    * Writes a request that commands a worker directly; it is dropped if the worker has seen a higher
    * token or is in another epoch.
    */
-  public static String direct(FencingToken token, long epoch, List<WorkerCommand> commands) {
+  public static String writeCommands(FencingToken token, long epoch, List<WorkerCommand> commands) {
     ObjectNode node = Json.object();
     node.put(WireNames.FENCING_TOKEN, token.value());
     node.put(WireNames.WORKER_EPOCH, epoch);
@@ -78,7 +78,7 @@
   }
 
   /** Writes the response that sends a worker to another controller. */
-  public static String redirect(NodeId node) {
+  public static String writeRedirect(NodeId node) {
     return Json.write(Json.object().put(WireNames.REDIRECT_NODE, node.value()));
   }
 
@@ -89,7 +89,7 @@
       item.put(WireNames.COMMAND_KIND, kindOf(command));
       item.put(WireNames.TASK, command.task().toString());
       item.put(WireNames.ATTEMPT, command.attempt().value());
-      if (command instanceof WorkerCommand.Halt halt) {
+      if (command instanceof WorkerCommand.Stop halt) {
         item.put(WireNames.GRACE_SECONDS, seconds(halt.grace()));
       }
     }
@@ -100,7 +100,7 @@
     if (command instanceof WorkerCommand.Run) {
       return "run";
     }
-    return command instanceof WorkerCommand.Halt ? "halt" : "forget";
+    return command instanceof WorkerCommand.Stop ? "halt" : "forget";
   }
 
   private static double seconds(Duration duration) {
--- a/src/main/java/org/mulleinshift/protocol/WorkerCommand.java
+++ b/src/main/java/org/mulleinshift/protocol/WorkerCommand.java
@@ -18,7 +18,7 @@
    *
    * @param grace time to save a checkpoint; zero: stop immediately
    */
-  record Halt(TaskId task, Attempt attempt, Duration grace) implements WorkerCommand {}
+  record Stop(TaskId task, Attempt attempt, Duration grace) implements WorkerCommand {}
 
   /** Removes an exited attempt from the worker's heartbeats; only after its end is stored. */
   record Forget(TaskId task, Attempt attempt) implements WorkerCommand {}
--- a/src/main/java/org/mulleinshift/protocol/WorkerHeartbeat.java
+++ b/src/main/java/org/mulleinshift/protocol/WorkerHeartbeat.java
@@ -26,7 +26,7 @@
     HeartbeatVersion version,
     FencingToken highestToken,
     Optional<Duration> interruptionNotice,
-    List<Entry> tasks) {
+    List<ReportedTask> tasks) {
 
   /** What a task on a machine does. */
   public enum State {
@@ -65,10 +65,10 @@
    * One task on the machine. Why {@code equals} and {@code hashCode} are written out: see {@link
    * TextId}.
    */
-  public record Entry(TaskId task, Attempt attempt, State state, Cause cause) {
+  public record ReportedTask(TaskId task, Attempt attempt, State state, Cause cause) {
     @Override
     public boolean equals(Object other) {
-      return other instanceof Entry entry
+      return other instanceof ReportedTask entry
           && entry.state == state
           && entry.cause == cause
           && entry.attempt.equals(attempt)
--- a/src/main/java/org/mulleinshift/scheduling/AssignAheadPass.java
+++ b/src/main/java/org/mulleinshift/scheduling/AssignAheadPass.java
@@ -63,8 +63,8 @@
   private static boolean mayQueueAtOwner(Job job) {
     return job.state() == Job.State.ACTIVE
         && job.spec().kind() == JobKind.ARRAY
-        && !job.spec().oneZone()
-        && !job.spec().spread();
+        && !job.spec().requiresSingleZone()
+        && !job.spec().requiresSpread();
   }
 
   /** Counts the capacity of tasks that should end soon as available. */
--- a/src/main/java/org/mulleinshift/scheduling/Preemption.java
+++ b/src/main/java/org/mulleinshift/scheduling/Preemption.java
@@ -129,7 +129,7 @@
 
   /** Whether the job is of a priority that may preempt at all. */
   static boolean mayPreempt(Job job) {
-    return job.state() == Job.State.ACTIVE && job.priority().above(Priority.NORMAL);
+    return job.state() == Job.State.ACTIVE && job.priority().isAbove(Priority.NORMAL);
   }
 
   /** Whether the preempting job may use the machine. */
--- a/src/main/java/org/mulleinshift/scheduling/PreemptionPolicies.java
+++ b/src/main/java/org/mulleinshift/scheduling/PreemptionPolicies.java
@@ -15,7 +15,7 @@
   record LowerPriority(Job job) implements Preemption.Policy {
     @Override
     public boolean mayPreempt(Job other) {
-      return job.priority().above(other.priority());
+      return job.priority().isAbove(other.priority());
     }
 
     @Override
@@ -115,7 +115,7 @@
     @Override
     public boolean mayPreempt(Job other) {
       return !other.spec().team().equals(job.spec().team())
-          && !other.priority().above(job.priority())
+          && !other.priority().isAbove(job.priority())
           && !hasStartObjective.test(other)
           && !ranking.withinGuarantee(other)
           && excessCpus.getOrDefault(other.spec().team(), 0.0) >= other.spec().perTask().cpus();
--- a/src/main/java/org/mulleinshift/scheduling/SchedulingSettings.java
+++ b/src/main/java/org/mulleinshift/scheduling/SchedulingSettings.java
@@ -30,11 +30,11 @@
   public static SchedulingSettings of(PlatformSettings platform, Tunables tunables) {
     return new SchedulingSettings(
         platform.cluster().objectives(),
-        tunables.number(Tunables.Key.FLOOR_SHARE),
-        tunables.number(Tunables.Key.PREEMPT_RAN_S),
-        tunables.number(Tunables.Key.PREEMPT_SLACK_S),
-        tunables.number(Tunables.Key.AHEAD_S),
-        tunables.number(Tunables.Key.BEGIN_S),
+        tunables.number(Tunables.Key.MINIMUM_SHARE),
+        tunables.number(Tunables.Key.PREEMPTION_MAX_RUN_S),
+        tunables.number(Tunables.Key.PREEMPTION_SLACK_S),
+        tunables.number(Tunables.Key.DISPATCH_AHEAD_S),
+        tunables.number(Tunables.Key.LONG_WAIT_S),
         tunables.number(Tunables.Key.OVERDUE_S));
   }
 
--- a/src/main/java/org/mulleinshift/scheduling/Tardiness.java
+++ b/src/main/java/org/mulleinshift/scheduling/Tardiness.java
@@ -63,7 +63,8 @@
       objective
           .jobClass()
           .ifPresent(
-              name -> toleranceFactors.merge(name, Math.max(1, objective.times()), Math::max));
+              name ->
+                  toleranceFactors.merge(name, Math.max(1, objective.deadlineFactor()), Math::max));
     }
   }
 
--- a/src/main/java/org/mulleinshift/scheduling/TaskAssigner.java
+++ b/src/main/java/org/mulleinshift/scheduling/TaskAssigner.java
@@ -83,7 +83,7 @@
 
   /** Whether each task of the job that is placed changes which zones the others may be in. */
   private static boolean constrainsOwnTasks(Job job) {
-    return job.spec().spread() || job.spec().oneZone();
+    return job.spec().requiresSpread() || job.spec().requiresSingleZone();
   }
 
   private BinPacker.CapacityConsumer assignmentsOf(Job job, int[] waiting) {
--- a/src/main/java/org/mulleinshift/settings/Leases.java
+++ b/src/main/java/org/mulleinshift/settings/Leases.java
@@ -15,9 +15,9 @@
    * The longest shard lease with which a cancelled job's tasks are certainly gone in time: an owner
    * that is cut off acts until its lease expires, and its workers run on for a worker lease.
    */
-  public static Duration shard(PlatformSettings.WorkerTiming workers, Tunables tunables) {
+  public static Duration shardLease(PlatformSettings.WorkerTiming workers, Tunables tunables) {
     return workers
-        .cancel()
+        .cancelWithin()
         .minus(workers.lease())
         .minus(tunables.seconds(Tunables.Key.CANCEL_MARGIN_S));
   }
@@ -31,7 +31,7 @@
    */
   public static void check(String file, PlatformSettings.WorkerTiming workers, Tunables tunables)
       throws SettingsException {
-    if (shard(workers, tunables).compareTo(MIN_SHARD_LEASE) < 0) {
+    if (shardLease(workers, tunables).compareTo(MIN_SHARD_LEASE) < 0) {
       throw new SettingsException(
           file
               + ": cluster.workers.cancel_s: leaves less than "
--- a/src/main/java/org/mulleinshift/settings/PlatformSettings.java
+++ b/src/main/java/org/mulleinshift/settings/PlatformSettings.java
@@ -13,8 +13,8 @@
  * @param publicAddress where users, workers and health checks connect
  * @param peerBind where other controllers connect
  * @param members the other controllers
- * @param cloud address of the cloud's interface
- * @param store address of the key-value store
+ * @param cloudLimits address of the cloud's interface
+ * @param storeLimits address of the key-value store
  * @param cluster what holds for all controllers
  * @param limits of this process
  */
@@ -24,8 +24,8 @@
     InetSocketAddress publicAddress,
     InetSocketAddress peerBind,
     List<Member> members,
-    InetSocketAddress cloud,
-    InetSocketAddress store,
+    InetSocketAddress cloudAddress,
+    InetSocketAddress storeAddress,
     Cluster cluster,
     Limits limits) {
 
@@ -36,17 +36,17 @@
    * What holds for all controllers.
    *
    * @param size number of controllers
-   * @param clockOff how far the time of day may be off
+   * @param maxClockError how far the time of day may be off
    */
   public record Cluster(
       int size,
       List<String> zones,
-      Duration clockOff,
+      Duration maxClockError,
       List<Team> teams,
       List<Objective> objectives,
-      WorkerTiming workers,
-      StoreLimits store,
-      CloudLimits cloud) {}
+      WorkerTiming workerTiming,
+      StoreLimits storeLimits,
+      CloudLimits cloudLimits) {}
 
   /**
    * A team's quota: what it is guaranteed, and what its tasks may use at most. A maximum of 0 means
@@ -60,19 +60,20 @@
    * @param kind what is measured, such as {@code deadline} or {@code wait}
    * @param jobClass the class of jobs that it holds for; empty: all
    * @param withinSeconds time allowed; 0: not given
-   * @param times of kind {@code deadline}: how many times its deadline a job may take; 0: not given
+   * @param deadlineFactor of kind {@code deadline}: how many times its deadline a job may take; 0:
+   *     not given
    */
   public record Objective(
-      String kind, Optional<String> jobClass, double withinSeconds, double times) {}
+      String kind, Optional<String> jobClass, double withinSeconds, double deadlineFactor) {}
 
   /**
    * Times that workers keep.
    *
-   * @param reportInterval between two heartbeats
+   * @param heartbeatInterval between two heartbeats
    * @param lease after which a worker without a response kills its tasks
-   * @param cancel within which the tasks of a cancelled job must be gone
+   * @param cancelWithin within which the tasks of a cancelled job must be gone
    */
-  public record WorkerTiming(Duration reportInterval, Duration lease, Duration cancel) {}
+  public record WorkerTiming(Duration heartbeatInterval, Duration lease, Duration cancelWithin) {}
 
   /**
    * The limits of the key-value store.
@@ -131,7 +132,7 @@
    * The limits of this process.
    *
    * @param cpu share of a processor core
-   * @param sockets number of open sockets and files
+   * @param maxSockets number of open sockets and files
    */
-  public record Limits(double cpu, double memoryMb, int sockets) {}
+  public record Limits(double cpu, double memoryMb, int maxSockets) {}
 }
--- a/src/main/java/org/mulleinshift/settings/Tunables.java
+++ b/src/main/java/org/mulleinshift/settings/Tunables.java
@@ -16,70 +16,70 @@
     /** Part of {@code cancel_s} that neither shard nor worker leases use up. */
     CANCEL_MARGIN_S("cancel_margin_s", 4, 1, 60),
     /** Time between renewals of the session lease. */
-    RENEW_S("renew_s", 2, 0.2, 30),
+    RENEW_INTERVAL_S("renew_s", 2, 0.2, 30),
     /** Shortest time between two scheduling cycles. */
-    CYCLE_MS("cycle_ms", 150, 10, 10_000),
+    CYCLE_INTERVAL_MS("cycle_ms", 150, 10, 10_000),
     /** Time between two forecasts of the autoscaler. */
-    WALK_S("walk_s", 1, 0.2, 60),
+    FORECAST_INTERVAL_S("walk_s", 1, 0.2, 60),
     /** Steps of a forecast over the boot time. */
-    WALK_STEPS("walk_steps", 10, 1, 200),
+    FORECAST_STEPS("walk_steps", 10, 1, 200),
     /** Boot time before any was observed or listed. */
     BOOT_DEFAULT_S("boot_default_s", 40, 1, 3600),
     /** A boot that takes so many times longer than expected is abandoned. */
     BOOT_OVERDUE_FACTOR("boot_overdue_factor", 3, 1, 20),
     /** How long a machine stays idle before it is released. */
-    IDLE_RETURN_S("idle_return_s", 20, 0, 3600),
+    IDLE_RELEASE_S("idle_return_s", 20, 0, 3600),
     /** A machine younger than this is not released. */
-    MINIMUM_HELD_S("minimum_held_s", 60, 0, 3600),
+    MINIMUM_AGE_S("minimum_held_s", 60, 0, 3600),
     /** Backoff after the cloud had no capacity. */
-    REFUSED_PAUSE_S("refused_pause_s", 10, 1, 600),
+    PROVISIONING_BACKOFF_S("refused_pause_s", 10, 1, 600),
     /** Most machines of one shard. */
-    SHARD_MACHINES("block_machines", 24, 1, 1000),
+    MAX_SHARD_MACHINES("block_machines", 24, 1, 1000),
     /** A controller that was not heard for this long loses its shards. */
-    PEER_SILENT_S("peer_silent_s", 4, 1, 60),
+    PEER_TIMEOUT_S("peer_silent_s", 4, 1, 60),
     /**
      * A controller counts as cut off when it had no response from the store for this long, while
      * others had.
      */
-    STATE_LOST_S("state_lost_s", 1, 0.3, 30),
+    STORE_TIMEOUT_S("state_lost_s", 1, 0.3, 30),
     /**
      * The standby takes over from a leader that it and another controller have not heard for this
      * long.
      */
-    LEADER_SILENT_S("leader_silent_s", 1, 0.5, 60),
+    LEADER_TIMEOUT_S("leader_silent_s", 1, 0.5, 60),
     /** Retry-After of a request that can't be answered now. */
     RETRY_AFTER_S("retry_after_s", 2, 1, 30),
     /** Consecutive failures after which a machine is quarantined. */
-    FAULTY_AFTER("faulty_after", 3, 1, 100),
+    QUARANTINE_FAILURES("faulty_after", 3, 1, 100),
     /** Shortest backoff before a failed task is retried. */
-    ERROR_PAUSE_S("error_pause_s", 5, 0, 600),
+    RETRY_BACKOFF_S("error_pause_s", 5, 0, 600),
     /** Average jobs of a class with a start objective that capacity is reserved for. */
     HEADROOM_JOBS("headroom_jobs", 0.5, 0, 10),
     /** How long after the last such job capacity stays reserved. */
-    HEADROOM_LASTS_S("headroom_lasts_s", 60, 0, 3600),
+    HEADROOM_DURATION_S("headroom_lasts_s", 60, 0, 3600),
     /** A task that ran longer than this is not preempted for a job of higher priority. */
-    PREEMPT_RAN_S("preempt_ran_s", 12, 0, 86_400),
+    PREEMPTION_MAX_RUN_S("preempt_ran_s", 12, 0, 86_400),
     /** Tasks are preempted for a job with a deadline once it must start within this time. */
-    PREEMPT_SLACK_S("preempt_slack_s", 20, 0, 86_400),
+    PREEMPTION_SLACK_S("preempt_slack_s", 20, 0, 86_400),
     /** Tasks are sent to shard owners for capacity that should become free within this time. */
-    AHEAD_S("ahead_s", 1, 0, 60),
+    DISPATCH_AHEAD_S("ahead_s", 1, 0, 60),
     /** A shortage of more than this share of the fleet is provisioned without waiting. */
-    RESIZE_AT_ONCE("resize_at_once", 0.25, 0.01, 100),
+    IMMEDIATE_RESIZE_SHARE("resize_at_once", 0.25, 0.01, 100),
     /** Jobs of the lowest priority get no on-demand machines before they have waited this long. */
-    PATIENT_S("patient_s", 150, 0, 86_400),
+    LOW_PRIORITY_WAIT_S("patient_s", 150, 0, 86_400),
     /**
      * Part of its fair share that each class and team may claim while another has more than its
      * own.
      */
-    FLOOR_SHARE("floor_share", 1, 0, 1),
+    MINIMUM_SHARE("floor_share", 1, 0, 1),
     /** A job this long past its deadline waits behind no others. */
     OVERDUE_S("overdue_s", 600, 0, 86_400),
     /** One of the largest jobs of a class that waited this long starts some tasks before others. */
-    BEGIN_S("begin_s", 120, 1, 86_400),
+    LONG_WAIT_S("begin_s", 120, 1, 86_400),
     /** How long a machine must have been surplus before it is drained. */
-    SPARE_S("spare_s", 6, 0, 3600),
+    SURPLUS_S("spare_s", 6, 0, 3600),
     /** 1: progress goes to the log once all controllers read it; 0: to keys of each job. */
-    PROGRESS_LOG("progress_log", 1, 0, 1),
+    PROGRESS_LOG_ENABLED("progress_log", 1, 0, 1),
     /** Threads that read requests and write responses. */
     HTTP_THREADS("http_threads", 16, 2, 256);
 
@@ -115,7 +115,7 @@
   }
 
   /** All keys have their defaults. */
-  public static Tunables standard() {
+  public static Tunables defaults() {
     return new Tunables(Map.of());
   }
 
@@ -125,7 +125,7 @@
    * @param file names the file in errors
    * @throws SettingsException if a key is unknown, or a value is not a number within its range
    */
-  public static Tunables of(String file, Map<?, ?> entries) throws SettingsException {
+  public static Tunables parse(String file, Map<?, ?> entries) throws SettingsException {
     Map<Key, Double> values = new LinkedHashMap<>();
     for (Map.Entry<?, ?> entry : entries.entrySet()) {
       String name = String.valueOf(entry.getKey());
--- a/src/main/java/org/mulleinshift/settings/TunablesReader.java
+++ b/src/main/java/org/mulleinshift/settings/TunablesReader.java
@@ -33,11 +33,11 @@
       throw new SettingsException(path + ": not valid YAML: " + reason);
     }
     if (root == null) {
-      return Tunables.standard();
+      return Tunables.defaults();
     }
     if (!(root instanceof Map<?, ?> entries)) {
       throw new SettingsException(path + ": the file must be a mapping of settings");
     }
-    return Tunables.of(path.toString(), entries);
+    return Tunables.parse(path.toString(), entries);
   }
 }
--- a/src/main/java/org/mulleinshift/sharding/AssignmentSender.java
+++ b/src/main/java/org/mulleinshift/sharding/AssignmentSender.java
@@ -54,7 +54,7 @@
 
   /** Sends what is due; nothing while the term may have ended. */
   public void sendNow() {
-    if (!term.active() || !term.holdsValidLease()) {
+    if (!term.isActive() || !term.hasValidLease()) {
       return;
     }
     for (ShardView shard : shards.all()) {
--- a/src/main/java/org/mulleinshift/sharding/CommandPlanner.java
+++ b/src/main/java/org/mulleinshift/sharding/CommandPlanner.java
@@ -36,17 +36,17 @@
   List<WorkerCommand> commandsFor(OwnedMachine machine) {
     List<WorkerCommand> halts = new ArrayList<>();
     List<WorkerCommand> others = new ArrayList<>();
-    for (WorkerHeartbeat.Entry entry : machine.unassignedTasks()) {
+    for (WorkerHeartbeat.ReportedTask entry : machine.unassignedTasks()) {
       boolean exited = entry.state() == WorkerHeartbeat.State.EXITED;
       if (!exited && assignments.mustStopUnassigned(entry.task().job())) {
-        halts.add(new WorkerCommand.Halt(entry.task(), entry.attempt(), Duration.ZERO));
+        halts.add(new WorkerCommand.Stop(entry.task(), entry.attempt(), Duration.ZERO));
       } else if (exited && mayForget(machine, entry)) {
         others.add(new WorkerCommand.Forget(entry.task(), entry.attempt()));
       }
     }
     for (OwnedTask task : machine.tasks()) {
       if (task.stopRequested()) {
-        halts.add(new WorkerCommand.Halt(task.task(), task.attempt(), gracePeriodOf(task)));
+        halts.add(new WorkerCommand.Stop(task.task(), task.attempt(), gracePeriodOf(task)));
       } else if (task.phase() == TaskPhase.STARTING) {
         others.add(new WorkerCommand.Run(task.task(), task.attempt()));
       }
@@ -59,7 +59,7 @@
    * The leader no longer assigns the attempt, so its completion is stored. A command that is still
    * on its way would start a forgotten attempt again.
    */
-  private boolean mayForget(OwnedMachine machine, WorkerHeartbeat.Entry exited) {
+  private boolean mayForget(OwnedMachine machine, WorkerHeartbeat.ReportedTask exited) {
     return assignments.isAuthoritativeFor(exited.task().job()) && !machine.directCommandInFlight();
   }
 
--- a/src/main/java/org/mulleinshift/sharding/DirectCommandSender.java
+++ b/src/main/java/org/mulleinshift/sharding/DirectCommandSender.java
@@ -71,10 +71,11 @@
 
   private void send(OwnedMachine machine, InetSocketAddress address, List<WorkerCommand> commands) {
     machine.markDirectCommandSent();
-    String body = WorkerCodec.direct(machine.token(), machine.lastHeartbeat().epoch(), commands);
+    String body =
+        WorkerCodec.writeCommands(machine.token(), machine.lastHeartbeat().epoch(), commands);
     workers.call(
         address,
-        HttpRequest.post(WorkerCodec.COMMANDS, body, COMMAND_DEADLINE),
+        HttpRequest.post(WorkerCodec.COMMANDS_PATH, body, COMMAND_DEADLINE),
         reply -> onReply(machine, reply));
   }
 
--- a/src/main/java/org/mulleinshift/sharding/HeartbeatReconciler.java
+++ b/src/main/java/org/mulleinshift/sharding/HeartbeatReconciler.java
@@ -79,8 +79,8 @@
   /** Takes over the reported tasks, and returns those that are assigned here. */
   private Set<TaskId> applyTasks(OwnedMachine machine, WorkerHeartbeat heartbeat) {
     Set<TaskId> listed = new HashSet<>();
-    List<WorkerHeartbeat.Entry> unassigned = new ArrayList<>();
-    for (WorkerHeartbeat.Entry entry : heartbeat.tasks()) {
+    List<WorkerHeartbeat.ReportedTask> unassigned = new ArrayList<>();
+    for (WorkerHeartbeat.ReportedTask entry : heartbeat.tasks()) {
       if (applyIfAssigned(machine, entry)) {
         listed.add(entry.task());
       } else {
@@ -94,8 +94,8 @@
   /** Takes over the tasks that machines reported before the leader's set arrived. */
   void adoptUnassignedTasks() {
     for (OwnedMachine machine : state.machines()) {
-      List<WorkerHeartbeat.Entry> remaining = new ArrayList<>();
-      for (WorkerHeartbeat.Entry entry : machine.unassignedTasks()) {
+      List<WorkerHeartbeat.ReportedTask> remaining = new ArrayList<>();
+      for (WorkerHeartbeat.ReportedTask entry : machine.unassignedTasks()) {
         if (!applyIfAssigned(machine, entry)) {
           remaining.add(entry);
         }
@@ -104,18 +104,19 @@
     }
   }
 
-  private void setUnassigned(OwnedMachine machine, List<WorkerHeartbeat.Entry> entries) {
+  private void setUnassigned(OwnedMachine machine, List<WorkerHeartbeat.ReportedTask> entries) {
     machine.unassignedTasks(entries);
     state.updateOccupied(machine, assignments.unreadableJobs());
   }
 
-  private boolean applyIfAssigned(OwnedMachine machine, WorkerHeartbeat.Entry entry) {
+  private boolean applyIfAssigned(OwnedMachine machine, WorkerHeartbeat.ReportedTask entry) {
     Optional<OwnedTask> task = state.task(entry.task(), entry.attempt());
     task.ifPresent(assigned -> onTaskReported(machine, assigned, entry));
     return task.isPresent();
   }
 
-  private void onTaskReported(OwnedMachine machine, OwnedTask task, WorkerHeartbeat.Entry entry) {
+  private void onTaskReported(
+      OwnedMachine machine, OwnedTask task, WorkerHeartbeat.ReportedTask entry) {
     if (task.bound() && !task.boundTo(machine.id())) {
       LOG.error(
           "task reported by two machines, task={} machine={} other={}",
--- a/src/main/java/org/mulleinshift/sharding/HeartbeatRouter.java
+++ b/src/main/java/org/mulleinshift/sharding/HeartbeatRouter.java
@@ -66,14 +66,14 @@
     ShardOwner owner = owned.get(shard.get());
     if (owner == null) {
       Optional<NodeId> next = redirectTarget(shard.get(), heartbeat);
-      responder.respond(HTTP_MISDIRECTED, next.map(WorkerCodec::redirect).orElse(NO_REDIRECT));
+      responder.respond(HTTP_MISDIRECTED, next.map(WorkerCodec::writeRedirect).orElse(NO_REDIRECT));
       return;
     }
     Optional<String> answer = owner.onHeartbeat(heartbeat);
     if (answer.isPresent()) {
       responder.respond(HTTP_OK, answer.get());
     } else {
-      responder.respond(HTTP_UNAVAILABLE, JobCodec.error("not entitled"));
+      responder.respond(HTTP_UNAVAILABLE, JobCodec.writeError("not entitled"));
     }
   }
 
--- a/src/main/java/org/mulleinshift/sharding/LivenessMonitor.java
+++ b/src/main/java/org/mulleinshift/sharding/LivenessMonitor.java
@@ -84,7 +84,7 @@
     return machine.liveness() == OwnedMachine.Liveness.ALIVE
         && machine.phase() == MachinePhase.CONFIRMED
         && machine.answeredAt().isPresent()
-        && now.since(machine.answeredAt().get()).compareTo(timing.reportInterval()) < 0;
+        && now.since(machine.answeredAt().get()).compareTo(timing.heartbeatInterval()) < 0;
   }
 
   /**
@@ -139,7 +139,7 @@
   }
 
   private Duration suspectedAfter() {
-    return timing.reportInterval().multipliedBy(SUSPECTED_AFTER_HALF_INTERVALS).dividedBy(2);
+    return timing.heartbeatInterval().multipliedBy(SUSPECTED_AFTER_HALF_INTERVALS).dividedBy(2);
   }
 
   private Duration lostAfter(OwnedMachine machine) {
--- a/src/main/java/org/mulleinshift/sharding/OwnedMachine.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedMachine.java
@@ -40,14 +40,14 @@
   private Optional<MonotonicTime> answeredAt = Optional.empty();
   private Optional<MonotonicTime> reachedAt = Optional.empty();
   private Optional<Duration> interruptionNotice = Optional.empty();
-  private List<WorkerHeartbeat.Entry> unassignedTasks = new ArrayList<>();
+  private List<WorkerHeartbeat.ReportedTask> unassignedTasks = new ArrayList<>();
   private boolean occupied;
   private Resources used = Resources.ZERO;
 
   /** Counts changes of the tasks bound to it. */
   private long bindings;
 
-  private List<WorkerHeartbeat.Entry> appliedEntries = List.of();
+  private List<WorkerHeartbeat.ReportedTask> appliedEntries = List.of();
   private long appliedBindings = -1;
   private boolean directCommandInFlight;
   private boolean commandsPending;
@@ -268,12 +268,12 @@
   }
 
   /** What its last heartbeat reports of attempts that are not assigned here. */
-  List<WorkerHeartbeat.Entry> unassignedTasks() {
+  List<WorkerHeartbeat.ReportedTask> unassignedTasks() {
     return unassignedTasks;
   }
 
   /** Replaces what is known of unassigned attempts on it. */
-  void unassignedTasks(List<WorkerHeartbeat.Entry> reported) {
+  void unassignedTasks(List<WorkerHeartbeat.ReportedTask> reported) {
     unassignedTasks = reported;
   }
 
--- a/src/main/java/org/mulleinshift/sharding/OwnedShards.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedShards.java
@@ -83,8 +83,8 @@
     this.reachability =
         new WorkerReachability(
             loop,
-            context.timing().reportInterval(),
-            new WorkerReachability.Parts(
+            context.timing().heartbeatInterval(),
+            new WorkerReachability.Context(
                 context.workers(), this::count, this::addresses, peers.onReachabilityChange()));
   }
 
@@ -135,7 +135,7 @@
 
   /** The store shows other grants or shards: adopts and releases shards accordingly. */
   public void onControlChange() {
-    Map<ShardId, Revision> verified = session.grants();
+    Map<ShardId, Revision> verified = session.verifiedGrants();
     releaseLost(verified);
     for (Map.Entry<ShardId, GrantRecord> entry : view.grants().entrySet()) {
       ShardId shard = entry.getKey();
@@ -168,7 +168,8 @@
 
   private void adopt(ShardId shard, Revision grant) {
     LOG.info("shard adopted, shard={} grant={}", shard, grant);
-    owned.put(shard, new ShardOwner(context, shard, grant, () -> session.mayActFor(shard, grant)));
+    owned.put(
+        shard, new ShardOwner(context, shard, grant, () -> session.isValidOwner(shard, grant)));
   }
 
   /** The leader changed the assignments of a shard; left out if it is not owned here. */
@@ -187,7 +188,7 @@
 
   /** The process stood still until now: what could not be heard meanwhile counts for nothing. */
   public void onProcessPause() {
-    reachability.stoodStill();
+    reachability.onProcessPause();
     owned.values().forEach(ShardOwner::onProcessPause);
   }
 
@@ -205,10 +206,10 @@
       if (malformedHeartbeats++ % MALFORMED_PER_LOG_LINE == 0) {
         LOG.warn("malformed heartbeat, error={} malformed={}", e.getMessage(), malformedHeartbeats);
       }
-      responder.respond(HTTP_BAD_REQUEST, JobCodec.error(e.getMessage()));
+      responder.respond(HTTP_BAD_REQUEST, JobCodec.writeError(e.getMessage()));
       return;
     }
-    reachability.reported();
+    reachability.onHeartbeat();
     router.route(heartbeat, responder);
   }
 }
--- a/src/main/java/org/mulleinshift/sharding/ShardGrants.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardGrants.java
@@ -67,7 +67,7 @@
 
   /** Grants the shards that have no owner, or should have another one. */
   public void assign() {
-    if (!term.holdsValidLease()) {
+    if (!term.hasValidLease()) {
       // Whoever leads by now would have to undo it.
       return;
     }
@@ -89,7 +89,7 @@
    */
   private List<NodeId> eligibleOwners() {
     List<NodeId> live = new ArrayList<>(view.nodes().keySet());
-    live.removeIf(node -> peers.silence(node).compareTo(silenceLimit) > 0);
+    live.removeIf(node -> peers.timeSinceLastHeard(node).compareTo(silenceLimit) > 0);
     Set<NodeId> ineligible = eligibility.ineligible(suspicionsByOwner(), live, loop.now());
     if (!ineligible.containsAll(live)) {
       live.removeAll(ineligible);
@@ -106,7 +106,7 @@
     candidates.removeIf(
         node ->
             peers.storeLost(node)
-                || peers.workerReachability(node) != WorkerReachability.State.WELL);
+                || peers.workerReachability(node) != WorkerReachability.State.REACHABLE);
     return candidates.isEmpty() ? owners : candidates;
   }
 
--- a/src/main/java/org/mulleinshift/sharding/ShardOwner.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardOwner.java
@@ -144,7 +144,8 @@
     reconciler.apply(machine, heartbeat);
     machine.markAnswered(loop.now());
     place();
-    String body = WorkerCodec.response(machine.token(), commands.commandsFor(machine));
+    String body =
+        WorkerCodec.writeHeartbeatResponse(machine.token(), commands.commandsFor(machine));
     machine.clearCommandsPending();
     sendDirect();
     return Optional.of(body);
--- a/src/main/java/org/mulleinshift/sharding/ShardView.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardView.java
@@ -73,7 +73,7 @@
   }
 
   @Override
-  public int size() {
+  public int machineCount() {
     return machines.size();
   }
 
--- a/src/main/java/org/mulleinshift/sharding/TaskPhase.java
+++ b/src/main/java/org/mulleinshift/sharding/TaskPhase.java
@@ -57,7 +57,7 @@
   }
 
   /** The phase of a task that a worker reports so. */
-  static TaskPhase of(WorkerHeartbeat.Entry entry) {
+  static TaskPhase of(WorkerHeartbeat.ReportedTask entry) {
     return switch (entry.state()) {
       case FETCHING, WAITING -> FETCHING;
       case RUNNING -> RUNNING;
--- a/src/main/java/org/mulleinshift/sharding/WorkerProber.java
+++ b/src/main/java/org/mulleinshift/sharding/WorkerProber.java
@@ -40,10 +40,10 @@
     }
     workers.call(
         address.get(),
-        HttpRequest.get(WorkerCodec.STATUS, PROBE_DEADLINE),
+        HttpRequest.get(WorkerCodec.STATUS_PATH, PROBE_DEADLINE),
         reply -> {
           inFlight.remove(heartbeat.machine());
-          if (reply.ok()) {
+          if (reply.isOk()) {
             onReachable.run();
           }
         });
--- a/src/main/java/org/mulleinshift/store/KeyValueStore.java
+++ b/src/main/java/org/mulleinshift/store/KeyValueStore.java
@@ -163,7 +163,7 @@
   }
 
   /** This node's share of the write rate changes with its role. */
-  public void writeRate(double writesPerSecond) {
+  public void setWriteRate(double writesPerSecond) {
     budget.setWriteRate(writesPerSecond);
   }
 
@@ -226,14 +226,15 @@
     }
     budget.acquireRequest();
     send(
-        HttpRequest.post(StoreCodec.COMMIT, StoreCodec.commit(guards, changes), DEADLINE),
+        HttpRequest.post(
+            StoreCodec.COMMIT_PATH, StoreCodec.writeTransaction(guards, changes), DEADLINE),
         response -> callback.accept(StoreResponses.toCommitResult(response)));
   }
 
   /** Grants a new lease that expires unless it is renewed within its time to live. */
   public void grantLease(Duration ttl, Consumer<ReadResult<LeaseId>> callback) {
     call(
-        HttpRequest.post(StoreCodec.LEASES, StoreCodec.grantLease(ttl), DEADLINE),
+        HttpRequest.post(StoreCodec.LEASES_PATH, StoreCodec.writeLeaseRequest(ttl), DEADLINE),
         Urgency.URGENT,
         StoreCodec::parseLease,
         callback);
--- a/src/main/java/org/mulleinshift/store/StoreResponses.java
+++ b/src/main/java/org/mulleinshift/store/StoreResponses.java
@@ -30,7 +30,7 @@
 
   /** Whether the store processed the request; a refusal above the rate counts. */
   static boolean isServed(HttpResponse response) {
-    return response.answered() && response.status() != HttpURLConnection.HTTP_UNAVAILABLE;
+    return response.isReceived() && response.status() != HttpURLConnection.HTTP_UNAVAILABLE;
   }
 
   static boolean isRateLimited(HttpResponse response) {
--- a/src/main/java/org/mulleinshift/store/WatchCache.java
+++ b/src/main/java/org/mulleinshift/store/WatchCache.java
@@ -166,7 +166,7 @@
         result -> {
           boolean confirmed =
               result instanceof KeyValueStore.ReadResult.Found<StoreCodec.Changes> found
-                  && take(found.value(), requestedAt);
+                  && offer(found.value(), requestedAt);
           callback.accept(confirmed);
         });
   }
@@ -254,7 +254,7 @@
    * @param requestedAt when they were requested
    * @return false if they can't be applied now
    */
-  public boolean take(StoreCodec.Changes changes, MonotonicTime requestedAt) {
+  public boolean offer(StoreCodec.Changes changes, MonotonicTime requestedAt) {
     if (!complete || reading) {
       return false;
     }
--- a/src/main/java/org/mulleinshift/transport/HttpResponse.java
+++ b/src/main/java/org/mulleinshift/transport/HttpResponse.java
@@ -19,12 +19,12 @@
   }
 
   /** Whether any response came. */
-  public boolean answered() {
+  public boolean isReceived() {
     return status != NO_RESPONSE.status;
   }
 
   /** Whether the request succeeded. */
-  public boolean ok() {
+  public boolean isOk() {
     return status == HttpStatus.OK;
   }
 }
--- a/src/main/java/org/mulleinshift/transport/JdkHttpServer.java
+++ b/src/main/java/org/mulleinshift/transport/JdkHttpServer.java
@@ -42,11 +42,11 @@
    *
    * @param threads that read requests and write responses
    * @param userBodyBytes size of the users' request bodies that wait for the event loop
-   * @param reportBodyBytes size of the workers' heartbeats that wait for it
-   * @param isReport whether a request is a worker's heartbeat, by its path
+   * @param heartbeatBodyBytes size of the workers' heartbeats that wait for it
+   * @param isHeartbeat whether a request is a worker's heartbeat, by its path
    */
-  public record Bounds(
-      int threads, int userBodyBytes, int reportBodyBytes, Predicate<String> isReport) {}
+  public record Limits(
+      int threads, int userBodyBytes, int heartbeatBodyBytes, Predicate<String> isHeartbeat) {}
 
   /**
    * A server that is bound to its address and not started yet.
@@ -54,13 +54,13 @@
    * @throws IOException if the address can't be bound
    */
   public JdkHttpServer(
-      EventLoop loop, RequestHandler handler, InetSocketAddress address, Bounds bounds)
+      EventLoop loop, RequestHandler handler, InetSocketAddress address, Limits bounds)
       throws IOException {
     this.loop = loop;
     this.handler = handler;
-    this.isHeartbeat = bounds.isReport();
+    this.isHeartbeat = bounds.isHeartbeat();
     this.userBodies = new InFlightBytesLimiter(bounds.userBodyBytes());
-    this.heartbeatBodies = new InFlightBytesLimiter(bounds.reportBodyBytes());
+    this.heartbeatBodies = new InFlightBytesLimiter(bounds.heartbeatBodyBytes());
     this.threads = DaemonThreads.pool("http", bounds.threads(), MAX_QUEUED_STEPS);
     this.server = HttpServer.create(address, MAX_PENDING_CONNECTIONS);
     server.setExecutor(threads);
--- a/src/test/java/org/mulleinshift/CommandLineTest.java
+++ b/src/test/java/org/mulleinshift/CommandLineTest.java
@@ -99,12 +99,12 @@
             "next.toml",
             text.replace(
                 "txn_ops = 12", "txn_ops = 12\nnext = { value_kb = 2.0, write_rps = 25.0 }"));
-    PlatformSettings.StoreLimits state = PlatformSettingsReader.read(file).cluster().store();
+    PlatformSettings.StoreLimits state = PlatformSettingsReader.read(file).cluster().storeLimits();
     assertEquals(2048, state.minValueBytes());
     assertEquals(12, state.minTransactionOperations());
     assertEquals(0.25, state.writesShareAfterReduction());
     assertEquals(1, state.requestsShareAfterReduction());
-    PlatformSettings.StoreLimits plain = PlatformSettingsReader.read(GOOD).cluster().store();
+    PlatformSettings.StoreLimits plain = PlatformSettingsReader.read(GOOD).cluster().storeLimits();
     assertEquals(8192, plain.minValueBytes());
     assertEquals(1, plain.writesShareAfterReduction());
   }
--- a/src/test/java/org/mulleinshift/MemoryLimitsTest.java
+++ b/src/test/java/org/mulleinshift/MemoryLimitsTest.java
@@ -124,7 +124,7 @@
         (method, path, body, responder) -> {
           try {
             int tasks =
-                path.equals(WorkerCodec.CHECKIN)
+                path.equals(WorkerCodec.HEARTBEAT_PATH)
                     ? WorkerCodec.parseHeartbeat(body).tasks().size()
                     : 0;
             responder.respond(200, "{\"tasks\":" + tasks + "}");
@@ -137,7 +137,7 @@
             loop,
             handler,
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-            new JdkHttpServer.Bounds(4, 4 * BODY, 1 << 20, WorkerCodec.CHECKIN::equals));
+            new JdkHttpServer.Limits(4, 4 * BODY, 1 << 20, WorkerCodec.HEARTBEAT_PATH::equals));
     frontend.start();
     Socket[] users = new Socket[4];
     Runnable[] waiting = new Runnable[4];
@@ -150,7 +150,7 @@
       assertEquals(503, status(fifth));
     }
     assertTrue(report.length() > 3 * 64 * 1024, "as long as " + report.length());
-    try (Socket worker = request(frontend, WorkerCodec.CHECKIN, report)) {
+    try (Socket worker = request(frontend, WorkerCodec.HEARTBEAT_PATH, report)) {
       loop.next().run();
       assertEquals(200, status(worker));
     }
--- a/src/test/java/org/mulleinshift/autoscaling/BootTimeEstimatorTest.java
+++ b/src/test/java/org/mulleinshift/autoscaling/BootTimeEstimatorTest.java
@@ -57,7 +57,7 @@
     // When it learns what another one measured
     estimator.learn(TYPE_ID, List.of(70.0, 80.0));
     // Then only its own counts
-    assertEquals(Map.of(TYPE_ID, List.of(50.0)), estimator.latest(), "own samples stay");
+    assertEquals(Map.of(TYPE_ID, List.of(50.0)), estimator.latestSamples(), "own samples stay");
   }
 
   @ParameterizedTest
--- a/src/test/java/org/mulleinshift/membership/IndirectLeaseRenewalTest.java
+++ b/src/test/java/org/mulleinshift/membership/IndirectLeaseRenewalTest.java
@@ -58,7 +58,7 @@
           this::probe,
           new StoreHealth.Listener() {
             @Override
-            public void doubted() {
+            public void onSuspected() {
               peerSendsHeartbeat();
             }
 
@@ -68,7 +68,7 @@
             }
 
             @Override
-            public void changed(StoreHealth.State next) {
+            public void onStateChanged(StoreHealth.State next) {
               if (next == StoreHealth.State.LOST) {
                 renewal.start();
               }
@@ -92,7 +92,7 @@
       new IndirectLeaseRenewal(
           loop,
           SELF,
-          new IndirectLeaseRenewal.Parts(store, storeHealth, peers, session, view, control, jobs),
+          new IndirectLeaseRenewal.Context(store, storeHealth, peers, session, view, control, jobs),
           (node, body) -> sent.add(body));
 
   private WatchCache jobs() {
@@ -199,11 +199,11 @@
     loop.runFor(0.4);
     renewal.onResponse(PEER, renewedResponse(request));
     renewal.onResponse(PEER, nothingCancelledResponse(cancellationsRequest()));
-    assertTrue(session.mayActFor(SHARD, GRANT));
+    assertTrue(session.isValidOwner(SHARD, GRANT));
     loop.runFor(LEASE.toMillis() / 1000.0 - 0.4 - 0.3);
     assertTrue(loop.now().since(requestedBy).compareTo(LEASE) < 0);
     loop.runFor(0.3);
-    assertFalse(session.mayActFor(SHARD, GRANT), "a lease after the request, not the response");
+    assertFalse(session.isValidOwner(SHARD, GRANT), "a lease after the request, not the response");
   }
 
   @Test
@@ -212,20 +212,20 @@
     loop.runFor(12);
     renewal.onResponse(PEER, renewedResponse(request));
     renewal.onResponse(PEER, nothingCancelledResponse(cancellationsRequest()));
-    assertFalse(session.mayActFor(SHARD, GRANT));
+    assertFalse(session.isValidOwner(SHARD, GRANT));
   }
 
   @Test
   void expiryReportedByPeerEndsTheSession() {
     LeaseRenewalRequest request = loseStoreAndRequestRenewal();
     renewal.onResponse(PEER, renewedResponse(request));
-    assertTrue(session.mayActFor(SHARD, GRANT));
+    assertTrue(session.isValidOwner(SHARD, GRANT));
     peerSendsHeartbeat();
     loop.runFor(1.2);
     LeaseRenewalRequest next = (LeaseRenewalRequest) sent.get(sent.size() - 2);
     renewal.onResponse(
         PEER, new LeaseRenewalResponse(next.getId(), next.getLease(), true, true, 0L, List.of()));
-    assertFalse(session.mayActFor(SHARD, GRANT));
+    assertFalse(session.isValidOwner(SHARD, GRANT));
     assertEquals(Optional.empty(), session.lease());
   }
 
@@ -243,9 +243,9 @@
   void renewalWithoutCancellationsLetsTheOwnershipLeaseExpire() {
     loseStoreAndRequestRenewal();
     LeaseRenewalRequest request = renewThroughPeerFor(12);
-    assertFalse(session.mayActFor(SHARD, GRANT), "a lease after cancellations were last known");
+    assertFalse(session.isValidOwner(SHARD, GRANT), "a lease after cancellations were last known");
     renewal.onResponse(PEER, nothingCancelledResponse(request));
-    assertTrue(session.mayActFor(SHARD, GRANT));
+    assertTrue(session.isValidOwner(SHARD, GRANT));
   }
 
   @Test
@@ -256,7 +256,7 @@
     renewal.onResponse(
         PEER,
         new LeaseRenewalResponse(request.getId(), request.getLease(), true, true, 0L, List.of()));
-    assertFalse(session.mayActFor(SHARD, GRANT));
+    assertFalse(session.isValidOwner(SHARD, GRANT));
     assertEquals(
         ControllerSession.State.ACTIVE, session.state(), "the session's own lease is still valid");
   }
@@ -296,10 +296,10 @@
     LeaseRenewalResponse response = defect.responseTo(request);
     renewal.onResponse(PEER, response);
     // Then it may not act
-    assertFalse(session.mayActFor(SHARD, GRANT), response.toString());
+    assertFalse(session.isValidOwner(SHARD, GRANT), response.toString());
     // And once a sound response arrives, it may
     renewal.onResponse(PEER, nothingCancelledResponse(renewThroughPeerFor(1)));
-    assertTrue(session.mayActFor(SHARD, GRANT), "a sound response is evidence");
+    assertTrue(session.isValidOwner(SHARD, GRANT), "a sound response is evidence");
   }
 
   @Test
--- a/src/test/java/org/mulleinshift/membership/StandbyFailoverTest.java
+++ b/src/test/java/org/mulleinshift/membership/StandbyFailoverTest.java
@@ -35,7 +35,7 @@
           SELF,
           Duration.ofSeconds(1),
           Duration.ofSeconds(5),
-          new StandbyFailover.Parts(
+          new StandbyFailover.Context(
               peers, view, () -> healthy, this::otherSendsHeartbeat, deposedTerms::add));
 
   @BeforeEach
--- a/src/test/java/org/mulleinshift/model/ChunkLayoutTest.java
+++ b/src/test/java/org/mulleinshift/model/ChunkLayoutTest.java
@@ -96,18 +96,18 @@
       if (more) {
         Chunk part = uncovered.get(steps % uncovered.size());
         store.put(key(part), job.progress(part));
-        assertTrue(StoreCodec.bytes(store.get(key(part))) <= VALUE_BYTES);
+        assertTrue(StoreCodec.encodedLength(store.get(key(part))) <= VALUE_BYTES);
         job.chunks().stored(List.of(part));
       }
       job.chunks().obsolete(0).forEach(part -> store.remove(key(part)));
       job.chunks().obsolete(1).forEach(part -> store.remove(key(part)));
     }
     assertTrue(steps > 20, steps + " steps");
-    assertTrue(store.values().stream().allMatch(v -> StoreCodec.bytes(v) <= VALUE_BYTES));
+    assertTrue(store.values().stream().allMatch(v -> StoreCodec.encodedLength(v) <= VALUE_BYTES));
   }
 
   private static void cut(Job job, Chunk part) {
-    if (StoreCodec.bytes(job.progress(part)) > VALUE_BYTES && part.canSplit()) {
+    if (StoreCodec.encodedLength(job.progress(part)) > VALUE_BYTES && part.canSplit()) {
       job.split(part);
       cut(job, part.half(0));
       if (job.chunks().exists(part.half(1))) {
--- a/src/test/java/org/mulleinshift/model/StoredRecordSamples.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordSamples.java
@@ -109,14 +109,14 @@
   private void addActiveJobs() {
     for (JobKind kind : JobKind.values()) {
       addActiveJob(
-          "job-" + kind.wire(),
+          "job-" + kind.wireName(),
           JobSpecSamples.full(JOB, kind, Priority.NORMAL),
           JobDependencies.NONE,
           false);
     }
     for (Priority priority : Priority.values()) {
       JobSpec spec = JobSpecSamples.full(JOB, JobKind.ARRAY, priority);
-      addActiveJob("job-" + priority.wire(), spec, JobDependencies.NONE, false);
+      addActiveJob("job-" + priority.wireName(), spec, JobDependencies.NONE, false);
     }
     JobSpec spec = shortSpec();
     addActiveJob("job-without-optional-fields", spec, JobDependencies.NONE, false);
--- a/src/test/java/org/mulleinshift/progress/ProgressLogTest.java
+++ b/src/test/java/org/mulleinshift/progress/ProgressLogTest.java
@@ -279,7 +279,7 @@
       entries.add(entry(job * 7919, "0-" + job));
       counted += entries.get(job).bytes();
     }
-    assertTrue(StoreCodec.bytes(LogSegment.write(entries)) <= counted);
+    assertTrue(StoreCodec.encodedLength(LogSegment.write(entries)) <= counted);
   }
 
   /** Anything that a segment may hold is read as it was written, or refused as a whole. */
--- a/src/test/java/org/mulleinshift/protocol/CloudMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/CloudMessageGoldenTest.java
@@ -30,9 +30,10 @@
 
   private static Map<String, String> messages() {
     Map<String, String> messages = new LinkedHashMap<>();
-    messages.put("rent-spot", CloudCodec.provision("r-417-1", TYPE, ZONE, true, 12));
-    messages.put("rent-ordinary", CloudCodec.provision("r-417-2", TYPE, ZONE, false, 50));
-    messages.put("delete", CloudCodec.delete(MACHINES));
+    messages.put("rent-spot", CloudCodec.writeProvisioningRequest("r-417-1", TYPE, ZONE, true, 12));
+    messages.put(
+        "rent-ordinary", CloudCodec.writeProvisioningRequest("r-417-2", TYPE, ZONE, false, 50));
+    messages.put("delete", CloudCodec.writeDeletion(MACHINES));
     messages.put("catalog", catalog());
     messages.put("rented", provisioned());
     messages.put("list", list());
@@ -85,9 +86,9 @@
         DIRECTORY + "paths.txt",
         String.join(
             "\n",
-            CloudCodec.CATALOG,
-            CloudCodec.MACHINES,
-            CloudCodec.DELETE,
+            CloudCodec.CATALOG_PATH,
+            CloudCodec.MACHINES_PATH,
+            CloudCodec.DELETE_PATH,
             CloudCodec.listPath(Optional.empty()),
             CloudCodec.listPath(Optional.of(MACHINES.get(0)))));
   }
--- a/src/test/java/org/mulleinshift/protocol/JobMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/JobMessageGoldenTest.java
@@ -27,10 +27,11 @@
   private static Map<String, JobSpec> specs() {
     Map<String, JobSpec> specs = new LinkedHashMap<>();
     for (JobKind kind : JobKind.values()) {
-      specs.put("submission-" + kind.wire(), JobSpecSamples.full(JOB, kind, Priority.NORMAL));
+      specs.put("submission-" + kind.wireName(), JobSpecSamples.full(JOB, kind, Priority.NORMAL));
     }
     for (Priority priority : Priority.values()) {
-      specs.put("submission-" + priority.wire(), JobSpecSamples.full(JOB, JobKind.ARRAY, priority));
+      specs.put(
+          "submission-" + priority.wireName(), JobSpecSamples.full(JOB, JobKind.ARRAY, priority));
     }
     specs.put(
         "submission-without-optional-fields", JobSpecSamples.withoutOptionalFields(JOB, TASKS));
@@ -44,20 +45,21 @@
   @ParameterizedTest
   @MethodSource("submissions")
   void submissionsAreWrittenAsBefore(String name) {
-    GoldenFile.assertHolds(file(name), Json.write(JobCodec.write(specs().get(name))));
+    GoldenFile.assertHolds(file(name), Json.write(JobCodec.writeSubmission(specs().get(name))));
   }
 
   @ParameterizedTest
   @MethodSource("submissions")
   void submissionsAreReadAsTheyWereMeant(String name) throws MalformedMessageException {
     JsonNode submission = Json.parseObject(GoldenFile.text(file(name)));
-    assertEquals(specs().get(name), JobCodec.parse(submission));
+    assertEquals(specs().get(name), JobCodec.parseSubmission(submission));
     assertEquals(List.of(), JobCodec.awaits(submission));
   }
 
   @Test
   void aSubmissionWithDependenciesIsWrittenAsBefore() {
-    ObjectNode submission = JobCodec.write(JobSpecSamples.withoutOptionalFields(JOB, TASKS));
+    ObjectNode submission =
+        JobCodec.writeSubmission(JobSpecSamples.withoutOptionalFields(JOB, TASKS));
     submission.putNull("builds").putNull("yard").putNull("due_s").put("colour", "red");
     submission.putArray("awaits").add("run-7").add("run-8").add("run-7");
     GoldenFile.assertHolds(file("submission-awaiting"), Json.write(submission));
@@ -66,7 +68,8 @@
   @Test
   void aSubmissionWithDependenciesIsReadAsItWasMeant() throws MalformedMessageException {
     JsonNode submission = Json.parseObject(GoldenFile.text(file("submission-awaiting")));
-    assertEquals(JobSpecSamples.withoutOptionalFields(JOB, TASKS), JobCodec.parse(submission));
+    assertEquals(
+        JobSpecSamples.withoutOptionalFields(JOB, TASKS), JobCodec.parseSubmission(submission));
     assertEquals(List.of(new JobId("run-7"), new JobId("run-8")), JobCodec.awaits(submission));
   }
 
@@ -74,13 +77,13 @@
     Map<String, String> responses = new LinkedHashMap<>();
     for (JobPhase phase : JobPhase.values()) {
       responses.put(
-          "view-" + phase.wire(),
+          "view-" + phase.wireName(),
           JobCodec.view(JOB, phase, OptionalInt.empty(), OptionalInt.empty()));
     }
     responses.put(
         "view-with-counts",
         JobCodec.view(JOB, JobPhase.RUNNING, OptionalInt.of(3), OptionalInt.of(13)));
-    responses.put("error", JobCodec.error("no such job"));
+    responses.put("error", JobCodec.writeError("no such job"));
     return responses;
   }
 
--- a/src/test/java/org/mulleinshift/protocol/StoreMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/StoreMessageGoldenTest.java
@@ -39,10 +39,10 @@
         List.of(
             Write.put("a/b", value()), Write.put("c/n/n-1", value(), LEASE), Write.delete("c/d"));
     Map<String, String> messages = new LinkedHashMap<>();
-    messages.put("commit", StoreCodec.commit(compares, writes));
-    messages.put("commit-comparing-only", StoreCodec.commit(compares, List.of()));
-    messages.put("commit-without-guards", StoreCodec.commit(List.of(), writes));
-    messages.put("lease-request", StoreCodec.grantLease(Duration.ofSeconds(5)));
+    messages.put("commit", StoreCodec.writeTransaction(compares, writes));
+    messages.put("commit-comparing-only", StoreCodec.writeTransaction(compares, List.of()));
+    messages.put("commit-without-guards", StoreCodec.writeTransaction(List.of(), writes));
+    messages.put("lease-request", StoreCodec.writeLeaseRequest(Duration.ofSeconds(5)));
     messages.put("lease", Json.write(Json.object().put("hold", 7)));
     messages.put("committed", Json.write(Json.object().put("epoch", 433)));
     messages.put("key", Json.write(row("a/b", 412).put("hold", 7)));
@@ -93,8 +93,8 @@
         DIRECTORY + "paths.txt",
         String.join(
             "\n",
-            StoreCodec.COMMIT,
-            StoreCodec.LEASES,
+            StoreCodec.COMMIT_PATH,
+            StoreCodec.LEASES_PATH,
             StoreCodec.keyPath("c/n/n-1"),
             StoreCodec.rangePath("a/", Optional.empty()),
             StoreCodec.rangePath("a/", Optional.of("a/run-1")),
--- a/src/test/java/org/mulleinshift/protocol/WorkerMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/WorkerMessageGoldenTest.java
@@ -85,8 +85,8 @@
     assertEquals(TASKS.size(), heartbeat.tasks().size());
     for (int i = 0; i < TASKS.size(); i++) {
       TaskSample sample = TASKS.get(i);
-      WorkerHeartbeat.Entry entry =
-          new WorkerHeartbeat.Entry(
+      WorkerHeartbeat.ReportedTask entry =
+          new WorkerHeartbeat.ReportedTask(
               new TaskId(JOB, i), new Attempt(100 + i), sample.state(), sample.exitCause());
       assertEquals(entry, heartbeat.tasks().get(i));
     }
@@ -99,7 +99,7 @@
   }
 
   private static WorkerHeartbeat expected(
-      Optional<Duration> interruptionNotice, List<WorkerHeartbeat.Entry> tasks) {
+      Optional<Duration> interruptionNotice, List<WorkerHeartbeat.ReportedTask> tasks) {
     return new WorkerHeartbeat(
         new MachineId("i-000231"),
         "10.1.0.232:9000",
@@ -117,15 +117,15 @@
     List<WorkerCommand> commands =
         List.of(
             new WorkerCommand.Run(task, new Attempt(2)),
-            new WorkerCommand.Halt(new TaskId(JOB, 5), new Attempt(3), Duration.ofMillis(10_250)),
-            new WorkerCommand.Halt(new TaskId(JOB, 6), new Attempt(4), Duration.ZERO),
+            new WorkerCommand.Stop(new TaskId(JOB, 5), new Attempt(3), Duration.ofMillis(10_250)),
+            new WorkerCommand.Stop(new TaskId(JOB, 6), new Attempt(4), Duration.ZERO),
             new WorkerCommand.Forget(new TaskId(JOB, 7), new Attempt(1L << 40)));
     Map<String, String> messages = new LinkedHashMap<>();
-    messages.put("response", WorkerCodec.response(TOKEN, commands));
-    messages.put("response-without-orders", WorkerCodec.response(TOKEN, List.of()));
-    messages.put("direct-orders", WorkerCodec.direct(TOKEN, 3, commands));
-    messages.put("direct-without-orders", WorkerCodec.direct(TOKEN, 3, List.of()));
-    messages.put("redirect", WorkerCodec.redirect(new NodeId("n-2")));
+    messages.put("response", WorkerCodec.writeHeartbeatResponse(TOKEN, commands));
+    messages.put("response-without-orders", WorkerCodec.writeHeartbeatResponse(TOKEN, List.of()));
+    messages.put("direct-orders", WorkerCodec.writeCommands(TOKEN, 3, commands));
+    messages.put("direct-without-orders", WorkerCodec.writeCommands(TOKEN, 3, List.of()));
+    messages.put("redirect", WorkerCodec.writeRedirect(new NodeId("n-2")));
     return messages;
   }
 
--- a/src/test/java/org/mulleinshift/scenario/ControllerCommands.java
+++ b/src/test/java/org/mulleinshift/scenario/ControllerCommands.java
@@ -67,7 +67,7 @@
   private void changeTunable(String key, double value) {
     tunables.put(key, value);
     try {
-      Tunables next = Tunables.of("scenario", tunables);
+      Tunables next = Tunables.parse("scenario", tunables);
       cluster.controllers().forEach(controller -> controller.tunables(next));
     } catch (SettingsException e) {
       throw new IllegalArgumentException(e);
--- a/src/test/java/org/mulleinshift/scenario/Scenario.java
+++ b/src/test/java/org/mulleinshift/scenario/Scenario.java
@@ -88,7 +88,7 @@
   }
 
   private void run() throws SettingsException {
-    Tunables tunables = Tunables.of("scenario", settings.tunables());
+    Tunables tunables = Tunables.parse("scenario", settings.tunables());
     for (int i = 0; i < settings.controllerCount(); i++) {
       cluster.addController(settings.platformSettings(i), tunables, sentMessages);
     }
--- a/src/test/java/org/mulleinshift/sharding/PeerPhaseGoldenTest.java
+++ b/src/test/java/org/mulleinshift/sharding/PeerPhaseGoldenTest.java
@@ -52,8 +52,8 @@
     MachineRecord record = new MachineRecord(new MachineTypeId("g8"), false, true);
     OwnedMachine machine = new OwnedMachine(new MachineId("i-1"), record, new Revision(7), now);
     JobId job = new JobId("run-1");
-    WorkerHeartbeat.Entry unassignedTask =
-        new WorkerHeartbeat.Entry(
+    WorkerHeartbeat.ReportedTask unassignedTask =
+        new WorkerHeartbeat.ReportedTask(
             new TaskId(job, 0),
             new Attempt(1),
             WorkerHeartbeat.State.RUNNING,
@@ -124,7 +124,7 @@
   @Test
   void unknownReachabilityCountsAsWell() {
     assertEquals(
-        WorkerReachability.State.WELL,
+        WorkerReachability.State.REACHABLE,
         PeerFailureDetector.workerReachability(heartbeat("PARKED")),
         "a later build may have other states");
   }
