--- a/src/main/java/org/mulleinshift/dependencies/CascadingCancellations.java
+++ b/src/main/java/org/mulleinshift/dependencies/CascadingCancellations.java
@@ -11,70 +11,79 @@
 import org.mulleinshift.protocol.JobId;
 
 /**
- * Active jobs that need one whose cancellation is stored, directly or through others: they are
- * cancelled with it, though no leader may have stored that yet. Nobody may be told that they wait.
- * A job whose needs stand in lists of their own is not looked through.
+ * The active jobs that depend on one whose cancellation is stored, directly or through others. They
+ * are cancelled with it, though no leader may have stored that yet, and no client may be answered
+ * that they wait. Dependencies that are stored in lists of their own are not followed.
  */
 public final class CascadingCancellations {
-  private final Map<JobId, List<JobId>> needs = new HashMap<>();
-  private final Set<JobId> cancelled = new HashSet<>();
+  private final Map<JobId, List<JobId>> dependencies = new HashMap<>();
+  private final Set<JobId> cancelledActive = new HashSet<>();
 
-  /** Ended as cancelled, and what needs them may not have. */
-  private final Set<JobId> over = new HashSet<>();
+  /** Jobs that ended as cancelled, while their dependents may not have. */
+  private final Set<JobId> cancelledEnded = new HashSet<>();
 
-  private final Set<JobId> found = new HashSet<>();
+  private final Set<JobId> cancelledDependents = new HashSet<>();
   private boolean changed;
 
   /** An active job as it is stored now. */
   public void onActive(JobRecord job) {
     if (!job.dependencies().isEmpty()) {
-      needs.put(job.id(), job.dependencies().named());
+      dependencies.put(job.id(), job.dependencies().named());
       changed = true;
     }
     if (job.cancelled()) {
-      changed |= cancelled.add(job.id());
+      changed |= cancelledActive.add(job.id());
     }
   }
 
+  /** A job that was active has ended. */
   public void onNoLongerActive(JobId job) {
-    boolean orphaned = contains(job);
-    boolean fallen = cancelled.remove(job) || orphaned;
-    boolean needing = needs.remove(job) != null;
-    changed |= needing || fallen;
-    if (needs.isEmpty()) {
-      over.clear();
-    } else if (fallen) {
-      over.add(job);
+    boolean cancelledAsDependent = contains(job);
+    boolean cancelled = cancelledActive.remove(job) || cancelledAsDependent;
+    boolean hadDependencies = dependencies.remove(job) != null;
+    changed |= hadDependencies || cancelled;
+    if (dependencies.isEmpty()) {
+      cancelledEnded.clear();
+    } else if (cancelled) {
+      cancelledEnded.add(job);
     }
   }
 
-  /** Worked out anew only after a change, and only while something cancelled is not over. */
+  /** Whether the job is cancelled because of one that it depends on. */
   public boolean contains(JobId job) {
-    if (!needs.containsKey(job) || (cancelled.isEmpty() && over.isEmpty())) {
+    boolean anyCancelled = !cancelledActive.isEmpty() || !cancelledEnded.isEmpty();
+    if (!anyCancelled || !dependencies.containsKey(job)) {
       return false;
     }
     if (changed) {
       changed = false;
       recompute();
     }
-    return found.contains(job);
+    return cancelledDependents.contains(job);
   }
 
   private void recompute() {
-    Map<JobId, Set<JobId>> neededBy = new HashMap<>();
-    needs.forEach(
-        (job, all) ->
-            all.forEach(need -> neededBy.computeIfAbsent(need, k -> new HashSet<>()).add(job)));
-    over.retainAll(neededBy.keySet());
-    found.clear();
-    Deque<JobId> open = new ArrayDeque<>(cancelled);
-    open.addAll(over);
-    while (!open.isEmpty()) {
-      for (JobId job : neededBy.getOrDefault(open.poll(), Set.of())) {
-        if (found.add(job)) {
-          open.add(job);
+    Map<JobId, Set<JobId>> dependents = dependents();
+    cancelledEnded.retainAll(dependents.keySet());
+    cancelledDependents.clear();
+    Deque<JobId> unvisited = new ArrayDeque<>(cancelledActive);
+    unvisited.addAll(cancelledEnded);
+    while (!unvisited.isEmpty()) {
+      for (JobId job : dependents.getOrDefault(unvisited.poll(), Set.of())) {
+        if (cancelledDependents.add(job)) {
+          unvisited.add(job);
         }
       }
     }
   }
+
+  private Map<JobId, Set<JobId>> dependents() {
+    Map<JobId, Set<JobId>> dependents = new HashMap<>();
+    dependencies.forEach(
+        (job, jobDependencies) ->
+            jobDependencies.forEach(
+                dependency ->
+                    dependents.computeIfAbsent(dependency, key -> new HashSet<>()).add(job)));
+    return dependents;
+  }
 }
--- a/src/main/java/org/mulleinshift/dependencies/DependencyGraph.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyGraph.java
@@ -14,64 +14,66 @@
 import org.mulleinshift.protocol.JobId;
 
 /**
- * Who awaits whom, of jobs that still wait. An end costs those that awaited it; nothing here walks
- * a chain by recursion, however long it is.
+ * The unfinished dependencies of jobs that wait. The end of a job costs as much as it has direct
+ * dependents; no method recurses, however long a path through the graph is.
  */
 final class DependencyGraph {
-  private final Map<JobId, Set<JobId>> needs = new HashMap<>();
-  private final Map<JobId, Set<JobId>> neededBy = new HashMap<>();
+  private final Map<JobId, Set<JobId>> dependencies = new HashMap<>();
+  private final Map<JobId, Set<JobId>> dependents = new HashMap<>();
 
-  void add(JobId job, Collection<JobId> awaited) {
-    needs.put(job, new LinkedHashSet<>(awaited));
-    for (JobId need : awaited) {
-      neededBy.computeIfAbsent(need, key -> new LinkedHashSet<>()).add(job);
+  /** Adds a job that waits for the given ones. */
+  void add(JobId job, Collection<JobId> jobDependencies) {
+    dependencies.put(job, new LinkedHashSet<>(jobDependencies));
+    for (JobId dependency : jobDependencies) {
+      dependents.computeIfAbsent(dependency, key -> new LinkedHashSet<>()).add(job);
     }
   }
 
-  /** What the job still awaits. */
-  Set<JobId> needs(JobId job) {
-    return Collections.unmodifiableSet(needs.getOrDefault(job, Set.of()));
+  /** The jobs that the job still waits for. */
+  Set<JobId> dependenciesOf(JobId job) {
+    return Collections.unmodifiableSet(dependencies.getOrDefault(job, Set.of()));
   }
 
-  Set<JobId> neededBy(JobId job) {
-    return Collections.unmodifiableSet(neededBy.getOrDefault(job, Set.of()));
+  /** The jobs that wait for the job directly. */
+  Set<JobId> dependentsOf(JobId job) {
+    return Collections.unmodifiableSet(dependents.getOrDefault(job, Set.of()));
   }
 
-  /** The job was done; tells which jobs awaited nothing else. */
-  List<JobId> done(JobId need) {
-    List<JobId> free = new ArrayList<>();
-    Set<JobId> waiting = neededBy.remove(need);
+  /** The job is done; returns the jobs that waited for nothing else. */
+  List<JobId> complete(JobId done) {
+    List<JobId> released = new ArrayList<>();
+    Set<JobId> waiting = dependents.remove(done);
     for (JobId job : waiting == null ? Set.<JobId>of() : waiting) {
-      Set<JobId> left = needs.get(job);
-      left.remove(need);
-      if (left.isEmpty()) {
-        needs.remove(job);
-        free.add(job);
+      Set<JobId> remaining = dependencies.get(job);
+      remaining.remove(done);
+      if (remaining.isEmpty()) {
+        dependencies.remove(job);
+        released.add(job);
       }
     }
-    return free;
+    return released;
   }
 
-  /** The job no longer waits, whatever it awaited; jobs that await it still do. */
-  void leave(JobId job) {
-    Set<JobId> awaited = needs.remove(job);
-    for (JobId need : awaited == null ? Set.<JobId>of() : awaited) {
-      Set<JobId> others = neededBy.get(need);
+  /** The job no longer waits, whatever its dependencies; its own dependents still do. */
+  void remove(JobId job) {
+    Set<JobId> removed = dependencies.remove(job);
+    for (JobId dependency : removed == null ? Set.<JobId>of() : removed) {
+      Set<JobId> others = dependents.get(dependency);
       others.remove(job);
       if (others.isEmpty()) {
-        neededBy.remove(need);
+        dependents.remove(dependency);
       }
     }
   }
 
-  /** All that need the job, directly or through others, the nearest first. */
-  List<JobId> dependants(JobId job) {
-    Set<JobId> found = new LinkedHashSet<>(neededBy(job));
-    Deque<JobId> open = new ArrayDeque<>(found);
-    while (!open.isEmpty()) {
-      for (JobId next : neededBy(open.poll())) {
+  /** All jobs that depend on the job, directly or through others, the nearest first. */
+  List<JobId> transitiveDependentsOf(JobId job) {
+    Set<JobId> found = new LinkedHashSet<>(dependentsOf(job));
+    Deque<JobId> unvisited = new ArrayDeque<>(found);
+    while (!unvisited.isEmpty()) {
+      for (JobId next : dependentsOf(unvisited.poll())) {
         if (found.add(next)) {
-          open.add(next);
+          unvisited.add(next);
         }
       }
     }
@@ -79,24 +81,24 @@
   }
 
   /**
-   * Visits every job that waits or is awaited, each after all that need it. A circle, which no
-   * users can make since they name only accepted jobs, is left out.
+   * Visits every job that waits or is waited for, each after all of its dependents. A cycle is left
+   * out; users cannot make one, since a job may only name jobs that were accepted before.
    */
-  void visitLastFirst(Consumer<JobId> visitor) {
-    Map<JobId, Integer> left = new HashMap<>();
-    Deque<JobId> open = new ArrayDeque<>();
-    for (JobId job : needs.keySet()) {
-      if (neededBy(job).isEmpty()) {
-        open.add(job);
+  void visitDependentsFirst(Consumer<JobId> visitor) {
+    Map<JobId, Integer> visitedDependents = new HashMap<>();
+    Deque<JobId> ready = new ArrayDeque<>();
+    for (JobId job : dependencies.keySet()) {
+      if (dependentsOf(job).isEmpty()) {
+        ready.add(job);
       }
     }
-    while (!open.isEmpty()) {
-      JobId job = open.poll();
+    while (!ready.isEmpty()) {
+      JobId job = ready.poll();
       visitor.accept(job);
-      for (JobId need : needs(job)) {
-        int others = left.merge(need, 1, Integer::sum);
-        if (others == neededBy(need).size()) {
-          open.add(need);
+      for (JobId dependency : dependenciesOf(job)) {
+        int visited = visitedDependents.merge(dependency, 1, Integer::sum);
+        if (visited == dependentsOf(dependency).size()) {
+          ready.add(dependency);
         }
       }
     }
--- a/src/main/java/org/mulleinshift/dependencies/DependencyListWriter.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyListWriter.java
@@ -19,82 +19,103 @@
 import org.mulleinshift.transport.EventLoop;
 
 /**
- * Stores what a job awaits in lists of their own, before its record names them. The keys hold a
- * digest of the job and all the names, so that nothing of another attempt is mixed in, and every
- * write demands that the job is not accepted yet: one that is applied late changes nothing of an
- * accepted job.
+ * Stores a job's dependencies in lists under keys of their own, before the job's record refers to
+ * them. The keys contain a digest of the job and all its dependencies, so that lists of different
+ * submissions are never mixed, and every write requires that the job is not accepted yet: a write
+ * that is applied late changes nothing of an accepted job.
  */
 public final class DependencyListWriter {
-  private static final Duration BUSY_PAUSE = Duration.ofMillis(250);
+  private static final Duration BUSY_RETRY_DELAY = Duration.ofMillis(250);
 
-  /** Within the time that a user waits for an answer. */
-  private static final int BUSY_TRIES = 14;
+  /** With the delay between them, within the time that a client waits for an answer. */
+  private static final int MAX_BUSY_RETRIES = 14;
 
-  /** Submissions whose lists were begun: a retry goes on where the last one was given up on. */
-  private static final int REMEMBERED = 64;
+  /** Submissions whose progress is remembered: a retry goes on where the last attempt ended. */
+  private static final int MAX_SUBMISSIONS_REMEMBERED = 64;
+
+  /** Guards a key that must not exist. */
+  private static final Revision ABSENT = new Revision(0);
 
   private final EventLoop loop;
   private final KeyValueStore store;
-  private final Map<String, Integer> begun = new BoundedMap<>(REMEMBERED);
+  private final Map<String, Integer> writtenByDigest = new BoundedMap<>(MAX_SUBMISSIONS_REMEMBERED);
   private final int valueBytes;
-  private final int maxOps;
+  private final int maxOperations;
 
-  public DependencyListWriter(EventLoop loop, KeyValueStore store, int valueBytes, int maxOps) {
+  /**
+   * A writer.
+   *
+   * @param valueBytes size of a value at most
+   * @param maxOperations writes of a transaction at most
+   */
+  public DependencyListWriter(
+      EventLoop loop, KeyValueStore store, int valueBytes, int maxOperations) {
     this.loop = loop;
     this.store = store;
     this.valueBytes = valueBytes;
-    this.maxOps = maxOps;
+    this.maxOperations = maxOperations;
   }
 
-  /** Tells what the record is to hold, or a failure: then nothing was accepted. */
+  /**
+   * Stores the dependencies of a job.
+   *
+   * @param onWritten gets what the job's record is to contain
+   * @param onFailed gets the reason if not all lists were stored: then the job is not accepted
+   */
   public void write(
       JobId job,
-      List<JobId> awaited,
-      Consumer<JobDependencies> written,
-      Consumer<CommitResult> failed) {
-    String names = job + " " + awaited;
+      List<JobId> dependencies,
+      Consumer<JobDependencies> onWritten,
+      Consumer<CommitResult> onFailed) {
+    String names = job + " " + dependencies;
     String digest = UUID.nameUUIDFromBytes(names.getBytes(StandardCharsets.UTF_8)).toString();
-    List<List<JobId>> lists = JobDependencies.partition(awaited, valueBytes);
+    List<List<JobId>> lists = JobDependencies.partition(dependencies, valueBytes);
     List<Write> writes = new ArrayList<>();
     for (int i = 0; i < lists.size(); i++) {
-      writes.add(
-          Write.put(StoreKeys.dependencyList(job, digest, i), JobDependencies.list(lists.get(i))));
+      String key = StoreKeys.dependencyList(job, digest, i);
+      writes.add(Write.put(key, JobDependencies.list(lists.get(i))));
     }
     JobDependencies record = new JobDependencies(List.of(), lists.size(), digest);
-    Attempt attempt = new Attempt(job, digest, writes, () -> written.accept(record), failed);
-    next(attempt, BUSY_TRIES);
+    Submission submission =
+        new Submission(job, digest, writes, () -> onWritten.accept(record), onFailed);
+    writeNext(submission, MAX_BUSY_RETRIES);
   }
 
-  private record Attempt(
+  /** The lists of one submission, and who is notified of the outcome. */
+  private record Submission(
       JobId job,
       String digest,
       List<Write> writes,
-      Runnable written,
-      Consumer<CommitResult> failed) {}
+      Runnable onWritten,
+      Consumer<CommitResult> onFailed) {
+    /** Holds as long as the job is not accepted. */
+    List<Compare> guards() {
+      return List.of(
+          new Compare(StoreKeys.activeJob(job), ABSENT),
+          new Compare(StoreKeys.endedJob(job), ABSENT));
+    }
+  }
 
-  private void next(Attempt attempt, int tries) {
-    JobId job = attempt.job();
-    int from = begun.getOrDefault(attempt.digest(), 0);
-    List<Write> left = attempt.writes().subList(from, attempt.writes().size());
-    if (left.isEmpty()) {
-      attempt.written().run();
+  private void writeNext(Submission submission, int remainingRetries) {
+    int written = writtenByDigest.getOrDefault(submission.digest(), 0);
+    List<Write> remaining = submission.writes().subList(written, submission.writes().size());
+    if (remaining.isEmpty()) {
+      submission.onWritten().run();
       return;
     }
-    List<Write> batch = left.subList(0, Math.min(maxOps, left.size()));
+    List<Write> batch = remaining.subList(0, Math.min(maxOperations, remaining.size()));
     store.commit(
-        List.of(
-            new Compare(StoreKeys.activeJob(job), new Revision(0)),
-            new Compare(StoreKeys.endedJob(job), new Revision(0))),
+        submission.guards(),
         batch,
         KeyValueStore.Urgency.PROMPT,
-        outcome -> {
-          if (outcome instanceof CommitResult.Committed) {
-            begun.put(attempt.digest(), from + batch.size());
-            next(attempt, tries);
-          } else if (outcome instanceof CommitResult.Busy && tries > 0) {
-            loop.after(BUSY_PAUSE, () -> next(attempt, tries - 1));
+        result -> {
+          if (result instanceof CommitResult.Committed) {
+            writtenByDigest.put(submission.digest(), written + batch.size());
+            writeNext(submission, remainingRetries);
+          } else if (result instanceof CommitResult.Busy && remainingRetries > 0) {
+            loop.after(BUSY_RETRY_DELAY, () -> writeNext(submission, remainingRetries - 1));
           } else {
-            attempt.failed().accept(outcome);
+            submission.onFailed().accept(result);
           }
         });
   }
--- a/src/main/java/org/mulleinshift/dependencies/DependencyLoader.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyLoader.java
@@ -24,127 +24,149 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads from the store what a new leader, or one that meets a late submission, does not know of
- * jobs that others await: how they ended, and lists that did not fit into a record. A few at a
- * time, behind all that somebody waits for.
+ * Reads from the store what a leader does not know of dependencies: how jobs ended that are not
+ * active, and lists of dependencies that did not fit into a job's record. It reads a few keys at a
+ * time, with less urgency than what a client waits for.
  */
-public final class DependencyLoader {
+final class DependencyLoader {
   private static final Logger LOG = LoggerFactory.getLogger(DependencyLoader.class);
-  private static final int AT_ONCE = 8;
-  private static final Duration RETRY = Duration.ofMillis(300);
+  private static final int MAX_CONCURRENT_READS = 8;
+  private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
   private final EventLoop loop;
   private final KeyValueStore store;
-  private final BooleanSupplier wanted;
-  private final BiConsumer<JobId, DependencyResolver.End> ended;
+  private final BooleanSupplier serving;
+  private final BiConsumer<JobId, JobEnd> onEnded;
   private final Deque<Runnable> queue = new ArrayDeque<>();
-  private final Set<JobId> asked = new HashSet<>();
-  private int open;
+  private final Set<JobId> requestedEnds = new HashSet<>();
+  private int readsInFlight;
 
   /**
-   * A reader for one term.
+   * A loader for one term.
    *
-   * @param wanted whether the term goes on
+   * @param serving whether the term goes on
+   * @param onEnded is notified of each end that was read
    */
-  public DependencyLoader(
+  DependencyLoader(
       EventLoop loop,
       KeyValueStore store,
-      BooleanSupplier wanted,
-      BiConsumer<JobId, DependencyResolver.End> ended) {
+      BooleanSupplier serving,
+      BiConsumer<JobId, JobEnd> onEnded) {
     this.loop = loop;
     this.store = store;
-    this.wanted = wanted;
-    this.ended = ended;
+    this.serving = serving;
+    this.onEnded = onEnded;
   }
 
-  /** How a job ended that is not among the active ones; asked once at a time. */
-  public void loadEnd(JobId job) {
-    if (asked.add(job)) {
+  /** Reads how a job ended that is not active, unless that is being read already. */
+  void loadEnd(JobId job) {
+    if (requestedEnds.add(job)) {
       enqueue(() -> readEnd(job));
     }
   }
 
   private void readEnd(JobId job) {
-    get(
+    read(
         StoreKeys.endedJob(job),
         item -> {
-          asked.remove(job);
-          item.flatMap(DependencyLoader::loadEnd).ifPresent(end -> ended.accept(job, end));
+          requestedEnds.remove(job);
+          item.flatMap(DependencyLoader::parseEnd).ifPresent(end -> onEnded.accept(job, end));
         });
   }
 
-  /** None if this build can't read it: what awaits the job waits on. */
-  private static Optional<DependencyResolver.End> loadEnd(KeyValue item) {
+  /** Empty if this build can't read the record: the job's dependents wait on. */
+  private static Optional<JobEnd> parseEnd(KeyValue item) {
     return JobRecord.endedPhase(item)
-        .map(phase -> new DependencyResolver.End(phase, JobRecord.endedMillis(item).orElse(0)));
+        .map(phase -> new JobEnd(phase, JobRecord.endedMillis(item).orElse(0)));
   }
 
-  /** All that a job awaits; never called back if that can't be read, and the job waits on. */
-  public void loadLists(
-      JobId job, JobDependencies awaits, Consumer<List<JobId>> then, Consumer<KeyValue> read) {
-    enqueue(() -> readList(job, awaits, 0, new ArrayList<>(), then, read));
+  /**
+   * Reads all lists of a job's dependencies. If one can't be read, the job waits on.
+   *
+   * @param onLoaded gets the dependencies once all lists were read
+   * @param onRead gets each list's item as it is read
+   */
+  void loadLists(
+      JobId job,
+      JobDependencies dependencies,
+      Consumer<List<JobId>> onLoaded,
+      Consumer<KeyValue> onRead) {
+    ListsRequest request = new ListsRequest(job, dependencies, new ArrayList<>(), onLoaded, onRead);
+    enqueue(() -> readList(request, 0));
   }
 
-  private void readList(
+  /** The lists of one job, and what was read of them. */
+  private record ListsRequest(
       JobId job,
-      JobDependencies awaits,
-      int list,
+      JobDependencies dependencies,
       List<JobId> found,
-      Consumer<List<JobId>> then,
-      Consumer<KeyValue> read) {
-    String key = StoreKeys.dependencyList(job, awaits.digest(), list);
-    get(
-        key,
-        item -> {
-          try {
-            if (item.isEmpty()) {
-              throw new MalformedMessageException("is not there");
-            }
-            read.accept(item.get());
-            found.addAll(JobDependencies.readList(item.get().value()));
-          } catch (MalformedMessageException e) {
-            LOG.error("{}: {}; {} is held", key, e.getMessage(), job);
-            return;
-          }
-          if (list + 1 < awaits.lists()) {
-            enqueue(() -> readList(job, awaits, list + 1, found, then, read));
-          } else {
-            then.accept(found);
-          }
-        });
+      Consumer<List<JobId>> onLoaded,
+      Consumer<KeyValue> onRead) {
+    String key(int list) {
+      return StoreKeys.dependencyList(job, dependencies.digest(), list);
+    }
+  }
+
+  private void readList(ListsRequest request, int list) {
+    read(request.key(list), item -> onList(request, list, item));
   }
 
-  private void enqueue(Runnable question) {
-    queue.add(question);
-    next();
+  private void onList(ListsRequest request, int list, Optional<KeyValue> item) {
+    try {
+      if (item.isEmpty()) {
+        throw new MalformedMessageException("the key is absent");
+      }
+      request.onRead().accept(item.get());
+      request.found().addAll(JobDependencies.readList(item.get().value()));
+    } catch (MalformedMessageException e) {
+      LOG.error(
+          "dependency list unreadable, job waits, key={} job={} cause={}",
+          request.key(list),
+          request.job(),
+          e.getMessage());
+      return;
+    }
+    int next = list + 1;
+    if (next < request.dependencies().lists()) {
+      enqueue(() -> readList(request, next));
+    } else {
+      request.onLoaded().accept(request.found());
+    }
   }
 
-  private void next() {
-    while (open < AT_ONCE && !queue.isEmpty()) {
-      open++;
+  private void enqueue(Runnable read) {
+    queue.add(read);
+    startReads();
+  }
+
+  private void startReads() {
+    while (readsInFlight < MAX_CONCURRENT_READS && !queue.isEmpty()) {
+      readsInFlight++;
       queue.poll().run();
     }
   }
 
-  /** The key as it stands; without an answer it is asked for again. */
-  private void get(String key, Consumer<Optional<KeyValue>> then) {
+  /** Reads a key, with retries until there is an answer. */
+  private void read(String key, Consumer<Optional<KeyValue>> onAnswer) {
     store.get(
         key,
         KeyValueStore.Urgency.NORMAL,
         answer -> {
-          if (!wanted.getAsBoolean()) {
+          if (!serving.getAsBoolean()) {
             queue.clear();
           } else if (answer instanceof ReadResult.Found<KeyValue> found) {
-            open--;
-            then.accept(Optional.of(found.value()));
-            next();
+            finishRead(onAnswer, Optional.of(found.value()));
           } else if (answer instanceof ReadResult.Absent<KeyValue>) {
-            open--;
-            then.accept(Optional.empty());
-            next();
+            finishRead(onAnswer, Optional.empty());
           } else {
-            loop.after(RETRY, () -> get(key, then));
+            loop.after(RETRY_DELAY, () -> read(key, onAnswer));
           }
         });
   }
+
+  private void finishRead(Consumer<Optional<KeyValue>> onAnswer, Optional<KeyValue> item) {
+    readsInFlight--;
+    onAnswer.accept(item);
+    startReads();
+  }
 }
--- a/src/main/java/org/mulleinshift/dependencies/DependencyTracker.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyTracker.java
@@ -7,7 +7,6 @@
 import org.mulleinshift.model.Job;
 import org.mulleinshift.model.JobRecord;
 import org.mulleinshift.model.JobTable;
-import org.mulleinshift.model.TaskAssignment;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.scheduling.RunTimeEstimator;
 import org.mulleinshift.store.KeyValueStore;
@@ -16,14 +15,14 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Joins the chains to a leader's term: takes jobs that await others out of its sight until they may
- * run, and tells the chains how the others stand.
+ * Connects the dependency resolver to a leader's term: keeps jobs that wait for others apart until
+ * they may run, and informs the resolver of how their dependencies ended.
  */
-public final class DependencyTracker implements DependencyResolver.Listener {
-  private static final int REMEMBERED_ENDS = 20_000;
+public final class DependencyTracker {
+  private static final int MAX_ENDS_REMEMBERED = 20_000;
 
-  /** Run times change; what jobs inherit follows them now and then. */
-  private static final double INHERIT_SECONDS = 2;
+  /** Expected run times change; inherited priorities follow them with this interval. */
+  private static final double PROPAGATION_INTERVAL_SECONDS = 2;
 
   /** The term that the jobs belong to. */
   public interface Owner {
@@ -41,160 +40,158 @@
   }
 
   private final EventLoop loop;
-  private final Owner owner;
+  private final Owner term;
   private final JobTable jobs;
-  private final RunTimeEstimator runTimes;
   private final TransactionBatcher batcher;
   private final DependencyResolver resolver;
   private final DependencyLoader loader;
-  private final Map<JobId, DependencyResolver.End> ends = new BoundedMap<>(REMEMBERED_ENDS);
-  private MonotonicTime inheritedAt;
-
-  /** A tracker for one term. */
+  private final Map<JobId, JobEnd> ends = new BoundedMap<>(MAX_ENDS_REMEMBERED);
+  private MonotonicTime propagatedAt;
+
+  /**
+   * A tracker for one term.
+   *
+   * @param loop owns all state
+   * @param store where ends and long lists of dependencies are read
+   * @param batcher writes for the term, and so is to know the revision of each key read
+   * @param jobs the jobs that do not wait
+   * @param runTimes expected run times
+   * @param term the jobs belong to
+   */
   public DependencyTracker(
       EventLoop loop,
       KeyValueStore store,
       TransactionBatcher batcher,
       JobTable jobs,
       RunTimeEstimator runTimes,
-      Owner owner) {
+      Owner term) {
     this.loop = loop;
     this.batcher = batcher;
     this.jobs = jobs;
-    this.runTimes = runTimes;
-    this.owner = owner;
-    this.resolver = new DependencyResolver(this, loop::wallMillis);
-    this.inheritedAt = loop.now();
-    this.loader = new DependencyLoader(loop, store, owner::serving, resolver::onEnded);
+    this.term = term;
+    this.resolver =
+        new DependencyResolver(
+            new ActiveJobs(loop, jobs, runTimes), new ResolverListener(), loop::wallMillis);
+    this.propagatedAt = loop.now();
+    this.loader = new DependencyLoader(loop, store, term::serving, resolver::onEnded);
   }
 
+  /** The job, if it waits for others. */
   public Optional<Job> waitingJob(JobId job) {
-    return resolver.waitingJobs(job);
+    return resolver.findWaiting(job);
   }
 
-  /** A job from the store: it runs as any other, or is held until what it awaits is over. */
+  /** Admits a stored job: it may run, or waits until its dependencies are done. */
   public void admit(JobRecord record) {
     Job job = new Job(record);
     if (job.state() != Job.State.AWAITING_DEPENDENCIES) {
-      owner.onReady(job);
+      term.onReady(job);
       return;
     }
-    resolver.await(job);
-    if (owner.active()) {
+    resolver.addWaiting(job);
+    if (term.active()) {
       loadDependencies(job);
     }
   }
 
-  /** All that is stored was read, progress too: what has some was let go before. */
+  /** All stored state was read, progress too: jobs that have some were released before. */
   public void begin() {
     for (Job job : List.copyOf(resolver.waitingJobs())) {
       if (job.state() == Job.State.AWAITING_DEPENDENCIES) {
         loadDependencies(job);
       } else {
         resolver.remove(job.spec().id());
-        owner.onReady(job);
+        term.onReady(job);
       }
     }
   }
 
   private void loadDependencies(Job job) {
     if (job.dependencies().lists() == 0) {
-      loadDependencies(job, job.dependencies().named());
+      addDependencies(job, job.dependencies().named());
     } else {
       loader.loadLists(
           job.spec().id(),
           job.dependencies(),
-          awaited -> loadDependencies(job, awaited),
+          dependencies -> addDependencies(job, dependencies),
           item -> batcher.recordRevision(item.key(), item.revision()));
     }
   }
 
-  private void loadDependencies(Job job, List<JobId> awaited) {
-    if (waitingJob(job.spec().id()).filter(found -> found == job).isEmpty()) {
-      return;
+  private void addDependencies(Job job, List<JobId> dependencies) {
+    boolean stillWaiting = waitingJob(job.spec().id()).filter(found -> found == job).isPresent();
+    if (stillWaiting) {
+      resolver.addDependencies(job, dependencies);
+      dependencies.forEach(this::resolve);
     }
-    resolver.addDependencies(job, awaited);
-    awaited.forEach(this::resolve);
   }
 
-  /** What is active is known to this leader, all else is over or will be shown by the watch. */
-  private void resolve(JobId need) {
-    DependencyResolver.End end = ends.get(need);
-    Optional<Job> open = jobs.find(need).or(() -> resolver.waitingJobs(need));
+  /** Active jobs are known to this leader; all others are over, or the watch will show them. */
+  private void resolve(JobId dependency) {
+    JobEnd end = ends.get(dependency);
+    Optional<Job> unfinished = jobs.find(dependency).or(() -> resolver.findWaiting(dependency));
     if (end != null) {
-      resolver.onEnded(need, end);
-    } else if (open.isEmpty()) {
-      loader.loadEnd(need);
-    } else if (open.get().cancelled()) {
-      resolver.onCancelled(need);
+      resolver.onEnded(dependency, end);
+    } else if (unfinished.isEmpty()) {
+      loader.loadEnd(dependency);
+    } else if (unfinished.get().cancelled()) {
+      resolver.onCancelled(dependency);
     }
   }
 
-  /** The stored record of a held job changed. */
+  /** The stored record of a waiting job changed. */
   public void update(Job job, JobRecord record) {
     job.update(record);
     if (job.state() == Job.State.CANCELLING) {
       resolver.remove(job.spec().id());
-      onCancelled(job);
+      term.onCancelled(job);
     }
   }
 
-  /** A cancellation is stored. */
+  /** A cancellation is stored: the job's dependents are cancelled too. */
   public void onCancelled(JobId job) {
     resolver.onCancelled(job);
   }
 
+  /**
+   * The end of a job is stored.
+   *
+   * @param atMillis wall-clock time of the end in milliseconds
+   */
   public void onEnded(Job job, long atMillis) {
-    DependencyResolver.End end = new DependencyResolver.End(job.terminalPhase(), atMillis);
+    JobEnd end = new JobEnd(job.terminalPhase(), atMillis);
     ends.put(job.spec().id(), end);
     resolver.onEnded(job.spec().id(), end);
   }
 
+  /** The job no longer waits, and nothing becomes of it. */
   public void remove(JobId job) {
     resolver.remove(job);
   }
 
-  @Override
-  public void onReleased(Job job) {
-    owner.onReady(job);
-  }
-
-  @Override
-  public void onCancelled(Job job) {
-    owner.onCancelled(job);
-  }
-
-  /** Before jobs are ranked. */
+  /** Updates what jobs inherit from their dependents, if it may have changed. */
   public void propagatePriorities() {
     MonotonicTime now = loop.now();
-    if (resolver.changed() || now.secondsSince(inheritedAt) >= INHERIT_SECONDS) {
-      inheritedAt = now;
-      resolver.propagatePriorities(this::activeJob, runTimes::expectedSeconds);
+    if (resolver.pollChanged() || now.secondsSince(propagatedAt) >= PROPAGATION_INTERVAL_SECONDS) {
+      propagatedAt = now;
+      resolver.propagatePriorities();
     }
   }
 
-  private Optional<Job> activeJob(JobId job) {
-    return jobs.find(job);
-  }
-
-  /** Held jobs that should be let go within the horizon. */
-  public List<DependencyResolver.ExpectedRelease> expectedReleases(double horizon) {
-    return resolver.expectedReleases(
-        horizon, this::activeJob, this::endsIn, runTimes::expectedSeconds);
+  /** The waiting jobs that should be released within the horizon. */
+  public List<DependencyResolver.ExpectedRelease> expectedReleases(double horizonSeconds) {
+    return resolver.expectedReleases(horizonSeconds);
   }
 
-  /** The longest that any of the job's tasks should still take, if those that wait start now. */
-  private double endsIn(Job job) {
-    if (job.state() != Job.State.ACTIVE) {
-      return Double.MAX_VALUE;
+  private final class ResolverListener implements DependencyResolver.Listener {
+    @Override
+    public void onReleased(Job job) {
+      term.onReady(job);
     }
-    double expected = runTimes.expectedSeconds(job);
-    double left = job.waitingCount() > 0 ? expected : 0;
-    MonotonicTime now = loop.now();
-    for (TaskAssignment assignment : job.assignments()) {
-      double ran = assignment.runningSince().map(now::secondsSince).orElse(0.0);
-      left = Math.max(left, RunTimeEstimator.remaining(expected, ran));
+
+    @Override
+    public void onCancelled(Job job) {
+      term.onCancelled(job);
     }
-    return left;
   }
 }
--- a/src/main/java/org/mulleinshift/dependencies/DependencyValidator.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyValidator.java
@@ -14,108 +14,116 @@
 import org.mulleinshift.store.StoreKeys;
 
 /**
- * Whether jobs that a submission awaits were ever accepted. That one was accepted stays true, so
- * whoever has seen it need not ask; that one was not is certain only by reading its keys now, first
- * the active one, since a job moves only from there to the ended one.
+ * Checks whether the dependencies of a submission were ever accepted. That a job was accepted stays
+ * true, so it need not be read again; that it was not is certain only by reading its keys now,
+ * first the active one, since a job moves only from there to the ended one.
  */
 public final class DependencyValidator {
-  private static final int AT_ONCE = 8;
-  private static final int REMEMBERED = 10_000;
+  private static final int MAX_CONCURRENT_READS = 8;
+  private static final int MAX_ACCEPTED_REMEMBERED = 10_000;
 
-  /** What came of a check. */
+  /** The outcome of a check. */
   public enum Verdict {
+    /** All jobs were accepted. */
     ALL_ACCEPTED,
-    /** One of them was certainly never accepted. */
+    /** One of the jobs was certainly never accepted. */
     UNKNOWN_JOB,
+    /** The store did not answer. */
     UNDECIDED
   }
 
   private final KeyValueStore store;
-  private final Predicate<JobId> seen;
+  private final Predicate<JobId> knownAccepted;
 
-  /** A long list is looked up at the rate that there is: a retry goes on where the last one was. */
-  private final Set<JobId> found = BoundedMap.set(REMEMBERED);
+  /** A long list is read at the rate that the store permits; a retry goes on with the rest. */
+  private final Set<JobId> accepted = BoundedMap.set(MAX_ACCEPTED_REMEMBERED);
 
   /**
-   * A check.
+   * A validator.
    *
-   * @param seen whether a job is known to have been accepted
+   * @param knownAccepted whether a job is known to have been accepted
    */
-  public DependencyValidator(KeyValueStore store, Predicate<JobId> seen) {
+  public DependencyValidator(KeyValueStore store, Predicate<JobId> knownAccepted) {
     this.store = store;
-    this.seen = seen;
+    this.knownAccepted = knownAccepted;
   }
 
-  /** A job whose record was seen: it was accepted, whatever becomes of it. */
+  /** A job whose record was seen was accepted, whatever becomes of it. */
   public void markAccepted(JobId job) {
-    found.add(job);
+    accepted.add(job);
   }
 
-  public void check(List<JobId> jobs, Consumer<Verdict> then) {
-    Deque<JobId> open = new ArrayDeque<>();
-    jobs.stream().filter(job -> !seen.test(job) && !found.contains(job)).forEach(open::add);
-    Check round = new Check(open, then);
-    if (open.isEmpty()) {
-      then.accept(Verdict.ALL_ACCEPTED);
+  /** Checks the jobs; the consumer gets the verdict once. */
+  public void check(List<JobId> jobs, Consumer<Verdict> onVerdict) {
+    Deque<JobId> unchecked = new ArrayDeque<>();
+    jobs.stream()
+        .filter(job -> !knownAccepted.test(job) && !accepted.contains(job))
+        .forEach(unchecked::add);
+    if (unchecked.isEmpty()) {
+      onVerdict.accept(Verdict.ALL_ACCEPTED);
+      return;
     }
-    for (int i = 0; i < AT_ONCE && !open.isEmpty(); i++) {
-      round.ask();
+    Check check = new Check(unchecked, onVerdict);
+    for (int i = 0; i < MAX_CONCURRENT_READS && !unchecked.isEmpty(); i++) {
+      check.readNext();
     }
   }
 
+  /** The check of one submission. */
   private final class Check {
-    private final Deque<JobId> open;
-    private final Consumer<Verdict> then;
-    private int asked;
-    private boolean over;
+    private final Deque<JobId> unchecked;
+    private final Consumer<Verdict> onVerdict;
+    private int readsInFlight;
+    private boolean finished;
 
-    Check(Deque<JobId> open, Consumer<Verdict> then) {
-      this.open = open;
-      this.then = then;
+    Check(Deque<JobId> unchecked, Consumer<Verdict> onVerdict) {
+      this.unchecked = unchecked;
+      this.onVerdict = onVerdict;
     }
 
-    private void ask() {
-      asked++;
-      JobId job = open.poll();
-      read(
-          job,
-          StoreKeys.activeJob(job),
-          () -> read(job, StoreKeys.endedJob(job), () -> end(Verdict.UNKNOWN_JOB)));
+    private void readNext() {
+      readsInFlight++;
+      JobId job = unchecked.poll();
+      read(job, StoreKeys.activeJob(job), () -> readEnded(job));
     }
 
-    /** Whatever stands there: it was accepted. */
-    private void read(JobId job, String key, Runnable absent) {
+    private void readEnded(JobId job) {
+      read(job, StoreKeys.endedJob(job), () -> finish(Verdict.UNKNOWN_JOB));
+    }
+
+    /** A key that exists, whatever its value, means that the job was accepted. */
+    private void read(JobId job, String key, Runnable onAbsent) {
       store.get(
           key,
           KeyValueStore.Urgency.PROMPT,
           answer -> {
             if (answer instanceof ReadResult.Found<KeyValue>) {
-              found.add(job);
-              goOn();
+              onAccepted(job);
             } else if (answer instanceof ReadResult.Absent<KeyValue>) {
-              absent.run();
+              onAbsent.run();
             } else {
-              end(Verdict.UNDECIDED);
+              finish(Verdict.UNDECIDED);
             }
           });
     }
 
-    private void goOn() {
-      asked--;
-      if (over) {
+    private void onAccepted(JobId job) {
+      accepted.add(job);
+      readsInFlight--;
+      if (finished) {
         return;
       }
-      if (!open.isEmpty()) {
-        ask();
-      } else if (asked == 0) {
-        end(Verdict.ALL_ACCEPTED);
+      if (!unchecked.isEmpty()) {
+        readNext();
+      } else if (readsInFlight == 0) {
+        finish(Verdict.ALL_ACCEPTED);
       }
     }
 
-    private void end(Verdict verdict) {
-      if (!over) {
-        over = true;
-        then.accept(verdict);
+    private void finish(Verdict verdict) {
+      if (!finished) {
+        finished = true;
+        onVerdict.accept(verdict);
       }
     }
   }
--- /dev/null
+++ b/src/main/java/org/mulleinshift/dependencies/PriorityPropagation.java
@@ -0,0 +1,85 @@
+package org.mulleinshift.dependencies;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Function;
+import org.mulleinshift.model.Job;
+import org.mulleinshift.protocol.JobId;
+import org.mulleinshift.protocol.Priority;
+
+/**
+ * Passes priorities and deadlines from jobs to their dependencies: a job is as urgent as the most
+ * urgent job that waits for it, and its deadline leaves time for the longest path after it.
+ */
+final class PriorityPropagation {
+  private static final int MILLIS_PER_SECOND = 1000;
+
+  private final DependencyGraph graph;
+  private final Function<JobId, Optional<Job>> findUnfinished;
+  private final ActiveJobs activeJobs;
+
+  /** Jobs of the latest run that wait or are waited for. */
+  private final Map<JobId, Job> visitedJobs = new HashMap<>();
+
+  /**
+   * The propagation along a graph.
+   *
+   * @param findUnfinished finds jobs that are not over, waiting or not
+   */
+  PriorityPropagation(
+      DependencyGraph graph, Function<JobId, Optional<Job>> findUnfinished, ActiveJobs activeJobs) {
+    this.graph = graph;
+    this.findUnfinished = findUnfinished;
+    this.activeJobs = activeJobs;
+  }
+
+  /** Computes anew what each job inherits. */
+  void run() {
+    Map<JobId, Job.Inherited> inherited = new HashMap<>();
+    Map<JobId, Job> visited = new HashMap<>();
+    graph.visitDependentsFirst(
+        id ->
+            findUnfinished
+                .apply(id)
+                .ifPresent(
+                    job -> {
+                      visited.put(id, job);
+                      job.inherit(inherited.getOrDefault(id, Job.Inherited.NONE));
+                      passOn(job, inherited);
+                    }));
+    resetAllBut(visited);
+    visitedJobs.clear();
+    visitedJobs.putAll(visited);
+  }
+
+  private void passOn(Job job, Map<JobId, Job.Inherited> inherited) {
+    Job.Inherited passedOn = new Job.Inherited(job.priority(), dependencyDeadlineMillis(job));
+    graph
+        .dependenciesOf(job.spec().id())
+        .forEach(
+            dependency -> inherited.merge(dependency, passedOn, PriorityPropagation::moreUrgent));
+  }
+
+  private long dependencyDeadlineMillis(Job job) {
+    double pathSeconds = activeJobs.secondsUntilDependentsRun(job, 0);
+    return job.hasDeadline()
+        ? job.deadlineMillis() - (long) (MILLIS_PER_SECOND * pathSeconds)
+        : Job.Inherited.NONE.deadlineMillis();
+  }
+
+  /** Jobs that nothing waits for any more are as submitted again; released ones keep theirs. */
+  private void resetAllBut(Map<JobId, Job> visited) {
+    visitedJobs.forEach(
+        (id, job) -> {
+          if (!visited.containsKey(id) && job.state() == Job.State.ACTIVE) {
+            job.inherit(Job.Inherited.NONE);
+          }
+        });
+  }
+
+  private static Job.Inherited moreUrgent(Job.Inherited one, Job.Inherited other) {
+    Priority priority = one.priority().above(other.priority()) ? one.priority() : other.priority();
+    return new Job.Inherited(priority, Math.min(one.deadlineMillis(), other.deadlineMillis()));
+  }
+}
