--- a/src/main/java/org/mulleinshift/Rehearsal.java
+++ b/src/main/java/org/mulleinshift/ClassArchiveTraining.java
@@ -28,10 +28,10 @@
 import org.slf4j.Logger;
 
 /** Goes through a start once at build time, so that its classes land in the class archive. */
-final class Rehearsal {
+final class ClassArchiveTraining {
   private static final Duration LENGTH = Duration.ofSeconds(9);
 
-  private Rehearsal() {}
+  private ClassArchiveTraining() {}
 
   private static List<Object> frames() {
     AssignedTask task = new AssignedTask(1, 1L, true, false);
@@ -70,7 +70,7 @@
       log.debug("rehearsed: {}", e.getMessage());
     }
     JdkAsyncHttpClient caller = new JdkAsyncHttpClient("rehearsal", loop, 1, 8);
-    loop.post(new RehearsalWorker(loop, caller, address)::start);
+    loop.post(new TrainingWorker(loop, caller, address)::start);
     loop.post(
         () ->
             caller.call(
--- a/src/main/java/org/mulleinshift/Main.java
+++ b/src/main/java/org/mulleinshift/Main.java
@@ -10,6 +10,7 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.atomic.AtomicReference;
+import java.util.function.Consumer;
 import org.mulleinshift.controller.Controller;
 import org.mulleinshift.memory.Heap;
 import org.mulleinshift.memory.HeapMonitor;
@@ -21,6 +22,7 @@
 import org.mulleinshift.settings.SettingsException;
 import org.mulleinshift.settings.Tunables;
 import org.mulleinshift.settings.TunablesReader;
+import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.JdkAsyncHttpClient;
 import org.mulleinshift.transport.JdkHttpServer;
 import org.mulleinshift.transport.TcpPeerTransport;
@@ -39,6 +41,17 @@
     versionProvider = Main.Version.class,
     sortOptions = false)
 public final class Main implements Callable<Integer> {
+  /** Threads of a client of one outside system, and calls that may wait for them. */
+  private static final int STORE_THREADS = 6;
+
+  private static final int STORE_QUEUE = 512;
+  private static final int WATCH_THREADS = 2;
+  private static final int WATCH_QUEUE = 8;
+  private static final int CLOUD_THREADS = 2;
+  private static final int CLOUD_QUEUE = 32;
+  private static final int WORKER_THREADS = 8;
+  private static final int WORKER_QUEUE = 256;
+  private static final int MEBIBYTE_BITS = 20;
   private static final String CONFIG = "--config";
   private static final int BAD_SETTINGS = 2;
   private static final int CANNOT_LISTEN = 1;
@@ -68,6 +81,7 @@
       description = "Load what a start needs and end; used to build the class archive.")
   private boolean rehearse;
 
+  /** Starts a controller; a second form of the arguments is parsed by the library. */
   public static void main(String[] args) throws IOException, InterruptedException {
     int code = args.length == 2 && args[0].equals(CONFIG) ? start(Path.of(args[1])) : parse(args);
     if (code != 0) {
@@ -111,7 +125,7 @@
             settings.limits().maxSockets(),
             Runtime.getRuntime().maxMemory());
     JdkHttpServer.configure(memory.idleConnections());
-    settings = rehearse ? new RehearsalWorld().serve(settings) : settings;
+    settings = rehearse ? new TrainingServices().serve(settings) : settings;
     try {
       run(settings, tunables, memory);
     } catch (BindException e) {
@@ -131,31 +145,12 @@
       throws IOException, InterruptedException {
     Logger log = LoggerFactory.getLogger(Main.class);
     ThreadEventLoop loop = new ThreadEventLoop();
-    Map<String, InetSocketAddress> peers = new HashMap<>();
-    settings.members().forEach(member -> peers.put(member.label(), member.address()));
     AtomicReference<Controller> target = new AtomicReference<>();
-    TcpPeerTransport link =
-        new TcpPeerTransport(
-            loop,
-            peers,
-            frame -> target.get().onFrame(frame),
-            PEER_ACK,
-            memory.peerQueueBytes(),
-            memory.peerIncomingBytes());
-    Controller controller =
-        new Controller(
-            settings,
-            tunables,
-            new Controller.Ports(
-                loop,
-                new JdkAsyncHttpClient("state", loop, 6, 512),
-                new JdkAsyncHttpClient("watch", loop, 2, 8),
-                new JdkAsyncHttpClient("cloud", loop, 2, 32),
-                new JdkAsyncHttpClient("worker", loop, 8, 256),
-                link,
-                new HeapMonitor(loop, Heap.ofProcess(), memory.heapBytes())));
+    TcpPeerTransport peers =
+        peerTransport(loop, settings, memory, frame -> target.get().onFrame(frame));
+    Controller controller = new Controller(settings, tunables, ports(loop, peers, memory));
     target.set(controller);
-    JdkHttpServer frontend =
+    JdkHttpServer server =
         new JdkHttpServer(
             loop,
             controller,
@@ -165,21 +160,40 @@
                 memory.userBodyBytes(),
                 memory.reportBodyBytes(),
                 WorkerCodec.HEARTBEAT_PATH::equals));
-    link.start(rehearse ? ANY_PORT : settings.peerBind());
-    frontend.start();
+    peers.start(rehearse ? ANY_PORT : settings.peerBind());
+    server.start();
     log.info(
-        "{} serves {}, {} MiB for objects",
+        "controller started, label={} address={} heap_mib={}",
         settings.label(),
         settings.publicAddress(),
-        memory.heapBytes() >> 20);
+        memory.heapBytes() >> MEBIBYTE_BITS);
     if (rehearse) {
-      Rehearsal.run(loop, frontend.address(), controller::start, log);
+      ClassArchiveTraining.run(loop, server.address(), controller::start, log);
       return;
     }
     loop.post(controller::start);
     loop.run();
   }
 
+  private static TcpPeerTransport peerTransport(
+      EventLoop loop, PlatformSettings settings, MemoryPlan memory, Consumer<byte[]> receiver) {
+    Map<String, InetSocketAddress> peers = new HashMap<>();
+    settings.members().forEach(member -> peers.put(member.label(), member.address()));
+    return new TcpPeerTransport(
+        loop, peers, receiver, PEER_ACK, memory.peerQueueBytes(), memory.peerIncomingBytes());
+  }
+
+  private static Controller.Ports ports(EventLoop loop, TcpPeerTransport peers, MemoryPlan memory) {
+    return new Controller.Ports(
+        loop,
+        new JdkAsyncHttpClient("state", loop, STORE_THREADS, STORE_QUEUE),
+        new JdkAsyncHttpClient("watch", loop, WATCH_THREADS, WATCH_QUEUE),
+        new JdkAsyncHttpClient("cloud", loop, CLOUD_THREADS, CLOUD_QUEUE),
+        new JdkAsyncHttpClient("worker", loop, WORKER_THREADS, WORKER_QUEUE),
+        peers,
+        new HeapMonitor(loop, Heap.ofProcess(), memory.heapBytes()));
+  }
+
   /** Tells the version that the build put into the jar. */
   public static final class Version implements CommandLine.IVersionProvider {
     @Override
--- a/src/main/java/org/mulleinshift/RehearsalWorld.java
+++ b/src/main/java/org/mulleinshift/TrainingServices.java
@@ -21,7 +21,7 @@
  * As much of a state service and a cloud as one controller needs to lead, rent a machine and run a
  * job while the class archive is recorded. It checks nothing: no test and no measurement uses it.
  */
-final class RehearsalWorld {
+final class TrainingServices {
   private static final String MACHINE =
       "{\"ref\":\"i-1\",\"addr\":\"127.0.0.1:1\",\"build\":\"r\",\"yard\":\"here\",\"loaner\":true,"
           + "\"phase\":\"running\",\"held_s\":5}";
--- a/src/main/java/org/mulleinshift/RehearsalWorker.java
+++ b/src/main/java/org/mulleinshift/TrainingWorker.java
@@ -17,7 +17,7 @@
 import org.mulleinshift.transport.HttpResponse;
 
 /** The one machine of a rehearsal, and its one user. */
-final class RehearsalWorker {
+final class TrainingWorker {
   private static final Duration PAUSE = Duration.ofMillis(250);
   private static final Duration DEADLINE = Duration.ofSeconds(1);
   private static final int TASKS = 24;
@@ -27,10 +27,10 @@
   private final AsyncHttpClient caller;
   private final InetSocketAddress node;
   private final Map<String, ObjectNode> pieces = new LinkedHashMap<>();
-  private long tick;
-  private long baton;
+  private long sequence;
+  private long fencingToken;
 
-  RehearsalWorker(EventLoop loop, AsyncHttpClient caller, InetSocketAddress node) {
+  TrainingWorker(EventLoop loop, AsyncHttpClient caller, InetSocketAddress node) {
     this.loop = loop;
     this.caller = caller;
     this.node = node;
@@ -39,16 +39,16 @@
   void start() {
     loop.after(PAUSE, this::start);
     report();
-    String job = "run-" + tick % 3;
+    String job = "run-" + sequence % 3;
     ObjectNode body = json.createObjectNode();
     body.put("ref", job).put("lane", "l").put("crew", "t").put("shape", "batch");
-    body.put("urgency", tick % 2 == 0 ? "standard" : "urgent").put("pieces", TASKS);
+    body.put("urgency", sequence % 2 == 0 ? "standard" : "urgent").put("pieces", TASKS);
     body.put("cpus", 1.0).put("cards", 0.0).put("ram_gb", 1.0).put("bundle", "b");
     body.put("pull_gb", 1.0).put("same_place", false).put("spread", false).put("loaner", true);
     body.put("guess_s", 1.0).put("snapshot_s", 0.0).put("flush_s", 0.0).put("due_s", 60.0);
     call(HttpRequest.post(JobCodec.JOBS_PATH, body.toString(), DEADLINE));
     call(HttpRequest.get(JobCodec.JOBS_PATH + "/" + job, DEADLINE));
-    if (tick == 20) {
+    if (sequence == 20) {
       call(HttpRequest.post(JobCodec.JOBS_PATH + "/run-2/withdraw", "", DEADLINE));
     }
   }
@@ -60,7 +60,7 @@
   private void report() {
     ObjectNode body = json.createObjectNode();
     body.put("host", "i-1").put("addr", "127.0.0.1:1").put("build", "r").put("yard", "here");
-    body.put("loaner", true).put("shift", 1).put("tick", ++tick).put("baton", baton);
+    body.put("loaner", true).put("shift", 1).put("tick", ++sequence).put("baton", fencingToken);
     ArrayNode list = body.putArray("pieces");
     pieces.values().forEach(list::add);
     caller.call(
@@ -77,7 +77,7 @@
     }
     try {
       JsonNode answer = json.readTree(reply.body());
-      baton = Math.max(baton, answer.path("baton").asLong());
+      fencingToken = Math.max(fencingToken, answer.path("baton").asLong());
       for (JsonNode order : answer.path("orders")) {
         String name = order.path("piece").asText();
         if (order.path("verb").asText().equals("run")) {
--- a/src/main/java/org/mulleinshift/controller/ControllerComponents.java
+++ b/src/main/java/org/mulleinshift/controller/ControllerComponents.java
@@ -104,9 +104,7 @@
     this.election = createElection();
     this.failover = createFailover();
     this.indirectRenewal = createIndirectRenewal();
-    this.catalog =
-        new MachineTypeCatalog(
-            loop, ports.cloud(), settings.cloudAddress(), events::onPreconditionChange);
+    this.catalog = createCatalog();
     this.status = createStatus();
     this.ownedShards = createOwnedShards();
     this.featureGates = new FeatureGates(loop, store, members.self(), members.all(), view);
@@ -312,6 +310,11 @@
         message -> leadership.sendToLeader(message));
   }
 
+  private MachineTypeCatalog createCatalog() {
+    return new MachineTypeCatalog(
+        loop, ports.cloud(), settings.cloudAddress(), events::onPreconditionChange);
+  }
+
   private JobApi createJobApi() {
     return new JobApi(
         new JobApi.Context(
--- a/src/main/java/org/mulleinshift/leader/TermComponents.java
+++ b/src/main/java/org/mulleinshift/leader/TermComponents.java
@@ -152,8 +152,8 @@
             tunables.seconds(Tunables.Key.RETRY_BACKOFF_S)),
         new CapacityReservation(
             settings.objectives(),
-            tunables.number(Tunables.Key.HEADROOM_JOBS),
-            tunables.seconds(Tunables.Key.HEADROOM_DURATION_S)),
+            tunables.number(Tunables.Key.RESERVED_JOBS),
+            tunables.seconds(Tunables.Key.RESERVATION_DURATION_S)),
         new UnreadableJobs(),
         context.catalog(),
         context.runTimes(),
--- a/src/main/java/org/mulleinshift/progress/ProgressSettings.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressSettings.java
@@ -6,7 +6,7 @@
 /**
  * What decides where and how progress is stored.
  *
- * @param the store's limits
+ * @param limits of the store
  * @param maxOperations maximum number of writes of a transaction
  * @param featureGates which stored forms all controllers can read
  * @param logEnabled whether the operators allow the progress log
--- a/src/main/java/org/mulleinshift/protocol/JobCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/JobCodec.java
@@ -143,7 +143,7 @@
         : Optional.empty();
   }
 
-  /** The inverse of {@link #parse(JsonNode)}. */
+  /** The inverse of {@link #parseSubmission(JsonNode)}. */
   public static ObjectNode writeSubmission(JobSpec spec) {
     ObjectNode node = Json.object();
     node.put(WireNames.ID, spec.id().value());
--- a/src/main/java/org/mulleinshift/settings/PlatformSettings.java
+++ b/src/main/java/org/mulleinshift/settings/PlatformSettings.java
@@ -13,8 +13,8 @@
  * @param publicAddress where users, workers and health checks connect
  * @param peerBind where other controllers connect
  * @param members the other controllers
- * @param cloudLimits address of the cloud's interface
- * @param storeLimits address of the key-value store
+ * @param cloudAddress address of the cloud's interface
+ * @param storeAddress address of the key-value store
  * @param cluster what holds for all controllers
  * @param limits of this process
  */
--- a/src/main/java/org/mulleinshift/settings/Tunables.java
+++ b/src/main/java/org/mulleinshift/settings/Tunables.java
@@ -54,9 +54,9 @@
     /** Shortest backoff before a failed task is retried. */
     RETRY_BACKOFF_S("error_pause_s", 5, 0, 600),
     /** Average jobs of a class with a start objective that capacity is reserved for. */
-    HEADROOM_JOBS("headroom_jobs", 0.5, 0, 10),
+    RESERVED_JOBS("headroom_jobs", 0.5, 0, 10),
     /** How long after the last such job capacity stays reserved. */
-    HEADROOM_DURATION_S("headroom_lasts_s", 60, 0, 3600),
+    RESERVATION_DURATION_S("headroom_lasts_s", 60, 0, 3600),
     /** A task that ran longer than this is not preempted for a job of higher priority. */
     PREEMPTION_MAX_RUN_S("preempt_ran_s", 12, 0, 86_400),
     /** Tasks are preempted for a job with a deadline once it must start within this time. */
--- a/src/test/java/org/mulleinshift/invariants/InvariantCheckerTest.java
+++ b/src/test/java/org/mulleinshift/invariants/InvariantCheckerTest.java
@@ -31,7 +31,7 @@
 
   private void assertBroken(Rule... rules) {
     List<String> found =
-        checker.violations().lines().stream().map(line -> line.split("[ :]")[1]).toList();
+        checker.violations().lines().stream().map(line -> line.split("[ :]", 0)[1]).toList();
     assertEquals(
         List.of(rules).stream().map(Rule::toString).toList(),
         found,
--- a/src/test/java/org/mulleinshift/scenario/StoreExpectations.java
+++ b/src/test/java/org/mulleinshift/scenario/StoreExpectations.java
@@ -48,11 +48,12 @@
         "led-none",
         (line, limit) ->
             unless(!history.termBeganBetween(line.number(1), endSeconds), "a term began"));
-    kinds.put("granted", (line, limit) -> atMost(history.grantsAfter(line.number(1)), limit));
+    kinds.put(
+        "granted", (line, limit) -> atMost((double) history.grantsAfter(line.number(1)), limit));
     kinds.put("writes", (line, limit) -> atMost(history.writes(), line.number(1)));
   }
 
-  private long shardsOf(String owner) {
+  private double shardsOf(String owner) {
     return store.owners().values().stream().filter(owner::equals).count();
   }
 
@@ -75,7 +76,7 @@
 
   private Optional<String> keys(ScenarioLine line, double limit) {
     String prefix = line.word(1);
-    long count = store.values().keySet().stream().filter(key -> key.startsWith(prefix)).count();
+    double count = store.values().keySet().stream().filter(key -> key.startsWith(prefix)).count();
     return line.word(2).equals("min") ? atLeast(count, limit) : atMost(count, limit);
   }
 }
