--- a/src/test/java/org/mulleinshift/MemoryLimitsTest.java
+++ b/src/test/java/org/mulleinshift/MemoryLimitsTest.java
@@ -27,7 +27,7 @@
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.JdkHttpServer;
 import org.mulleinshift.transport.MonotonicTime;
-import org.mulleinshift.transport.RequestHandler;
+import org.mulleinshift.transport.Responder;
 import org.mulleinshift.transport.TcpPeerTransport;
 
 /** What a controller holds at most, over real loopback sockets. */
@@ -120,22 +120,10 @@
       throws IOException, InterruptedException, MalformedMessageException {
     LaggingLoop loop = new LaggingLoop();
     String report = reportOf(4000);
-    RequestHandler handler =
-        (method, path, body, responder) -> {
-          try {
-            int tasks =
-                path.equals(WorkerCodec.HEARTBEAT_PATH)
-                    ? WorkerCodec.parseHeartbeat(body).tasks().size()
-                    : 0;
-            responder.respond(200, "{\"tasks\":" + tasks + "}");
-          } catch (MalformedMessageException e) {
-            responder.respond(400, "{}");
-          }
-        };
     JdkHttpServer frontend =
         new JdkHttpServer(
             loop,
-            handler,
+            MemoryLimitsTest::countReportedTasks,
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             new JdkHttpServer.Limits(4, 4 * BODY, 1 << 20, WorkerCodec.HEARTBEAT_PATH::equals));
     frontend.start();
@@ -168,6 +156,20 @@
     }
   }
 
+  /** Responds to a heartbeat with the number of its tasks, and to any other request with none. */
+  private static void countReportedTasks(
+      String method, String path, String body, Responder responder) {
+    try {
+      int tasks =
+          path.equals(WorkerCodec.HEARTBEAT_PATH)
+              ? WorkerCodec.parseHeartbeat(body).tasks().size()
+              : 0;
+      responder.respond(200, "{\"tasks\":" + tasks + "}");
+    } catch (MalformedMessageException e) {
+      responder.respond(400, "{}");
+    }
+  }
+
   /** What a large machine says after a long time without an answer. */
   private static String reportOf(int tasks) {
     StringBuilder body =
--- a/src/test/java/org/mulleinshift/sharding/ShardOwnerFixture.java
+++ b/src/test/java/org/mulleinshift/sharding/ShardOwnerFixture.java
@@ -32,6 +32,11 @@
 
 /** An owner of a shard in virtual time, with its workers and its leader played by the test. */
 final class ShardOwnerFixture {
+  private static final int OK = 200;
+  private static final Duration HEARTBEAT_INTERVAL = Duration.ofSeconds(2);
+  private static final Duration CANCEL_WITHIN = Duration.ofSeconds(32);
+  private static final Duration SHARD_LEASE = Duration.ofSeconds(14);
+  private static final Revision RECORD_REVISION = new Revision(8);
   static final String MACHINE = "i-000001";
   static final Revision GRANT = new Revision(7);
   static final long TOKEN = MachineToken.first(GRANT).value();
@@ -64,7 +69,7 @@
     MachineTypeCatalog catalog =
         new MachineTypeCatalog(
             loop,
-            (to, request, reply) -> reply.accept(new HttpResponse(200, CATALOG)),
+            (to, request, reply) -> reply.accept(new HttpResponse(OK, CATALOG)),
             CLOUD,
             () -> {});
     catalog.start();
@@ -75,9 +80,8 @@
                 (to, request, reply) ->
                     directMessages.add(new DirectMessage(request.body().orElseThrow(), reply)),
                 catalog,
-                new PlatformSettings.WorkerTiming(
-                    Duration.ofSeconds(2), WORKER_LEASE, Duration.ofSeconds(32)),
-                Duration.ofSeconds(14),
+                new PlatformSettings.WorkerTiming(HEARTBEAT_INTERVAL, WORKER_LEASE, CANCEL_WITHIN),
+                SHARD_LEASE,
                 cancelled::contains,
                 () -> {}),
             new ShardId("a-0"),
@@ -88,7 +92,7 @@
         Stream.of(machines).collect(Collectors.toMap(MachineId::new, machine -> record));
     owner.onRecord(
         new ShardRecord(
-            new ZoneId("a"), records, new Revision(8), Optional.empty(), Optional.empty()));
+            new ZoneId("a"), records, RECORD_REVISION, Optional.empty(), Optional.empty()));
   }
 
   ShardOwner owner() {
