--- a/src/main/java/org/mulleinshift/api/SubmissionHandler.java
+++ b/src/main/java/org/mulleinshift/api/SubmissionHandler.java
@@ -84,7 +84,7 @@
     try {
       JsonNode submission = Json.parseObject(body);
       spec = JobCodec.parseSubmission(submission);
-      dependencies = JobCodec.awaits(submission);
+      dependencies = JobCodec.parseDependencies(submission);
     } catch (MalformedMessageException e) {
       rejectUnlessAccepted(body, HttpStatus.BAD_REQUEST, e.getMessage(), responder);
       return;
--- a/src/main/java/org/mulleinshift/compatibility/FeatureGates.java
+++ b/src/main/java/org/mulleinshift/compatibility/FeatureGates.java
@@ -64,7 +64,7 @@
           if (answer instanceof ReadResult.Absent<KeyValue>) {
             publish(new Revision(0));
           } else if (answer instanceof ReadResult.Found<KeyValue> found) {
-            if (found.value().value().path("build").asInt() < OWN_LEVEL) {
+            if (ClusterView.readFeatureLevel(found.value()) < OWN_LEVEL) {
               publish(found.value().revision());
             }
           } else {
--- a/src/main/java/org/mulleinshift/membership/ControllerSession.java
+++ b/src/main/java/org/mulleinshift/membership/ControllerSession.java
@@ -108,9 +108,8 @@
         KeyValueStore.Urgency.URGENT,
         answer -> {
           if (answer instanceof ReadResult.Found<KeyValue> found
-              && found.value().value().path("node").asText().equals(self.value())) {
-            revokeOldLease(
-                new LeaseId(found.value().value().path("hold").asLong()), this::clearNodeKey);
+              && ClusterView.readLeader(found.value()).node().equals(self)) {
+            revokeOldLease(ClusterView.readLeader(found.value()).lease(), this::clearNodeKey);
           } else if (answer instanceof ReadResult.Found<KeyValue>
               || answer instanceof ReadResult.Absent<KeyValue>) {
             clearNodeKey();
@@ -262,7 +261,7 @@
           if (answer instanceof ReadResult.Found<StoreCodec.Range> found) {
             Map<ShardId, Revision> own = new HashMap<>();
             for (KeyValue item : found.value().items()) {
-              if (item.value().path("holder").asText().equals(self.value())) {
+              if (ClusterView.readGrant(item).owner().equals(self)) {
                 own.put(
                     new ShardId(item.key().substring(StoreKeys.GRANTS.length())), item.revision());
               }
--- a/src/main/java/org/mulleinshift/membership/StandbyFailover.java
+++ b/src/main/java/org/mulleinshift/membership/StandbyFailover.java
@@ -131,8 +131,11 @@
   public String chooseStandby(List<NodeId> otherZoneFirst) {
     List<NodeId> healthy = otherZoneFirst.stream().filter(this::isHealthy).toList();
     if (standby.filter(healthy::contains).isEmpty()) {
+      Optional<NodeId> previous = standby;
       standby = healthy.stream().findFirst();
-      LOG.info("standby chosen, node={}", standby.map(NodeId::value).orElse("none"));
+      if (!standby.equals(previous)) {
+        LOG.info("standby chosen, node={}", standby.map(NodeId::value).orElse("none"));
+      }
     }
     return standby.map(NodeId::value).orElse("");
   }
--- a/src/main/java/org/mulleinshift/membership/StoreHealth.java
+++ b/src/main/java/org/mulleinshift/membership/StoreHealth.java
@@ -163,20 +163,20 @@
 
   private void updateState(MonotonicTime now) {
     switch (state) {
-      case CONNECTED -> checkServed();
-      case SUSPECTED -> checkDoubted(now);
+      case CONNECTED -> checkConnected();
+      case SUSPECTED -> checkSuspected(now);
       case LOST -> checkLost(now);
     }
   }
 
-  private void checkServed() {
+  private void checkConnected() {
     if (failingFor.compareTo(lostAfter.dividedBy(2)) >= 0) {
       transitionTo(State.SUSPECTED, "no answer for " + failingFor.toMillis() + " ms");
       listener.onSuspected();
     }
   }
 
-  private void checkDoubted(MonotonicTime now) {
+  private void checkSuspected(MonotonicTime now) {
     if (failingFor.isZero()) {
       peersAheadSince = Optional.empty();
       transitionTo(State.CONNECTED, "answered");
--- a/src/main/java/org/mulleinshift/membership/WorkerReachability.java
+++ b/src/main/java/org/mulleinshift/membership/WorkerReachability.java
@@ -44,8 +44,11 @@
 
   private static final long JITTER_DENOMINATOR = 4;
 
-  /** The part of the conclusive gap after which the state is doubted: one in so many. */
-  private static final int DOUBT_DIVISOR = 3;
+  /**
+   * The part of the conclusive gap after which workers are suspected to be unreachable: one in so
+   * many.
+   */
+  private static final int SUSPICION_DIVISOR = 3;
 
   private static final Duration MIN_CONCLUSIVE_GAP = Duration.ofMillis(1500);
 
@@ -176,7 +179,8 @@
     if (mostUnreachable(count)) {
       return state == State.ALL_UNREACHABLE ? state : State.MOST_UNREACHABLE;
     }
-    if (enoughMachines && heartbeatGap.multipliedBy(DOUBT_DIVISOR).compareTo(conclusiveGap) >= 0) {
+    if (enoughMachines
+        && heartbeatGap.multipliedBy(SUSPICION_DIVISOR).compareTo(conclusiveGap) >= 0) {
       return state == State.REACHABLE ? State.SUSPECTED : state;
     }
     return trustedAgain() ? State.REACHABLE : state;
--- a/src/main/java/org/mulleinshift/model/ClusterView.java
+++ b/src/main/java/org/mulleinshift/model/ClusterView.java
@@ -179,7 +179,7 @@
       set(
           featureLevels,
           new NodeId(key.substring(StoreKeys.FEATURE_LEVELS.length())),
-          item.map(found -> found.value().path(FEATURE_LEVEL).asInt()));
+          item.map(ClusterView::readFeatureLevel));
     } else if (key.startsWith(StoreKeys.GRANTS)) {
       applyGrant(new ShardId(key.substring(StoreKeys.GRANTS.length())), item);
     } else if (key.startsWith(StoreKeys.SHARDS)) {
@@ -187,6 +187,21 @@
     }
   }
 
+  /** Reads the leader. */
+  public static LeaderRecord readLeader(KeyValue item) {
+    return LeaderRecord.read(item);
+  }
+
+  /** Reads a shard's owner. */
+  public static GrantRecord readGrant(KeyValue item) {
+    return GrantRecord.read(item);
+  }
+
+  /** Reads the feature level of a controller; 0 if it is not a number. */
+  public static int readFeatureLevel(KeyValue item) {
+    return item.value().path(FEATURE_LEVEL).asInt();
+  }
+
   /** Reads the session of a controller. */
   public static NodeRecord readNode(KeyValue item) {
     return new NodeRecord(readLease(item), item.revision());
--- a/src/main/java/org/mulleinshift/model/JobRecord.java
+++ b/src/main/java/org/mulleinshift/model/JobRecord.java
@@ -99,16 +99,7 @@
   /** What can be read of an unreadable record: which team's quota its tasks count against. */
   public static Footprint footprint(JsonNode value) {
     JsonNode spec = value.path(SPEC);
-    Resources task =
-        new Resources(
-            Math.max(0, spec.path("cpus").asDouble()),
-            Math.max(0, spec.path("cards").asDouble()),
-            Math.max(0, spec.path("ram_gb").asDouble()));
-    return new Footprint(
-        spec.path("crew").isTextual()
-            ? Optional.of(new TeamId(spec.path("crew").asText()))
-            : Optional.empty(),
-        task.times(Math.max(0, spec.path("pieces").asInt())));
+    return new Footprint(JobCodec.findTeam(spec), JobCodec.maximumResources(spec));
   }
 
   /**
--- a/src/main/java/org/mulleinshift/protocol/JobCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/JobCodec.java
@@ -38,6 +38,23 @@
     return isJobId(id) ? Optional.of(new JobId(id)) : Optional.empty();
   }
 
+  /** The team of a submission whose other fields may be invalid. */
+  public static Optional<TeamId> findTeam(JsonNode submission) {
+    return Optional.of(submission.path(WireNames.TEAM))
+        .filter(JsonNode::isTextual)
+        .map(team -> new TeamId(team.asText()));
+  }
+
+  /** What all tasks of a submission use together; fields that are missing or invalid count as 0. */
+  public static Resources maximumResources(JsonNode submission) {
+    Resources task =
+        new Resources(
+            Math.max(0, submission.path(WireNames.CPUS).asDouble()),
+            Math.max(0, submission.path(WireNames.GPUS).asDouble()),
+            Math.max(0, submission.path(WireNames.MEMORY_GB).asDouble()));
+    return task.times(Math.max(0, submission.path(WireNames.TASKS).asInt()));
+  }
+
   /**
    * Reads a submission, without its dependencies.
    *
@@ -81,7 +98,7 @@
    *
    * @throws MalformedMessageException if the field is something else than a list of job ids
    */
-  public static List<JobId> awaits(JsonNode node) throws MalformedMessageException {
+  public static List<JobId> parseDependencies(JsonNode node) throws MalformedMessageException {
     if (!node.hasNonNull(WireNames.DEPENDENCIES)) {
       return List.of();
     }
--- a/src/main/java/org/mulleinshift/protocol/WorkerCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/WorkerCodec.java
@@ -89,8 +89,8 @@
       item.put(WireNames.COMMAND_KIND, kindOf(command));
       item.put(WireNames.TASK, command.task().toString());
       item.put(WireNames.ATTEMPT, command.attempt().value());
-      if (command instanceof WorkerCommand.Stop halt) {
-        item.put(WireNames.GRACE_SECONDS, seconds(halt.grace()));
+      if (command instanceof WorkerCommand.Stop stop) {
+        item.put(WireNames.GRACE_SECONDS, seconds(stop.grace()));
       }
     }
     return list;
--- a/src/main/java/org/mulleinshift/scheduling/FailureAttribution.java
+++ b/src/main/java/org/mulleinshift/scheduling/FailureAttribution.java
@@ -17,18 +17,18 @@
 
 /**
  * Attributes task failures to jobs or machines. A job that fails on several machines and has never
- * succeeded was submitted with a mistake; a machine is faulty when jobs that succeed elsewhere fail
- * there repeatedly. Failures of a faulty job are not counted against machines: else one mistake
- * takes the whole cluster out of use.
+ * succeeded was submitted with a mistake; a machine is quarantined when jobs that succeed elsewhere
+ * fail there repeatedly. Failures of a failing job are not counted against machines: else one
+ * mistake takes the whole cluster out of use.
  */
 public final class FailureAttribution {
   private static final Logger LOG = LoggerFactory.getLogger(FailureAttribution.class);
 
-  /** A job that failed on so many machines, and never succeeded, is faulty. */
-  private static final int FAULTY_JOB_MACHINES = 3;
+  /** A job that failed on so many machines, and never succeeded, is failing. */
+  private static final int FAILING_JOB_MACHINES = 3;
 
-  /** A job that failed so often, and never succeeded, is faulty, on however few machines. */
-  private static final int FAULTY_JOB_FAILURES = 10;
+  /** A job that failed so often, and never succeeded, is failing, on however few machines. */
+  private static final int FAILING_JOB_FAILURES = 10;
 
   private static final int MAX_BACKOFF_DOUBLINGS = 4;
   private static final Duration SUSPICION_PERIOD = Duration.ofSeconds(10);
@@ -38,7 +38,7 @@
     private final Set<MachineId> machines = new LinkedHashSet<>();
     private int failures;
     private int failedAttempts;
-    private boolean faulty;
+    private boolean failing;
     private MonotonicTime notBefore;
   }
 
@@ -48,7 +48,7 @@
     private MonotonicTime lastAt;
   }
 
-  private final int faultyAfter;
+  private final int quarantineFailures;
   private final Duration retryDelay;
   private final Map<JobId, JobFailures> jobs = new HashMap<>();
   private final Map<MachineId, MachineFailures> machines = new HashMap<>();
@@ -56,13 +56,13 @@
   /**
    * No failures yet.
    *
-   * @param faultyAfter a machine on which several jobs that succeed elsewhere failed so often is
-   *     quarantined
-   * @param retryDelay the first delay between attempts of a faulty job; it doubles with each
+   * @param quarantineFailures a machine on which several jobs that succeed elsewhere failed so
+   *     often is quarantined
+   * @param retryDelay the first delay between attempts of a failing job; it doubles with each
    *     attempt
    */
-  public FailureAttribution(int faultyAfter, Duration retryDelay) {
-    this.faultyAfter = faultyAfter;
+  public FailureAttribution(int quarantineFailures, Duration retryDelay) {
+    this.quarantineFailures = quarantineFailures;
     this.retryDelay = retryDelay;
   }
 
@@ -70,7 +70,7 @@
   public void onFailure(Job job, MachineId machine, MonotonicTime now) {
     JobFailures known = jobs.computeIfAbsent(job.spec().id(), key -> new JobFailures());
     known.failures++;
-    if (known.faulty) {
+    if (known.failing) {
       known.failedAttempts++;
       known.notBefore =
           now.plus(
@@ -80,29 +80,29 @@
     MachineFailures onMachine = machines.computeIfAbsent(machine, key -> new MachineFailures());
     onMachine.byJob.merge(job, 1, Integer::sum);
     onMachine.lastAt = now;
-    if (known.machines.size() < FAULTY_JOB_MACHINES && !isQuarantined(machine)) {
+    if (known.machines.size() < FAILING_JOB_MACHINES && !isQuarantined(machine)) {
       known.machines.add(machine);
     }
     boolean failsEverywhere =
-        known.machines.size() >= FAULTY_JOB_MACHINES || known.failures >= FAULTY_JOB_FAILURES;
+        known.machines.size() >= FAILING_JOB_MACHINES || known.failures >= FAILING_JOB_FAILURES;
     if (failsEverywhere && !hasSucceeded(job)) {
       LOG.info(
-          "job found faulty, job={} machines={} failures={}",
+          "job fails everywhere, job={} machines={} failures={}",
           job.spec().id(),
           known.machines.size(),
           known.failures);
-      known.faulty = true;
+      known.failing = true;
       known.notBefore = now.plus(retryDelay);
       forgetOnMachines(job.spec().id());
     }
   }
 
-  /** A task of the job was done on the machine: neither is faulty. */
+  /** A task of the job was done on the machine: neither is the cause of earlier failures. */
   public void onSuccess(Job job, MachineId machine) {
     machines.remove(machine);
     JobFailures known = jobs.remove(job.spec().id());
-    if (known != null && known.faulty) {
-      LOG.info("faulty job succeeded, job={}", job.spec().id());
+    if (known != null && known.failing) {
+      LOG.info("failing job succeeded, job={}", job.spec().id());
     }
   }
 
@@ -132,19 +132,19 @@
   }
 
   /** Whether the job fails wherever it runs. */
-  boolean isJobFaulty(Job job) {
+  boolean isJobFailing(Job job) {
     JobFailures known = jobs.get(job.spec().id());
-    return known != null && known.faulty;
+    return known != null && known.failing;
   }
 
   /**
-   * How many of the job's tasks may be attempted now: of a faulty job one at a time, with backoff.
+   * How many of the job's tasks may be attempted now: of a failing job one at a time, with backoff.
    * A gang is attempted whole: one task of it alone fits nowhere, and it would never get another
    * attempt.
    */
   public int allowedAttempts(Job job, MonotonicTime now) {
     JobFailures known = jobs.get(job.spec().id());
-    if (known == null || !known.faulty) {
+    if (known == null || !known.failing) {
       return Integer.MAX_VALUE;
     }
     boolean due = job.assignedCount() == 0 && !known.notBefore.isAfter(now);
@@ -169,7 +169,7 @@
         failures += entry.getValue();
       }
     }
-    return failures >= (failedJobs > 1 ? faultyAfter : 2 * faultyAfter);
+    return failures >= (failedJobs > 1 ? quarantineFailures : 2 * quarantineFailures);
   }
 
   /** Whether tasks fail on the machine and it is not clear yet why: it takes none for a while. */
@@ -177,6 +177,7 @@
     MachineFailures onMachine = machines.get(machine);
     return onMachine != null
         && now.since(onMachine.lastAt).compareTo(SUSPICION_PERIOD) < 0
-        && onMachine.byJob.values().stream().mapToInt(Integer::intValue).sum() >= faultyAfter;
+        && onMachine.byJob.values().stream().mapToInt(Integer::intValue).sum()
+            >= quarantineFailures;
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/JobRanking.java
+++ b/src/main/java/org/mulleinshift/scheduling/JobRanking.java
@@ -40,13 +40,13 @@
   /**
    * Ranks jobs.
    *
-   * @param faulty whether a job fails wherever it runs
+   * @param failing whether a job fails wherever it runs
    * @param shares what the jobs' tasks take of the cluster
    * @param nowMillis the time of day
    */
   static JobRanking of(
       Collection<Job> jobs,
-      Predicate<Job> faulty,
+      Predicate<Job> failing,
       TeamQuotas quotas,
       Tardiness tardiness,
       ShareSnapshot shares,
@@ -57,13 +57,13 @@
     Set<JobId> withinGuarantee = new HashSet<>();
     Map<TeamId, Resources> requestedByTeam = new HashMap<>();
     for (Job job : byArrival) {
-      boolean isFaulty = faulty.test(job);
-      boolean isGuaranteed = !isFaulty && countAgainstGuarantee(job, requestedByTeam, quotas);
+      boolean isFailing = failing.test(job);
+      boolean isGuaranteed = !isFailing && countAgainstGuarantee(job, requestedByTeam, quotas);
       if (isGuaranteed) {
         withinGuarantee.add(job.spec().id());
       }
       entries.add(
-          new Entry(job, isFaulty, isGuaranteed, tardiness.position(job, shares, nowMillis)));
+          new Entry(job, isFailing, isGuaranteed, tardiness.position(job, shares, nowMillis)));
     }
     entries.sort(Entry.BY_URGENCY);
     return new JobRanking(entries, withinGuarantee);
@@ -91,7 +91,7 @@
     private static final int LATE_LEVELS = 3;
 
     private static final Comparator<Entry> BY_URGENCY =
-        Comparator.comparing((Entry entry) -> entry.faulty)
+        Comparator.comparing((Entry entry) -> entry.failing)
             .thenComparingInt(entry -> entry.level)
             .thenComparing(entry -> !entry.guaranteed)
             .thenComparingInt(entry -> entry.grade.rank())
@@ -99,20 +99,20 @@
             .thenComparing(entry -> entry.job, BY_ARRIVAL.reversed());
 
     private final Job job;
-    private final boolean faulty;
+    private final boolean failing;
     private final boolean guaranteed;
     private final int level;
     private final Tardiness.Grade grade;
     private final double order;
 
-    Entry(Job job, boolean faulty, boolean guaranteed, Tardiness.Position position) {
+    Entry(Job job, boolean failing, boolean guaranteed, Tardiness.Position position) {
       this.job = job;
-      this.faulty = faulty;
+      this.failing = failing;
       this.guaranteed = guaranteed;
       this.grade = position.grade();
       this.order = position.order();
-      int lateness = grade == Tardiness.Grade.LATE ? LATE_LEVELS : 0;
-      this.level = LEVELS_PER_PRIORITY * job.priority().rank() + lateness;
+      int lateLevels = grade == Tardiness.Grade.LATE ? LATE_LEVELS : 0;
+      this.level = LEVELS_PER_PRIORITY * job.priority().rank() + lateLevels;
     }
   }
 
--- a/src/main/java/org/mulleinshift/scheduling/PreemptionPass.java
+++ b/src/main/java/org/mulleinshift/scheduling/PreemptionPass.java
@@ -36,7 +36,7 @@
     for (Job job : cycle.order()) {
       if (job.state() == Job.State.ACTIVE
           && job.waitingCount() > 0
-          && !state.failures().isJobFaulty(job)) {
+          && !state.failures().isJobFailing(job)) {
         preemptFor(job, cycle, candidates);
       }
     }
--- a/src/main/java/org/mulleinshift/scheduling/QueueRanker.java
+++ b/src/main/java/org/mulleinshift/scheduling/QueueRanker.java
@@ -31,7 +31,7 @@
     JobRanking ranking =
         JobRanking.of(
             state.jobs().all(),
-            state.failures()::isJobFaulty,
+            state.failures()::isJobFailing,
             state.quotas(),
             tardiness,
             shares,
--- a/src/test/java/org/mulleinshift/protocol/JobMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/JobMessageGoldenTest.java
@@ -53,7 +53,7 @@
   void submissionsAreReadAsTheyWereMeant(String name) throws MalformedMessageException {
     JsonNode submission = Json.parseObject(GoldenFile.text(file(name)));
     assertEquals(specs().get(name), JobCodec.parseSubmission(submission));
-    assertEquals(List.of(), JobCodec.awaits(submission));
+    assertEquals(List.of(), JobCodec.parseDependencies(submission));
   }
 
   @Test
@@ -70,7 +70,8 @@
     JsonNode submission = Json.parseObject(GoldenFile.text(file("submission-awaiting")));
     assertEquals(
         JobSpecSamples.withoutOptionalFields(JOB, TASKS), JobCodec.parseSubmission(submission));
-    assertEquals(List.of(new JobId("run-7"), new JobId("run-8")), JobCodec.awaits(submission));
+    assertEquals(
+        List.of(new JobId("run-7"), new JobId("run-8")), JobCodec.parseDependencies(submission));
   }
 
   private static Map<String, String> responses() {
