--- a/src/main/java/org/mulleinshift/Main.java
+++ b/src/main/java/org/mulleinshift/Main.java
@@ -2,7 +2,6 @@
 
 import java.io.IOException;
 import java.net.BindException;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -56,8 +55,6 @@
   private static final int BAD_SETTINGS = 2;
   private static final int CANNOT_LISTEN = 1;
   private static final Duration PEER_ACK = Duration.ofMillis(2500);
-  private static final InetSocketAddress ANY_PORT =
-      new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
   @Option(
       names = CONFIG,
@@ -75,12 +72,6 @@
   @Option(names = "--check", description = "Check the settings files and end.")
   private boolean check;
 
-  @Option(
-      names = "--rehearse",
-      hidden = true,
-      description = "Load what a start needs and end; used to build the class archive.")
-  private boolean rehearse;
-
   /** Starts a controller; a second form of the arguments is parsed by the library. */
   public static void main(String[] args) throws IOException, InterruptedException {
     int code = args.length == 2 && args[0].equals(CONFIG) ? start(Path.of(args[1])) : parse(args);
@@ -125,7 +116,6 @@
             settings.limits().maxSockets(),
             Runtime.getRuntime().maxMemory());
     JdkHttpServer.configure(memory.idleConnections());
-    settings = rehearse ? new TrainingServices().serve(settings) : settings;
     try {
       run(settings, tunables, memory);
     } catch (BindException e) {
@@ -154,23 +144,19 @@
         new JdkHttpServer(
             loop,
             controller,
-            rehearse ? ANY_PORT : settings.publicAddress(),
+            settings.publicAddress(),
             new JdkHttpServer.Limits(
                 tunables.count(Tunables.Key.HTTP_THREADS),
                 memory.userBodyBytes(),
                 memory.reportBodyBytes(),
                 WorkerCodec.HEARTBEAT_PATH::equals));
-    peers.start(rehearse ? ANY_PORT : settings.peerBind());
+    peers.start(settings.peerBind());
     server.start();
     log.info(
         "controller started, label={} address={} heap_mib={}",
         settings.label(),
         settings.publicAddress(),
         memory.heapBytes() >> MEBIBYTE_BITS);
-    if (rehearse) {
-      ClassArchiveTraining.run(loop, server.address(), controller::start, log);
-      return;
-    }
     loop.post(controller::start);
     loop.run();
   }
--- a/src/test/java/org/mulleinshift/CommandLineTest.java
+++ b/src/test/java/org/mulleinshift/CommandLineTest.java
@@ -20,7 +20,7 @@
 
 /** What an operator meets at the command line: each fault is one line naming file and key. */
 final class CommandLineTest {
-  private static final Path GOOD = Path.of("src/main/rehearsal/settings.toml");
+  private static final Path GOOD = Path.of("src/test/resources/settings/controller.toml");
 
   @TempDir private Path folder;
 
@@ -52,12 +52,12 @@
 
   @ParameterizedTest
   @CsvSource({
-    "'size = 1','size = 0',cluster.size",
+    "'size = 2','size = 0',cluster.size",
     "'lease_s = 12.0','lease_s = nan',cluster.workers.lease_s",
     "'cancel_s = 32.0','cancel_s = 17.0',cluster.workers.cancel_s",
     "'rps = 8.0','',cluster.cloud.rps",
     "'public_addr = \"127.0.0.1:18470\"','public_addr = \"nowhere\"',public_addr",
-    "'label = \"rehearsal\"','label = 7',label",
+    "'label = \"controller\"','label = 7',label",
     "'[cluster.state]','[cluster.other]',cluster.state",
     "'[services]','[services',not valid TOML",
     "'txn_ops = 12','txn_ops = 12\nnext = 3',cluster.state.next",
--- a/src/test/java/org/mulleinshift/VocabularyTest.java
+++ b/src/test/java/org/mulleinshift/VocabularyTest.java
@@ -24,11 +24,18 @@
 
   /** Words of the wire; as part of an identifier or of a comment. */
   private static final Pattern WIRE =
-      words("baton", "foreman", "crew", "loaner", "yard", "startup", "hire", "lane", "bundle");
+      words(
+          "baton", "foreman", "crew", "loaner", "yard", "startup", "hire", "lane", "bundle",
+          "halt");
 
   private static final Pattern WITHDRAWN =
       words(
           "holder",
+          "faulty",
+          "rehearse",
+          "rehearsed",
+          "rehearsal",
+          "doubted",
           "delegation",
           "delegated",
           "delegate",
