--- a/src/test/java/org/mulleinshift/LayersTest.java
+++ b/src/test/java/org/mulleinshift/LayersTest.java
@@ -103,6 +103,17 @@
 
   @ArchTest static final ArchRule LAYERS = layers();
 
+  /** Narrower than the layer, whose persister and loader know which shards a job's tasks are in. */
+  @ArchTest
+  static final ArchRule PROGRESS_LOG =
+      ArchRuleDefinition.noClasses()
+          .that()
+          .haveNameMatching("org\\.mulleinshift\\.progress\\.(ProgressLog|LogSegment)(\\$.*)?")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage("..sharding..", "..compatibility..")
+          .because("the log is read and written without knowing who owns a shard");
+
   @ArchTest
   static final ArchRule CYCLES =
       slices().matching("org.mulleinshift.(*)..").should().beFreeOfCycles();
