--- a/src/main/java/org/mulleinshift/leader/JobLifecycle.java
+++ b/src/main/java/org/mulleinshift/leader/JobLifecycle.java
@@ -149,7 +149,7 @@
 
   /** A task has ended: this is to be stored, and may end the job. */
   void onTaskEnded(Job job, int taskIndex) {
-    progress.store(job, taskIndex, false);
+    progress.store(job, taskIndex);
     settle(job);
   }
 
@@ -172,7 +172,7 @@
 
   @Override
   public void onAssigned(Job job, int taskIndex) {
-    progress.store(job, taskIndex, true);
+    progress.storeUrgently(job, taskIndex);
   }
 
   @Override
--- a/src/main/java/org/mulleinshift/model/ChunkLayout.java
+++ b/src/main/java/org/mulleinshift/model/ChunkLayout.java
@@ -66,16 +66,15 @@
     dirty.clear();
   }
 
-  /**
-   * A chunk's progress has changed.
-   *
-   * @param pressing whether a task waits for it to be stored
-   */
-  public void markDirty(Chunk chunk, boolean pressing) {
+  /** A chunk's progress has changed; nothing waits for it to be stored. */
+  public void markDirty(Chunk chunk) {
     dirty.add(chunk);
-    if (pressing) {
-      urgentChunks.add(chunk.number());
-    }
+  }
+
+  /** A chunk's progress has changed, and a task waits for it to be stored. */
+  public void markDirtyUrgently(Chunk chunk) {
+    markDirty(chunk);
+    urgentChunks.add(chunk.number());
   }
 
   /** Whether a task waits for progress of the whole chunk with that number to be stored. */
--- a/src/main/java/org/mulleinshift/progress/ProgressPersister.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressPersister.java
@@ -137,7 +137,7 @@
   }
 
   private void writeWhenIdle(Job job, Chunk chunk) {
-    job.chunks().markDirty(chunk, false);
+    job.chunks().markDirty(chunk);
     keyWriter.writeWhenIdle(updateOf(job, chunk));
   }
 
@@ -145,14 +145,17 @@
     return new ChunkUpdate(shards, unreadable, loop, job, chunk.number());
   }
 
-  /**
-   * Has the progress of a task stored.
-   *
-   * @param pressing whether the task's start waits for that
-   */
-  public void store(Job job, int taskIndex, boolean pressing) {
+  /** Has the progress of a task stored; nothing waits for it. */
+  public void store(Job job, int taskIndex) {
+    Chunk chunk = job.chunkOf(taskIndex);
+    job.chunks().markDirty(chunk);
+    store(updateOf(job, chunk));
+  }
+
+  /** Has the progress of a task stored, whose start waits for that. */
+  public void storeUrgently(Job job, int taskIndex) {
     Chunk chunk = job.chunkOf(taskIndex);
-    job.chunks().markDirty(chunk, pressing);
+    job.chunks().markDirtyUrgently(chunk);
     store(updateOf(job, chunk));
   }
 
@@ -185,7 +188,7 @@
     for (ProgressLog.ChunkImage image : images) {
       Optional<Job> job = jobs.findJob(image.job());
       if (job.isPresent()) {
-        job.get().chunks().markDirty(image.chunk(), false);
+        job.get().chunks().markDirty(image.chunk());
         writer.accept(job.get(), image.chunk());
       } else {
         log.pinSlotOf(image);
