--- a/src/main/java/org/mulleinshift/leader/JobLifecycle.java
+++ b/src/main/java/org/mulleinshift/leader/JobLifecycle.java
@@ -5,14 +5,17 @@
 import java.util.List;
 import java.util.Optional;
 import org.mulleinshift.compatibility.UnreadableJobs;
+import org.mulleinshift.dependencies.DependencyResolver;
 import org.mulleinshift.dependencies.DependencyTracker;
 import org.mulleinshift.model.Job;
+import org.mulleinshift.model.JobRecord;
 import org.mulleinshift.model.TaskAssignment;
 import org.mulleinshift.progress.JobDirectory;
 import org.mulleinshift.progress.ProgressListener;
 import org.mulleinshift.progress.ProgressPersister;
 import org.mulleinshift.progress.ProgressSettings;
 import org.mulleinshift.protocol.JobId;
+import org.mulleinshift.protocol.StoreCodec;
 import org.mulleinshift.scheduling.ClusterState;
 import org.mulleinshift.scheduling.TaskActions;
 import org.mulleinshift.store.KeyValueStore;
@@ -59,15 +62,37 @@
         new DependencyTracker(state.loop(), store, batcher, state.jobs(), state.runTimes(), this);
   }
 
-  ProgressPersister progress() {
-    return progress;
+  /** Admits a job that is stored: it may run, or waits for others. */
+  void admit(JobRecord record) {
+    dependencies.admit(record);
   }
 
-  DependencyTracker dependencies() {
-    return dependencies;
+  /** The stored record of a known job changed. */
+  void onRecordChanged(Job job, JobRecord record) {
+    if (job.state() == Job.State.AWAITING_DEPENDENCIES) {
+      dependencies.update(job, record);
+    } else {
+      job.update(record);
+      settle(job);
+    }
+  }
+
+  /** Reads a page of the progress log; all of it comes before any page of chunks. */
+  void loadLogSegments(StoreCodec.Range page) {
+    progress.loader().loadSegments(page);
+  }
+
+  /** Reads a page of progress that is stored in keys of each job. */
+  void loadChunks(StoreCodec.Range page) {
+    progress.loader().loadChunks(page);
+  }
+
+  /** All stored progress was read: restores the jobs' tasks from it. */
+  void finishLoading() {
+    progress.loader().finish();
   }
 
-  /** All that is stored was read: publishes the jobs' assignments, resolves dependencies. */
+  /** The term is active: publishes the jobs' assignments, resolves dependencies. */
   void start() {
     state.jobs().all().forEach(this::restoreAssignments);
     dependencies.begin();
@@ -131,6 +156,21 @@
     }
   }
 
+  /** Adopts the stored forms that all controllers support by now. */
+  void maintainProgress() {
+    progress.maintain();
+  }
+
+  /** Updates the priorities that jobs inherit from their dependents, if they may have changed. */
+  void propagatePriorities() {
+    dependencies.propagatePriorities();
+  }
+
+  /** The waiting jobs that should be released within the horizon. */
+  List<DependencyResolver.ExpectedRelease> expectedReleases(double horizonSeconds) {
+    return dependencies.expectedReleases(horizonSeconds);
+  }
+
   /** Ends the job if none of its tasks remains; stops its tasks if it was cancelled. */
   void settle(Job job) {
     if (job.state() == Job.State.CANCELLING) {
--- a/src/main/java/org/mulleinshift/leader/Leader.java
+++ b/src/main/java/org/mulleinshift/leader/Leader.java
@@ -16,7 +16,6 @@
 import org.mulleinshift.model.Job;
 import org.mulleinshift.model.JobRecord;
 import org.mulleinshift.placement.MachineTypeCatalog;
-import org.mulleinshift.progress.ProgressLoader;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.protocol.Resources;
@@ -158,7 +157,7 @@
     loadedAt = loadedAt.value() == 0 ? page.revision() : loadedAt;
     for (KeyValue item : page.items()) {
       Optional<JobRecord> record = JobRecord.read(item);
-      record.ifPresent(jobs.dependencies()::admit);
+      record.ifPresent(jobs::admit);
       if (record.isEmpty()) {
         onUnreadable(new JobId(item.key().substring(StoreKeys.ACTIVE_JOBS.length())), item.value());
       }
@@ -177,12 +176,10 @@
       return;
     }
     context.view().shards().forEach(this::loadShard);
-    ProgressLoader progress = jobs.progress().loader();
     loader.load(
         StoreKeys.PROGRESS_LOG,
-        progress::loadSegments,
-        () ->
-            loader.load(StoreKeys.PROGRESS, progress::loadChunks, this::loadProvisioningRequests));
+        jobs::loadLogSegments,
+        () -> loader.load(StoreKeys.PROGRESS, jobs::loadChunks, this::loadProvisioningRequests));
   }
 
   private void loadShard(ShardId id, ClusterView.ShardRecord record) {
@@ -202,7 +199,7 @@
   }
 
   private void startLeading() {
-    jobs.progress().loader().finish();
+    jobs.finishLoading();
     transitionTo(State.LEADING);
     context.estimates().apply(autoscaler.bootTimes());
     jobs.start();
@@ -243,22 +240,13 @@
     }
     Optional<Job> known = jobs.findJob(record.id());
     if (known.isEmpty()) {
-      jobs.dependencies().admit(record);
+      jobs.admit(record);
     } else if (record.revision().compareTo(known.get().revision()) > 0) {
-      onRecordChanged(known.get(), record);
+      jobs.onRecordChanged(known.get(), record);
     }
     cycles.schedule();
   }
 
-  private void onRecordChanged(Job job, JobRecord record) {
-    if (job.state() == Job.State.AWAITING_DEPENDENCIES) {
-      jobs.dependencies().update(job, record);
-    } else {
-      job.update(record);
-      jobs.settle(job);
-    }
-  }
-
   /** The control keys changed: grants may be there, or have gone with a controller's session. */
   public void onControlChange() {
     if (state != State.LEADING) {
@@ -306,7 +294,7 @@
     }
     loop.after(MAINTENANCE_INTERVAL, this::maintain);
     logShards();
-    jobs.progress().maintain();
+    jobs.maintainProgress();
     grants.assign();
     shardStatus.acknowledgeAll();
     assignments.sendNow();
--- a/src/main/java/org/mulleinshift/leader/TermComponents.java
+++ b/src/main/java/org/mulleinshift/leader/TermComponents.java
@@ -190,7 +190,7 @@
   }
 
   private void runCycle() {
-    jobs.dependencies().propagatePriorities();
+    jobs.propagatePriorities();
     scheduling.run();
   }
 
@@ -269,7 +269,7 @@
 
     @Override
     public List<DependencyResolver.ExpectedRelease> expectedReleases(double horizonSeconds) {
-      return jobs.dependencies().expectedReleases(horizonSeconds);
+      return jobs.expectedReleases(horizonSeconds);
     }
   }
 }
