--- /dev/null
+++ b/src/test/java/org/mulleinshift/transport/JdkHttpServerTest.java
@@ -0,0 +1,196 @@
+package org.mulleinshift.transport;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.URI;
+import java.net.http.HttpClient;
+import java.net.http.HttpRequest;
+import java.net.http.HttpResponse;
+import java.time.Duration;
+import java.util.Optional;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** Status, headers and bodies of the server's responses, over real loopback sockets. */
+@Timeout(30)
+final class JdkHttpServerTest {
+  private static final String JOBS = "/v2/runs";
+  private static final String HEARTBEATS = "/checkin";
+  private static final int MAX_BODY_BYTES = 65_536;
+  private static final int MAX_HEARTBEAT_BYTES = 1_048_576;
+  private static final int WAITING_BYTES = 100_000;
+  private static final int MORE_THAN_HALF = 60_000;
+  private static final int THREADS = 4;
+
+  /** What a client receives. */
+  private record Received(
+      int status, String body, Optional<String> contentType, Optional<String> retryAfter) {}
+
+  /** An event loop whose steps the test runs. */
+  private static final class ManualEventLoop implements EventLoop {
+    private final BlockingQueue<Runnable> steps = new LinkedBlockingQueue<>();
+
+    Runnable takeStep() throws InterruptedException {
+      Runnable step = steps.poll(20, TimeUnit.SECONDS);
+      assertNotNull(step, "no step was posted");
+      return step;
+    }
+
+    @Override
+    public void post(Runnable step) {
+      steps.add(step);
+    }
+
+    @Override
+    public Timer after(Duration delay, Runnable step) {
+      throw new UnsupportedOperationException();
+    }
+
+    @Override
+    public MonotonicTime now() {
+      throw new UnsupportedOperationException();
+    }
+
+    @Override
+    public long wallMillis() {
+      throw new UnsupportedOperationException();
+    }
+
+    @Override
+    public double random() {
+      throw new UnsupportedOperationException();
+    }
+
+    @Override
+    public void onProcessPause(Consumer<Duration> listener) {
+      throw new UnsupportedOperationException();
+    }
+  }
+
+  private final ManualEventLoop loop = new ManualEventLoop();
+  private final HttpClient client =
+      HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+
+  private JdkHttpServer start(RequestHandler handler) throws IOException {
+    InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    JdkHttpServer server =
+        new JdkHttpServer(
+            loop,
+            handler,
+            anyPort,
+            new JdkHttpServer.Limits(
+                THREADS, WAITING_BYTES, 2 * MAX_HEARTBEAT_BYTES, HEARTBEATS::equals));
+    server.start();
+    return server;
+  }
+
+  private CompletableFuture<HttpResponse<String>> post(
+      JdkHttpServer server, String path, int bytes) {
+    String host = InetAddress.getLoopbackAddress().getHostAddress();
+    URI uri = URI.create("http://" + host + ":" + server.address().getPort() + path);
+    HttpRequest request =
+        HttpRequest.newBuilder(uri)
+            .POST(HttpRequest.BodyPublishers.ofString("x".repeat(bytes)))
+            .build();
+    return client.sendAsync(request, HttpResponse.BodyHandlers.ofString());
+  }
+
+  private static Received received(CompletableFuture<HttpResponse<String>> response) {
+    HttpResponse<String> done = response.join();
+    return new Received(
+        done.statusCode(),
+        done.body(),
+        done.headers().firstValue("Content-Type"),
+        done.headers().firstValue("Retry-After"));
+  }
+
+  private static Received json(int status, String body, Optional<String> retryAfter) {
+    return new Received(status, body, Optional.of("application/json"), retryAfter);
+  }
+
+  /** Sends one request and runs the step that handles it. */
+  private Received exchange(JdkHttpServer server, String path, int bytes)
+      throws InterruptedException {
+    CompletableFuture<HttpResponse<String>> response = post(server, path, bytes);
+    loop.takeStep().run();
+    return received(response);
+  }
+
+  @Test
+  void sendsStatusAndBodyWithoutRetryAfter() throws IOException, InterruptedException {
+    JdkHttpServer server =
+        start((method, path, body, responder) -> responder.respond(201, "{\"sent\":1}"));
+    assertEquals(json(201, "{\"sent\":1}", Optional.empty()), exchange(server, JOBS, 2));
+  }
+
+  @Test
+  void sendsTheTimeToRetryAfter() throws IOException, InterruptedException {
+    JdkHttpServer server =
+        start((method, path, body, responder) -> responder.respondLater(503, "{}", 7));
+    assertEquals(json(503, "{}", Optional.of("7")), exchange(server, JOBS, 2));
+  }
+
+  @Test
+  void sendsOnlyTheFirstResponse() throws IOException, InterruptedException {
+    JdkHttpServer server =
+        start(
+            (method, path, body, responder) -> {
+              responder.respond(200, "{}");
+              responder.respondLater(503, "{}", 7);
+            });
+    Received only = exchange(server, JOBS, 2);
+    assertEquals(200, only.status());
+    assertEquals("{}", only.body());
+  }
+
+  @Test
+  void aFailingHandlerIsUnavailable() throws IOException, InterruptedException {
+    JdkHttpServer server =
+        start(
+            (method, path, body, responder) -> {
+              throw new IllegalStateException("expected by the test");
+            });
+    assertEquals(
+        json(503, "{\"error\":\"internal\"}", Optional.of("1")), exchange(server, JOBS, 2));
+  }
+
+  @Test
+  void limitsTheLengthOfBodies() throws IOException, InterruptedException {
+    JdkHttpServer server =
+        start(
+            (method, path, body, responder) ->
+                responder.respond(200, Integer.toString(body.length())));
+    Received tooLong = json(413, "{\"error\":\"body too long\"}", Optional.empty());
+    assertEquals(json(200, "65536", Optional.empty()), exchange(server, JOBS, MAX_BODY_BYTES));
+    assertEquals(tooLong, received(post(server, JOBS, MAX_BODY_BYTES + 1)));
+    assertEquals(
+        json(200, "1048576", Optional.empty()), exchange(server, HEARTBEATS, MAX_HEARTBEAT_BYTES));
+    CompletableFuture<HttpResponse<String>> longest =
+        post(server, HEARTBEATS, MAX_HEARTBEAT_BYTES + 1);
+    assertEquals(tooLong, received(longest));
+    assertEquals(Optional.of("close"), longest.join().headers().firstValue("Connection"));
+  }
+
+  @Test
+  void refusesBodiesThatWouldWaitBeyondTheLimit() throws IOException, InterruptedException {
+    JdkHttpServer server = start((method, path, body, responder) -> responder.respond(200, "{}"));
+    CompletableFuture<HttpResponse<String>> first = post(server, JOBS, MORE_THAN_HALF);
+    Runnable firstStep = loop.takeStep();
+    assertEquals(
+        json(503, "{\"error\":\"try again\"}", Optional.of("1")),
+        received(post(server, JOBS, MORE_THAN_HALF)));
+    assertEquals(200, exchange(server, HEARTBEATS, MORE_THAN_HALF).status(), "heartbeat");
+    firstStep.run();
+    assertEquals(200, received(first).status(), "first request");
+    assertEquals(200, exchange(server, JOBS, MORE_THAN_HALF).status(), "after the first");
+  }
+}
