--- a/src/main/java/org/mulleinshift/autoscaling/Demand.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Demand.java
@@ -1,7 +1,7 @@
 package org.mulleinshift.autoscaling;
 
 import java.util.List;
-import org.mulleinshift.dependencies.DependencyResolver;
+import org.mulleinshift.dependencies.ExpectedRelease;
 import org.mulleinshift.model.Job;
 
 /** The queue that the cluster is sized for. */
@@ -10,5 +10,5 @@
   List<Job> rankedJobs();
 
   /** Jobs that should be released by the end of their dependencies within the horizon. */
-  List<DependencyResolver.ExpectedRelease> expectedReleases(double horizonSeconds);
+  List<ExpectedRelease> expectedReleases(double horizonSeconds);
 }
--- a/src/main/java/org/mulleinshift/autoscaling/PendingQueue.java
+++ b/src/main/java/org/mulleinshift/autoscaling/PendingQueue.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.mulleinshift.dependencies.DependencyResolver;
+import org.mulleinshift.dependencies.ExpectedRelease;
 import org.mulleinshift.model.Job;
 import org.mulleinshift.placement.ResourceRequest;
 import org.mulleinshift.protocol.MachineTypeId;
@@ -74,7 +74,7 @@
         queue.add(new QueuedJob(job, 0));
       }
     }
-    for (DependencyResolver.ExpectedRelease release : demand.expectedReleases(horizonSeconds)) {
+    for (ExpectedRelease release : demand.expectedReleases(horizonSeconds)) {
       int position = 0;
       while (position < queue.size()
           && !release.job().priority().isAbove(queue.get(position).job().priority())) {
--- a/src/main/java/org/mulleinshift/dependencies/DependencyResolver.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyResolver.java
@@ -20,7 +20,7 @@
  * dependencies is stored as done, and cancelled once one of them is stored as cancelled. A
  * dependency of which nothing is known is not done.
  */
-public final class DependencyResolver {
+final class DependencyResolver {
   private static final Logger LOG = LoggerFactory.getLogger(DependencyResolver.class);
 
   /** Is notified of what becomes of jobs that waited. */
@@ -32,14 +32,6 @@
     void onCancelled(Job job);
   }
 
-  /**
-   * A job that should be released within some time.
-   *
-   * @param job the job, which waits now
-   * @param inSeconds when it should be released, from now on
-   */
-  public record ExpectedRelease(Job job, double inSeconds) {}
-
   private final DependencyGraph graph = new DependencyGraph();
   private final Map<JobId, Job> waitingJobs = new LinkedHashMap<>();
   private final Map<JobId, Long> lastEndMillis = new HashMap<>();
--- a/src/main/java/org/mulleinshift/dependencies/DependencyTracker.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyTracker.java
@@ -180,7 +180,7 @@
   }
 
   /** The waiting jobs that should be released within the horizon. */
-  public List<DependencyResolver.ExpectedRelease> expectedReleases(double horizonSeconds) {
+  public List<ExpectedRelease> expectedReleases(double horizonSeconds) {
     return resolver.expectedReleases(horizonSeconds);
   }
 
--- a/src/main/java/org/mulleinshift/leader/JobLifecycle.java
+++ b/src/main/java/org/mulleinshift/leader/JobLifecycle.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.mulleinshift.compatibility.UnreadableJobs;
-import org.mulleinshift.dependencies.DependencyResolver;
+import org.mulleinshift.dependencies.ExpectedRelease;
 import org.mulleinshift.dependencies.DependencyTracker;
 import org.mulleinshift.model.Job;
 import org.mulleinshift.model.JobRecord;
@@ -167,7 +167,7 @@
   }
 
   /** The waiting jobs that should be released within the horizon. */
-  List<DependencyResolver.ExpectedRelease> expectedReleases(double horizonSeconds) {
+  List<ExpectedRelease> expectedReleases(double horizonSeconds) {
     return dependencies.expectedReleases(horizonSeconds);
   }
 
--- a/src/main/java/org/mulleinshift/leader/TermComponents.java
+++ b/src/main/java/org/mulleinshift/leader/TermComponents.java
@@ -7,7 +7,7 @@
 import org.mulleinshift.autoscaling.AutoscalerSettings;
 import org.mulleinshift.autoscaling.Demand;
 import org.mulleinshift.compatibility.UnreadableJobs;
-import org.mulleinshift.dependencies.DependencyResolver;
+import org.mulleinshift.dependencies.ExpectedRelease;
 import org.mulleinshift.membership.ShardAssigner;
 import org.mulleinshift.model.Job;
 import org.mulleinshift.model.JobTable;
@@ -268,7 +268,7 @@
     }
 
     @Override
-    public List<DependencyResolver.ExpectedRelease> expectedReleases(double horizonSeconds) {
+    public List<ExpectedRelease> expectedReleases(double horizonSeconds) {
       return jobs.expectedReleases(horizonSeconds);
     }
   }
