--- a/src/main/java/org/mulleinshift/api/JobResponseWriter.java
+++ b/src/main/java/org/mulleinshift/api/JobResponseWriter.java
@@ -83,7 +83,7 @@
     OptionalInt done = counts.map(c -> OptionalInt.of(c.getDone())).orElse(OptionalInt.empty());
     OptionalInt running =
         counts.map(c -> OptionalInt.of(c.getRunning())).orElse(OptionalInt.empty());
-    responder.respond(httpStatus, JobCodec.view(id, phase, done, running));
+    responder.respond(httpStatus, JobCodec.writeStatus(id, phase, done, running));
   }
 
   /** Responds that a request can never be carried out. */
--- a/src/main/java/org/mulleinshift/autoscaling/Autoscaler.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Autoscaler.java
@@ -75,9 +75,13 @@
     this.provisioner = new Provisioner(loop, term, termNumber, batcher, cloud, this);
     this.offers =
         new OfferSelector(
-            loop, catalog, state.shards(), settings.refusedPause(), provisioner::outstanding);
+            loop,
+            catalog,
+            state.shards(),
+            settings.provisioningBackoff(),
+            provisioner::outstanding);
     this.bootTimes =
-        new BootTimeEstimator(settings.defaultBootSeconds(), settings.overdueBootFactor());
+        new BootTimeEstimator(settings.defaultBootSeconds(), settings.abandonedBootFactor());
     this.queue = new PendingQueue(loop, state, demand, settings);
     this.planner = new CapacityPlanner(loop, state, provisioner, bootTimes, settings);
     this.scarceTypes = new ScarceTypes(catalog, offers);
--- a/src/main/java/org/mulleinshift/autoscaling/AutoscalerSettings.java
+++ b/src/main/java/org/mulleinshift/autoscaling/AutoscalerSettings.java
@@ -10,26 +10,26 @@
  * @param interval between two runs
  * @param simulationSteps number of steps of a queue simulation
  * @param immediateResizeShare a shortage above this share of the cluster is provisioned at once
- * @param refusedPause before an offer that the cloud refused is requested again
+ * @param provisioningBackoff before an offer that the cloud refused is requested again
  * @param defaultBootSeconds boot time of a machine type whose catalog entry has none
- * @param overdueBootFactor a boot that takes so many times the expected time is overdue
+ * @param abandonedBootFactor a boot that takes so many times the expected time is abandoned
  * @param idleSeconds after which an unused machine is released
- * @param minimumRetentionSeconds a machine is kept at least that long
+ * @param minimumAgeSeconds a machine is kept at least that long
  * @param surplusSeconds after which a machine whose tasks fit elsewhere is drained
- * @param spotOnlySeconds for which low-priority tasks wait for spot machines
+ * @param lowPriorityWaitSeconds for which low-priority tasks wait for spot machines
  * @param maxShardMachines machines of one shard at most
  */
 public record AutoscalerSettings(
     Duration interval,
     int simulationSteps,
     double immediateResizeShare,
-    Duration refusedPause,
+    Duration provisioningBackoff,
     double defaultBootSeconds,
-    double overdueBootFactor,
+    double abandonedBootFactor,
     double idleSeconds,
-    double minimumRetentionSeconds,
+    double minimumAgeSeconds,
     double surplusSeconds,
-    double spotOnlySeconds,
+    double lowPriorityWaitSeconds,
     int maxShardMachines) {
   /** Longest stored form of one machine within its shard's record. */
   private static final int MACHINE_RECORD_BYTES = 128;
@@ -38,12 +38,12 @@
   public static AutoscalerSettings of(PlatformSettings platform, Tunables tunables) {
     int fittingMachines = platform.cluster().storeLimits().minValueBytes() / MACHINE_RECORD_BYTES;
     return new AutoscalerSettings(
-        tunables.seconds(Tunables.Key.FORECAST_INTERVAL_S),
-        tunables.count(Tunables.Key.FORECAST_STEPS),
+        tunables.seconds(Tunables.Key.SIMULATION_INTERVAL_S),
+        tunables.count(Tunables.Key.SIMULATION_STEPS),
         tunables.number(Tunables.Key.IMMEDIATE_RESIZE_SHARE),
         tunables.seconds(Tunables.Key.PROVISIONING_BACKOFF_S),
         tunables.number(Tunables.Key.BOOT_DEFAULT_S),
-        tunables.number(Tunables.Key.BOOT_OVERDUE_FACTOR),
+        tunables.number(Tunables.Key.BOOT_ABANDONED_FACTOR),
         tunables.number(Tunables.Key.IDLE_RELEASE_S),
         tunables.number(Tunables.Key.MINIMUM_AGE_S),
         tunables.number(Tunables.Key.SURPLUS_S),
--- a/src/main/java/org/mulleinshift/autoscaling/CloudInventory.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CloudInventory.java
@@ -67,7 +67,7 @@
         list(Optional.of(page.machines().get(page.machines().size() - 1).id()));
       }
     } catch (MalformedMessageException e) {
-      LOG.warn("machine list malformed, cause={}", e.getMessage());
+      LOG.warn("machine list malformed, reason={}", e.getMessage());
     }
   }
 }
--- a/src/main/java/org/mulleinshift/autoscaling/Consolidator.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Consolidator.java
@@ -121,11 +121,13 @@
     Machine machine = state.machines().track(candidate.machine());
     boolean surplus =
         isDrainable(machine) && budget.takeTrial() && fitsElsewhere(candidate, capacities);
-    if (surplus) {
-      budget.takeDrain();
+    if (!surplus) {
+      machine.clearSurplus();
+      return;
     }
-    double surplusSeconds = machine.surplusFor(surplus, loop.now());
-    if (surplus && surplusSeconds >= settings.surplusSeconds()) {
+    budget.takeDrain();
+    double surplusSeconds = machine.markSurplus(loop.now());
+    if (surplusSeconds >= settings.surplusSeconds()) {
       LOG.info("machine drained, machine={} surplus_s={}", candidate.machine(), surplusSeconds);
       machine.drain();
       state.shards().markChanged(candidate.machine());
@@ -134,7 +136,7 @@
 
   private boolean isDrainable(Machine machine) {
     return machine.state() == Machine.State.UP
-        && machine.ageSeconds(loop.now()) >= settings.minimumRetentionSeconds();
+        && machine.ageSeconds(loop.now()) >= settings.minimumAgeSeconds();
   }
 
   /**
--- a/src/main/java/org/mulleinshift/autoscaling/PendingQueue.java
+++ b/src/main/java/org/mulleinshift/autoscaling/PendingQueue.java
@@ -94,7 +94,9 @@
         job.deadlineMillis()
             - RESERVED_RUN_TIMES * MILLIS_PER_SECOND * state.runTimes().expectedSeconds(job);
     double untilMillis =
-        Math.min(latestMillis, job.readyMillis() + MILLIS_PER_SECOND * settings.spotOnlySeconds());
+        Math.min(
+            latestMillis,
+            job.readyMillis() + MILLIS_PER_SECOND * settings.lowPriorityWaitSeconds());
     return loop.wallMillis() < untilMillis;
   }
 
--- a/src/main/java/org/mulleinshift/autoscaling/Provisioner.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Provisioner.java
@@ -107,7 +107,7 @@
         batcher.recordRevision(item.key(), item.revision());
       } catch (MalformedMessageException e) {
         // Neither sent again nor ended here. Its machines, if any come, are adopted as unexpected.
-        LOG.warn("stored record unreadable, key={} cause={}", item.key(), e.getMessage());
+        LOG.warn("stored record unreadable, key={} reason={}", item.key(), e.getMessage());
       }
     }
   }
@@ -161,7 +161,9 @@
         return;
       } catch (MalformedMessageException e) {
         LOG.warn(
-            "provisioning response malformed, request={} cause={}", request.name(), e.getMessage());
+            "provisioning response malformed, request={} reason={}",
+            request.name(),
+            e.getMessage());
       }
     }
     if (isRefusal(response)) {
--- a/src/main/java/org/mulleinshift/autoscaling/ScaleIn.java
+++ b/src/main/java/org/mulleinshift/autoscaling/ScaleIn.java
@@ -59,8 +59,8 @@
   private boolean isReleasable(Machine machine, MachineRecord record) {
     return record.up()
         && !boots.isDelayed(record.type())
-        && machine.state() != Machine.State.RETURNING
-        && machine.ageSeconds(loop.now()) >= settings.minimumRetentionSeconds();
+        && machine.state() != Machine.State.RELEASING
+        && machine.ageSeconds(loop.now()) >= settings.minimumAgeSeconds();
   }
 
   private boolean isUnused(Machine machine, boolean usedByQueue) {
@@ -81,10 +81,10 @@
 
   private void uncordon(ShardView shard, MachineId id) {
     Machine machine = state.machines().track(id);
-    machine.surplusFor(false, loop.now());
+    machine.clearSurplus();
     if (machine.state() == Machine.State.DRAINING) {
       LOG.info("machine uncordoned, machine={}", id);
-      machine.reopen();
+      machine.uncordon();
       state.shards().markChanged(shard.id());
     }
   }
--- a/src/main/java/org/mulleinshift/dependencies/DependencyLoader.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyLoader.java
@@ -120,7 +120,7 @@
       request.found().addAll(JobDependencies.readList(item.get().value()));
     } catch (MalformedMessageException e) {
       LOG.error(
-          "dependency list unreadable, job waits, key={} job={} cause={}",
+          "dependency list unreadable, job waits, key={} job={} reason={}",
           request.key(list),
           request.job(),
           e.getMessage());
--- a/src/main/java/org/mulleinshift/leader/TaskStatusHandler.java
+++ b/src/main/java/org/mulleinshift/leader/TaskStatusHandler.java
@@ -16,19 +16,19 @@
   private static final double MILLIS_PER_SECOND = 1000;
 
   /** Longest pause after a failure, in multiples of the first one. */
-  private static final double MAX_PAUSE_FACTOR = 12;
+  private static final double MAX_BACKOFF_FACTOR = 12;
 
   /** Before a task that found no capacity at its owner is assigned again. */
   private static final Duration REJECTED_PAUSE = Duration.ofMillis(500);
 
   private final ClusterState state;
   private final JobLifecycle jobs;
-  private final double failurePauseSeconds;
+  private final double retryBackoffSeconds;
 
-  TaskStatusHandler(ClusterState state, JobLifecycle jobs, double failurePauseSeconds) {
+  TaskStatusHandler(ClusterState state, JobLifecycle jobs, double retryBackoffSeconds) {
     this.state = state;
     this.jobs = jobs;
-    this.failurePauseSeconds = failurePauseSeconds;
+    this.retryBackoffSeconds = retryBackoffSeconds;
   }
 
   /** A report of an attempt that is over, or that was never assigned, is out of date. */
@@ -78,7 +78,7 @@
     state.shards().markChanged(assignment.shard());
     job.countFailure();
     double failuresPerTask = job.failures() / (double) job.spec().tasks();
-    double pause = failurePauseSeconds * Math.min(MAX_PAUSE_FACTOR, Math.max(1, failuresPerTask));
+    double pause = retryBackoffSeconds * Math.min(MAX_BACKOFF_FACTOR, Math.max(1, failuresPerTask));
     onReturned(job, assignment, Optional.of(now.plusMillis((long) (pause * MILLIS_PER_SECOND))));
   }
 
--- a/src/main/java/org/mulleinshift/leader/TermComponents.java
+++ b/src/main/java/org/mulleinshift/leader/TermComponents.java
@@ -240,11 +240,11 @@
   }
 
   private ShardStatusHandler createShardStatusHandler() {
-    double failurePauseSeconds = context.tunables().number(Tunables.Key.RETRY_BACKOFF_S);
+    double retryBackoffSeconds = context.tunables().number(Tunables.Key.RETRY_BACKOFF_S);
     return new ShardStatusHandler(
         cluster,
         term,
-        new TaskStatusHandler(cluster, jobs, failurePauseSeconds),
+        new TaskStatusHandler(cluster, jobs, retryBackoffSeconds),
         autoscaler,
         context.messenger());
   }
--- a/src/main/java/org/mulleinshift/model/Machine.java
+++ b/src/main/java/org/mulleinshift/model/Machine.java
@@ -15,7 +15,7 @@
     /** Takes no new task; released when its tasks have ended, unless capacity runs short before. */
     DRAINING,
     /** Is being released; nothing changes that. */
-    RETURNING
+    RELEASING
   }
 
   private final boolean provisioningObserved;
@@ -47,10 +47,10 @@
   private void transitionTo(State next) {
     boolean allowed =
         switch (state) {
-          case BOOTING -> next == State.UP || next == State.RETURNING;
-          case UP -> next == State.DRAINING || next == State.RETURNING;
-          case DRAINING -> next == State.UP || next == State.RETURNING;
-          case RETURNING -> false;
+          case BOOTING -> next == State.UP || next == State.RELEASING;
+          case UP -> next == State.DRAINING || next == State.RELEASING;
+          case DRAINING -> next == State.UP || next == State.RELEASING;
+          case RELEASING -> false;
         };
     if (!allowed) {
       throw new IllegalStateException(state + " to " + next);
@@ -73,17 +73,17 @@
   }
 
   /** Ends draining: it takes tasks again. */
-  public void reopen() {
+  public void uncordon() {
     transitionTo(State.UP);
     surplusSince = Optional.empty();
   }
 
   /** Begins its release; false if it is being released already. */
   public boolean release() {
-    if (state == State.RETURNING) {
+    if (state == State.RELEASING) {
       return false;
     }
-    transitionTo(State.RETURNING);
+    transitionTo(State.RELEASING);
     return true;
   }
 
@@ -101,21 +101,22 @@
   }
 
   /**
-   * Records whether the machine is surplus capacity.
+   * It is surplus capacity at this moment.
    *
-   * @return for how many seconds it has been so; 0 if it is not
+   * @return for how many seconds it has been so without a break
    */
-  public double surplusFor(boolean isSurplus, MonotonicTime now) {
-    if (!isSurplus) {
-      surplusSince = Optional.empty();
-      return 0;
-    }
+  public double markSurplus(MonotonicTime now) {
     if (surplusSince.isEmpty()) {
       surplusSince = Optional.of(now);
     }
     return now.secondsSince(surplusSince.get());
   }
 
+  /** It is not, or no longer, surplus capacity. */
+  public void clearSurplus() {
+    surplusSince = Optional.empty();
+  }
+
   /** Its state. */
   public State state() {
     return state;
@@ -123,7 +124,7 @@
 
   /** Whether it must take no new task. */
   public boolean cordoned() {
-    return state == State.DRAINING || state == State.RETURNING;
+    return state == State.DRAINING || state == State.RELEASING;
   }
 
   /** When it was provisioned, or found if its age is not known. */
--- a/src/main/java/org/mulleinshift/protocol/JobCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/JobCodec.java
@@ -192,7 +192,8 @@
   }
 
   /** Writes a job's status; the counts of completed and running tasks are left out if unknown. */
-  public static String view(JobId id, JobPhase phase, OptionalInt done, OptionalInt running) {
+  public static String writeStatus(
+      JobId id, JobPhase phase, OptionalInt done, OptionalInt running) {
     ObjectNode node = Json.object();
     node.put(WireNames.ID, id.value());
     node.put(WireNames.PHASE, phase.wireName());
--- a/src/main/java/org/mulleinshift/scheduling/CapacityReservation.java
+++ b/src/main/java/org/mulleinshift/scheduling/CapacityReservation.java
@@ -9,6 +9,7 @@
 import java.util.Set;
 import org.mulleinshift.placement.ResourceRequest;
 import org.mulleinshift.protocol.JobSpec;
+import org.mulleinshift.settings.ObjectiveKind;
 import org.mulleinshift.settings.PlatformSettings;
 import org.mulleinshift.transport.MonotonicTime;
 
@@ -20,8 +21,6 @@
   /** Of the latest job in the moving average. */
   private static final double LATEST_WEIGHT = 0.2;
 
-  private static final String START_OBJECTIVE = "wait";
-
   /** Tasks of one class for which capacity is reserved. */
   public record Reservation(ResourceRequest request, int count) {}
 
@@ -46,7 +45,7 @@
   public CapacityReservation(
       List<PlatformSettings.Objective> objectives, double share, Duration keepFor) {
     for (PlatformSettings.Objective objective : objectives) {
-      if (objective.kind().equals(START_OBJECTIVE)) {
+      if (objective.kind() == ObjectiveKind.WAIT) {
         objective.jobClass().ifPresent(reservedClasses::add);
       }
     }
--- a/src/main/java/org/mulleinshift/scheduling/FailureAttribution.java
+++ b/src/main/java/org/mulleinshift/scheduling/FailureAttribution.java
@@ -49,7 +49,7 @@
   }
 
   private final int quarantineFailures;
-  private final Duration retryDelay;
+  private final Duration retryBackoff;
   private final Map<JobId, JobFailures> jobs = new HashMap<>();
   private final Map<MachineId, MachineFailures> machines = new HashMap<>();
 
@@ -58,12 +58,12 @@
    *
    * @param quarantineFailures a machine on which several jobs that succeed elsewhere failed so
    *     often is quarantined
-   * @param retryDelay the first delay between attempts of a failing job; it doubles with each
+   * @param retryBackoff the first delay between attempts of a failing job; it doubles with each
    *     attempt
    */
-  public FailureAttribution(int quarantineFailures, Duration retryDelay) {
+  public FailureAttribution(int quarantineFailures, Duration retryBackoff) {
     this.quarantineFailures = quarantineFailures;
-    this.retryDelay = retryDelay;
+    this.retryBackoff = retryBackoff;
   }
 
   /** A task of the job failed on the machine. */
@@ -74,7 +74,8 @@
       known.failedAttempts++;
       known.notBefore =
           now.plus(
-              retryDelay.multipliedBy(1L << Math.min(known.failedAttempts, MAX_BACKOFF_DOUBLINGS)));
+              retryBackoff.multipliedBy(
+                  1L << Math.min(known.failedAttempts, MAX_BACKOFF_DOUBLINGS)));
       return;
     }
     MachineFailures onMachine = machines.computeIfAbsent(machine, key -> new MachineFailures());
@@ -92,7 +93,7 @@
           known.machines.size(),
           known.failures);
       known.failing = true;
-      known.notBefore = now.plus(retryDelay);
+      known.notBefore = now.plus(retryBackoff);
       forgetOnMachines(job.spec().id());
     }
   }
--- a/src/main/java/org/mulleinshift/scheduling/SchedulingCycle.java
+++ b/src/main/java/org/mulleinshift/scheduling/SchedulingCycle.java
@@ -50,7 +50,7 @@
     this.state = state;
     this.availableCapacity = availableCapacity;
     this.reservation = state.reservation();
-    this.starvation = new StarvationPrevention(settings.startWithinSeconds(), loop.now());
+    this.starvation = new StarvationPrevention(settings.maxWaitSeconds(), loop.now());
     this.ranker = new QueueRanker(loop, state, settings);
     this.assigner = new TaskAssigner(loop, term, state, actions);
     this.minimumSharePass = new MinimumSharePass(assigner);
--- a/src/main/java/org/mulleinshift/scheduling/SchedulingSettings.java
+++ b/src/main/java/org/mulleinshift/scheduling/SchedulingSettings.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
+import org.mulleinshift.settings.ObjectiveKind;
 import org.mulleinshift.settings.PlatformSettings;
 import org.mulleinshift.settings.Tunables;
 
@@ -13,7 +14,7 @@
  * @param preemptMaxRunSeconds a task that ran for longer is not preempted
  * @param preemptSlackSeconds a job preempts only when its last start is as near as this
  * @param assignAheadSeconds tasks are assigned to capacity that frees within this time
- * @param startWithinSeconds the largest jobs of a class start within this time
+ * @param maxWaitSeconds the largest jobs of a class start within this time
  * @param overdueSeconds a job that is later than this counts as on time again
  */
 public record SchedulingSettings(
@@ -22,10 +23,8 @@
     double preemptMaxRunSeconds,
     double preemptSlackSeconds,
     double assignAheadSeconds,
-    double startWithinSeconds,
+    double maxWaitSeconds,
     double overdueSeconds) {
-  private static final String GUARANTEE = "guarantee";
-
   /** The settings of a deployment. */
   public static SchedulingSettings of(PlatformSettings platform, Tunables tunables) {
     return new SchedulingSettings(
@@ -33,15 +32,15 @@
         tunables.number(Tunables.Key.MINIMUM_SHARE),
         tunables.number(Tunables.Key.PREEMPTION_MAX_RUN_S),
         tunables.number(Tunables.Key.PREEMPTION_SLACK_S),
-        tunables.number(Tunables.Key.DISPATCH_AHEAD_S),
-        tunables.number(Tunables.Key.LONG_WAIT_S),
+        tunables.number(Tunables.Key.ASSIGN_AHEAD_S),
+        tunables.number(Tunables.Key.MAX_WAIT_S),
         tunables.number(Tunables.Key.OVERDUE_S));
   }
 
   /** How soon work within a guarantee should start, if an objective says so. */
   Optional<Double> guaranteeWithinSeconds() {
     return objectives.stream()
-        .filter(objective -> objective.kind().equals(GUARANTEE))
+        .filter(objective -> objective.kind() == ObjectiveKind.GUARANTEE)
         .map(PlatformSettings.Objective::withinSeconds)
         .findFirst();
   }
--- a/src/main/java/org/mulleinshift/settings/PlatformSettings.java
+++ b/src/main/java/org/mulleinshift/settings/PlatformSettings.java
@@ -57,14 +57,14 @@
   /**
    * A service-level objective.
    *
-   * @param kind what is measured, such as {@code deadline} or {@code wait}
+   * @param kind what is measured
    * @param jobClass the class of jobs that it holds for; empty: all
    * @param withinSeconds time allowed; 0: not given
    * @param deadlineFactor of kind {@code deadline}: how many times its deadline a job may take; 0:
    *     not given
    */
   public record Objective(
-      String kind, Optional<String> jobClass, double withinSeconds, double deadlineFactor) {}
+      ObjectiveKind kind, Optional<String> jobClass, double withinSeconds, double deadlineFactor) {}
 
   /**
    * Times that workers keep.
--- a/src/main/java/org/mulleinshift/settings/PlatformSettingsReader.java
+++ b/src/main/java/org/mulleinshift/settings/PlatformSettingsReader.java
@@ -138,7 +138,7 @@
   private PlatformSettings.Objective objective(JsonNode node, String path)
       throws SettingsException {
     return new PlatformSettings.Objective(
-        node.path("kind").asText(""),
+        ObjectiveKind.fromSetting(node.path("kind").asText("")),
         Optional.ofNullable(node.path("class").asText(null)),
         amountOrZero(node, path, "within_s"),
         amountOrZero(node, path, "times"));
--- a/src/main/java/org/mulleinshift/settings/Tunables.java
+++ b/src/main/java/org/mulleinshift/settings/Tunables.java
@@ -19,14 +19,14 @@
     RENEW_INTERVAL_S("renew_s", 2, 0.2, 30),
     /** Shortest time between two scheduling cycles. */
     CYCLE_INTERVAL_MS("cycle_ms", 150, 10, 10_000),
-    /** Time between two forecasts of the autoscaler. */
-    FORECAST_INTERVAL_S("walk_s", 1, 0.2, 60),
-    /** Steps of a forecast over the boot time. */
-    FORECAST_STEPS("walk_steps", 10, 1, 200),
+    /** Time between two queue simulations of the autoscaler. */
+    SIMULATION_INTERVAL_S("walk_s", 1, 0.2, 60),
+    /** Steps of a queue simulation over the boot time. */
+    SIMULATION_STEPS("walk_steps", 10, 1, 200),
     /** Boot time before any was observed or listed. */
     BOOT_DEFAULT_S("boot_default_s", 40, 1, 3600),
     /** A boot that takes so many times longer than expected is abandoned. */
-    BOOT_OVERDUE_FACTOR("boot_overdue_factor", 3, 1, 20),
+    BOOT_ABANDONED_FACTOR("boot_overdue_factor", 3, 1, 20),
     /** How long a machine stays idle before it is released. */
     IDLE_RELEASE_S("idle_return_s", 20, 0, 3600),
     /** A machine younger than this is not released. */
@@ -61,9 +61,9 @@
     PREEMPTION_MAX_RUN_S("preempt_ran_s", 12, 0, 86_400),
     /** Tasks are preempted for a job with a deadline once it must start within this time. */
     PREEMPTION_SLACK_S("preempt_slack_s", 20, 0, 86_400),
-    /** Tasks are sent to shard owners for capacity that should become free within this time. */
-    DISPATCH_AHEAD_S("ahead_s", 1, 0, 60),
-    /** A shortage of more than this share of the fleet is provisioned without waiting. */
+    /** Tasks are assigned to shard owners for capacity that should become free within this time. */
+    ASSIGN_AHEAD_S("ahead_s", 1, 0, 60),
+    /** A shortage of more than this share of the cluster is provisioned without waiting. */
     IMMEDIATE_RESIZE_SHARE("resize_at_once", 0.25, 0.01, 100),
     /** Jobs of the lowest priority get no on-demand machines before they have waited this long. */
     LOW_PRIORITY_WAIT_S("patient_s", 150, 0, 86_400),
@@ -75,7 +75,7 @@
     /** A job this long past its deadline waits behind no others. */
     OVERDUE_S("overdue_s", 600, 0, 86_400),
     /** One of the largest jobs of a class that waited this long starts some tasks before others. */
-    LONG_WAIT_S("begin_s", 120, 1, 86_400),
+    MAX_WAIT_S("begin_s", 120, 1, 86_400),
     /** How long a machine must have been surplus before it is drained. */
     SURPLUS_S("spare_s", 6, 0, 3600),
     /** 1: progress goes to the log once all controllers read it; 0: to keys of each job. */
--- a/src/main/java/org/mulleinshift/transport/JdkHttpServer.java
+++ b/src/main/java/org/mulleinshift/transport/JdkHttpServer.java
@@ -54,14 +54,14 @@
    * @throws IOException if the address can't be bound
    */
   public JdkHttpServer(
-      EventLoop loop, RequestHandler handler, InetSocketAddress address, Limits bounds)
+      EventLoop loop, RequestHandler handler, InetSocketAddress address, Limits limits)
       throws IOException {
     this.loop = loop;
     this.handler = handler;
-    this.isHeartbeat = bounds.isHeartbeat();
-    this.userBodies = new InFlightBytesLimiter(bounds.userBodyBytes());
-    this.heartbeatBodies = new InFlightBytesLimiter(bounds.heartbeatBodyBytes());
-    this.threads = DaemonThreads.pool("http", bounds.threads(), MAX_QUEUED_STEPS);
+    this.isHeartbeat = limits.isHeartbeat();
+    this.userBodies = new InFlightBytesLimiter(limits.userBodyBytes());
+    this.heartbeatBodies = new InFlightBytesLimiter(limits.heartbeatBodyBytes());
+    this.threads = DaemonThreads.pool("http", limits.threads(), MAX_QUEUED_STEPS);
     this.server = HttpServer.create(address, MAX_PENDING_CONNECTIONS);
     server.setExecutor(threads);
     server.createContext("/", this::receive);
--- a/src/test/java/org/mulleinshift/protocol/JobMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/JobMessageGoldenTest.java
@@ -79,11 +79,11 @@
     for (JobPhase phase : JobPhase.values()) {
       responses.put(
           "view-" + phase.wireName(),
-          JobCodec.view(JOB, phase, OptionalInt.empty(), OptionalInt.empty()));
+          JobCodec.writeStatus(JOB, phase, OptionalInt.empty(), OptionalInt.empty()));
     }
     responses.put(
         "view-with-counts",
-        JobCodec.view(JOB, JobPhase.RUNNING, OptionalInt.of(3), OptionalInt.of(13)));
+        JobCodec.writeStatus(JOB, JobPhase.RUNNING, OptionalInt.of(3), OptionalInt.of(13)));
     responses.put("error", JobCodec.writeError("no such job"));
     return responses;
   }
--- a/src/test/java/org/mulleinshift/scenario/ScenarioSettings.java
+++ b/src/test/java/org/mulleinshift/scenario/ScenarioSettings.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import org.mulleinshift.settings.ObjectiveKind;
 import org.mulleinshift.settings.PlatformSettings;
 import org.mulleinshift.simulation.MachineSpec;
 import org.mulleinshift.simulation.SimulatedCloud;
@@ -90,7 +91,7 @@
     Map<String, String> fields = line.fields(2);
     objectives.add(
         new PlatformSettings.Objective(
-            line.word(1),
+            ObjectiveKind.fromSetting(line.word(1)),
             Optional.ofNullable(fields.get("class")),
             number(fields, "within", "0"),
             number(fields, "times", "0")));
