--- a/src/main/java/org/mulleinshift/controller/LeadershipCoordinator.java
+++ b/src/main/java/org/mulleinshift/controller/LeadershipCoordinator.java
@@ -107,11 +107,14 @@
   /** A leader has transferred its leadership, to this controller or to another. */
   void onLeadershipTransfer(LeadershipTransfer transfer) {
     if (context.storeHealth().state() == StoreHealth.State.CONNECTED) {
-      election.onLeadershipTransfer(
+      LeaderElection.TermLease ended =
           new LeaderElection.TermLease(
-              new Revision(transfer.getTerm()), new LeaseId(transfer.getLease())),
-          transfer.getSuccessor().equals(self.value()),
-          view);
+              new Revision(transfer.getTerm()), new LeaseId(transfer.getLease()));
+      if (transfer.getSuccessor().equals(self.value())) {
+        election.succeed(ended, view);
+      } else {
+        election.awaitSuccessor(ended, view);
+      }
     }
   }
 
@@ -120,6 +123,6 @@
    * guarded by it.
    */
   void depose(LeaderElection.TermLease failed) {
-    election.onLeadershipTransfer(failed, true, view);
+    election.succeed(failed, view);
   }
 }
--- a/src/main/java/org/mulleinshift/membership/LeaderElection.java
+++ b/src/main/java/org/mulleinshift/membership/LeaderElection.java
@@ -84,7 +84,9 @@
   private Revision term = new Revision(0);
   private MonotonicTime renewedAt;
   private MonotonicTime notBefore;
-  private boolean preferred;
+
+  /** The next campaign starts without delay. */
+  private boolean succeeding;
 
   /**
    * A follower; it campaigns once {@link #observe} shows that the leader key is free.
@@ -140,9 +142,9 @@
       transitionTo(State.CANDIDATE);
       // Drawn also by the chosen successor, which does not wait.
       Duration jitter = randomDelay(MIN_CAMPAIGN_JITTER_MS, CAMPAIGN_JITTER_RANGE_MS);
-      Duration delay = preferred ? Duration.ZERO : gracePeriod().plus(jitter);
+      Duration delay = succeeding ? Duration.ZERO : gracePeriod().plus(jitter);
       loop.after(delay, () -> campaign(view));
-      preferred = false;
+      succeeding = false;
     }
   }
 
@@ -249,31 +251,40 @@
   }
 
   /**
-   * A leader that lost the store resigned from its term. Revoking its lease is safe: every write of
-   * that term is conditional on the leader key, and it has stopped acting. The chosen successor
-   * revokes it and campaigns; the others revoke it if that does not happen. A message that arrives
-   * late revokes nothing: the lease has expired long before.
+   * This controller is to succeed the leader of a term: revokes that leader's lease, and campaigns
+   * without delay once the leader key is free.
+   *
+   * <p>The leader has resigned, or was found to have failed. Revoking its lease is safe: every
+   * write of its term is conditional on the leader key. A call that comes late revokes nothing: the
+   * lease has expired long before.
+   *
+   * @param ended the term of that leader
+   */
+  public void succeed(TermLease ended, ClusterView view) {
+    if (state == State.FOLLOWING) {
+      succeeding = isCurrent(ended, view);
+      store.revokeLease(ended.lease(), answer -> {});
+    }
+  }
+
+  /**
+   * Another controller was chosen to succeed a leader that resigned. This one leaves the leader key
+   * to it for a while, and revokes the lease itself if the successor has not done so by then.
    *
    * @param ended the term that its leader resigned from
-   * @param chosen whether this controller is the successor
    */
-  public void onLeadershipTransfer(TermLease ended, boolean chosen, ClusterView view) {
+  public void awaitSuccessor(TermLease ended, ClusterView view) {
     if (state != State.FOLLOWING) {
       return;
     }
-    if (chosen) {
-      preferred = isCurrent(ended, view);
-      store.revokeLease(ended.lease(), answer -> {});
-    } else {
-      notBefore = loop.now().plus(SUCCESSOR_GRACE);
-      loop.after(
-          SUCCESSOR_GRACE,
-          () -> {
-            if (isCurrent(ended, view)) {
-              store.revokeLease(ended.lease(), answer -> {});
-            }
-          });
-    }
+    notBefore = loop.now().plus(SUCCESSOR_GRACE);
+    loop.after(
+        SUCCESSOR_GRACE,
+        () -> {
+          if (isCurrent(ended, view)) {
+            store.revokeLease(ended.lease(), answer -> {});
+          }
+        });
   }
 
   private static boolean isCurrent(TermLease known, ClusterView view) {
