--- a/src/main/java/org/mulleinshift/controller/FrameMessenger.java
+++ b/src/main/java/org/mulleinshift/controller/FrameMessenger.java
@@ -133,7 +133,10 @@
       if (!members.isOther(sender)) {
         throw new MalformedMessageException("unknown sender");
       }
-      failureDetector.onMessage(sender, route == Route.DIRECT);
+      switch (route) {
+        case DIRECT -> failureDetector.onDirectMessage(sender);
+        case RELAYED -> failureDetector.onRelayedMessage(sender);
+      }
       content.getBodies().forEach(message -> receiver.accept(sender, message));
     } catch (MalformedMessageException e) {
       if (malformedFrames++ % MALFORMED_LOG_INTERVAL == 0) {
--- a/src/main/java/org/mulleinshift/membership/PeerFailureDetector.java
+++ b/src/main/java/org/mulleinshift/membership/PeerFailureDetector.java
@@ -42,16 +42,15 @@
     this.startedAt = loop.now();
   }
 
-  /**
-   * Any message of the peer arrived.
-   *
-   * @param direct false if another controller relayed it
-   */
-  public void onMessage(NodeId peer, boolean direct) {
+  /** A message arrived from the peer itself. */
+  public void onDirectMessage(NodeId peer) {
+    lastHeardAt.put(peer, loop.now());
+    lastHeardDirectlyAt.put(peer, loop.now());
+  }
+
+  /** A message of the peer arrived by way of another controller. */
+  public void onRelayedMessage(NodeId peer) {
     lastHeardAt.put(peer, loop.now());
-    if (direct) {
-      lastHeardDirectlyAt.put(peer, loop.now());
-    }
   }
 
   /**
--- a/src/test/java/org/mulleinshift/membership/StandbyFailoverTest.java
+++ b/src/test/java/org/mulleinshift/membership/StandbyFailoverTest.java
@@ -50,7 +50,7 @@
 
   private void leaderSendsHeartbeatsFor(double seconds) {
     for (double past = 0; past < seconds; past += 0.1) {
-      peers.onMessage(LEADER, true);
+      peers.onDirectMessage(LEADER);
       peers.onHeartbeat(
           LEADER, new Heartbeat(1L, 0L, false, "WELL", "node-1", 4L, "node-0", false, List.of()));
       loop.runFor(0.1);
@@ -59,7 +59,7 @@
 
   private void otherSendsHeartbeat() {
     long silenceMillis = otherHearsLeader ? 50 : 1000;
-    peers.onMessage(OTHER, true);
+    peers.onDirectMessage(OTHER);
     peers.onHeartbeat(
         OTHER,
         new Heartbeat(
