--- a/src/main/java/org/mulleinshift/autoscaling/MachineHealthCheck.java
+++ b/src/main/java/org/mulleinshift/autoscaling/MachineHealthCheck.java
@@ -7,8 +7,8 @@
 import org.mulleinshift.protocol.MachineId;
 import org.mulleinshift.protocol.peer.MachineStatus;
 import org.mulleinshift.scheduling.ClusterState;
+import org.mulleinshift.sharding.MachineLiveness;
 import org.mulleinshift.sharding.MachinePhase;
-import org.mulleinshift.sharding.OwnedMachine;
 import org.mulleinshift.sharding.ShardView;
 import org.mulleinshift.transport.EventLoop;
 import org.slf4j.Logger;
@@ -107,7 +107,7 @@
     return shard
         .statusOf(id)
         .map(MachineStatus::getLiveness)
-        .filter(OwnedMachine.Liveness.LOST.wireName()::equals)
+        .filter(MachineLiveness.LOST.wireName()::equals)
         .isPresent();
   }
 }
--- a/src/main/java/org/mulleinshift/autoscaling/Provisioner.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Provisioner.java
@@ -1,6 +1,5 @@
 package org.mulleinshift.autoscaling;
 
-import java.net.HttpURLConnection;
 import java.time.Duration;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -18,6 +17,7 @@
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.HttpRequest;
 import org.mulleinshift.transport.HttpResponse;
+import org.mulleinshift.transport.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -175,8 +175,8 @@
   }
 
   private static boolean isRefusal(HttpResponse response) {
-    return response.status() == HttpURLConnection.HTTP_BAD_REQUEST
-        || (response.status() == HttpURLConnection.HTTP_UNAVAILABLE
+    return response.status() == HttpStatus.BAD_REQUEST
+        || (response.status() == HttpStatus.SERVICE_UNAVAILABLE
             && response.body().contains(NO_CAPACITY));
   }
 
--- a/src/main/java/org/mulleinshift/controller/ComponentEvents.java
+++ b/src/main/java/org/mulleinshift/controller/ComponentEvents.java
@@ -24,7 +24,7 @@
     this.components = components;
   }
 
-  /** Peers are asked how their links to the store are. */
+  /** Peers are asked how their connections to the store are. */
   @Override
   public void onSuspected() {
     components.heartbeats().requestReplies();
@@ -35,10 +35,12 @@
     return components.failureDetector().anyServedSince(moment);
   }
 
-  /** The link to the store has changed: a leader that lost it has to transfer its leadership. */
+  /**
+   * The connection to the store has changed: a leader that lost it has to transfer its leadership.
+   */
   @Override
   public void onStateChanged(StoreHealth.State next) {
-    logPeerLinks();
+    logPeerConnections();
     components.heartbeats().send();
     if (next == StoreHealth.State.LOST) {
       components.leadership().transferLeadership();
@@ -97,12 +99,12 @@
 
   /** Whether this controller reaches its workers has changed. */
   void onReachabilityChange() {
-    logPeerLinks();
+    logPeerConnections();
     components.heartbeats().send();
   }
 
   /**
-   * This process stood still while the clocks ran on. That it received nothing meanwhile says
+   * This process was paused while the clocks ran on. That it received nothing meanwhile says
    * nothing of the others; whatever else was fresh before is checked by the clock where it is acted
    * on.
    */
@@ -112,7 +114,7 @@
     components.ownedShards().onProcessPause();
   }
 
-  private void logPeerLinks() {
-    LOG.info("peer links observed, links={}", components.failureDetector().describe());
+  private void logPeerConnections() {
+    LOG.info("peer connections observed, connections={}", components.failureDetector().describe());
   }
 }
--- a/src/main/java/org/mulleinshift/controller/ControllerComponents.java
+++ b/src/main/java/org/mulleinshift/controller/ControllerComponents.java
@@ -271,7 +271,7 @@
         new StandbyFailover.Context(
             failureDetector,
             view,
-            () -> readiness.linksHealthy(),
+            () -> readiness.connectionsHealthy(),
             () -> heartbeats.requestReplies(),
             failed -> leadership.depose(failed)));
   }
--- a/src/main/java/org/mulleinshift/controller/ControllerReadiness.java
+++ b/src/main/java/org/mulleinshift/controller/ControllerReadiness.java
@@ -12,7 +12,7 @@
  * What this controller is fit for.
  *
  * @param session this controller's session in the store
- * @param storeHealth its link to the store
+ * @param storeHealth its connection to the store
  * @param controlKeys the cache of the control keys
  * @param jobsLoaded whether the active jobs were read once
  * @param catalog machine types
@@ -36,8 +36,8 @@
     return started() && servedByStore() && watchesControlKeys();
   }
 
-  /** All its own links work, so that it may judge those of others. */
-  boolean linksHealthy() {
+  /** All its own connections work, so that it may judge those of others. */
+  boolean connectionsHealthy() {
     return servedByStore()
         && reachability.get() == WorkerReachability.State.REACHABLE
         && watchesControlKeys();
--- a/src/main/java/org/mulleinshift/controller/ControllerStatus.java
+++ b/src/main/java/org/mulleinshift/controller/ControllerStatus.java
@@ -21,7 +21,7 @@
    *
    * @param self this controller
    * @param failureDetector the heartbeats of the others
-   * @param storeHealth this controller's link to the store
+   * @param storeHealth this controller's connection to the store
    * @param ownReachability whether this controller reaches its workers
    */
   ControllerStatus(
--- a/src/main/java/org/mulleinshift/controller/HeartbeatExchange.java
+++ b/src/main/java/org/mulleinshift/controller/HeartbeatExchange.java
@@ -37,7 +37,7 @@
    * @param store asked for its state where a peer requests an immediate reply
    * @param members the controllers of the cluster
    * @param session this controller's session in the store
-   * @param storeHealth its link to the store
+   * @param storeHealth its connection to the store
    * @param reachability whether it reaches its workers
    * @param locator who leads
    * @param election whether this controller leads
--- a/src/main/java/org/mulleinshift/controller/LeadershipCoordinator.java
+++ b/src/main/java/org/mulleinshift/controller/LeadershipCoordinator.java
@@ -25,7 +25,7 @@
    * @param currentTerm this controller's own term, if it leads
    * @param locator who leads
    * @param readiness whether this controller can lead
-   * @param storeHealth this controller's link to the store
+   * @param storeHealth this controller's connection to the store
    * @param failureDetector heartbeats of the peers
    * @param view control keys as last shown by the store
    * @param messenger sends to the other controllers
--- a/src/main/java/org/mulleinshift/controller/RequestRouter.java
+++ b/src/main/java/org/mulleinshift/controller/RequestRouter.java
@@ -1,12 +1,12 @@
 package org.mulleinshift.controller;
 
-import java.net.HttpURLConnection;
 import org.mulleinshift.api.JobApi;
 import org.mulleinshift.api.ReadinessProbe;
 import org.mulleinshift.protocol.JobCodec;
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.WorkerCodec;
 import org.mulleinshift.sharding.OwnedShards;
+import org.mulleinshift.transport.HttpStatus;
 import org.mulleinshift.transport.RequestHandler;
 import org.mulleinshift.transport.Responder;
 
@@ -70,12 +70,11 @@
     if (method.equals(allowed)) {
       handler.run();
     } else {
-      responder.respond(
-          HttpURLConnection.HTTP_BAD_METHOD, JobCodec.writeError("method not allowed"));
+      responder.respond(HttpStatus.METHOD_NOT_ALLOWED, JobCodec.writeError("method not allowed"));
     }
   }
 
   private static void refuseUnknownPath(Responder responder) {
-    responder.respond(HttpURLConnection.HTTP_NOT_FOUND, JobCodec.writeError("no such path"));
+    responder.respond(HttpStatus.NOT_FOUND, JobCodec.writeError("no such path"));
   }
 }
--- a/src/main/java/org/mulleinshift/controller/StoreRateLimits.java
+++ b/src/main/java/org/mulleinshift/controller/StoreRateLimits.java
@@ -20,7 +20,7 @@
   /** Watches of one controller: active jobs and control keys. */
   private static final double WATCHES = 2;
 
-  /** Share of the store's requests that probes of all controllers' links may use. */
+  /** Share of the store's requests that probes of all controllers' connections may use. */
   private static final double PROBE_SHARE = 0.05;
 
   private static final Duration MIN_PROBE_SPACING = Duration.ofMillis(500);
@@ -65,7 +65,7 @@
     return Duration.ofMillis((long) (MILLIS_PER_SECOND * seconds));
   }
 
-  /** Time between two probes of one controller's link to the store. */
+  /** Time between two probes of one controller's connection to the store. */
   Duration probeSpacing() {
     double probesPerSecond =
         PROBE_SHARE * cluster.storeLimits().requestsPerSecond() / cluster.size();
--- a/src/main/java/org/mulleinshift/membership/WorkerReachability.java
+++ b/src/main/java/org/mulleinshift/membership/WorkerReachability.java
@@ -8,6 +8,7 @@
 import org.mulleinshift.transport.AsyncHttpClient;
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.HttpRequest;
+import org.mulleinshift.transport.HttpStatus;
 import org.mulleinshift.transport.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -52,8 +53,6 @@
 
   private static final Duration MIN_CONCLUSIVE_GAP = Duration.ofMillis(1500);
 
-  private static final int HTTP_OK = 200;
-
   /** States of the connection to the workers, from good to bad. */
   public enum State {
     /** Heartbeats arrive, or too few are due to tell. */
@@ -240,7 +239,7 @@
         .call(
             address,
             HttpRequest.get(WorkerCodec.STATUS_PATH, PING_DEADLINE),
-            response -> reachedSinceSuspected |= response.status() == HTTP_OK);
+            response -> reachedSinceSuspected |= response.status() == HttpStatus.OK);
   }
 
   /** The state of the connection. */
--- a/src/main/java/org/mulleinshift/model/ProvisioningRequest.java
+++ b/src/main/java/org/mulleinshift/model/ProvisioningRequest.java
@@ -13,6 +13,11 @@
  * reused.
  */
 public final class ProvisioningRequest {
+  private static final String TYPE = "type";
+  private static final String ZONE = "zone";
+  private static final String SPOT = "spot";
+  private static final String COUNT = "count";
+
   /** Steps of a request. */
   public enum State {
     /** Its name is being stored. */
@@ -65,10 +70,10 @@
   /** The stored form. */
   public JsonNode write() {
     ObjectNode node = Json.object();
-    node.put("type", type.value());
-    node.put("zone", zone.value());
-    node.put("spot", spot);
-    node.put("count", count);
+    node.put(TYPE, type.value());
+    node.put(ZONE, zone.value());
+    node.put(SPOT, spot);
+    node.put(COUNT, count);
     return node;
   }
 
@@ -82,10 +87,10 @@
       throws MalformedMessageException {
     return new ProvisioningRequest(
         name,
-        new MachineTypeId(Json.text(value, "type")),
-        new ZoneId(Json.text(value, "zone")),
-        Json.flag(value, "spot"),
-        (int) Json.count(value, "count", 1, Integer.MAX_VALUE),
+        new MachineTypeId(Json.text(value, TYPE)),
+        new ZoneId(Json.text(value, ZONE)),
+        Json.flag(value, SPOT),
+        (int) Json.count(value, COUNT, 1, Integer.MAX_VALUE),
         now,
         State.SENT);
   }
--- a/src/main/java/org/mulleinshift/scheduling/AvailableCapacity.java
+++ b/src/main/java/org/mulleinshift/scheduling/AvailableCapacity.java
@@ -21,8 +21,8 @@
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.ShardId;
 import org.mulleinshift.protocol.peer.MachineStatus;
+import org.mulleinshift.sharding.MachineLiveness;
 import org.mulleinshift.sharding.MachinePhase;
-import org.mulleinshift.sharding.OwnedMachine;
 import org.mulleinshift.sharding.ShardView;
 
 /** The capacity that a cycle can assign, and the tasks that wait at owners for more of it. */
@@ -136,7 +136,7 @@
   private boolean isUsable(MachineId machine, MachineStatus status) {
     return status.getPhase().equals(MachinePhase.CONFIRMED.wireName())
         && !status.getInterrupted()
-        && status.getLiveness().equals(OwnedMachine.Liveness.ALIVE.wireName())
+        && status.getLiveness().equals(MachineLiveness.ALIVE.wireName())
         && !state.isCordoned(machine);
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/UsableClusterCapacity.java
+++ b/src/main/java/org/mulleinshift/scheduling/UsableClusterCapacity.java
@@ -11,7 +11,7 @@
 import org.mulleinshift.protocol.MachineTypeId;
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.peer.MachineStatus;
-import org.mulleinshift.sharding.OwnedMachine;
+import org.mulleinshift.sharding.MachineLiveness;
 import org.mulleinshift.sharding.ShardView;
 import org.mulleinshift.transport.MonotonicTime;
 
@@ -58,7 +58,7 @@
   }
 
   private static boolean isUnreachable(MachineStatus status) {
-    return !status.getLiveness().equals(OwnedMachine.Liveness.ALIVE.wireName());
+    return !status.getLiveness().equals(MachineLiveness.ALIVE.wireName());
   }
 
   Resources total() {
--- a/src/main/java/org/mulleinshift/sharding/CommandPlanner.java
+++ b/src/main/java/org/mulleinshift/sharding/CommandPlanner.java
@@ -34,25 +34,25 @@
    * it so.
    */
   List<WorkerCommand> commandsFor(OwnedMachine machine) {
-    List<WorkerCommand> halts = new ArrayList<>();
+    List<WorkerCommand> stops = new ArrayList<>();
     List<WorkerCommand> others = new ArrayList<>();
     for (WorkerHeartbeat.ReportedTask entry : machine.unassignedTasks()) {
       boolean exited = entry.state() == WorkerHeartbeat.State.EXITED;
       if (!exited && assignments.mustStopUnassigned(entry.task().job())) {
-        halts.add(new WorkerCommand.Stop(entry.task(), entry.attempt(), Duration.ZERO));
+        stops.add(new WorkerCommand.Stop(entry.task(), entry.attempt(), Duration.ZERO));
       } else if (exited && mayForget(machine, entry)) {
         others.add(new WorkerCommand.Forget(entry.task(), entry.attempt()));
       }
     }
     for (OwnedTask task : machine.tasks()) {
       if (task.stopRequested()) {
-        halts.add(new WorkerCommand.Stop(task.task(), task.attempt(), gracePeriodOf(task)));
+        stops.add(new WorkerCommand.Stop(task.task(), task.attempt(), gracePeriodOf(task)));
       } else if (task.phase() == TaskPhase.STARTING) {
         others.add(new WorkerCommand.Run(task.task(), task.attempt()));
       }
     }
-    halts.addAll(others);
-    return halts.subList(0, Math.min(MAX_COMMANDS, halts.size()));
+    stops.addAll(others);
+    return stops.subList(0, Math.min(MAX_COMMANDS, stops.size()));
   }
 
   /**
--- a/src/main/java/org/mulleinshift/sharding/DirectCommandSender.java
+++ b/src/main/java/org/mulleinshift/sharding/DirectCommandSender.java
@@ -1,8 +1,5 @@
 package org.mulleinshift.sharding;
 
-import static java.net.HttpURLConnection.HTTP_CONFLICT;
-import static java.net.HttpURLConnection.HTTP_OK;
-
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.List;
@@ -16,6 +13,7 @@
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.HttpRequest;
 import org.mulleinshift.transport.HttpResponse;
+import org.mulleinshift.transport.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -81,7 +79,7 @@
 
   private void onReply(OwnedMachine machine, HttpResponse reply) {
     machine.markDirectCommandEnded();
-    if (reply.status() == HTTP_OK || reply.status() == HTTP_CONFLICT) {
+    if (reply.status() == HttpStatus.OK || reply.status() == HttpStatus.CONFLICT) {
       try {
         WorkerHeartbeat report = WorkerCodec.parseHeartbeat(reply.body());
         if (report.machine().equals(machine.id()) && isCurrent(machine)) {
--- a/src/main/java/org/mulleinshift/sharding/HeartbeatRouter.java
+++ b/src/main/java/org/mulleinshift/sharding/HeartbeatRouter.java
@@ -1,8 +1,5 @@
 package org.mulleinshift.sharding;
 
-import static java.net.HttpURLConnection.HTTP_OK;
-import static java.net.HttpURLConnection.HTTP_UNAVAILABLE;
-
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -17,13 +14,11 @@
 import org.mulleinshift.protocol.WorkerCodec;
 import org.mulleinshift.protocol.WorkerHeartbeat;
 import org.mulleinshift.protocol.peer.UnknownWorkerReport;
+import org.mulleinshift.transport.HttpStatus;
 import org.mulleinshift.transport.Responder;
 
 /** Has heartbeats answered by the owner of the machine's shard, here or on another controller. */
 final class HeartbeatRouter {
-  /** "Misdirected request": another controller is to be asked. */
-  private static final int HTTP_MISDIRECTED = 421;
-
   private static final String NO_REDIRECT = "{}";
 
   private final NodeId self;
@@ -60,20 +55,21 @@
     Optional<ShardId> shard = view.shardOf(heartbeat.machine());
     if (shard.isEmpty()) {
       prober.probe(heartbeat, () -> reportUnknownWorker(heartbeat));
-      responder.respond(HTTP_MISDIRECTED, NO_REDIRECT);
+      responder.respond(HttpStatus.MISDIRECTED_REQUEST, NO_REDIRECT);
       return;
     }
     ShardOwner owner = owned.get(shard.get());
     if (owner == null) {
       Optional<NodeId> next = redirectTarget(shard.get(), heartbeat);
-      responder.respond(HTTP_MISDIRECTED, next.map(WorkerCodec::writeRedirect).orElse(NO_REDIRECT));
+      responder.respond(
+          HttpStatus.MISDIRECTED_REQUEST, next.map(WorkerCodec::writeRedirect).orElse(NO_REDIRECT));
       return;
     }
     Optional<String> answer = owner.onHeartbeat(heartbeat);
     if (answer.isPresent()) {
-      responder.respond(HTTP_OK, answer.get());
+      responder.respond(HttpStatus.OK, answer.get());
     } else {
-      responder.respond(HTTP_UNAVAILABLE, JobCodec.writeError("not entitled"));
+      responder.respond(HttpStatus.SERVICE_UNAVAILABLE, JobCodec.writeError("not entitled"));
     }
   }
 
--- a/src/main/java/org/mulleinshift/sharding/LivenessMonitor.java
+++ b/src/main/java/org/mulleinshift/sharding/LivenessMonitor.java
@@ -81,7 +81,7 @@
 
   /** Most machines, most of the time: neither silent nor near the end of any lease. */
   private boolean justAnswered(OwnedMachine machine, MonotonicTime now) {
-    return machine.liveness() == OwnedMachine.Liveness.ALIVE
+    return machine.liveness() == MachineLiveness.ALIVE
         && machine.phase() == MachinePhase.CONFIRMED
         && machine.answeredAt().isPresent()
         && now.since(machine.answeredAt().get()).compareTo(timing.heartbeatInterval()) < 0;
@@ -101,7 +101,9 @@
     return lastAnswer.plus(lease).plus(lease.dividedBy(CLOCK_DRIFT_DIVISOR)).plus(EXPIRY_MARGIN);
   }
 
-  /** Whoever reported while this process stood still was not heard: they were not silent. */
+  /**
+   * Heartbeats sent while this process was paused were not received: their senders were not silent.
+   */
   void onProcessPause() {
     listeningSince = loop.now();
   }
@@ -113,7 +115,7 @@
 
   /** How many of those are not heard. */
   int unreachableMachines() {
-    return (int) expected().filter(m -> m.liveness() != OwnedMachine.Liveness.ALIVE).count();
+    return (int) expected().filter(m -> m.liveness() != MachineLiveness.ALIVE).count();
   }
 
   /** Machines that should be heard by now: none that may still be looking for this node. */
@@ -125,17 +127,17 @@
   }
 
   /** Whether the machine is alive now, by what was heard of it and what it heard. */
-  OwnedMachine.Liveness livenessOf(OwnedMachine machine, MonotonicTime now) {
+  MachineLiveness livenessOf(OwnedMachine machine, MonotonicTime now) {
     MonotonicTime lastHeard = machine.reachedAt().orElse(startedAt);
     Duration silence = now.since(listeningSince.isAfter(lastHeard) ? listeningSince : lastHeard);
     Duration awaitingEcho = machine.awaitingEchoSince().map(now::since).orElse(Duration.ZERO);
     if (silence.compareTo(lostAfter(machine)) > 0
         || awaitingEcho.compareTo(timing.lease().multipliedBy(2)) > 0) {
-      return OwnedMachine.Liveness.LOST;
+      return MachineLiveness.LOST;
     }
     boolean suspected =
         silence.compareTo(suspectedAfter()) >= 0 || machine.awaitingEchoSince().isPresent();
-    return suspected ? OwnedMachine.Liveness.SUSPECTED : OwnedMachine.Liveness.ALIVE;
+    return suspected ? MachineLiveness.SUSPECTED : MachineLiveness.ALIVE;
   }
 
   private Duration suspectedAfter() {
--- a/src/main/java/org/mulleinshift/sharding/OwnedMachine.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedMachine.java
@@ -33,7 +33,7 @@
   private final Map<TaskId, OwnedTask> tasks = new LinkedHashMap<>();
   private MachineRecord record;
   private MachinePhase phase = MachinePhase.UNSEEN;
-  private Liveness liveness = Liveness.ALIVE;
+  private MachineLiveness liveness = MachineLiveness.ALIVE;
   private HeartbeatVersion lastHeartbeat = HeartbeatVersion.NEVER;
   private MonotonicTime lastHeartbeatAt;
   private String address = "";
@@ -52,27 +52,6 @@
   private boolean directCommandInFlight;
   private boolean commandsPending;
 
-  /** For how long a machine has not been heard, as far as it matters to the leader. */
-  public enum Liveness {
-    /** It reports, and receives the answers. */
-    ALIVE("HEARD"),
-    /** Heartbeats are missing, or it may not receive answers: it takes nothing new. */
-    SUSPECTED("QUIET"),
-    /** Not heard for longer than its lease. */
-    LOST("GONE");
-
-    private final String wireName;
-
-    Liveness(String wireName) {
-      this.wireName = wireName;
-    }
-
-    /** How peer frames name it. */
-    public String wireName() {
-      return wireName;
-    }
-  }
-
   /**
    * A machine of which nothing was heard under this grant.
    *
@@ -226,14 +205,14 @@
    *
    * @return whether that differs from before
    */
-  boolean updateLiveness(Liveness next) {
+  boolean updateLiveness(MachineLiveness next) {
     boolean changed = liveness != next;
     liveness = next;
     return changed;
   }
 
   /** For how long it has not been heard, as last noted. */
-  Liveness liveness() {
+  MachineLiveness liveness() {
     return liveness;
   }
 
--- a/src/main/java/org/mulleinshift/sharding/OwnedShards.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedShards.java
@@ -1,7 +1,5 @@
 package org.mulleinshift.sharding;
 
-import static java.net.HttpURLConnection.HTTP_BAD_REQUEST;
-
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.HashMap;
@@ -25,6 +23,7 @@
 import org.mulleinshift.protocol.peer.ShardAssignment;
 import org.mulleinshift.protocol.peer.ShardStatusAck;
 import org.mulleinshift.transport.EventLoop;
+import org.mulleinshift.transport.HttpStatus;
 import org.mulleinshift.transport.Responder;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -186,7 +185,7 @@
     return Optional.ofNullable(owned.get(new ShardId(shard)));
   }
 
-  /** The process stood still until now: what could not be heard meanwhile counts for nothing. */
+  /** The process was paused until now: heartbeats missed meanwhile prove nothing. */
   public void onProcessPause() {
     reachability.onProcessPause();
     owned.values().forEach(ShardOwner::onProcessPause);
@@ -206,7 +205,7 @@
       if (malformedHeartbeats++ % MALFORMED_PER_LOG_LINE == 0) {
         LOG.warn("malformed heartbeat, error={} malformed={}", e.getMessage(), malformedHeartbeats);
       }
-      responder.respond(HTTP_BAD_REQUEST, JobCodec.writeError(e.getMessage()));
+      responder.respond(HttpStatus.BAD_REQUEST, JobCodec.writeError(e.getMessage()));
       return;
     }
     reachability.onHeartbeat();
--- a/src/main/java/org/mulleinshift/sharding/ShardOwner.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardOwner.java
@@ -166,7 +166,7 @@
     placeAndSend();
   }
 
-  /** The process stood still until now, and heard nobody meanwhile. */
+  /** The process was paused until now, and received nothing meanwhile. */
   void onProcessPause() {
     liveness.onProcessPause();
   }
--- a/src/main/java/org/mulleinshift/sharding/ShardState.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardState.java
@@ -202,7 +202,7 @@
   }
 
   /** Notes how long the machine has not been heard, as far as it matters to the leader. */
-  void updateLiveness(OwnedMachine machine, OwnedMachine.Liveness liveness) {
+  void updateLiveness(OwnedMachine machine, MachineLiveness liveness) {
     if (machine.updateLiveness(liveness)) {
       markChanged(machine.id());
     }
--- a/src/main/java/org/mulleinshift/sharding/ShardView.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardView.java
@@ -246,7 +246,7 @@
 
   private boolean isAlive(MachineId machine) {
     return statusOf(machine)
-        .filter(status -> status.getLiveness().equals(OwnedMachine.Liveness.ALIVE.wireName()))
+        .filter(status -> status.getLiveness().equals(MachineLiveness.ALIVE.wireName()))
         .isPresent();
   }
 }
--- a/src/main/java/org/mulleinshift/sharding/TaskPlacer.java
+++ b/src/main/java/org/mulleinshift/sharding/TaskPlacer.java
@@ -150,7 +150,7 @@
         && machine.record().up()
         && !assignments.isCordoned(machine.id())
         && !machine.interrupted()
-        && liveness.livenessOf(machine, now) == OwnedMachine.Liveness.ALIVE
+        && liveness.livenessOf(machine, now) == MachineLiveness.ALIVE
         && machine.unassignedTasks().stream()
             .allMatch(entry -> entry.state() == WorkerHeartbeat.State.EXITED);
   }
--- a/src/main/java/org/mulleinshift/store/StoreResponses.java
+++ b/src/main/java/org/mulleinshift/store/StoreResponses.java
@@ -1,9 +1,9 @@
 package org.mulleinshift.store;
 
-import java.net.HttpURLConnection;
 import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.StoreCodec;
 import org.mulleinshift.transport.HttpResponse;
+import org.mulleinshift.transport.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -14,9 +14,6 @@
 final class StoreResponses {
   private static final Logger LOG = LoggerFactory.getLogger(StoreResponses.class);
 
-  /** Status of a request above the allowed rate. */
-  private static final int TOO_MANY_REQUESTS = 429;
-
   /** The store's error text for a transaction that names an expired lease. */
   private static final String LEASE_EXPIRED_TEXT = "no such lease";
 
@@ -30,21 +27,21 @@
 
   /** Whether the store processed the request; a refusal above the rate counts. */
   static boolean isServed(HttpResponse response) {
-    return response.isReceived() && response.status() != HttpURLConnection.HTTP_UNAVAILABLE;
+    return response.isReceived() && response.status() != HttpStatus.SERVICE_UNAVAILABLE;
   }
 
   static boolean isRateLimited(HttpResponse response) {
-    return response.status() == TOO_MANY_REQUESTS;
+    return response.status() == HttpStatus.TOO_MANY_REQUESTS;
   }
 
   /** The result of a call whose response carries a value. */
   static <T> KeyValueStore.ReadResult<T> toReadResult(HttpResponse response, BodyParser<T> parser) {
     return switch (response.status()) {
-      case HttpURLConnection.HTTP_OK -> parseFound(response, parser);
+      case HttpStatus.OK -> parseFound(response, parser);
       // Too long: more changes than this node takes in one answer, as if they were no longer kept.
-      case HttpURLConnection.HTTP_NOT_FOUND, HttpURLConnection.HTTP_GONE, HttpResponse.TOO_LONG ->
+      case HttpStatus.NOT_FOUND, HttpStatus.GONE, HttpResponse.TOO_LONG ->
           new KeyValueStore.ReadResult.Absent<>();
-      case TOO_MANY_REQUESTS, HttpURLConnection.HTTP_UNAVAILABLE ->
+      case HttpStatus.TOO_MANY_REQUESTS, HttpStatus.SERVICE_UNAVAILABLE ->
           new KeyValueStore.ReadResult.Refused<>();
       default -> new KeyValueStore.ReadResult.Unknown<>();
     };
@@ -63,11 +60,11 @@
   /** The result of a transaction. */
   static KeyValueStore.CommitResult toCommitResult(HttpResponse response) {
     return switch (response.status()) {
-      case HttpURLConnection.HTTP_OK -> parseCommitted(response);
-      case HttpURLConnection.HTTP_CONFLICT -> new KeyValueStore.CommitResult.Conflict();
-      case HttpURLConnection.HTTP_BAD_REQUEST -> toRejection(response);
-      case TOO_MANY_REQUESTS -> new KeyValueStore.CommitResult.Busy();
-      case HttpURLConnection.HTTP_UNAVAILABLE -> new KeyValueStore.CommitResult.Refused();
+      case HttpStatus.OK -> parseCommitted(response);
+      case HttpStatus.CONFLICT -> new KeyValueStore.CommitResult.Conflict();
+      case HttpStatus.BAD_REQUEST -> toRejection(response);
+      case HttpStatus.TOO_MANY_REQUESTS -> new KeyValueStore.CommitResult.Busy();
+      case HttpStatus.SERVICE_UNAVAILABLE -> new KeyValueStore.CommitResult.Refused();
       default -> new KeyValueStore.CommitResult.Unknown();
     };
   }
--- a/src/main/java/org/mulleinshift/transport/HttpStatus.java
+++ b/src/main/java/org/mulleinshift/transport/HttpStatus.java
@@ -14,12 +14,27 @@
   /** There is no such resource. */
   public static final int NOT_FOUND = 404;
 
+  /** The resource does not take this method. */
+  public static final int METHOD_NOT_ALLOWED = 405;
+
+  /** A condition of the request does not hold. */
+  public static final int CONFLICT = 409;
+
+  /** What the request names is no longer there. */
+  public static final int GONE = 410;
+
   /** The body is longer than the server accepts. */
   public static final int CONTENT_TOO_LARGE = 413;
 
+  /** Another controller answers such requests. */
+  public static final int MISDIRECTED_REQUEST = 421;
+
   /** The request is well formed, but can never be carried out. */
   public static final int UNPROCESSABLE_CONTENT = 422;
 
+  /** The client sent more requests than it may. */
+  public static final int TOO_MANY_REQUESTS = 429;
+
   /** The request can't be answered now; the client may retry. */
   public static final int SERVICE_UNAVAILABLE = 503;
 
--- a/src/test/java/org/mulleinshift/VocabularyTest.java
+++ b/src/test/java/org/mulleinshift/VocabularyTest.java
@@ -51,6 +51,7 @@
           "orphan",
           "orphans",
           "headroom",
+          "halts",
           "stray",
           "strays",
           "recall",
--- a/src/test/java/org/mulleinshift/sharding/PeerPhaseGoldenTest.java
+++ b/src/test/java/org/mulleinshift/sharding/PeerPhaseGoldenTest.java
@@ -35,7 +35,7 @@
   private static final NodeId SENDER = new NodeId("n-1");
   private static final String PHASES = "peer/phases.hex";
   private static final String REACHABILITY = "peer/worker-links.hex";
-  private static final String ALIVE = OwnedMachine.Liveness.ALIVE.wireName();
+  private static final String ALIVE = MachineLiveness.ALIVE.wireName();
 
   private final PeerCodec codec = new PeerCodec();
 
@@ -69,7 +69,7 @@
     for (MachinePhase phase : MachinePhase.values()) {
       machines.add(machine(phase.wireName(), ALIVE));
     }
-    for (OwnedMachine.Liveness liveness : OwnedMachine.Liveness.values()) {
+    for (MachineLiveness liveness : MachineLiveness.values()) {
       machines.add(machine(MachinePhase.CONFIRMED.wireName(), liveness.wireName()));
     }
     machines.add(machine(occupiedMachine().reportedPhase(), ALIVE));
