--- a/src/test/java/org/mulleinshift/invariants/TeamUsage.java
+++ b/src/test/java/org/mulleinshift/invariants/TeamUsage.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Processors that the tasks of each team use; shared by the rule books of several cells. */
+/** Processors that the tasks of each team use; shared by the checkers of several cells. */
 public final class TeamUsage {
   private final Map<String, Double> cpus = new HashMap<>();
 
--- a/src/test/java/org/mulleinshift/scalerun/ScaleCell.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleCell.java
@@ -240,18 +240,8 @@
   /** Sends heartbeats over each worker's own connection. */
   private final class ConnectionHeartbeats implements HeartbeatSender {
     @Override
-    public int controllerCount() {
-      return controllers.size();
-    }
-
-    @Override
-    public int indexOf(String label) {
-      for (int i = 0; i < controllers.size(); i++) {
-        if (controllers.get(i).label().equals(label)) {
-          return i;
-        }
-      }
-      return -1;
+    public List<String> controllerLabels() {
+      return controllers.stream().map(ControllerProcess::label).toList();
     }
 
     @Override
--- a/src/test/java/org/mulleinshift/simulation/HeartbeatSender.java
+++ b/src/test/java/org/mulleinshift/simulation/HeartbeatSender.java
@@ -1,15 +1,13 @@
 package org.mulleinshift.simulation;
 
+import java.util.List;
 import java.util.function.Consumer;
 import org.mulleinshift.transport.HttpResponse;
 
 /** Sends workers' heartbeats to controllers, which are known by their indexes. */
 public interface HeartbeatSender {
-  /** How many controllers there are. */
-  int controllerCount();
-
-  /** The index of the controller with the label, or -1. */
-  int indexOf(String label);
+  /** The labels of all controllers, running or not, in the order of their indexes. */
+  List<String> controllerLabels();
 
   /** Sends a heartbeat; the reply never comes if a message is lost. */
   void send(SimulatedWorker worker, int controller, String body, Consumer<HttpResponse> reply);
--- a/src/test/java/org/mulleinshift/simulation/SimulatedCluster.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedCluster.java
@@ -219,18 +219,8 @@
   /** Carries heartbeats over the network; some are duplicated. */
   private final class NetworkHeartbeats implements HeartbeatSender {
     @Override
-    public int controllerCount() {
-      return controllers.size();
-    }
-
-    @Override
-    public int indexOf(String label) {
-      for (int i = 0; i < controllers.size(); i++) {
-        if (controllers.get(i).label().equals(label)) {
-          return i;
-        }
-      }
-      return -1;
+    public List<String> controllerLabels() {
+      return controllers.stream().map(SimulatedController::label).toList();
     }
 
     @Override
--- a/src/test/java/org/mulleinshift/simulation/SimulatedWorker.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedWorker.java
@@ -67,7 +67,7 @@
     this.timing = timing;
     this.tasks = new WorkerTasks(timeline, checker, machine, new TaskHost());
     this.leaseStart = timeline.seconds();
-    this.controller = (int) (timeline.random() * controllers.controllerCount());
+    this.controller = (int) (timeline.random() * controllers.controllerLabels().size());
     timeline.after(FIRST_HEARTBEAT_SECONDS, this::sendRegularHeartbeat);
     timeline.after(LEASE_CHECK_SECONDS, this::checkLease);
   }
@@ -279,14 +279,14 @@
   }
 
   private void tryNextController() {
-    controller = (controller + 1) % controllers.controllerCount();
+    controller = (controller + 1) % controllers.controllerLabels().size();
     timeline.after(RETRY_SECONDS, () -> whenAwake(this::sendHeartbeat));
   }
 
   private void processReply(HttpResponse reply, Heartbeat heartbeat) {
     JsonNode body = parse(reply.body());
     if (reply.status() == HttpStatus.MISDIRECTED && body.hasNonNull("foreman")) {
-      int named = controllers.indexOf(body.get("foreman").asText());
+      int named = controllers.controllerLabels().indexOf(body.get("foreman").asText());
       if (named >= 0 && named != controller) {
         controller = named;
         double delay = MAX_REDIRECT_SECONDS * timeline.random();
