--- a/src/main/java/org/mulleinshift/dependencies/DependencyTracker.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyTracker.java
@@ -27,10 +27,10 @@
   /** The term that the jobs belong to. */
   public interface TermContext {
     /** The term has loaded its state and has not ended. */
-    boolean active();
+    boolean isActive();
 
     /** The term goes on, or will once it has loaded its state. */
-    boolean serving();
+    boolean isServing();
 
     /** A job may run, or is to end. */
     void onReady(Job job);
@@ -73,7 +73,7 @@
         new DependencyResolver(
             new ActiveJobs(loop, jobs, runTimes), new ResolverListener(), loop::wallMillis);
     this.propagatedAt = loop.now();
-    this.loader = new DependencyLoader(loop, store, term::serving, resolver::onEnded);
+    this.loader = new DependencyLoader(loop, store, term::isServing, resolver::onEnded);
   }
 
   /** The job, if it waits for others. */
@@ -89,7 +89,7 @@
       return;
     }
     resolver.addWaiting(job);
-    if (term.active()) {
+    if (term.isActive()) {
       loadDependencies(job);
     }
   }
--- a/src/main/java/org/mulleinshift/leader/JobLifecycle.java
+++ b/src/main/java/org/mulleinshift/leader/JobLifecycle.java
@@ -27,23 +27,14 @@
  */
 final class JobLifecycle
     implements JobDirectory, ProgressListener, DependencyTracker.TermContext, TaskActions {
-  /** The term that the jobs belong to. */
-  interface Term {
-    boolean isActive();
-
-    boolean serving();
-
-    void scheduleCycle();
-  }
-
   private final ClusterState state;
-  private final Term term;
+  private final TermState term;
   private final ProgressPersister progress;
   private final DependencyTracker dependencies;
 
   JobLifecycle(
       ClusterState state,
-      Term term,
+      TermState term,
       KeyValueStore store,
       TransactionBatcher batcher,
       ProgressSettings progressSettings) {
@@ -105,13 +96,13 @@
   }
 
   @Override
-  public boolean active() {
+  public boolean isActive() {
     return term.isActive();
   }
 
   @Override
-  public boolean serving() {
-    return term.serving();
+  public boolean isServing() {
+    return term.isServing();
   }
 
   @Override
--- a/src/main/java/org/mulleinshift/leader/Leader.java
+++ b/src/main/java/org/mulleinshift/leader/Leader.java
@@ -320,7 +320,7 @@
   /** This term as its components see it. */
   private final class Term implements TermState {
     @Override
-    public boolean loading() {
+    public boolean isLoading() {
       return state == State.LOADING;
     }
 
@@ -330,7 +330,7 @@
     }
 
     @Override
-    public boolean serving() {
+    public boolean isServing() {
       return state != State.RETIRED;
     }
 
--- a/src/main/java/org/mulleinshift/leader/TermState.java
+++ b/src/main/java/org/mulleinshift/leader/TermState.java
@@ -4,10 +4,13 @@
 import org.mulleinshift.sharding.ShardTable;
 
 /** A term as its components see it: how far it has come, and whom they notify of changes. */
-interface TermState extends LeadershipTerm, JobLifecycle.Term, ShardTable.Listener {
-  /** Whether the term still loads what is stored. */
-  boolean loading();
+interface TermState extends LeadershipTerm, ShardTable.Listener {
+  /** The term still loads what is stored. */
+  boolean isLoading();
 
-  @Override
-  boolean isActive();
+  /** The term loads what is stored, or has done so, and has not ended. */
+  boolean isServing();
+
+  /** Something changed that may let tasks be assigned. */
+  void scheduleCycle();
 }
--- a/src/test/java/org/mulleinshift/MemoryLimitsTest.java
+++ b/src/test/java/org/mulleinshift/MemoryLimitsTest.java
@@ -13,10 +13,6 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.Map;
-import java.util.concurrent.BlockingQueue;
-import java.util.concurrent.LinkedBlockingQueue;
-import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -24,9 +20,8 @@
 import org.mulleinshift.memory.MemoryPlan;
 import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.WorkerCodec;
-import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.JdkHttpServer;
-import org.mulleinshift.transport.MonotonicTime;
+import org.mulleinshift.transport.ManualEventLoop;
 import org.mulleinshift.transport.Responder;
 import org.mulleinshift.transport.TcpPeerTransport;
 
@@ -35,47 +30,6 @@
   private static final long MIB = 1 << 20;
   private static final int BODY = 60_000;
 
-  /** A loop that runs nothing by itself: as one that lags behind. */
-  private static final class LaggingLoop implements EventLoop {
-    private final BlockingQueue<Runnable> steps = new LinkedBlockingQueue<>();
-
-    Runnable next() throws InterruptedException {
-      Runnable step = steps.poll(20, TimeUnit.SECONDS);
-      assertTrue(step != null, "nothing was handed to the loop");
-      return step;
-    }
-
-    @Override
-    public void post(Runnable step) {
-      steps.add(step);
-    }
-
-    @Override
-    public Timer after(Duration delay, Runnable step) {
-      throw new UnsupportedOperationException();
-    }
-
-    @Override
-    public MonotonicTime now() {
-      return new MonotonicTime(0);
-    }
-
-    @Override
-    public long wallMillis() {
-      return 0;
-    }
-
-    @Override
-    public double random() {
-      return 0;
-    }
-
-    @Override
-    public void onProcessPause(Consumer<Duration> listener) {
-      throw new UnsupportedOperationException();
-    }
-  }
-
   @ParameterizedTest
   @CsvSource({"176, 700", "205, 1500", "414, 2391", "414, 3762", "96, 20000"})
   void whatIsHeldFitsIntoTheNode(double memoryMb, int sockets) {
@@ -100,7 +54,7 @@
       int most = 256 * 1024;
       TcpPeerTransport link =
           new TcpPeerTransport(
-              new LaggingLoop(),
+              new ManualEventLoop(),
               Map.of("peer", address),
               frame -> {},
               Duration.ofSeconds(20),
@@ -118,7 +72,7 @@
   @Timeout(60)
   void usersBodiesAreBoundedAndReportsStillHeard()
       throws IOException, InterruptedException, MalformedMessageException {
-    LaggingLoop loop = new LaggingLoop();
+    ManualEventLoop loop = new ManualEventLoop();
     String report = reportOf(4000);
     JdkHttpServer frontend =
         new JdkHttpServer(
@@ -131,7 +85,7 @@
     Runnable[] waiting = new Runnable[4];
     for (int i = 0; i < users.length; i++) {
       users[i] = request(frontend, "/v2/runs", "x".repeat(BODY));
-      waiting[i] = loop.next();
+      waiting[i] = loop.takeStep();
     }
     // The loop lags behind and holds all that it may: the next is refused at once.
     try (Socket fifth = request(frontend, "/v2/runs", "x".repeat(BODY))) {
@@ -139,7 +93,7 @@
     }
     assertTrue(report.length() > 3 * 64 * 1024, "as long as " + report.length());
     try (Socket worker = request(frontend, WorkerCodec.HEARTBEAT_PATH, report)) {
-      loop.next().run();
+      loop.takeStep().run();
       assertEquals(200, status(worker));
     }
     try (Socket tooLong = request(frontend, "/v2/runs", "x".repeat(70_000))) {
@@ -151,7 +105,7 @@
       users[i].close();
     }
     try (Socket sixth = request(frontend, "/v2/runs", "x".repeat(BODY))) {
-      loop.next().run();
+      loop.takeStep().run();
       assertEquals(200, status(sixth));
     }
   }
--- a/src/test/java/org/mulleinshift/transport/JdkHttpServerTest.java
+++ b/src/test/java/org/mulleinshift/transport/JdkHttpServerTest.java
@@ -1,7 +1,6 @@
 package org.mulleinshift.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -10,13 +9,8 @@
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
-import java.time.Duration;
 import java.util.Optional;
-import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.LinkedBlockingQueue;
-import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -35,47 +29,6 @@
   private record Received(
       int status, String body, Optional<String> contentType, Optional<String> retryAfter) {}
 
-  /** An event loop whose steps the test runs. */
-  private static final class ManualEventLoop implements EventLoop {
-    private final BlockingQueue<Runnable> steps = new LinkedBlockingQueue<>();
-
-    Runnable takeStep() throws InterruptedException {
-      Runnable step = steps.poll(20, TimeUnit.SECONDS);
-      assertNotNull(step, "no step was posted");
-      return step;
-    }
-
-    @Override
-    public void post(Runnable step) {
-      steps.add(step);
-    }
-
-    @Override
-    public Timer after(Duration delay, Runnable step) {
-      throw new UnsupportedOperationException();
-    }
-
-    @Override
-    public MonotonicTime now() {
-      throw new UnsupportedOperationException();
-    }
-
-    @Override
-    public long wallMillis() {
-      throw new UnsupportedOperationException();
-    }
-
-    @Override
-    public double random() {
-      throw new UnsupportedOperationException();
-    }
-
-    @Override
-    public void onProcessPause(Consumer<Duration> listener) {
-      throw new UnsupportedOperationException();
-    }
-  }
-
   private final ManualEventLoop loop = new ManualEventLoop();
   private final HttpClient client =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
