--- a/src/main/java/org/mulleinshift/autoscaling/CapacityPlanner.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CapacityPlanner.java
@@ -97,7 +97,7 @@
       return;
     }
     MachineType type = known.get();
-    Machine machine = state.machines().track(id);
+    Machine machine = state.machines().getOrTrack(id);
     if (!record.up() && isOverdue(type, machine)) {
       // It may never come up, so it is no capacity.
       return;
--- a/src/main/java/org/mulleinshift/autoscaling/Consolidator.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Consolidator.java
@@ -118,7 +118,7 @@
 
   private void consider(
       MachineCapacity candidate, Map<MachineId, MachineCapacity> capacities, Budget budget) {
-    Machine machine = state.machines().track(candidate.machine());
+    Machine machine = state.machines().getOrTrack(candidate.machine());
     boolean surplus =
         isDrainable(machine) && budget.takeTrial() && fitsElsewhere(candidate, capacities);
     if (!surplus) {
--- a/src/main/java/org/mulleinshift/autoscaling/MachineHealthCheck.java
+++ b/src/main/java/org/mulleinshift/autoscaling/MachineHealthCheck.java
@@ -46,7 +46,7 @@
     if (record == null || record.up() || !isConfirmed(shard, id)) {
       return;
     }
-    Machine machine = state.machines().track(id);
+    Machine machine = state.machines().getOrTrack(id);
     shard.machines().put(id, new MachineRecord(record.type(), record.spot(), true));
     // Only a machine whose provisioning was observed has a known boot time. Machines that were up
     // before, or that an earlier leader provisioned, would seem to boot in no time: then there
@@ -75,7 +75,7 @@
   }
 
   private void inspect(ShardView shard, MachineId id, MachineRecord record) {
-    Machine machine = state.machines().track(id);
+    Machine machine = state.machines().getOrTrack(id);
     Optional<BootTimeEstimator.Outlook> outlook = outlook(machine, record);
     if (outlook.equals(Optional.of(BootTimeEstimator.Outlook.DELAYED))) {
       boots.onDelayed(record.type());
--- a/src/main/java/org/mulleinshift/autoscaling/MachineRegistrar.java
+++ b/src/main/java/org/mulleinshift/autoscaling/MachineRegistrar.java
@@ -38,7 +38,7 @@
   void registerProvisioned(ProvisioningRequest request, List<MachineId> machines) {
     Set<ShardView> changed = new LinkedHashSet<>();
     for (MachineId machine : machines) {
-      if (!releaser.isDeleted(machine) && !state.shards().contains(machine)) {
+      if (!releaser.isDeleted(machine) && !state.shards().containsMachine(machine)) {
         ShardView shard = shardWithSpace(request.zone());
         shard.machines().put(machine, new MachineRecord(request.type(), request.spot(), false));
         state.machines().addProvisioned(machine, request.plannedAt());
@@ -53,7 +53,7 @@
    * provisioned late, or by a request whose answer was lost.
    */
   void registerUnexpected(MachineId id, MachineTypeId type, ZoneId zone, boolean spot) {
-    if (state.shards().contains(id)) {
+    if (state.shards().containsMachine(id)) {
       return;
     }
     // It may belong to a shard that this build can't read, and then has an owner already.
@@ -63,7 +63,7 @@
     LOG.info("unexpected machine adopted, machine={}", id);
     ShardView shard = shardWithSpace(zone);
     shard.machines().put(id, new MachineRecord(type, spot, false));
-    state.machines().track(id);
+    state.machines().getOrTrack(id);
     state.shards().store(shard);
   }
 
--- a/src/main/java/org/mulleinshift/autoscaling/MachineReleaser.java
+++ b/src/main/java/org/mulleinshift/autoscaling/MachineReleaser.java
@@ -39,7 +39,7 @@
 
   /** The machine takes no new task from now on, and is deleted with the next batch. */
   void release(MachineId machine, ReleaseReason reason) {
-    if (state.machines().track(machine).release()) {
+    if (state.machines().getOrTrack(machine).release()) {
       deleting.add(machine);
       LOG.info("machine released, machine={} reason={}", machine, reason);
       state.shards().markChanged(machine);
--- a/src/main/java/org/mulleinshift/autoscaling/ScaleIn.java
+++ b/src/main/java/org/mulleinshift/autoscaling/ScaleIn.java
@@ -45,7 +45,7 @@
     for (ShardView shard : state.shards().all()) {
       for (Map.Entry<MachineId, MachineRecord> entry : shard.machines().entrySet()) {
         MachineId id = entry.getKey();
-        Machine machine = state.machines().track(id);
+        Machine machine = state.machines().getOrTrack(id);
         if (isReleasable(machine, entry.getValue())
             && isUnused(machine, used.contains(id))
             && !state.isBusy(id, shard.id())) {
@@ -80,7 +80,7 @@
   }
 
   private void uncordon(ShardView shard, MachineId id) {
-    Machine machine = state.machines().track(id);
+    Machine machine = state.machines().getOrTrack(id);
     machine.clearSurplus();
     if (machine.state() == Machine.State.DRAINING) {
       LOG.info("machine uncordoned, machine={}", id);
--- a/src/main/java/org/mulleinshift/leader/Leader.java
+++ b/src/main/java/org/mulleinshift/leader/Leader.java
@@ -185,7 +185,7 @@
   private void loadShard(ShardId id, ClusterView.ShardRecord record) {
     ShardView shard = new ShardView(id, record.zone(), loop.now());
     shard.machines().putAll(record.machines());
-    shard.unknownFields(record.unknownFields());
+    shard.setUnknownFields(record.unknownFields());
     shard.lastOwner(record.lastOwner());
     cluster.shards().add(shard);
     batcher.recordRevision(StoreKeys.shard(id), record.revision());
@@ -310,7 +310,7 @@
           "shard, id={} grant={} status_age_ms={} usable={} machines={} tasks={}",
           shard.id(),
           shard.grant().map(Object::toString).orElse("none"),
-          loop.now().since(shard.statusAt()).toMillis(),
+          loop.now().since(shard.lastStatusAt()).toMillis(),
           availableCapacity.ofShard(shard, Resources.ZERO).size(),
           shard.machines().size(),
           shard.published().size());
--- a/src/main/java/org/mulleinshift/leader/ShardStatusHandler.java
+++ b/src/main/java/org/mulleinshift/leader/ShardStatusHandler.java
@@ -82,7 +82,7 @@
   /** Acknowledges to owners up to which status their shard is known here. */
   void acknowledgeAll() {
     for (ShardView shard : state.shards().all()) {
-      if (shard.ackDue()) {
+      if (shard.takeAckDue()) {
         acknowledge(shard);
       }
     }
--- a/src/main/java/org/mulleinshift/sharding/AssignmentSender.java
+++ b/src/main/java/org/mulleinshift/sharding/AssignmentSender.java
@@ -61,8 +61,9 @@
       Optional<NodeId> owner = shard.owner();
       PublishedAssignments assignments = shard.assignments();
       if (owner.isPresent()
-          && (assignments.resendDue(loop.now(), RESEND_AFTER) || assignments.dirty())) {
-        send.accept(owner.get(), writer.of(shard));
+          && (assignments.startResendIfDue(loop.now(), RESEND_AFTER)
+              || assignments.hasUnsentChanges())) {
+        send.accept(owner.get(), writer.writeChanges(shard));
       }
     }
   }
--- a/src/main/java/org/mulleinshift/sharding/AssignmentWriter.java
+++ b/src/main/java/org/mulleinshift/sharding/AssignmentWriter.java
@@ -59,10 +59,10 @@
    * Writes what has changed since the version that the shard's next message builds on, and marks
    * the changes as sent. The shard must have a grant.
    */
-  public ShardAssignment of(ShardView shard) {
+  public ShardAssignment writeChanges(ShardView shard) {
     Revision grant = shard.grant().orElseThrow().revision();
     PublishedAssignments assignments = shard.assignments();
-    long base = assignments.base();
+    long base = assignments.baseVersion();
     Map<JobId, List<AssignedTask>> byJob = new LinkedHashMap<>();
     List<RemovedTask> removed = new ArrayList<>();
     for (TaskId task : assignments.changesSince(base)) {
@@ -87,7 +87,7 @@
         shard.id().value(),
         grant.value(),
         base,
-        assignments.send(loop.now()),
+        assignments.markSent(loop.now()),
         removed,
         assigned,
         cordonedMachines);
--- a/src/main/java/org/mulleinshift/sharding/ChangeLog.java
+++ b/src/main/java/org/mulleinshift/sharding/ChangeLog.java
@@ -13,22 +13,22 @@
  * @param <K> names an entry
  */
 final class ChangeLog<K> {
-  private final Map<K, Long> changedAt = new LinkedHashMap<>();
-  private long newest;
+  private final Map<K, Long> versionByKey = new LinkedHashMap<>();
+  private long newestVersion;
 
   /** The entry changes with this version. Versions must not fall: entries stay in their order. */
-  void changed(K key, long version) {
-    changedAt.remove(key);
-    changedAt.put(key, version);
-    newest = version;
+  void recordChange(K key, long version) {
+    versionByKey.remove(key);
+    versionByKey.put(key, version);
+    newestVersion = version;
   }
 
   /** The entries that changed after this version, in the order of their last change. */
-  List<K> since(long version) {
+  List<K> changedSince(long version) {
     List<K> keys = new ArrayList<>();
-    changedAt.forEach(
-        (key, at) -> {
-          if (at > version) {
+    versionByKey.forEach(
+        (key, changeVersion) -> {
+          if (changeVersion > version) {
             keys.add(key);
           }
         });
@@ -36,13 +36,13 @@
   }
 
   /** Whether any entry changed after this version. */
-  boolean anySince(long version) {
-    return newest > version;
+  boolean hasChangesSince(long version) {
+    return newestVersion > version;
   }
 
   /** The other side has everything up to this version. */
-  void acknowledged(long version) {
-    Iterator<Long> versions = changedAt.values().iterator();
+  void discardAcknowledged(long version) {
+    Iterator<Long> versions = versionByKey.values().iterator();
     while (versions.hasNext() && versions.next() <= version) {
       versions.remove();
     }
@@ -50,7 +50,7 @@
 
   /** Forgets all changes. */
   void clear() {
-    changedAt.clear();
-    newest = 0;
+    versionByKey.clear();
+    newestVersion = 0;
   }
 }
--- a/src/main/java/org/mulleinshift/sharding/HeartbeatRouter.java
+++ b/src/main/java/org/mulleinshift/sharding/HeartbeatRouter.java
@@ -16,7 +16,7 @@
 import org.mulleinshift.protocol.WorkerCodec;
 import org.mulleinshift.protocol.WorkerHeartbeat;
 import org.mulleinshift.protocol.peer.UnknownWorkerReport;
-import org.mulleinshift.sharding.HeldHeartbeats.Held;
+import org.mulleinshift.sharding.HeldHeartbeats.PendingHeartbeat;
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.HttpStatus;
 import org.mulleinshift.transport.Responder;
@@ -32,92 +32,94 @@
   /** A second and a half less than a worker waits for a response. */
   private static final Duration HOLD_LIMIT = Duration.ofMillis(2500);
 
-  private static final Duration LONG_HOLD_LIMIT = Duration.ofMillis(3500);
+  private static final Duration HOLD_LIMIT_WITHOUT_ALTERNATIVE = Duration.ofMillis(3500);
 
   private final EventLoop loop;
   private final NodeId self;
   private final ClusterView view;
   private final OwnedShards.Peers peers;
-  private final Map<ShardId, ShardOwner> owned;
+  private final Map<ShardId, ShardOwner> ownedShards;
   private final Consumer<Object> toLeader;
   private final WorkerProber prober;
   private final SuspicionReporter suspicions;
-  private final OwnerResponsiveness owners;
-  private final HeldHeartbeats held;
+  private final OwnerResponsiveness responsiveness;
+  private final HeldHeartbeats heldHeartbeats;
 
   /**
    * A router of one controller.
    *
-   * @param owned the shards that it owns, as of now at any time
+   * @param ownedShards the shards that it owns, as of now at any time
    */
   HeartbeatRouter(
       NodeId self,
       ClusterView view,
       ShardOwner.Context context,
       OwnedShards.Peers peers,
-      Map<ShardId, ShardOwner> owned,
+      Map<ShardId, ShardOwner> ownedShards,
       Consumer<Object> toLeader) {
     this.loop = context.loop();
     this.self = self;
     this.view = view;
     this.peers = peers;
-    this.owned = owned;
+    this.ownedShards = ownedShards;
     this.toLeader = toLeader;
     this.prober = new WorkerProber(context.workers());
     this.suspicions = new SuspicionReporter(loop, view, toLeader);
-    this.owners =
+    this.responsiveness =
         new OwnerResponsiveness(view, peers.health(), context.timing().heartbeatInterval());
-    this.held = new HeldHeartbeats(loop, this::settle, this::holdLimit, this::sendOn);
+    this.heldHeartbeats =
+        new HeldHeartbeats(
+            loop, this::tryRespond, this::maxHoldTime, this::redirectToNextController);
   }
 
   /** Answers the heartbeat, or names the controller that should, now or as soon as it is known. */
   void route(WorkerHeartbeat heartbeat, Responder responder) {
-    Held next = new Held(heartbeat, responder, loop.now());
-    if (!settle(next)) {
-      suspectOwner(heartbeat);
-      held.hold(next);
+    PendingHeartbeat pending = new PendingHeartbeat(heartbeat, responder, loop.now());
+    if (!tryRespond(pending)) {
+      probeAndSuspectOwner(heartbeat);
+      heldHeartbeats.hold(pending);
     }
   }
 
   /** Shards or grants have changed. */
   void onControlChange() {
-    held.review();
+    heldHeartbeats.retryAll();
   }
 
   /** Responds if it is known who should answer; returns whether it is. */
-  private boolean settle(Held next) {
-    WorkerHeartbeat heartbeat = next.heartbeat();
+  private boolean tryRespond(PendingHeartbeat pending) {
+    WorkerHeartbeat heartbeat = pending.heartbeat();
     Optional<ShardId> shard = view.shardOf(heartbeat.machine());
     if (shard.isEmpty()) {
       prober.probe(heartbeat, () -> reportUnknownWorker(heartbeat));
-      next.responder().respond(HttpStatus.MISDIRECTED_REQUEST, NO_REDIRECT);
+      pending.responder().respond(HttpStatus.MISDIRECTED_REQUEST, NO_REDIRECT);
       return true;
     }
-    ShardOwner owner = owned.get(shard.get());
+    ShardOwner owner = ownedShards.get(shard.get());
     if (owner != null) {
-      answer(owner, next);
+      answerAsOwner(owner, pending);
       return true;
     }
     GrantRecord grant = view.grants().get(shard.get());
     if (grant == null) {
-      next.responder().respond(HttpStatus.MISDIRECTED_REQUEST, NO_REDIRECT);
+      pending.responder().respond(HttpStatus.MISDIRECTED_REQUEST, NO_REDIRECT);
       return true;
     }
-    boolean redirect = mayRedirect(grant, next);
+    boolean redirect = mayRedirect(grant, pending);
     if (redirect) {
       String body = WorkerCodec.writeRedirect(grant.owner());
-      next.responder().respond(HttpStatus.MISDIRECTED_REQUEST, body);
+      pending.responder().respond(HttpStatus.MISDIRECTED_REQUEST, body);
     }
     return redirect;
   }
 
-  private static void answer(ShardOwner owner, Held next) {
-    Optional<String> answer = owner.onHeartbeat(next.heartbeat());
-    if (answer.isPresent()) {
-      next.responder().respond(HttpStatus.OK, answer.get());
+  private static void answerAsOwner(ShardOwner owner, PendingHeartbeat pending) {
+    Optional<String> body = owner.onHeartbeat(pending.heartbeat());
+    if (body.isPresent()) {
+      pending.responder().respond(HttpStatus.OK, body.get());
     } else {
       String error = JobCodec.writeError("not entitled");
-      next.responder().respond(HttpStatus.SERVICE_UNAVAILABLE, error);
+      pending.responder().respond(HttpStatus.SERVICE_UNAVAILABLE, error);
     }
   }
 
@@ -132,23 +134,23 @@
   }
 
   /** Whether the worker is to report to the shard's owner, another controller than this one. */
-  private boolean mayRedirect(GrantRecord grant, Held next) {
+  private boolean mayRedirect(GrantRecord grant, PendingHeartbeat pending) {
     if (grant.owner().equals(self)) {
       // Granted to this controller, which has not adopted the shard yet.
       return false;
     }
-    return hasLeft(grant, next.heartbeat())
-        ? owners.isShownSince(grant.owner(), next.arrivedAt())
-        : owners.answersWorkers(grant.owner());
+    return wasAnsweredByOwner(grant, pending.heartbeat())
+        ? responsiveness.isConfirmedSince(grant.owner(), pending.arrivedAt())
+        : responsiveness.answersWorkers(grant.owner());
   }
 
   /** A worker that knows a token of the grant was answered by its owner, and now reports here. */
-  private static boolean hasLeft(GrantRecord grant, WorkerHeartbeat heartbeat) {
+  private static boolean wasAnsweredByOwner(GrantRecord grant, WorkerHeartbeat heartbeat) {
     return MachineToken.belongsTo(heartbeat.highestToken(), grant.revision());
   }
 
   /** The worker should be at an owner that seems not to answer it, if the heartbeat is no copy. */
-  private void suspectOwner(WorkerHeartbeat heartbeat) {
+  private void probeAndSuspectOwner(WorkerHeartbeat heartbeat) {
     Optional<ShardId> shard = view.shardOf(heartbeat.machine());
     Optional<GrantRecord> grant = shard.map(view.grants()::get);
     if (grant.isPresent() && !grant.get().owner().equals(self)) {
@@ -157,20 +159,20 @@
   }
 
   private void onOwnerSuspected(ShardId shard, GrantRecord grant, WorkerHeartbeat heartbeat) {
-    if (hasLeft(grant, heartbeat)) {
-      owners.onDeparture(grant.owner(), loop.now());
+    if (wasAnsweredByOwner(grant, heartbeat)) {
+      responsiveness.onWorkerUnanswered(grant.owner(), loop.now());
     }
     suspicions.report(shard, heartbeat.machine());
   }
 
   /** The worker tries another controller, since nobody is known who could answer it. */
-  private void sendOn(Held next) {
+  private void redirectToNextController(PendingHeartbeat pending) {
     String body =
-        nextController(next.heartbeat())
-            .filter(node -> !node.equals(others().get(0)))
+        nextController(pending.heartbeat())
+            .filter(node -> !node.equals(otherControllers().get(0)))
             .map(WorkerCodec::writeRedirect)
             .orElse(NO_REDIRECT);
-    next.responder().respond(HttpStatus.MISDIRECTED_REQUEST, body);
+    pending.responder().respond(HttpStatus.MISDIRECTED_REQUEST, body);
   }
 
   /**
@@ -181,13 +183,13 @@
   private Optional<NodeId> nextController(WorkerHeartbeat heartbeat) {
     Optional<NodeId> owner =
         view.shardOf(heartbeat.machine()).map(view.grants()::get).map(GrantRecord::owner);
-    return others().stream()
-        .filter(node -> !owner.equals(Optional.of(node)) && owners.answersWorkers(node))
+    return otherControllers().stream()
+        .filter(node -> !owner.equals(Optional.of(node)) && responsiveness.answersWorkers(node))
         .findFirst();
   }
 
   /** The other controllers in the order in which a worker tries them after this one. */
-  private List<NodeId> others() {
+  private List<NodeId> otherControllers() {
     List<NodeId> all = new ArrayList<>(peers.nodes());
     all.add(self);
     all.sort(Comparator.comparing(NodeId::value));
@@ -196,7 +198,9 @@
   }
 
   /** Where no other controller could answer, the worker may as well wait here. */
-  private Duration holdLimit(Held next) {
-    return nextController(next.heartbeat()).isPresent() ? HOLD_LIMIT : LONG_HOLD_LIMIT;
+  private Duration maxHoldTime(PendingHeartbeat pending) {
+    return nextController(pending.heartbeat()).isPresent()
+        ? HOLD_LIMIT
+        : HOLD_LIMIT_WITHOUT_ALTERNATIVE;
   }
 }
--- a/src/main/java/org/mulleinshift/sharding/HeldHeartbeats.java
+++ b/src/main/java/org/mulleinshift/sharding/HeldHeartbeats.java
@@ -18,7 +18,7 @@
  * meets a controller that can't answer it.
  */
 final class HeldHeartbeats {
-  private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
+  private static final Duration RETRY_INTERVAL = Duration.ofMillis(100);
   private static final int MAX_HEARTBEATS = 512;
 
   /** A heartbeat may report thousands of tasks. */
@@ -29,74 +29,76 @@
    *
    * @param arrivedAt when it arrived here
    */
-  record Held(WorkerHeartbeat heartbeat, Responder responder, MonotonicTime arrivedAt) {}
+  record PendingHeartbeat(
+      WorkerHeartbeat heartbeat, Responder responder, MonotonicTime arrivedAt) {}
 
   private final EventLoop loop;
-  private final Predicate<Held> settle;
-  private final Function<Held, Duration> limit;
-  private final Consumer<Held> giveUp;
-  private final List<Held> held = new ArrayList<>();
-  private int tasks;
+  private final Predicate<PendingHeartbeat> tryRespond;
+  private final Function<PendingHeartbeat, Duration> maxHoldTime;
+  private final Consumer<PendingHeartbeat> respondUnresolved;
+  private final List<PendingHeartbeat> held = new ArrayList<>();
+  private int heldTasks;
 
   /**
    * Nothing is held.
    *
-   * @param settle responds if it is known by now who should answer; returns whether it is
-   * @param limit for how long it may be held at the most
-   * @param giveUp responds although it is not known
+   * @param tryRespond responds if it is known by now who should answer; returns whether it is
+   * @param maxHoldTime for how long it may be held at the most
+   * @param respondUnresolved responds although it is not known
    */
   HeldHeartbeats(
       EventLoop loop,
-      Predicate<Held> settle,
-      Function<Held, Duration> limit,
-      Consumer<Held> giveUp) {
+      Predicate<PendingHeartbeat> tryRespond,
+      Function<PendingHeartbeat, Duration> maxHoldTime,
+      Consumer<PendingHeartbeat> respondUnresolved) {
     this.loop = loop;
-    this.settle = settle;
-    this.limit = limit;
-    this.giveUp = giveUp;
+    this.tryRespond = tryRespond;
+    this.maxHoldTime = maxHoldTime;
+    this.respondUnresolved = respondUnresolved;
   }
 
   /** Holds the heartbeat until it can be settled, or for a limited time. */
-  void hold(Held next) {
-    int more = next.heartbeat().tasks().size();
-    if (held.size() >= MAX_HEARTBEATS || tasks + more > MAX_TASKS) {
-      giveUp.accept(next);
+  void hold(PendingHeartbeat pending) {
+    int taskCount = pending.heartbeat().tasks().size();
+    if (held.size() >= MAX_HEARTBEATS || heldTasks + taskCount > MAX_TASKS) {
+      respondUnresolved.accept(pending);
       return;
     }
     if (held.isEmpty()) {
-      loop.after(CHECK_INTERVAL, this::tick);
+      loop.after(RETRY_INTERVAL, this::retryPeriodically);
     }
-    held.add(next);
-    tasks += more;
+    held.add(pending);
+    heldTasks += taskCount;
   }
 
   /** Something has changed on which it depends who should answer. */
-  void review() {
-    Iterator<Held> each = held.iterator();
-    while (each.hasNext()) {
-      Held next = each.next();
-      if (isDone(next)) {
-        each.remove();
-        tasks -= next.heartbeat().tasks().size();
+  void retryAll() {
+    Iterator<PendingHeartbeat> iterator = held.iterator();
+    while (iterator.hasNext()) {
+      PendingHeartbeat pending = iterator.next();
+      if (respondOrExpire(pending)) {
+        iterator.remove();
+        heldTasks -= pending.heartbeat().tasks().size();
       }
     }
   }
 
-  private boolean isDone(Held next) {
-    if (settle.test(next)) {
+  private boolean respondOrExpire(PendingHeartbeat pending) {
+    if (tryRespond.test(pending)) {
       return true;
     }
-    boolean expired = loop.now().since(next.arrivedAt()).compareTo(limit.apply(next)) >= 0;
+    boolean expired =
+        loop.now().since(pending.arrivedAt()).compareTo(maxHoldTime.apply(pending)) >= 0;
     if (expired) {
-      giveUp.accept(next);
+      respondUnresolved.accept(pending);
     }
     return expired;
   }
 
-  private void tick() {
-    review();
+  private void retryPeriodically() {
+    retryAll();
     if (!held.isEmpty()) {
-      loop.after(CHECK_INTERVAL, this::tick);
+      loop.after(RETRY_INTERVAL, this::retryPeriodically);
     }
   }
 }
--- a/src/main/java/org/mulleinshift/sharding/MachineTable.java
+++ b/src/main/java/org/mulleinshift/sharding/MachineTable.java
@@ -22,7 +22,7 @@
   }
 
   /** The machine; one that was not tracked yet was there before this term, or is unexpected. */
-  public Machine track(MachineId id) {
+  public Machine getOrTrack(MachineId id) {
     return machines.computeIfAbsent(id, key -> Machine.found(loop.now(), isStoredAsUp(key)));
   }
 
--- a/src/main/java/org/mulleinshift/sharding/OwnedShards.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedShards.java
@@ -30,7 +30,7 @@
 /** The shards that this controller owns: adopts and releases them as they are granted. */
 public final class OwnedShards {
   private static final Logger LOG = LoggerFactory.getLogger(OwnedShards.class);
-  private static final Duration TICK = Duration.ofMillis(250);
+  private static final Duration TICK_INTERVAL = Duration.ofMillis(250);
   private static final int MALFORMED_PER_LOG_LINE = 100;
 
   /**
@@ -47,10 +47,10 @@
   private final ClusterView view;
   private final ControllerSession session;
   private final ShardOwner.Context context;
-  private final Map<ShardId, ShardOwner> owned = new HashMap<>();
+  private final Map<ShardId, ShardOwner> owners = new HashMap<>();
   private final WorkerReachability reachability;
   private final HeartbeatRouter router;
-  private final StatusPublisher statuses;
+  private final StatusPublisher statusPublisher;
   private long malformedHeartbeats;
 
   /**
@@ -75,39 +75,42 @@
     this.view = view;
     this.session = session;
     this.context = context;
-    this.router = new HeartbeatRouter(self, view, context, peers, owned, toLeader);
-    this.statuses = new StatusPublisher(loop, owned.values(), toLeader);
+    this.router = new HeartbeatRouter(self, view, context, peers, owners, toLeader);
+    this.statusPublisher = new StatusPublisher(loop, owners.values(), toLeader);
     this.reachability =
         new WorkerReachability(
             loop,
             context.timing().heartbeatInterval(),
             new WorkerReachability.Context(
-                context.workers(), this::count, this::addresses, peers.onReachabilityChange()));
+                context.workers(),
+                this::countMachines,
+                this::workerAddresses,
+                peers.onReachabilityChange()));
   }
 
   /** Starts the timers. */
   public void start() {
     reachability.start();
-    loop.after(TICK, this::tick);
-    statuses.start();
+    loop.after(TICK_INTERVAL, this::tick);
+    statusPublisher.start();
   }
 
   private void tick() {
-    loop.after(TICK, this::tick);
-    if (!owned.isEmpty()) {
+    loop.after(TICK_INTERVAL, this::tick);
+    if (!owners.isEmpty()) {
       session.logOwnershipChange();
     }
-    owned.values().forEach(ShardOwner::tick);
+    owners.values().forEach(ShardOwner::tick);
   }
 
   /**
    * Shards that this node may no longer act for are not counted: their machines may have gone to
    * others.
    */
-  private WorkerReachability.Count count() {
+  private WorkerReachability.Count countMachines() {
     int expected = 0;
     int unreachable = 0;
-    for (ShardOwner owner : owned.values()) {
+    for (ShardOwner owner : owners.values()) {
       if (owner.mayAct()) {
         expected += owner.expectedMachines();
         unreachable += owner.unreachableMachines();
@@ -116,8 +119,8 @@
     return new WorkerReachability.Count(expected, unreachable);
   }
 
-  private List<InetSocketAddress> addresses() {
-    return owned.values().stream().flatMap(owner -> owner.addresses().stream()).toList();
+  private List<InetSocketAddress> workerAddresses() {
+    return owners.values().stream().flatMap(owner -> owner.addresses().stream()).toList();
   }
 
   /** Whether this controller is reached by its workers. */
@@ -127,13 +130,13 @@
 
   /** Something that the leader should know has changed; several changes share a status. */
   public void reportStatusSoon() {
-    statuses.publishSoon();
+    statusPublisher.publishSoon();
   }
 
   /** The store shows other grants or shards: adopts and releases shards accordingly. */
   public void onControlChange() {
     Map<ShardId, Revision> verified = session.verifiedGrants();
-    releaseLost(verified);
+    releaseLostShards(verified);
     for (Map.Entry<ShardId, GrantRecord> entry : view.grants().entrySet()) {
       ShardId shard = entry.getKey();
       GrantRecord grant = entry.getValue();
@@ -141,17 +144,17 @@
       // machines as of the grant or later.
       if (grant.owner().equals(self)
           && grant.revision().equals(verified.get(shard))
-          && !owned.containsKey(shard)) {
+          && !owners.containsKey(shard)) {
         adopt(shard, grant.revision());
       }
     }
-    owned.forEach(
+    owners.forEach(
         (shard, owner) -> Optional.ofNullable(view.shards().get(shard)).ifPresent(owner::onRecord));
     router.onControlChange();
   }
 
-  private void releaseLost(Map<ShardId, Revision> verified) {
-    owned
+  private void releaseLostShards(Map<ShardId, Revision> verified) {
+    owners
         .entrySet()
         .removeIf(
             entry -> {
@@ -166,7 +169,7 @@
 
   private void adopt(ShardId shard, Revision grant) {
     LOG.info("shard adopted, shard={} grant={}", shard, grant);
-    owned.put(
+    owners.put(
         shard, new ShardOwner(context, shard, grant, () -> session.isValidOwner(shard, grant)));
   }
 
@@ -181,18 +184,18 @@
   }
 
   private Optional<ShardOwner> find(String shard) {
-    return Optional.ofNullable(owned.get(new ShardId(shard)));
+    return Optional.ofNullable(owners.get(new ShardId(shard)));
   }
 
   /** The process was paused until now: heartbeats missed meanwhile prove nothing. */
   public void onProcessPause() {
     reachability.onProcessPause();
-    owned.values().forEach(ShardOwner::onProcessPause);
+    owners.values().forEach(ShardOwner::onProcessPause);
   }
 
   /** A job was cancelled: its tasks stop without waiting for the leader. */
   public void onCancelled(JobId job) {
-    owned.values().forEach(owner -> owner.onCancelled(job));
+    owners.values().forEach(owner -> owner.onCancelled(job));
   }
 
   /** A worker's heartbeat came: it is answered, or sent to the owner of its shard. */
--- a/src/main/java/org/mulleinshift/sharding/OwnerResponsiveness.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnerResponsiveness.java
@@ -19,12 +19,12 @@
  */
 final class OwnerResponsiveness {
   /** A worker waits so long for an answer before it leaves. */
-  private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(4);
+  private static final Duration WORKER_RESPONSE_TIMEOUT = Duration.ofSeconds(4);
 
   private final ClusterView view;
   private final OwnerHealth health;
   private final Duration heartbeatInterval;
-  private final Map<NodeId, MonotonicTime> lastDepartureAt = new HashMap<>();
+  private final Map<NodeId, MonotonicTime> lastUnansweredAt = new HashMap<>();
 
   /**
    * No worker has left any owner.
@@ -38,8 +38,8 @@
   }
 
   /** A worker is known to have left the owner without an answer, and arrived here then. */
-  void onDeparture(NodeId owner, MonotonicTime arrivedAt) {
-    lastDepartureAt.merge(owner, arrivedAt, (a, b) -> a.isAfter(b) ? a : b);
+  void onWorkerUnanswered(NodeId owner, MonotonicTime arrivedAt) {
+    lastUnansweredAt.merge(owner, arrivedAt, (a, b) -> a.isAfter(b) ? a : b);
   }
 
   /** Whether a worker that was never answered by the owner may be sent there. */
@@ -51,23 +51,24 @@
    * Whether the owner's last report is from a time at which it would have noticed whatever kept it
    * from answering the worker that arrived here then, and any that arrived later.
    */
-  boolean isShownSince(NodeId owner, MonotonicTime arrivedAt) {
+  boolean isConfirmedSince(NodeId owner, MonotonicTime arrivedAt) {
     if (!health.answersWorkers(owner)) {
       return false;
     }
-    MonotonicTime departure = lastDepartureAt.getOrDefault(owner, arrivedAt);
-    MonotonicTime latest = departure.isAfter(arrivedAt) ? departure : arrivedAt;
-    MonotonicTime conclusiveAt = latest.minus(ANSWER_TIMEOUT).plus(detectionTime(owner));
+    MonotonicTime lastUnanswered = lastUnansweredAt.getOrDefault(owner, arrivedAt);
+    MonotonicTime latest = lastUnanswered.isAfter(arrivedAt) ? lastUnanswered : arrivedAt;
+    MonotonicTime conclusiveAt = latest.minus(WORKER_RESPONSE_TIMEOUT).plus(detectionTime(owner));
     Optional<MonotonicTime> reportAt = health.lastReportAt(owner);
     return reportAt.isPresent() && reportAt.get().compareTo(conclusiveAt) >= 0;
   }
 
   /** The longest time until an owner reports that its machines' heartbeats have stopped. */
   private Duration detectionTime(NodeId owner) {
-    Duration each = LivenessMonitor.suspectedAfter(heartbeatInterval);
-    Duration all =
-        WorkerReachability.detectionTime(machinesOf(owner), heartbeatInterval).orElse(each);
-    return (all.compareTo(each) < 0 ? all : each).plus(WorkerReachability.CHECK_INTERVAL);
+    Duration oneMachine = LivenessMonitor.suspectedAfter(heartbeatInterval);
+    Duration allMachines =
+        WorkerReachability.detectionTime(machinesOf(owner), heartbeatInterval).orElse(oneMachine);
+    return (allMachines.compareTo(oneMachine) < 0 ? allMachines : oneMachine)
+        .plus(WorkerReachability.CHECK_INTERVAL);
   }
 
   private int machinesOf(NodeId owner) {
--- a/src/main/java/org/mulleinshift/sharding/PublishedAssignments.java
+++ b/src/main/java/org/mulleinshift/sharding/PublishedAssignments.java
@@ -22,31 +22,31 @@
   private long acknowledgedVersion;
 
   /** The version on which the next message builds. */
-  private long base;
+  private long baseVersion;
 
   private boolean dirty = true;
-  private MonotonicTime waitingSince;
+  private MonotonicTime awaitingAckSince;
 
   /** When the owner last acknowledged anything new, or had nothing to acknowledge. */
-  private MonotonicTime progressAt;
+  private MonotonicTime lastAckProgressAt;
 
   /** The acknowledged version at that time. */
-  private long progressVersion;
+  private long lastAckProgressVersion;
 
   /** Nothing is published yet. */
   PublishedAssignments(MonotonicTime now) {
-    this.waitingSince = now;
-    this.progressAt = now;
+    this.awaitingAckSince = now;
+    this.lastAckProgressAt = now;
   }
 
   /** A new owner is sent the full set, under a higher version. */
   void resetForNewOwner(MonotonicTime now) {
-    progressAt = now;
-    progressVersion = 0;
+    lastAckProgressAt = now;
+    lastAckProgressVersion = 0;
     acknowledgedVersion = 0;
     changes.clear();
     dirty = true;
-    base = 0;
+    baseVersion = 0;
   }
 
   /** A stored assignment that the owner is to receive, or to receive again. */
@@ -63,7 +63,7 @@
   }
 
   private void markChanged(TaskId task) {
-    changes.changed(task, sentVersion + 1);
+    changes.recordChange(task, sentVersion + 1);
     dirty = true;
   }
 
@@ -81,7 +81,7 @@
   }
 
   /** Whether something is to be sent that was not sent yet. */
-  boolean dirty() {
+  boolean hasUnsentChanges() {
     return dirty;
   }
 
@@ -90,34 +90,35 @@
    *
    * @param resendAfter how long to wait for an acknowledgement
    */
-  boolean resendDue(MonotonicTime now, Duration resendAfter) {
+  boolean startResendIfDue(MonotonicTime now, Duration resendAfter) {
     boolean due =
-        acknowledgedVersion < sentVersion && now.since(waitingSince).compareTo(resendAfter) >= 0;
+        acknowledgedVersion < sentVersion
+            && now.since(awaitingAckSince).compareTo(resendAfter) >= 0;
     if (due) {
-      base = acknowledgedVersion;
-      waitingSince = now;
+      baseVersion = acknowledgedVersion;
+      awaitingAckSince = now;
     }
     return due;
   }
 
   /** The version on which the next message builds; 0: it holds the full set. */
-  long base() {
-    return base;
+  long baseVersion() {
+    return baseVersion;
   }
 
   /** Tasks to name in a message that builds on this version. */
   List<TaskId> changesSince(long version) {
-    return version == 0 ? List.copyOf(published.keySet()) : changes.since(version);
+    return version == 0 ? List.copyOf(published.keySet()) : changes.changedSince(version);
   }
 
   /** A message is sent; returns its version. */
-  long send(MonotonicTime now) {
+  long markSent(MonotonicTime now) {
     dirty = false;
     if (acknowledgedVersion >= sentVersion) {
-      waitingSince = now;
+      awaitingAckSince = now;
     }
     sentVersion++;
-    base = sentVersion;
+    baseVersion = sentVersion;
     return sentVersion;
   }
 
@@ -125,22 +126,22 @@
   void onAck(long version, MonotonicTime now) {
     if (version > acknowledgedVersion) {
       acknowledgedVersion = version;
-      waitingSince = now;
-      changes.acknowledged(version);
+      awaitingAckSince = now;
+      changes.discardAcknowledged(version);
     }
   }
 
   /**
    * For how long the owner has acknowledged nothing new of what was sent.
    *
-   * @param owned whether the shard has an owner; without one nothing is awaited
+   * @param hasOwner whether the shard has an owner; without one nothing is awaited
    */
-  Duration unacknowledgedFor(MonotonicTime now, boolean owned) {
-    boolean complete = !dirty && acknowledgedVersion >= sentVersion;
-    if (complete || acknowledgedVersion > progressVersion || !owned) {
-      progressAt = now;
-      progressVersion = acknowledgedVersion;
+  Duration unacknowledgedFor(MonotonicTime now, boolean hasOwner) {
+    boolean fullyAcknowledged = !dirty && acknowledgedVersion >= sentVersion;
+    if (fullyAcknowledged || acknowledgedVersion > lastAckProgressVersion || !hasOwner) {
+      lastAckProgressAt = now;
+      lastAckProgressVersion = acknowledgedVersion;
     }
-    return now.since(progressAt);
+    return now.since(lastAckProgressAt);
   }
 }
--- a/src/main/java/org/mulleinshift/sharding/ShardGrants.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardGrants.java
@@ -32,7 +32,7 @@
   private final ClusterView view;
   private final PeerStatus peers;
   private final ShardTable shards;
-  private final Duration silenceLimit;
+  private final Duration peerTimeout;
   private final ShardAssigner assigner;
   private final OwnerEligibility eligibility;
 
@@ -45,7 +45,7 @@
    * @param view control keys as last shown
    * @param peers health of all controllers
    * @param assigner decides which shard goes where
-   * @param silenceLimit a controller that was not heard for longer owns nothing
+   * @param peerTimeout a controller that was not heard for longer owns nothing
    */
   public ShardGrants(
       EventLoop loop,
@@ -54,13 +54,13 @@
       ClusterView view,
       PeerStatus peers,
       ShardAssigner assigner,
-      Duration silenceLimit) {
+      Duration peerTimeout) {
     this.loop = loop;
     this.term = term;
     this.shards = shards;
     this.view = view;
     this.peers = peers;
-    this.silenceLimit = silenceLimit;
+    this.peerTimeout = peerTimeout;
     this.eligibility = new OwnerEligibility(peers::workerReachability);
     this.assigner = assigner;
   }
@@ -74,11 +74,11 @@
     List<NodeId> owners = eligibleOwners();
     List<NodeId> candidates = candidates(owners);
     // Owned by somebody that this build can't read: not its to give to others.
-    List<ShardView> known = new ArrayList<>(shards.all());
-    known.removeIf(shard -> view.unreadableGrants().contains(shard.id()));
-    Duration unacknowledgedLimit = silenceLimit.multipliedBy(2);
+    List<ShardView> assignable = new ArrayList<>(shards.all());
+    assignable.removeIf(shard -> view.unreadableGrants().contains(shard.id()));
+    Duration unacknowledgedLimit = peerTimeout.multipliedBy(2);
     for (ShardAssigner.Move move :
-        assigner.moves(known, owners, candidates, unacknowledgedLimit, loop.now())) {
+        assigner.moves(assignable, owners, candidates, unacknowledgedLimit, loop.now())) {
       grant(shards.find(move.shard().id()).orElseThrow(), move.owner());
     }
   }
@@ -89,7 +89,7 @@
    */
   private List<NodeId> eligibleOwners() {
     List<NodeId> live = new ArrayList<>(view.nodes().keySet());
-    live.removeIf(node -> peers.timeSinceLastHeard(node).compareTo(silenceLimit) > 0);
+    live.removeIf(node -> peers.timeSinceLastHeard(node).compareTo(peerTimeout) > 0);
     Set<NodeId> ineligible = eligibility.ineligible(suspicionsByOwner(), live, loop.now());
     if (!ineligible.containsAll(live)) {
       live.removeAll(ineligible);
@@ -120,7 +120,7 @@
   private Map<NodeId, Integer> suspicionsByOwner() {
     Map<NodeId, Integer> suspicions = new HashMap<>();
     for (ShardView shard : shards.all()) {
-      int count = shard.suspicions(SUSPICION_WINDOW, loop.now());
+      int count = shard.countSuspicions(SUSPICION_WINDOW, loop.now());
       shard.owner().ifPresent(node -> suspicions.merge(node, count, Integer::sum));
     }
     return suspicions;
--- a/src/main/java/org/mulleinshift/sharding/ShardStatusReporter.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardStatusReporter.java
@@ -61,12 +61,12 @@
 
   /** The next status holds the task. */
   void markChanged(TaskId task) {
-    taskChanges.changed(task, sequence + 1);
+    taskChanges.recordChange(task, sequence + 1);
   }
 
   /** The next status holds the machine. */
   void markChanged(MachineId machine) {
-    machineChanges.changed(machine, sequence + 1);
+    machineChanges.recordChange(machine, sequence + 1);
   }
 
   /** A new leader knows nothing of this shard yet. */
@@ -90,8 +90,8 @@
       resend = true;
       onStatusChange.run();
     } else {
-      taskChanges.acknowledged(acknowledgedSequence);
-      machineChanges.acknowledged(acknowledgedSequence);
+      taskChanges.discardAcknowledged(acknowledgedSequence);
+      machineChanges.discardAcknowledged(acknowledgedSequence);
     }
   }
 
@@ -99,8 +99,8 @@
   boolean hasUnsentChanges() {
     return resend
         || seenVersion != sentAssignmentVersion
-        || taskChanges.anySince(sequence)
-        || machineChanges.anySince(sequence);
+        || taskChanges.hasChangesSince(sequence)
+        || machineChanges.hasChangesSince(sequence);
   }
 
   /** What has changed since the last status. */
@@ -134,7 +134,8 @@
   }
 
   private List<MachineStatus> machineStatusesSince(long base) {
-    Collection<MachineId> changed = base == 0 ? machines.keySet() : machineChanges.since(base);
+    Collection<MachineId> changed =
+        base == 0 ? machines.keySet() : machineChanges.changedSince(base);
     List<MachineStatus> statuses = new ArrayList<>();
     for (MachineId machine : changed) {
       Optional.ofNullable(machines.get(machine)).map(this::statusOf).ifPresent(statuses::add);
@@ -152,7 +153,7 @@
   }
 
   private List<TaskStatus> taskStatusesSince(long base) {
-    Collection<TaskId> changed = base == 0 ? tasks.keySet() : taskChanges.since(base);
+    Collection<TaskId> changed = base == 0 ? tasks.keySet() : taskChanges.changedSince(base);
     List<TaskStatus> statuses = new ArrayList<>();
     for (TaskId task : changed) {
       Optional.ofNullable(tasks.get(task)).map(this::statusOf).ifPresent(statuses::add);
--- a/src/main/java/org/mulleinshift/sharding/ShardTable.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardTable.java
@@ -55,7 +55,7 @@
   }
 
   /** Whether the machine belongs to any shard. */
-  public boolean contains(MachineId machine) {
+  public boolean containsMachine(MachineId machine) {
     return shards.values().stream().anyMatch(shard -> shard.machines().containsKey(machine));
   }
 
--- a/src/main/java/org/mulleinshift/sharding/ShardView.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardView.java
@@ -54,7 +54,7 @@
   private Optional<NodeId> pendingOwner = Optional.empty();
   private Optional<NodeId> lastOwner = Optional.empty();
   private boolean statusReceived;
-  private MonotonicTime statusAt;
+  private MonotonicTime lastStatusAt;
   private long lastSequence;
   private long acknowledgedSequence;
 
@@ -62,7 +62,7 @@
   public ShardView(ShardId id, ZoneId zone, MonotonicTime now) {
     this.id = id;
     this.zone = zone;
-    this.statusAt = now;
+    this.lastStatusAt = now;
     this.grantChangedAt = now;
     this.assignments = new PublishedAssignments(now);
   }
@@ -88,7 +88,7 @@
   }
 
   /** Fields of its record that this build doesn't know. */
-  public void unknownFields(Optional<UnknownFields> fields) {
+  public void setUnknownFields(Optional<UnknownFields> fields) {
     unknownFields = fields;
   }
 
@@ -168,17 +168,17 @@
   public List<MachineId> onStatus(ShardStatus status, MonotonicTime now) {
     statusReceived = true;
     lastSequence = status.getSequence();
-    statusAt = now;
+    lastStatusAt = now;
     if (status.getBase() == 0) {
       statuses.clear();
     }
-    List<MachineId> named = new ArrayList<>();
+    List<MachineId> reported = new ArrayList<>();
     for (MachineStatus machine : status.getMachines()) {
-      MachineId key = new MachineId(machine.getMachine());
-      statuses.put(key, machine);
-      named.add(key);
+      MachineId machineId = new MachineId(machine.getMachine());
+      statuses.put(machineId, machine);
+      reported.add(machineId);
     }
-    return named;
+    return reported;
   }
 
   /** Whether the current owner has sent a status. */
@@ -187,8 +187,8 @@
   }
 
   /** When the last status came. */
-  public MonotonicTime statusAt() {
-    return statusAt;
+  public MonotonicTime lastStatusAt() {
+    return lastStatusAt;
   }
 
   /** The sequence number of the owner's last status. */
@@ -197,7 +197,7 @@
   }
 
   /** Whether the owner should hear up to where it is known; asked once for each status. */
-  public boolean ackDue() {
+  public boolean takeAckDue() {
     boolean due = acknowledgedSequence != lastSequence;
     acknowledgedSequence = lastSequence;
     return due;
@@ -249,8 +249,8 @@
    * How many machines reported elsewhere within that time, of those that their owner does not
    * report as alive: copies of heartbeats come late, also of machines that are well.
    */
-  int suspicions(Duration within, MonotonicTime now) {
-    suspicions.values().removeIf(suspicion -> now.since(suspicion.at()).compareTo(within) > 0);
+  int countSuspicions(Duration window, MonotonicTime now) {
+    suspicions.values().removeIf(suspicion -> now.since(suspicion.at()).compareTo(window) > 0);
     return (int) suspicions.keySet().stream().filter(machine -> !isAlive(machine)).count();
   }
 
--- a/src/main/java/org/mulleinshift/sharding/StatusPublisher.java
+++ b/src/main/java/org/mulleinshift/sharding/StatusPublisher.java
@@ -10,7 +10,7 @@
   /** Changes within this time share a message. */
   private static final Duration CHANGE_DELAY = Duration.ofMillis(80);
 
-  private static final Duration PERIOD = Duration.ofSeconds(1);
+  private static final Duration PUBLISH_INTERVAL = Duration.ofSeconds(1);
 
   private final EventLoop loop;
   private final Collection<ShardOwner> owners;
@@ -30,11 +30,11 @@
 
   /** Starts the periodic statuses. */
   void start() {
-    loop.after(PERIOD, this::publishPeriodically);
+    loop.after(PUBLISH_INTERVAL, this::publishPeriodically);
   }
 
   private void publishPeriodically() {
-    loop.after(PERIOD, this::publishPeriodically);
+    loop.after(PUBLISH_INTERVAL, this::publishPeriodically);
     owners.forEach(owner -> toLeader.accept(owner.statusReporter().periodicStatus()));
   }
 
--- a/src/main/java/org/mulleinshift/sharding/WorkerProber.java
+++ b/src/main/java/org/mulleinshift/sharding/WorkerProber.java
@@ -23,7 +23,7 @@
   private static final int MAX_PROBES = 64;
 
   /** The answer itself, and answers to direct commands that meet the probe. */
-  private static final int MAX_MESSAGES_SINCE = 4;
+  private static final int MAX_SEQUENCE_LAG = 4;
 
   private final AsyncHttpClient workers;
   private final Set<MachineId> inFlight = new HashSet<>();
@@ -57,9 +57,10 @@
   /** A copy that arrives late has been followed by other messages of its worker. */
   private static boolean isRecent(WorkerHeartbeat heartbeat, String status) {
     try {
-      HeartbeatVersion now = WorkerCodec.parseHeartbeat(status).version();
-      HeartbeatVersion then = heartbeat.version();
-      return now.epoch() == then.epoch() && now.sequence() - then.sequence() <= MAX_MESSAGES_SINCE;
+      HeartbeatVersion current = WorkerCodec.parseHeartbeat(status).version();
+      HeartbeatVersion received = heartbeat.version();
+      return current.epoch() == received.epoch()
+          && current.sequence() - received.sequence() <= MAX_SEQUENCE_LAG;
     } catch (MalformedMessageException e) {
       return false;
     }
--- a/src/test/java/org/mulleinshift/sharding/HeartbeatRouterTest.java
+++ b/src/test/java/org/mulleinshift/sharding/HeartbeatRouterTest.java
@@ -45,8 +45,8 @@
   private static final ShardId SHARD = new ShardId("a-0");
   private static final Revision GRANT = new Revision(7);
   private static final Revision NEXT_GRANT = new Revision(9);
-  private static final long KNOWN_TOKEN = MachineToken.first(GRANT).value();
-  private static final long EARLIER_TOKEN = MachineToken.first(new Revision(3)).value();
+  private static final long OWNER_TOKEN = MachineToken.first(GRANT).value();
+  private static final long EARLIER_GRANT_TOKEN = MachineToken.first(new Revision(3)).value();
   private static final String MACHINE = "i-000001";
   private static final String NO_REDIRECT = "421 {}";
   private static final String TO_OWNER = "421 {\"foreman\":\"n-2\"}";
@@ -54,10 +54,10 @@
 
   private final VirtualEventLoop loop = new VirtualEventLoop();
   private final ClusterView view = new ClusterView();
-  private final Health health = new Health();
+  private final FakeOwnerHealth health = new FakeOwnerHealth();
   private final List<Object> toLeader = new ArrayList<>();
   private final List<String> responses = new ArrayList<>();
-  private int sequenceOnProbe = 2;
+  private int probedSequence = 2;
   private final HeartbeatRouter router =
       new HeartbeatRouter(
           SELF,
@@ -68,7 +68,7 @@
           toLeader::add);
 
   /** What the other controllers report of themselves. */
-  private final class Health implements OwnerHealth {
+  private final class FakeOwnerHealth implements OwnerHealth {
     private final Map<NodeId, MonotonicTime> reports = new HashMap<>();
     private final List<NodeId> unreachable = new ArrayList<>();
 
@@ -121,11 +121,11 @@
 
   private HttpResponse statusOfWorker() {
     return new HttpResponse(
-        HttpStatus.OK, ShardOwnerFixture.heartbeat(MACHINE, sequenceOnProbe, KNOWN_TOKEN, ""));
+        HttpStatus.OK, ShardOwnerFixture.heartbeat(MACHINE, probedSequence, OWNER_TOKEN, ""));
   }
 
   /** Records status and body. */
-  private final class Recorder implements Responder {
+  private final class RecordingResponder implements Responder {
     @Override
     public void respond(int status, String body) {
       responses.add(status + " " + body);
@@ -137,26 +137,27 @@
     }
   }
 
-  private void heartbeat(long token) throws MalformedMessageException {
+  private void routeHeartbeat(long token) throws MalformedMessageException {
     router.route(
         WorkerCodec.parseHeartbeat(ShardOwnerFixture.heartbeat(MACHINE, 1, token, "")),
-        new Recorder());
+        new RecordingResponder());
   }
 
-  private long suspicions() {
+  private long suspicionsAfterBatchingDelay() {
     loop.runFor(0.5);
     return toLeader.stream().filter(OwnerSuspicion.class::isInstance).count();
   }
 
   @Test
-  void aWorkerThatTheOwnerNeverAnsweredIsSentThereAtOnce() throws MalformedMessageException {
-    heartbeat(EARLIER_TOKEN);
+  void redirectsWorkerNeverAnsweredByOwnerAtOnce() throws MalformedMessageException {
+    routeHeartbeat(EARLIER_GRANT_TOKEN);
     assertEquals(List.of(TO_OWNER), responses);
   }
 
   @Test
-  void aWorkerThatLeftIsSentBackOnceTheOwnerWouldHaveNoticed() throws MalformedMessageException {
-    heartbeat(KNOWN_TOKEN);
+  void redirectsUnansweredWorkerOnceOwnerReportsAfterDetectionTime()
+      throws MalformedMessageException {
+    routeHeartbeat(OWNER_TOKEN);
     loop.runFor(1.2);
     health.report(OWNER);
     loop.runFor(0.15);
@@ -167,10 +168,10 @@
   }
 
   @Test
-  void anotherWorkerThatLeftPutsTheOwnerInDoubtAgain() throws MalformedMessageException {
-    heartbeat(KNOWN_TOKEN);
+  void laterUnansweredWorkerExtendsHoldOfEarlierOne() throws MalformedMessageException {
+    routeHeartbeat(OWNER_TOKEN);
     loop.runFor(1);
-    heartbeat(KNOWN_TOKEN);
+    routeHeartbeat(OWNER_TOKEN);
     loop.runFor(0.3);
     health.report(OWNER);
     loop.runFor(0.2);
@@ -178,7 +179,8 @@
   }
 
   @Test
-  void anOwnerOfManyMachinesWouldHaveNoticedBefore() throws MalformedMessageException {
+  void redirectsAtOnceIfOwnerOfManyMachinesWouldHaveDetectedFailure()
+      throws MalformedMessageException {
     Map<MachineId, MachineRecord> machines = new HashMap<>();
     for (int i = 0; i < 60; i++) {
       machines.put(
@@ -193,15 +195,15 @@
                 StoreKeys.shard(SHARD),
                 ShardRecord.write(new ZoneId("a"), machines, Optional.empty()),
                 new Revision(3))));
-    heartbeat(KNOWN_TOKEN);
+    routeHeartbeat(OWNER_TOKEN);
     assertEquals(List.of(TO_OWNER), responses);
-    assertEquals(0, suspicions());
+    assertEquals(0, suspicionsAfterBatchingDelay());
   }
 
   @Test
-  void theNextOwnerIsNamedAsSoonAsItIsGranted() throws MalformedMessageException {
+  void redirectsHeldHeartbeatWhenShardIsGrantedElsewhere() throws MalformedMessageException {
     health.unreachable.add(OWNER);
-    heartbeat(KNOWN_TOKEN);
+    routeHeartbeat(OWNER_TOKEN);
     loop.runFor(0.5);
     assertEquals(List.of(), responses);
     grant(OTHER, NEXT_GRANT);
@@ -210,9 +212,9 @@
   }
 
   @Test
-  void aShardGrantedHereIsWaitedForUntilItIsAdopted() throws MalformedMessageException {
+  void holdsHeartbeatWhileGrantedShardIsNotAdopted() throws MalformedMessageException {
     grant(SELF, NEXT_GRANT);
-    heartbeat(KNOWN_TOKEN);
+    routeHeartbeat(OWNER_TOKEN);
     loop.runFor(2.4);
     assertEquals(List.of(), responses);
     loop.runFor(0.2);
@@ -220,37 +222,37 @@
   }
 
   @Test
-  void theWorkerIsSentOnBeforeItGivesUpWaiting() throws MalformedMessageException {
+  void respondsBeforeWorkerTimesOut() throws MalformedMessageException {
     health.unreachable.add(OWNER);
-    heartbeat(KNOWN_TOKEN);
+    routeHeartbeat(OWNER_TOKEN);
     loop.runFor(2.6);
     assertEquals(List.of(NO_REDIRECT), responses);
   }
 
   @Test
-  void theWorkerIsSentPastTheOwnerWhereThatWouldBeNext() throws MalformedMessageException {
+  void skipsUnresponsiveOwnerThatWorkerWouldTryNext() throws MalformedMessageException {
     grant(OTHER, NEXT_GRANT);
     health.unreachable.add(OTHER);
-    heartbeat(KNOWN_TOKEN);
+    routeHeartbeat(OWNER_TOKEN);
     loop.runFor(2.6);
     assertEquals(List.of(TO_OWNER), responses);
   }
 
   @Test
-  void onlyANewHeartbeatIsASuspicion() throws MalformedMessageException {
-    heartbeat(KNOWN_TOKEN);
-    assertEquals(1, suspicions());
+  void recentHeartbeatRaisesSuspicion() throws MalformedMessageException {
+    routeHeartbeat(OWNER_TOKEN);
+    assertEquals(1, suspicionsAfterBatchingDelay());
   }
 
   @Test
-  void aLateCopyIsNoSuspicionAndNoDeparture() throws MalformedMessageException {
-    sequenceOnProbe = 20;
-    heartbeat(KNOWN_TOKEN);
-    assertEquals(0, suspicions());
+  void delayedDuplicateRaisesNoSuspicion() throws MalformedMessageException {
+    probedSequence = 20;
+    routeHeartbeat(OWNER_TOKEN);
+    assertEquals(0, suspicionsAfterBatchingDelay());
   }
 
   @Test
-  void howManyAreHeldIsBounded() throws MalformedMessageException {
+  void boundsNumberOfHeldHeartbeats() throws MalformedMessageException {
     health.unreachable.add(OWNER);
     IntConsumer sendMany =
         count -> {
@@ -268,7 +270,7 @@
 
   private void sendUnchecked() {
     try {
-      heartbeat(KNOWN_TOKEN);
+      routeHeartbeat(OWNER_TOKEN);
     } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
