--- a/src/main/java/org/mulleinshift/sharding/AssignmentSender.java
+++ b/src/main/java/org/mulleinshift/sharding/AssignmentSender.java
@@ -8,8 +8,8 @@
 import org.mulleinshift.transport.EventLoop;
 
 /**
- * Sends each shard's owner what has changed in its assignments; several changes of one step share a
- * message, and one that stays unacknowledged is sent again.
+ * Sends shard owners the changes of their assignments. Changes made in one step of the event loop
+ * share a message; changes that stay unacknowledged are sent again.
  */
 public final class AssignmentSender {
   private static final Duration RESEND_AFTER = Duration.ofMillis(700);
@@ -22,7 +22,7 @@
   private boolean scheduled;
 
   /**
-   * A sender for one term.
+   * Creates a sender for one term.
    *
    * @param send sends a message to a controller
    */
@@ -39,7 +39,7 @@
     this.send = send;
   }
 
-  /** Sends at the end of the current step. */
+  /** Sends pending changes at the end of the current step of the event loop. */
   public void schedule() {
     if (scheduled) {
       return;
@@ -52,7 +52,10 @@
         });
   }
 
-  /** Sends what is due; nothing while the term may have ended. */
+  /**
+   * Sends all unsent changes and all due resends; does nothing if the term is not active or its
+   * lease is not valid.
+   */
   public void sendNow() {
     if (!term.isActive() || !term.hasValidLease()) {
       return;
--- a/src/main/java/org/mulleinshift/sharding/AssignmentWriter.java
+++ b/src/main/java/org/mulleinshift/sharding/AssignmentWriter.java
@@ -21,7 +21,7 @@
 import org.mulleinshift.protocol.peer.ShardAssignment;
 import org.mulleinshift.transport.EventLoop;
 
-/** Writes the assignment messages to the owners of shards. */
+/** Builds the messages that tell shard owners their assignments. */
 public final class AssignmentWriter {
   private final EventLoop loop;
   private final Revision term;
@@ -31,14 +31,14 @@
   private final ToIntFunction<JobId> rank;
 
   /**
-   * A writer for one term.
+   * Creates a writer for one term.
    *
-   * @param loop for its clock
-   * @param term revision of the leader's key
-   * @param jobs jobs that may run
-   * @param unreadable jobs that this build can't read
-   * @param cordoned whether a machine must take no new task
-   * @param rank a job's place in the order of urgency
+   * @param loop provides the current time
+   * @param term the revision of the leader key
+   * @param jobs the jobs that may run
+   * @param unreadable the jobs that this build can't read
+   * @param cordoned whether a machine must not take new tasks
+   * @param rank the scheduling rank of a job; tasks of lower ranks are placed first
    */
   public AssignmentWriter(
       EventLoop loop,
@@ -56,8 +56,10 @@
   }
 
   /**
-   * Writes what has changed since the version that the shard's next message builds on, and marks
-   * the changes as sent. The shard must have a grant.
+   * Returns the message with all changes since the base version of the shard's next message, and
+   * marks them as sent.
+   *
+   * @throws java.util.NoSuchElementException if the shard has no grant
    */
   public ShardAssignment writeChanges(ShardView shard) {
     Revision grant = shard.grant().orElseThrow().revision();
@@ -78,7 +80,8 @@
     List<AssignedJob> assigned = new ArrayList<>();
     byJob.forEach(
         (id, tasks) -> assigned.add(assignedJob(jobs.find(id).orElseThrow().spec(), tasks)));
-    // A job without tasks: what runs of it is left alone. All of them, with each message.
+    // An entry without tasks tells the owner to leave running tasks of the job alone. The owner
+    // replaces its set of such jobs with each message, so every message lists all of them.
     unreadable.jobs().forEach(id -> assigned.add(unreadableJob(id)));
     List<String> cordonedMachines =
         shard.machines().keySet().stream().filter(cordoned).map(MachineId::value).toList();
@@ -100,8 +103,9 @@
   }
 
   /**
-   * Also a task whose end is not stored yet: an owner that is new to the shard must not start what
-   * an earlier one has reported as ended, since it may be started elsewhere once that is stored.
+   * Whether the owner must not start the task. This includes a task whose end is not stored yet: a
+   * new owner of the shard must not start what an earlier owner reported as ended, since the task
+   * may be started elsewhere once its end is stored.
    */
   private static boolean mustNotStart(TaskAssignment assignment) {
     return assignment.stopRequested() || assignment.state() == TaskAssignment.State.ENDED;
--- a/src/main/java/org/mulleinshift/sharding/ChangeLog.java
+++ b/src/main/java/org/mulleinshift/sharding/ChangeLog.java
@@ -7,23 +7,27 @@
 import java.util.Map;
 
 /**
- * Which entries of a set have changed since a version that the other side acknowledged. What was
- * acknowledged is dropped, so the log is as long as what is in flight, not as the set.
+ * Records which entries of a versioned set have changed since the version that the receiver last
+ * acknowledged. Acknowledged changes are discarded, so the size of the log depends on the number of
+ * unacknowledged changes and not on the size of the set.
  *
- * @param <K> names an entry
+ * @param <K> the key of an entry
  */
 final class ChangeLog<K> {
   private final Map<K, Long> versionByKey = new LinkedHashMap<>();
   private long newestVersion;
 
-  /** The entry changes with this version. Versions must not fall: entries stay in their order. */
+  /**
+   * Records that the entry changes with this version. Versions must not decrease, which keeps the
+   * log ordered by version.
+   */
   void recordChange(K key, long version) {
     versionByKey.remove(key);
     versionByKey.put(key, version);
     newestVersion = version;
   }
 
-  /** The entries that changed after this version, in the order of their last change. */
+  /** Returns the entries that changed after this version, in the order of their last change. */
   List<K> changedSince(long version) {
     List<K> keys = new ArrayList<>();
     versionByKey.forEach(
@@ -35,12 +39,12 @@
     return keys;
   }
 
-  /** Whether any entry changed after this version. */
+  /** Returns whether any entry changed after this version. */
   boolean hasChangesSince(long version) {
     return newestVersion > version;
   }
 
-  /** The other side has everything up to this version. */
+  /** Discards changes up to this version, which the receiver has acknowledged. */
   void discardAcknowledged(long version) {
     Iterator<Long> versions = versionByKey.values().iterator();
     while (versions.hasNext() && versions.next() <= version) {
@@ -48,7 +52,7 @@
     }
   }
 
-  /** Forgets all changes. */
+  /** Discards all changes. */
   void clear() {
     versionByKey.clear();
     newestVersion = 0;
--- a/src/main/java/org/mulleinshift/sharding/HeartbeatRouter.java
+++ b/src/main/java/org/mulleinshift/sharding/HeartbeatRouter.java
@@ -22,16 +22,19 @@
 import org.mulleinshift.transport.Responder;
 
 /**
- * Has heartbeats answered by the owner of the machine's shard, here or on another controller. A
- * worker that has left an owner unanswered is not sent back until that owner has been shown to
- * answer workers: its heartbeat is held until then, or until the shard has another owner.
+ * Routes heartbeats to the owner of the machine's shard: this controller responds if it is the
+ * owner, and otherwise redirects the worker to the owner. A worker that arrives because its owner
+ * did not respond to it is not redirected back until the owner has been shown to respond to
+ * workers. Its heartbeat is held until then, until the shard has another owner, or until a time
+ * limit.
  */
 final class HeartbeatRouter {
   private static final String NO_REDIRECT = "{}";
 
-  /** A second and a half less than a worker waits for a response. */
+  /** 1.5 s less than a worker waits for a response. */
   private static final Duration HOLD_LIMIT = Duration.ofMillis(2500);
 
+  /** Applies if no other controller could respond to the worker either. */
   private static final Duration HOLD_LIMIT_WITHOUT_ALTERNATIVE = Duration.ofMillis(3500);
 
   private final EventLoop loop;
@@ -46,9 +49,9 @@
   private final HeldHeartbeats heldHeartbeats;
 
   /**
-   * A router of one controller.
+   * Creates the router of a controller.
    *
-   * @param ownedShards the shards that it owns, as of now at any time
+   * @param ownedShards live view of the shards that this controller owns
    */
   HeartbeatRouter(
       NodeId self,
@@ -72,7 +75,10 @@
             loop, this::tryRespond, this::maxHoldTime, this::redirectToNextController);
   }
 
-  /** Answers the heartbeat, or names the controller that should, now or as soon as it is known. */
+  /**
+   * Responds to the heartbeat or redirects its worker to the shard's owner, now or once it is known
+   * which controller can respond.
+   */
   void route(WorkerHeartbeat heartbeat, Responder responder) {
     PendingHeartbeat pending = new PendingHeartbeat(heartbeat, responder, loop.now());
     if (!tryRespond(pending)) {
@@ -81,12 +87,12 @@
     }
   }
 
-  /** Shards or grants have changed. */
+  /** Routes held heartbeats again, since shards or grants have changed. */
   void onControlChange() {
     heldHeartbeats.retryAll();
   }
 
-  /** Responds if it is known who should answer; returns whether it is. */
+  /** Responds if it is known which controller should; returns whether it responded. */
   private boolean tryRespond(PendingHeartbeat pending) {
     WorkerHeartbeat heartbeat = pending.heartbeat();
     Optional<ShardId> shard = view.shardOf(heartbeat.machine());
@@ -133,10 +139,10 @@
             heartbeat.spot()));
   }
 
-  /** Whether the worker is to report to the shard's owner, another controller than this one. */
+  /** Whether the worker may be redirected to the shard's owner. */
   private boolean mayRedirect(GrantRecord grant, PendingHeartbeat pending) {
     if (grant.owner().equals(self)) {
-      // Granted to this controller, which has not adopted the shard yet.
+      // Granted to this controller, but not adopted yet.
       return false;
     }
     return wasAnsweredByOwner(grant, pending.heartbeat())
@@ -144,12 +150,18 @@
         : responsiveness.answersWorkers(grant.owner());
   }
 
-  /** A worker that knows a token of the grant was answered by its owner, and now reports here. */
+  /**
+   * Whether the worker has received a fencing token of this grant. Then the owner has responded to
+   * it before, and it arrives here because the owner no longer does.
+   */
   private static boolean wasAnsweredByOwner(GrantRecord grant, WorkerHeartbeat heartbeat) {
     return MachineToken.belongsTo(heartbeat.highestToken(), grant.revision());
   }
 
-  /** The worker should be at an owner that seems not to answer it, if the heartbeat is no copy. */
+  /**
+   * Suspects the owner of not responding to the worker, if a probe shows that the heartbeat is not
+   * a delayed duplicate.
+   */
   private void probeAndSuspectOwner(WorkerHeartbeat heartbeat) {
     Optional<ShardId> shard = view.shardOf(heartbeat.machine());
     Optional<GrantRecord> grant = shard.map(view.grants()::get);
@@ -165,7 +177,7 @@
     suspicions.report(shard, heartbeat.machine());
   }
 
-  /** The worker tries another controller, since nobody is known who could answer it. */
+  /** Sends the worker to another controller, since none is known to respond to it. */
   private void redirectToNextController(PendingHeartbeat pending) {
     String body =
         nextController(pending.heartbeat())
@@ -176,9 +188,9 @@
   }
 
   /**
-   * The next controller that could know who answers the worker. A worker that is sent nowhere tries
-   * the next one by itself; where that one does not answer workers, the one after it is named: each
-   * attempt in vain costs a third of a worker's lease.
+   * The next controller that could route the worker's heartbeat. A worker that receives no redirect
+   * tries the next controller by itself. If that one does not respond to workers, a later one is
+   * named, since each unanswered attempt costs the worker a third of its lease.
    */
   private Optional<NodeId> nextController(WorkerHeartbeat heartbeat) {
     Optional<NodeId> owner =
@@ -188,7 +200,7 @@
         .findFirst();
   }
 
-  /** The other controllers in the order in which a worker tries them after this one. */
+  /** The other controllers, in the order in which a worker tries them after this one. */
   private List<NodeId> otherControllers() {
     List<NodeId> all = new ArrayList<>(peers.nodes());
     all.add(self);
@@ -197,7 +209,7 @@
     return all.subList(1, all.size());
   }
 
-  /** Where no other controller could answer, the worker may as well wait here. */
+  /** Longer if no other controller could respond: then the worker loses nothing by waiting here. */
   private Duration maxHoldTime(PendingHeartbeat pending) {
     return nextController(pending.heartbeat()).isPresent()
         ? HOLD_LIMIT
--- a/src/main/java/org/mulleinshift/sharding/HeldHeartbeats.java
+++ b/src/main/java/org/mulleinshift/sharding/HeldHeartbeats.java
@@ -13,21 +13,22 @@
 import org.mulleinshift.transport.Responder;
 
 /**
- * Heartbeats whose response waits until it is known who should answer them. A worker that is told
- * so goes there at once; one that is sent on without an answer loses a second, and several if it
- * meets a controller that can't answer it.
+ * Heartbeats whose responses are held back until it is known which controller should respond. A
+ * worker that is redirected retries there at once. One that is turned away without a redirect waits
+ * a second before it tries the next controller, and loses several seconds if that one can't respond
+ * to it either.
  */
 final class HeldHeartbeats {
   private static final Duration RETRY_INTERVAL = Duration.ofMillis(100);
   private static final int MAX_HEARTBEATS = 512;
 
-  /** A heartbeat may report thousands of tasks. */
+  /** Limit for all held heartbeats together: a single one may report thousands of tasks. */
   private static final int MAX_TASKS = 16_384;
 
   /**
-   * A heartbeat and the way to respond to it.
+   * A heartbeat that has not been responded to.
    *
-   * @param arrivedAt when it arrived here
+   * @param arrivedAt when it arrived at this controller
    */
   record PendingHeartbeat(
       WorkerHeartbeat heartbeat, Responder responder, MonotonicTime arrivedAt) {}
@@ -40,11 +41,11 @@
   private int heldTasks;
 
   /**
-   * Nothing is held.
+   * Creates an empty set.
    *
-   * @param tryRespond responds if it is known by now who should answer; returns whether it is
-   * @param maxHoldTime for how long it may be held at the most
-   * @param respondUnresolved responds although it is not known
+   * @param tryRespond responds if it is known which controller should; returns whether it responded
+   * @param maxHoldTime the longest time for which a heartbeat may be held
+   * @param respondUnresolved responds although it is not known which controller should
    */
   HeldHeartbeats(
       EventLoop loop,
@@ -57,7 +58,10 @@
     this.respondUnresolved = respondUnresolved;
   }
 
-  /** Holds the heartbeat until it can be settled, or for a limited time. */
+  /**
+   * Holds the heartbeat until {@code tryRespond} succeeds or its maximum hold time has passed. If
+   * too many heartbeats or tasks are held already, responds at once.
+   */
   void hold(PendingHeartbeat pending) {
     int taskCount = pending.heartbeat().tasks().size();
     if (held.size() >= MAX_HEARTBEATS || heldTasks + taskCount > MAX_TASKS) {
@@ -71,7 +75,7 @@
     heldTasks += taskCount;
   }
 
-  /** Something has changed on which it depends who should answer. */
+  /** Tries to respond to each held heartbeat, and ends the wait of those held for too long. */
   void retryAll() {
     Iterator<PendingHeartbeat> iterator = held.iterator();
     while (iterator.hasNext()) {
--- a/src/main/java/org/mulleinshift/sharding/OwnedShards.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedShards.java
@@ -27,18 +27,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The shards that this controller owns: adopts and releases them as they are granted. */
+/** The shards that this controller owns. Adopts and releases them as grants change. */
 public final class OwnedShards {
   private static final Logger LOG = LoggerFactory.getLogger(OwnedShards.class);
   private static final Duration TICK_INTERVAL = Duration.ofMillis(250);
   private static final int MALFORMED_PER_LOG_LINE = 100;
 
   /**
-   * What the owner of shards uses of the other controllers.
+   * The other controllers, as far as the owner of shards depends on them.
    *
-   * @param nodes the other controllers
-   * @param health whether they answer their workers, as far as is known
-   * @param onReachabilityChange run when this controller's reachability by workers has changed
+   * @param nodes the ids of the other controllers
+   * @param health whether they respond to their workers, as far as is known
+   * @param onReachabilityChange run when the reachability of this controller by its workers changes
    */
   public record Peers(List<NodeId> nodes, OwnerHealth health, Runnable onReachabilityChange) {}
 
@@ -54,14 +54,14 @@
   private long malformedHeartbeats;
 
   /**
-   * A controller that owns no shard yet.
+   * Creates an empty set: no shard is owned yet.
    *
    * @param self this controller
-   * @param view control keys as last shown
-   * @param session the lease under which it owns shards
-   * @param context for each owned shard
+   * @param view leader, sessions, grants and shards as last seen in the store
+   * @param session the session whose lease the grants are bound to
+   * @param context dependencies of each owned shard
    * @param peers the other controllers
-   * @param toLeader sends a peer message to the leader
+   * @param toLeader sends a message to the leader
    */
   public OwnedShards(
       NodeId self,
@@ -88,7 +88,7 @@
                 peers.onReachabilityChange()));
   }
 
-  /** Starts the timers. */
+  /** Starts the periodic checks and status reports. */
   public void start() {
     reachability.start();
     loop.after(TICK_INTERVAL, this::tick);
@@ -104,8 +104,8 @@
   }
 
   /**
-   * Shards that this node may no longer act for are not counted: their machines may have gone to
-   * others.
+   * Counts the machines that should send heartbeats here. Leaves out shards that this node may no
+   * longer act for: their machines may have moved to other controllers.
    */
   private WorkerReachability.Count countMachines() {
     int expected = 0;
@@ -123,25 +123,25 @@
     return owners.values().stream().flatMap(owner -> owner.addresses().stream()).toList();
   }
 
-  /** Whether this controller is reached by its workers. */
+  /** Returns how well this controller is reached by its workers. */
   public WorkerReachability.State reachability() {
     return reachability.state();
   }
 
-  /** Something that the leader should know has changed; several changes share a status. */
+  /** Reports changed shards to the leader after a short delay, so that changes share a status. */
   public void reportStatusSoon() {
     statusPublisher.publishSoon();
   }
 
-  /** The store shows other grants or shards: adopts and releases shards accordingly. */
+  /** Adopts and releases shards after grants or shards have changed in the store. */
   public void onControlChange() {
     Map<ShardId, Revision> verified = session.verifiedGrants();
     releaseLostShards(verified);
     for (Map.Entry<ShardId, GrantRecord> entry : view.grants().entrySet()) {
       ShardId shard = entry.getKey();
       GrantRecord grant = entry.getValue();
-      // Both the read and the watch must show the grant: the watch then also shows the shard's
-      // machines as of the grant or later.
+      // The grant must be both read from the store and seen by the watch: then the watch also shows
+      // the shard's machines as of the grant or later.
       if (grant.owner().equals(self)
           && grant.revision().equals(verified.get(shard))
           && !owners.containsKey(shard)) {
@@ -173,12 +173,12 @@
         shard, new ShardOwner(context, shard, grant, () -> session.isValidOwner(shard, grant)));
   }
 
-  /** The leader changed the assignments of a shard; left out if it is not owned here. */
+  /** Applies the leader's changes of a shard's assignments; ignored if it is not owned here. */
   public void onAssignment(ShardAssignment assignment) {
     find(assignment.getShard()).ifPresent(owner -> owner.onAssignment(assignment));
   }
 
-  /** The leader acknowledged a shard's status. */
+  /** Handles the leader's acknowledgement of a status; ignored if the shard is not owned here. */
   public void onStatusAck(ShardStatusAck ack) {
     find(ack.getShard()).ifPresent(owner -> owner.onStatusAck(ack));
   }
@@ -187,18 +187,21 @@
     return Optional.ofNullable(owners.get(new ShardId(shard)));
   }
 
-  /** The process was paused until now: heartbeats missed meanwhile prove nothing. */
+  /** Called after the process was paused: heartbeats missed in the meantime show no failure. */
   public void onProcessPause() {
     reachability.onProcessPause();
     owners.values().forEach(ShardOwner::onProcessPause);
   }
 
-  /** A job was cancelled: its tasks stop without waiting for the leader. */
+  /** Stops the tasks of a cancelled job without waiting for the leader. */
   public void onCancelled(JobId job) {
     owners.values().forEach(owner -> owner.onCancelled(job));
   }
 
-  /** A worker's heartbeat came: it is answered, or sent to the owner of its shard. */
+  /**
+   * Responds to a worker's heartbeat or redirects the worker to the owner of its shard. Responds
+   * with status 400 if the heartbeat is malformed.
+   */
   public void onHeartbeat(String body, Responder responder) {
     WorkerHeartbeat heartbeat;
     try {
--- a/src/main/java/org/mulleinshift/sharding/OwnerHealth.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnerHealth.java
@@ -4,11 +4,14 @@
 import org.mulleinshift.protocol.NodeId;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Whether other controllers answer their workers, by what they report of themselves. */
+/** Whether other controllers respond to their workers, judged by their own reports. */
 public interface OwnerHealth {
-  /** Whether workers may be sent to the controller: it is heard and says that it is reached. */
+  /**
+   * Whether workers may be redirected to the controller: it was heard from recently and does not
+   * report that its workers' heartbeats have stopped.
+   */
   boolean answersWorkers(NodeId controller);
 
-  /** When the controller last reported whether it is reached; empty if it never did. */
+  /** When the last report of the controller was received; empty if none was. */
   Optional<MonotonicTime> lastReportAt(NodeId controller);
 }
--- a/src/main/java/org/mulleinshift/sharding/OwnerResponsiveness.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnerResponsiveness.java
@@ -12,13 +12,13 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Whether an owner has been shown to answer workers since one of them left it unanswered. What an
- * owner reports of itself is late by the time that it takes to notice that heartbeats are missing:
- * until then it reports that all is well, and a worker that is sent back waits a third of its lease
- * for nothing.
+ * Tells whether an owner has been shown to respond to workers since one of them got no response. An
+ * owner's report on itself lags by the time that it takes to detect missing heartbeats: until then
+ * it reports itself as healthy, and a worker that is redirected back to it loses a third of its
+ * lease waiting for a response.
  */
 final class OwnerResponsiveness {
-  /** A worker waits so long for an answer before it leaves. */
+  /** How long a worker waits for a response before it tries another controller. */
   private static final Duration WORKER_RESPONSE_TIMEOUT = Duration.ofSeconds(4);
 
   private final ClusterView view;
@@ -27,9 +27,9 @@
   private final Map<NodeId, MonotonicTime> lastUnansweredAt = new HashMap<>();
 
   /**
-   * No worker has left any owner.
+   * Creates a tracker that knows of no unanswered worker.
    *
-   * @param heartbeatInterval time between two heartbeats of a worker
+   * @param heartbeatInterval the time between two heartbeats of a worker
    */
   OwnerResponsiveness(ClusterView view, OwnerHealth health, Duration heartbeatInterval) {
     this.view = view;
@@ -37,19 +37,22 @@
     this.heartbeatInterval = heartbeatInterval;
   }
 
-  /** A worker is known to have left the owner without an answer, and arrived here then. */
+  /** Records that the owner did not respond to a worker, which arrived here at that time. */
   void onWorkerUnanswered(NodeId owner, MonotonicTime arrivedAt) {
     lastUnansweredAt.merge(owner, arrivedAt, (a, b) -> a.isAfter(b) ? a : b);
   }
 
-  /** Whether a worker that was never answered by the owner may be sent there. */
+  /**
+   * Whether a worker that has received no response under the owner's grant may be redirected there.
+   */
   boolean answersWorkers(NodeId owner) {
     return health.answersWorkers(owner);
   }
 
   /**
-   * Whether the owner's last report is from a time at which it would have noticed whatever kept it
-   * from answering the worker that arrived here then, and any that arrived later.
+   * Whether the owner reports itself as healthy, and its last report is late enough to reflect any
+   * failure that kept it from responding to the worker that arrived here at that time, and to any
+   * worker known to have arrived later.
    */
   boolean isConfirmedSince(NodeId owner, MonotonicTime arrivedAt) {
     if (!health.answersWorkers(owner)) {
@@ -62,7 +65,7 @@
     return reportAt.isPresent() && reportAt.get().compareTo(conclusiveAt) >= 0;
   }
 
-  /** The longest time until an owner reports that its machines' heartbeats have stopped. */
+  /** The longest time after which an owner detects that its machines' heartbeats have stopped. */
   private Duration detectionTime(NodeId owner) {
     Duration oneMachine = LivenessMonitor.suspectedAfter(heartbeatInterval);
     Duration allMachines =
--- a/src/main/java/org/mulleinshift/sharding/PublishedAssignments.java
+++ b/src/main/java/org/mulleinshift/sharding/PublishedAssignments.java
@@ -11,9 +11,9 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * The assignments of a shard that its owner has received or is to receive, by version. A message
- * holds only what has changed since a version that the owner acknowledged, so that it costs what
- * changed and not the size of the shard.
+ * The versioned set of assignments that a shard's owner has received or is to receive. A message
+ * contains the changes since the previous message or, after a missing acknowledgement, since the
+ * acknowledged version; its size depends on the number of changes and not on the size of the shard.
  */
 final class PublishedAssignments {
   private final Map<TaskId, TaskAssignment> published = new LinkedHashMap<>();
@@ -21,25 +21,25 @@
   private long sentVersion;
   private long acknowledgedVersion;
 
-  /** The version on which the next message builds. */
+  /** The version that the changes in the next message apply to. */
   private long baseVersion;
 
   private boolean dirty = true;
   private MonotonicTime awaitingAckSince;
 
-  /** When the owner last acknowledged anything new, or had nothing to acknowledge. */
+  /** When the owner was last seen to have acknowledged a new version, or all that was sent. */
   private MonotonicTime lastAckProgressAt;
 
   /** The acknowledged version at that time. */
   private long lastAckProgressVersion;
 
-  /** Nothing is published yet. */
+  /** Creates an empty set. */
   PublishedAssignments(MonotonicTime now) {
     this.awaitingAckSince = now;
     this.lastAckProgressAt = now;
   }
 
-  /** A new owner is sent the full set, under a higher version. */
+  /** Has the full set sent to a new owner, under a higher version. */
   void resetForNewOwner(MonotonicTime now) {
     lastAckProgressAt = now;
     lastAckProgressVersion = 0;
@@ -49,13 +49,13 @@
     baseVersion = 0;
   }
 
-  /** A stored assignment that the owner is to receive, or to receive again. */
+  /** Has a stored assignment sent to the owner, also if it was sent before. */
   void publish(TaskAssignment assignment) {
     published.put(assignment.task(), assignment);
     markChanged(assignment.task());
   }
 
-  /** The assignment is over; nothing happens if another one of its task has replaced it. */
+  /** Removes an assignment; does nothing if another assignment of the task has replaced it. */
   void retract(TaskAssignment assignment) {
     if (published.remove(assignment.task(), assignment)) {
       markChanged(assignment.task());
@@ -75,20 +75,22 @@
     return Optional.ofNullable(published.get(task));
   }
 
-  /** Something else that the owner receives has changed. */
+  /** Has a message sent, since something else that it contains has changed. */
   void markDirty() {
     dirty = true;
   }
 
-  /** Whether something is to be sent that was not sent yet. */
+  /** Whether there are changes that have not been sent. */
   boolean hasUnsentChanges() {
     return dirty;
   }
 
   /**
-   * Whether the owner has long not acknowledged what was sent: it is sent from there again.
+   * If an acknowledgement is overdue, sets the base of the next message back to the acknowledged
+   * version, so that it repeats all changes since.
    *
    * @param resendAfter how long to wait for an acknowledgement
+   * @return whether a resend is due
    */
   boolean startResendIfDue(MonotonicTime now, Duration resendAfter) {
     boolean due =
@@ -101,17 +103,17 @@
     return due;
   }
 
-  /** The version on which the next message builds; 0: it holds the full set. */
+  /** The version that the next message's changes apply to; 0 if it contains the full set. */
   long baseVersion() {
     return baseVersion;
   }
 
-  /** Tasks to name in a message that builds on this version. */
+  /** The tasks whose assignments changed after this version; all published tasks for 0. */
   List<TaskId> changesSince(long version) {
     return version == 0 ? List.copyOf(published.keySet()) : changes.changedSince(version);
   }
 
-  /** A message is sent; returns its version. */
+  /** Records that a message is being sent, and returns its version. */
   long markSent(MonotonicTime now) {
     dirty = false;
     if (acknowledgedVersion >= sentVersion) {
@@ -122,7 +124,7 @@
     return sentVersion;
   }
 
-  /** The version up to which the owner knows the set of this term. */
+  /** Records that the owner has acknowledged this term's set up to a version. */
   void onAck(long version, MonotonicTime now) {
     if (version > acknowledgedVersion) {
       acknowledgedVersion = version;
@@ -132,9 +134,10 @@
   }
 
   /**
-   * For how long the owner has acknowledged nothing new of what was sent.
+   * For how long changes have been outstanding without a new acknowledgement. Progress since the
+   * last call is recorded as of {@code now}.
    *
-   * @param hasOwner whether the shard has an owner; without one nothing is awaited
+   * @param hasOwner whether the shard has an owner; without one no acknowledgement is expected
    */
   Duration unacknowledgedFor(MonotonicTime now, boolean hasOwner) {
     boolean fullyAcknowledged = !dirty && acknowledgedVersion >= sentVersion;
--- a/src/main/java/org/mulleinshift/sharding/ShardGrants.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardGrants.java
@@ -22,7 +22,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Grants shards to controllers, and has the grants stored. */
+/** Grants shards to controllers and writes the grants to the store. */
 public final class ShardGrants {
   private static final Logger LOG = LoggerFactory.getLogger(ShardGrants.class);
   private static final Duration SUSPICION_WINDOW = Duration.ofSeconds(5);
@@ -37,15 +37,15 @@
   private final OwnerEligibility eligibility;
 
   /**
-   * Grants of one term.
+   * Creates the grants of one term.
    *
-   * @param loop for its clock
-   * @param term under which grants are written
+   * @param loop provides the current time
+   * @param term the term under which grants are written
    * @param shards all shards
-   * @param view control keys as last shown
-   * @param peers health of all controllers
-   * @param assigner decides which shard goes where
-   * @param peerTimeout a controller that was not heard for longer owns nothing
+   * @param view leader, sessions, grants and shards as last seen in the store
+   * @param peers the health of all controllers
+   * @param assigner decides which controller gets which shard
+   * @param peerTimeout a controller not heard from for longer loses its shards
    */
   public ShardGrants(
       EventLoop loop,
@@ -65,15 +65,18 @@
     this.assigner = assigner;
   }
 
-  /** Grants the shards that have no owner, or should have another one. */
+  /**
+   * Grants the shards that have no owner or should have another one; does nothing if the term's
+   * lease is not valid.
+   */
   public void assign() {
     if (!term.hasValidLease()) {
-      // Whoever leads by now would have to undo it.
+      // Another controller may be leading by now, and would have to undo the grants.
       return;
     }
     List<NodeId> owners = eligibleOwners();
     List<NodeId> candidates = candidates(owners);
-    // Owned by somebody that this build can't read: not its to give to others.
+    // A shard whose grant this build can't read has an owner, so it must not be granted again.
     List<ShardView> assignable = new ArrayList<>(shards.all());
     assignable.removeIf(shard -> view.unreadableGrants().contains(shard.id()));
     Duration unacknowledgedLimit = peerTimeout.multipliedBy(2);
@@ -84,8 +87,9 @@
   }
 
   /**
-   * Controllers that may keep the shards they own: all but those that were not heard for long, have
-   * no session or are not reached by workers.
+   * Controllers that may keep the shards they own: those that have a session, were heard from
+   * within the peer timeout and are not ineligible because their workers can't reach them. If all
+   * of them are ineligible, all of them keep their shards.
    */
   private List<NodeId> eligibleOwners() {
     List<NodeId> live = new ArrayList<>(view.nodes().keySet());
@@ -98,8 +102,9 @@
   }
 
   /**
-   * Controllers that may be granted more shards. One that lost the store, or reports that its
-   * workers don't reach it, keeps what it owns but gets no more: it could not adopt it.
+   * Controllers that may be granted more shards. One that lost its connection to the store, or
+   * whose own report shows any doubt that its workers reach it, keeps its shards but gets no more,
+   * which it could not adopt. If that leaves none, all owners are candidates.
    */
   private List<NodeId> candidates(List<NodeId> owners) {
     List<NodeId> candidates = new ArrayList<>(owners);
@@ -116,7 +121,7 @@
     shards.storeGrant(shard.id(), new GrantMutation(shard, owner));
   }
 
-  /** How many machines of each owner have recently reported elsewhere. */
+  /** How many machines of each owner have recently sent heartbeats to other controllers. */
   private Map<NodeId, Integer> suspicionsByOwner() {
     Map<NodeId, Integer> suspicions = new HashMap<>();
     for (ShardView shard : shards.all()) {
@@ -126,7 +131,7 @@
     return suspicions;
   }
 
-  /** A shard's new owner, bound to the owner's session lease. */
+  /** Stores a shard's new owner under a key bound to the owner's session lease. */
   private final class GrantMutation implements TransactionBatcher.Mutation {
     private final ShardView shard;
     private final NodeId owner;
@@ -152,7 +157,7 @@
       shard.pendingOwner(Optional.empty());
       shard.grant(Optional.of(new ShardView.Grant(owner, revision)), loop.now());
       if (shard.lastOwner(Optional.of(owner)) && shards.isStored(shard.id())) {
-        // Only a later failure of several controllers reads it.
+        // Not urgent: it is read only after a later failure of several controllers.
         shards.storeWhenIdle(shard);
       }
       shards.notifyChanged();
--- a/src/main/java/org/mulleinshift/sharding/ShardTable.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardTable.java
@@ -14,14 +14,14 @@
 import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.store.TransactionBatcher;
 
-/** All shards as the leader of a term knows them; has their records and grants stored. */
+/** The leader's view of all shards during a term. Submits their records and grants to the store. */
 public final class ShardTable {
-  /** Notified of changes that others have to act on. */
+  /** Receives changes that other components must act on. */
   public interface Listener {
-    /** Something new is to be sent to an owner. */
+    /** Something that is sent to a shard's owner has changed. */
     void onShardChanged();
 
-    /** A shard's record is stored: its machines may take tasks. */
+    /** A shard's record was stored, so its machines may take tasks. */
     void onShardStored();
   }
 
@@ -30,26 +30,26 @@
   private final Map<ShardId, ShardView> shards = new TreeMap<>();
 
   /**
-   * An empty table.
+   * Creates an empty table.
    *
-   * @param batcher stores records and grants
+   * @param batcher writes records and grants to the store
    */
   public ShardTable(TransactionBatcher batcher, Listener listener) {
     this.batcher = batcher;
     this.listener = listener;
   }
 
-  /** Adds a shard. */
+  /** Adds a shard, replacing one of the same id. */
   public void add(ShardView shard) {
     shards.put(shard.id(), shard);
   }
 
-  /** The shard with that id, if it is known. */
+  /** Returns the shard; empty if it is not known. */
   public Optional<ShardView> find(ShardId id) {
     return Optional.ofNullable(shards.get(id));
   }
 
-  /** All shards, in the order of their ids. */
+  /** Returns all shards, ordered by id. */
   public Collection<ShardView> all() {
     return shards.values();
   }
@@ -59,12 +59,12 @@
     return shards.values().stream().anyMatch(shard -> shard.machines().containsKey(machine));
   }
 
-  /** The zone of a shard; a shard that is not known counts as a zone of its own. */
+  /** Returns the zone of a shard; for an unknown shard, a zone named after the shard. */
   public ZoneId zoneOf(ShardId id) {
     return find(id).map(ShardView::zone).orElseGet(() -> new ZoneId(id.value()));
   }
 
-  /** The owner of the assignment's shard is to receive it, or to receive it again. */
+  /** Has the assignment sent to its shard's owner, also if it was sent before. */
   public void publish(TaskAssignment assignment) {
     find(assignment.shard())
         .ifPresent(
@@ -74,7 +74,7 @@
             });
   }
 
-  /** The owner of the assignment's shard is to learn that the task is no longer its own. */
+  /** Has the shard's owner told that the assignment no longer exists. */
   public void retract(TaskAssignment assignment) {
     find(assignment.shard())
         .ifPresent(
@@ -84,7 +84,7 @@
             });
   }
 
-  /** Something else that the shard's owner receives has changed. */
+  /** Has a message sent to the shard's owner, since something else that it contains has changed. */
   public void markChanged(ShardId id) {
     find(id)
         .ifPresent(
@@ -94,29 +94,29 @@
             });
   }
 
-  /** The owner of the machine's shard is to learn which machines take no new task. */
+  /** Has the owner of the machine's shard told which machines must not take new tasks. */
   public void markChanged(MachineId machine) {
     shards.values().stream()
         .filter(shard -> shard.machines().containsKey(machine))
         .forEach(shard -> markChanged(shard.id()));
   }
 
-  /** Something that is to be sent to an owner has changed. */
+  /** Notifies the listener that something that is sent to an owner has changed. */
   void notifyChanged() {
     listener.onShardChanged();
   }
 
-  /** Has the shard's record stored. */
+  /** Submits the shard's record to the store. */
   public void store(ShardView shard) {
     batcher.submit(StoreKeys.shard(shard.id()), new ShardMutation(shard));
   }
 
-  /** Has the shard's record stored once nothing else is to be stored. */
+  /** Submits the shard's record with low priority: it is stored once no other write is pending. */
   public void storeWhenIdle(ShardView shard) {
     batcher.submitWhenIdle(StoreKeys.shard(shard.id()), new ShardMutation(shard));
   }
 
-  /** Has a grant of the shard stored. */
+  /** Submits a grant of the shard to the store. */
   void storeGrant(ShardId id, TransactionBatcher.Mutation grant) {
     batcher.submit(StoreKeys.grant(id), grant);
   }
--- a/src/main/java/org/mulleinshift/sharding/ShardView.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardView.java
@@ -27,19 +27,19 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * A shard as the leader knows it: its machines, its grant, what its owner reported, and which tasks
- * are assigned to it. Both directions carry only what has changed since a version that the other
- * side acknowledged, so that a message costs what changed and not the size of the shard.
+ * The leader's view of a shard: its machines, its grant, what its owner reported, and the tasks
+ * assigned to it. Assignments and statuses are sent as changes since an earlier version, so the
+ * size of a message depends on the number of changes and not on the size of the shard.
  */
 public final class ShardView implements AssignableShard {
   /**
    * A shard's current grant.
    *
-   * @param revision of the store at which it was written: rises with every grant
+   * @param revision the store revision at which it was written; increases with every grant
    */
   public record Grant(NodeId owner, Revision revision) {}
 
-  /** A machine reported to another controller than its owner. */
+  /** The last report that a machine sent a heartbeat to a controller other than its owner. */
   private record Suspicion(NodeId reporter, MonotonicTime at) {}
 
   private final ShardId id;
@@ -58,7 +58,7 @@
   private long lastSequence;
   private long acknowledgedSequence;
 
-  /** A shard without machines and without an owner. */
+  /** Creates a shard without machines and without an owner. */
   public ShardView(ShardId id, ZoneId zone, MonotonicTime now) {
     this.id = id;
     this.zone = zone;
@@ -82,29 +82,29 @@
     return machines.size();
   }
 
-  /** Its machines, which the caller may change; the change counts once it is stored. */
+  /** Its machines. The caller may modify the map; a change takes effect once it is stored. */
   public Map<MachineId, MachineRecord> machines() {
     return machines;
   }
 
-  /** Fields of its record that this build doesn't know. */
+  /** Sets the fields of its record that this build doesn't know; they are stored unchanged. */
   public void setUnknownFields(Optional<UnknownFields> fields) {
     unknownFields = fields;
   }
 
-  /** Its record as it is to be stored. */
+  /** Returns the record to be stored. */
   public JsonNode storedValue() {
     JsonNode node = ShardRecord.write(zone, machines, lastOwner);
     unknownFields.ifPresent(fields -> fields.restore(node));
     return node;
   }
 
-  /** Its current grant, if it has one. */
+  /** The current grant; empty if the shard has none. */
   public Optional<Grant> grant() {
     return grant;
   }
 
-  /** Its grant as stored now. What an earlier owner reported and acknowledged no longer counts. */
+  /** Sets the stored grant; a new one discards what an earlier owner reported and acknowledged. */
   public void grant(Optional<Grant> next, MonotonicTime now) {
     if (!next.equals(grant)) {
       grant = next;
@@ -128,7 +128,7 @@
     return pendingOwner;
   }
 
-  /** The owner whose grant is being stored; empty once it is stored or refused. */
+  /** Sets the owner whose grant is being stored; empty once it is stored or no longer wanted. */
   void pendingOwner(Optional<NodeId> next) {
     pendingOwner = next;
   }
@@ -139,9 +139,10 @@
   }
 
   /**
-   * Notes who owned the shard last, by its record or by its grants since.
+   * Records the last owner of the shard, as known from its record or from a later grant; an empty
+   * value changes nothing.
    *
-   * @return whether that differs from before
+   * @return whether the last owner has changed
    */
   public boolean lastOwner(Optional<NodeId> owner) {
     boolean changed = owner.isPresent() && !owner.equals(lastOwner);
@@ -159,12 +160,15 @@
     return now.since(grantChangedAt);
   }
 
-  /** Whether the status continues what is known; if not, the owner must send it from there. */
+  /**
+   * Whether the status builds on one that was received. If not, the owner must send the changes
+   * since {@link #lastSequence}.
+   */
   public boolean isContiguous(ShardStatus status) {
     return status.getBase() <= lastSequence;
   }
 
-  /** Takes over the machines of a status; returns which of them it named. */
+  /** Applies the machine statuses of a shard status, and returns the machines that it contains. */
   public List<MachineId> onStatus(ShardStatus status, MonotonicTime now) {
     statusReceived = true;
     lastSequence = status.getSequence();
@@ -186,49 +190,52 @@
     return statusReceived;
   }
 
-  /** When the last status came. */
+  /** When the last status was received; before the first one, when this view was created. */
   public MonotonicTime lastStatusAt() {
     return lastStatusAt;
   }
 
-  /** The sequence number of the owner's last status. */
+  /** The sequence number of the current owner's last status; 0 before the first one. */
   public long lastSequence() {
     return lastSequence;
   }
 
-  /** Whether the owner should hear up to where it is known; asked once for each status. */
+  /**
+   * Whether the last status must be acknowledged to the owner. It counts as acknowledged from then
+   * on, so a second call returns false until the next status.
+   */
   public boolean takeAckDue() {
     boolean due = acknowledgedSequence != lastSequence;
     acknowledgedSequence = lastSequence;
     return due;
   }
 
-  /** What the owner last reported of the machine. */
+  /** The last status of the machine from the current owner; empty if there is none. */
   public Optional<MachineStatus> statusOf(MachineId machine) {
     return Optional.ofNullable(statuses.get(machine));
   }
 
-  /** What the owner has received or is to receive. */
+  /** The assignments that the owner has received or is to receive. */
   PublishedAssignments assignments() {
     return assignments;
   }
 
-  /** Something that the owner receives has changed, so that a message is due. */
+  /** Has a message sent to the owner, since something that it contains has changed. */
   public void markDirty() {
     assignments.markDirty();
   }
 
-  /** The version up to which the owner knows the set of this term. */
+  /** Records that the owner has acknowledged this term's assignments up to a version. */
   public void onAssignmentAck(long version, MonotonicTime now) {
     assignments.onAck(version, now);
   }
 
-  /** The stored assignments that the owner has received or is to receive. */
+  /** Returns the stored assignments that the owner has received or is to receive. */
   public Collection<TaskAssignment> published() {
     return assignments.all();
   }
 
-  /** The stored assignment of the task, if the owner has received or is to receive one. */
+  /** Returns the published assignment of the task; empty if there is none. */
   public Optional<TaskAssignment> published(TaskId task) {
     return assignments.find(task);
   }
@@ -238,7 +245,9 @@
     return assignments.unacknowledgedFor(now, grant.isPresent());
   }
 
-  /** A machine reported elsewhere, since its owner does not answer it. */
+  /**
+   * Records that a machine sent a heartbeat to another controller since its owner didn't respond.
+   */
   public void onSuspicion(MachineId machine, NodeId reporter, MonotonicTime now) {
     if (machines.containsKey(machine)) {
       suspicions.put(machine, new Suspicion(reporter, now));
@@ -246,8 +255,9 @@
   }
 
   /**
-   * How many machines reported elsewhere within that time, of those that their owner does not
-   * report as alive: copies of heartbeats come late, also of machines that are well.
+   * Counts the machines that sent heartbeats to other controllers within the window, and discards
+   * older reports. Machines that the owner reports as alive don't count: delayed duplicates of
+   * heartbeats also arrive from healthy machines.
    */
   int countSuspicions(Duration window, MonotonicTime now) {
     suspicions.values().removeIf(suspicion -> now.since(suspicion.at()).compareTo(window) > 0);
--- a/src/main/java/org/mulleinshift/sharding/StatusPublisher.java
+++ b/src/main/java/org/mulleinshift/sharding/StatusPublisher.java
@@ -5,9 +5,9 @@
 import java.util.function.Consumer;
 import org.mulleinshift.transport.EventLoop;
 
-/** Sends the leader the statuses of the owned shards: periodically, and soon after a change. */
+/** Sends the statuses of the owned shards to the leader, periodically and soon after a change. */
 final class StatusPublisher {
-  /** Changes within this time share a message. */
+  /** Changes of a shard within this time share a status. */
   private static final Duration CHANGE_DELAY = Duration.ofMillis(80);
 
   private static final Duration PUBLISH_INTERVAL = Duration.ofSeconds(1);
@@ -18,9 +18,9 @@
   private boolean scheduled;
 
   /**
-   * A publisher that is not started.
+   * Creates a publisher that is not started.
    *
-   * @param owners of the shards that this node owns, as of now at any time
+   * @param owners live view of the owners of this node's shards
    */
   StatusPublisher(EventLoop loop, Collection<ShardOwner> owners, Consumer<Object> toLeader) {
     this.loop = loop;
@@ -28,7 +28,7 @@
     this.toLeader = toLeader;
   }
 
-  /** Starts the periodic statuses. */
+  /** Starts sending periodic statuses. */
   void start() {
     loop.after(PUBLISH_INTERVAL, this::publishPeriodically);
   }
@@ -38,7 +38,7 @@
     owners.forEach(owner -> toLeader.accept(owner.statusReporter().periodicStatus()));
   }
 
-  /** Publishes changes shortly; several share a status. */
+  /** Publishes changes after a short delay, so that several changes share a status. */
   void publishSoon() {
     if (!scheduled) {
       scheduled = true;
--- a/src/main/java/org/mulleinshift/sharding/SuspicionReporter.java
+++ b/src/main/java/org/mulleinshift/sharding/SuspicionReporter.java
@@ -15,7 +15,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reports to the leader machines whose owner does not answer them; several share a message. */
+/** Reports to the leader, in batches, machines whose owner does not respond to them. */
 final class SuspicionReporter {
   private static final Logger LOG = LoggerFactory.getLogger(SuspicionReporter.class);
   private static final Duration BATCHING_DELAY = Duration.ofMillis(400);
@@ -25,14 +25,14 @@
   private final Consumer<Object> toLeader;
   private final Map<ShardId, Set<MachineId>> pending = new HashMap<>();
 
-  /** A reporter with nothing to report. */
+  /** Creates a reporter with nothing to report. */
   SuspicionReporter(EventLoop loop, ClusterView view, Consumer<Object> toLeader) {
     this.loop = loop;
     this.view = view;
     this.toLeader = toLeader;
   }
 
-  /** The machine is there, and the shard's owner does not answer it. */
+  /** Adds a reachable machine that the shard's owner does not respond to. */
   void report(ShardId shard, MachineId machine) {
     if (pending.isEmpty()) {
       loop.after(BATCHING_DELAY, this::send);
--- a/src/main/java/org/mulleinshift/sharding/WorkerProber.java
+++ b/src/main/java/org/mulleinshift/sharding/WorkerProber.java
@@ -14,29 +14,33 @@
 import org.mulleinshift.transport.HttpRequest;
 
 /**
- * Asks a worker whether it is there. The heartbeat of a machine that nobody knows, or that its
- * owner does not answer, may be a late copy, and the machine long gone: only one that can be asked
- * is there.
+ * Probes workers to find out whether they are reachable. A heartbeat from an unknown machine, or
+ * from one that its owner does not respond to, may be a delayed duplicate from a machine that no
+ * longer exists; only a response to a probe shows that it does.
  */
 final class WorkerProber {
   private static final Duration PROBE_DEADLINE = Duration.ofMillis(1200);
   private static final int MAX_PROBES = 64;
 
-  /** The answer itself, and answers to direct commands that meet the probe. */
+  /**
+   * Messages that a worker may have sent since a heartbeat that still counts as recent: the
+   * response to the probe itself, and responses to direct commands that coincide with it.
+   */
   private static final int MAX_SEQUENCE_LAG = 4;
 
   private final AsyncHttpClient workers;
   private final Set<MachineId> inFlight = new HashSet<>();
 
-  /** A prober with nothing in flight. */
+  /** Creates a prober without probes in flight. */
   WorkerProber(AsyncHttpClient workers) {
     this.workers = workers;
   }
 
   /**
-   * Probes the worker that sent the heartbeat, unless a probe of it is in flight or too many are.
+   * Probes the worker that sent the heartbeat. Does nothing if its address is invalid, a probe of
+   * it is in flight, or too many probes are.
    *
-   * @param onReachable run if the worker answers and the heartbeat is one of its last messages
+   * @param onReachable run if the worker responds and the heartbeat is one of its latest messages
    */
   void probe(WorkerHeartbeat heartbeat, Runnable onReachable) {
     Optional<InetSocketAddress> address = WorkerAddress.parse(heartbeat.address());
@@ -54,7 +58,7 @@
         });
   }
 
-  /** A copy that arrives late has been followed by other messages of its worker. */
+  /** Whether the worker is in the same epoch and has sent few messages since the heartbeat. */
   private static boolean isRecent(WorkerHeartbeat heartbeat, String status) {
     try {
       HeartbeatVersion current = WorkerCodec.parseHeartbeat(status).version();
--- a/src/main/java/org/mulleinshift/sharding/package-info.java
+++ b/src/main/java/org/mulleinshift/sharding/package-info.java
@@ -1,10 +1,11 @@
 /**
- * Shards of machines: the owner's side, which answers workers and places tasks, and the leader's
- * side, which grants shards and sends owners their assignments.
+ * Shards of machines. A shard is granted to one controller, its owner, which responds to the
+ * heartbeats of its workers and places tasks on its machines. The leader grants shards and sends
+ * owners their assignments.
  *
  * <p>On the owner's side {@link org.mulleinshift.sharding.OwnedShards} adopts and releases shards,
- * and each {@link org.mulleinshift.sharding.ShardOwner} acts for one shard under one grant. On the
- * leader's side {@link org.mulleinshift.sharding.ShardTable} holds what the leader of a term knows
- * of all shards.
+ * and a {@link org.mulleinshift.sharding.ShardOwner} acts for one shard under one grant. On the
+ * leader's side {@link org.mulleinshift.sharding.ShardTable} holds the leader's view of all shards
+ * for one term.
  */
 package org.mulleinshift.sharding;
--- a/src/test/java/org/mulleinshift/sharding/HeartbeatRouterTest.java
+++ b/src/test/java/org/mulleinshift/sharding/HeartbeatRouterTest.java
@@ -33,10 +33,14 @@
 import org.mulleinshift.transport.Responder;
 
 /**
- * To whom a controller sends workers whose shard it does not own. The controllers are n-0 (the
- * router), n-1 and n-2; the shard is granted to n-2. With heartbeats every 2 s an owner of few
- * machines notices their silence 5.25 s after it began, and a worker arrives here 4 s after its
- * heartbeat was lost at the earliest: a report of the owner counts if it comes 1.25 s later.
+ * Where a controller redirects workers whose shard it does not own, and when it holds their
+ * heartbeats instead. Guards against sending a worker back to an owner that has not detected yet
+ * that heartbeats don't arrive.
+ *
+ * <p>The controllers are n-0 (the router), n-1 and n-2; the shard is granted to n-2. With
+ * heartbeats every 2 s, an owner of few machines detects missing heartbeats after 5.25 s. A worker
+ * arrives here at the earliest 4 s after its heartbeat was lost, so a report of the owner counts if
+ * it comes 1.25 s after that arrival or later.
  */
 final class HeartbeatRouterTest {
   private static final NodeId SELF = new NodeId("n-0");
@@ -67,7 +71,7 @@
           new HashMap<>(),
           toLeader::add);
 
-  /** What the other controllers report of themselves. */
+  /** The reports of the other controllers, as set by the test. */
   private final class FakeOwnerHealth implements OwnerHealth {
     private final Map<NodeId, MonotonicTime> reports = new HashMap<>();
     private final List<NodeId> unreachable = new ArrayList<>();
@@ -124,7 +128,7 @@
         HttpStatus.OK, ShardOwnerFixture.heartbeat(MACHINE, probedSequence, OWNER_TOKEN, ""));
   }
 
-  /** Records status and body. */
+  /** Records the status and body of each response. */
   private final class RecordingResponder implements Responder {
     @Override
     public void respond(int status, String body) {
