--- a/src/main/java/org/mulleinshift/sharding/HeartbeatRouter.java
+++ b/src/main/java/org/mulleinshift/sharding/HeartbeatRouter.java
@@ -16,108 +16,116 @@
 import org.mulleinshift.protocol.WorkerCodec;
 import org.mulleinshift.protocol.WorkerHeartbeat;
 import org.mulleinshift.protocol.peer.UnknownWorkerReport;
-import org.mulleinshift.sharding.HeldHeartbeats.Held;
+import org.mulleinshift.sharding.HeldHeartbeats.PendingHeartbeat;
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.HttpStatus;
 import org.mulleinshift.transport.Responder;
 
 /**
- * Has heartbeats answered by the owner of the machine's shard, here or on another controller. A
- * worker that has left an owner unanswered is not sent back until that owner has been shown to
- * answer workers: its heartbeat is held until then, or until the shard has another owner.
+ * Routes heartbeats to the owner of the machine's shard: this controller responds if it is the
+ * owner, and otherwise redirects the worker to the owner. A worker that arrives because its owner
+ * did not respond to it is not redirected back until the owner has been shown to respond to
+ * workers. Its heartbeat is held until then, until the shard has another owner, or until a time
+ * limit.
  */
 final class HeartbeatRouter {
   private static final String NO_REDIRECT = "{}";
 
-  /** A second and a half less than a worker waits for a response. */
+  /** 1.5 s less than a worker waits for a response. */
   private static final Duration HOLD_LIMIT = Duration.ofMillis(2500);
 
-  private static final Duration LONG_HOLD_LIMIT = Duration.ofMillis(3500);
+  /** Applies if no other controller could respond to the worker either. */
+  private static final Duration HOLD_LIMIT_WITHOUT_ALTERNATIVE = Duration.ofMillis(3500);
 
   private final EventLoop loop;
   private final NodeId self;
   private final ClusterView view;
   private final OwnedShards.Peers peers;
-  private final Map<ShardId, ShardOwner> owned;
+  private final Map<ShardId, ShardOwner> ownedShards;
   private final Consumer<Object> toLeader;
   private final WorkerProber prober;
   private final SuspicionReporter suspicions;
-  private final OwnerResponsiveness owners;
-  private final HeldHeartbeats held;
+  private final OwnerResponsiveness responsiveness;
+  private final HeldHeartbeats heldHeartbeats;
 
   /**
-   * A router of one controller.
+   * Creates the router of a controller.
    *
-   * @param owned the shards that it owns, as of now at any time
+   * @param ownedShards live view of the shards that this controller owns
    */
   HeartbeatRouter(
       NodeId self,
       ClusterView view,
       ShardOwner.Context context,
       OwnedShards.Peers peers,
-      Map<ShardId, ShardOwner> owned,
+      Map<ShardId, ShardOwner> ownedShards,
       Consumer<Object> toLeader) {
     this.loop = context.loop();
     this.self = self;
     this.view = view;
     this.peers = peers;
-    this.owned = owned;
+    this.ownedShards = ownedShards;
     this.toLeader = toLeader;
     this.prober = new WorkerProber(context.workers());
     this.suspicions = new SuspicionReporter(loop, view, toLeader);
-    this.owners =
+    this.responsiveness =
         new OwnerResponsiveness(view, peers.health(), context.timing().heartbeatInterval());
-    this.held = new HeldHeartbeats(loop, this::settle, this::holdLimit, this::sendOn);
+    this.heldHeartbeats =
+        new HeldHeartbeats(
+            loop, this::tryRespond, this::maxHoldTime, this::redirectToNextController);
   }
 
-  /** Answers the heartbeat, or names the controller that should, now or as soon as it is known. */
+  /**
+   * Responds to the heartbeat or redirects its worker to the shard's owner, now or once it is known
+   * which controller can respond.
+   */
   void route(WorkerHeartbeat heartbeat, Responder responder) {
-    Held next = new Held(heartbeat, responder, loop.now());
-    if (!settle(next)) {
-      suspectOwner(heartbeat);
-      held.hold(next);
+    PendingHeartbeat pending = new PendingHeartbeat(heartbeat, responder, loop.now());
+    if (!tryRespond(pending)) {
+      probeAndSuspectOwner(heartbeat);
+      heldHeartbeats.hold(pending);
     }
   }
 
-  /** Shards or grants have changed. */
+  /** Routes held heartbeats again, since shards or grants have changed. */
   void onControlChange() {
-    held.review();
+    heldHeartbeats.retryAll();
   }
 
-  /** Responds if it is known who should answer; returns whether it is. */
-  private boolean settle(Held next) {
-    WorkerHeartbeat heartbeat = next.heartbeat();
+  /** Responds if it is known which controller should; returns whether it responded. */
+  private boolean tryRespond(PendingHeartbeat pending) {
+    WorkerHeartbeat heartbeat = pending.heartbeat();
     Optional<ShardId> shard = view.shardOf(heartbeat.machine());
     if (shard.isEmpty()) {
       prober.probe(heartbeat, () -> reportUnknownWorker(heartbeat));
-      next.responder().respond(HttpStatus.MISDIRECTED_REQUEST, NO_REDIRECT);
+      pending.responder().respond(HttpStatus.MISDIRECTED_REQUEST, NO_REDIRECT);
       return true;
     }
-    ShardOwner owner = owned.get(shard.get());
+    ShardOwner owner = ownedShards.get(shard.get());
     if (owner != null) {
-      answer(owner, next);
+      answerAsOwner(owner, pending);
       return true;
     }
     GrantRecord grant = view.grants().get(shard.get());
     if (grant == null) {
-      next.responder().respond(HttpStatus.MISDIRECTED_REQUEST, NO_REDIRECT);
+      pending.responder().respond(HttpStatus.MISDIRECTED_REQUEST, NO_REDIRECT);
       return true;
     }
-    boolean redirect = mayRedirect(grant, next);
+    boolean redirect = mayRedirect(grant, pending);
     if (redirect) {
       String body = WorkerCodec.writeRedirect(grant.owner());
-      next.responder().respond(HttpStatus.MISDIRECTED_REQUEST, body);
+      pending.responder().respond(HttpStatus.MISDIRECTED_REQUEST, body);
     }
     return redirect;
   }
 
-  private static void answer(ShardOwner owner, Held next) {
-    Optional<String> answer = owner.onHeartbeat(next.heartbeat());
-    if (answer.isPresent()) {
-      next.responder().respond(HttpStatus.OK, answer.get());
+  private static void answerAsOwner(ShardOwner owner, PendingHeartbeat pending) {
+    Optional<String> body = owner.onHeartbeat(pending.heartbeat());
+    if (body.isPresent()) {
+      pending.responder().respond(HttpStatus.OK, body.get());
     } else {
       String error = JobCodec.writeError("not entitled");
-      next.responder().respond(HttpStatus.SERVICE_UNAVAILABLE, error);
+      pending.responder().respond(HttpStatus.SERVICE_UNAVAILABLE, error);
     }
   }
 
@@ -131,24 +139,30 @@
             heartbeat.spot()));
   }
 
-  /** Whether the worker is to report to the shard's owner, another controller than this one. */
-  private boolean mayRedirect(GrantRecord grant, Held next) {
+  /** Whether the worker may be redirected to the shard's owner. */
+  private boolean mayRedirect(GrantRecord grant, PendingHeartbeat pending) {
     if (grant.owner().equals(self)) {
-      // Granted to this controller, which has not adopted the shard yet.
+      // Granted to this controller, but not adopted yet.
       return false;
     }
-    return hasLeft(grant, next.heartbeat())
-        ? owners.isShownSince(grant.owner(), next.arrivedAt())
-        : owners.answersWorkers(grant.owner());
+    return wasAnsweredByOwner(grant, pending.heartbeat())
+        ? responsiveness.isConfirmedSince(grant.owner(), pending.arrivedAt())
+        : responsiveness.answersWorkers(grant.owner());
   }
 
-  /** A worker that knows a token of the grant was answered by its owner, and now reports here. */
-  private static boolean hasLeft(GrantRecord grant, WorkerHeartbeat heartbeat) {
+  /**
+   * Whether the worker has received a fencing token of this grant. Then the owner has responded to
+   * it before, and it arrives here because the owner no longer does.
+   */
+  private static boolean wasAnsweredByOwner(GrantRecord grant, WorkerHeartbeat heartbeat) {
     return MachineToken.belongsTo(heartbeat.highestToken(), grant.revision());
   }
 
-  /** The worker should be at an owner that seems not to answer it, if the heartbeat is no copy. */
-  private void suspectOwner(WorkerHeartbeat heartbeat) {
+  /**
+   * Suspects the owner of not responding to the worker, if a probe shows that the heartbeat is not
+   * a delayed duplicate.
+   */
+  private void probeAndSuspectOwner(WorkerHeartbeat heartbeat) {
     Optional<ShardId> shard = view.shardOf(heartbeat.machine());
     Optional<GrantRecord> grant = shard.map(view.grants()::get);
     if (grant.isPresent() && !grant.get().owner().equals(self)) {
@@ -157,37 +171,37 @@
   }
 
   private void onOwnerSuspected(ShardId shard, GrantRecord grant, WorkerHeartbeat heartbeat) {
-    if (hasLeft(grant, heartbeat)) {
-      owners.onDeparture(grant.owner(), loop.now());
+    if (wasAnsweredByOwner(grant, heartbeat)) {
+      responsiveness.onWorkerUnanswered(grant.owner(), loop.now());
     }
     suspicions.report(shard, heartbeat.machine());
   }
 
-  /** The worker tries another controller, since nobody is known who could answer it. */
-  private void sendOn(Held next) {
+  /** Sends the worker to another controller, since none is known to respond to it. */
+  private void redirectToNextController(PendingHeartbeat pending) {
     String body =
-        nextController(next.heartbeat())
-            .filter(node -> !node.equals(others().get(0)))
+        nextController(pending.heartbeat())
+            .filter(node -> !node.equals(otherControllers().get(0)))
             .map(WorkerCodec::writeRedirect)
             .orElse(NO_REDIRECT);
-    next.responder().respond(HttpStatus.MISDIRECTED_REQUEST, body);
+    pending.responder().respond(HttpStatus.MISDIRECTED_REQUEST, body);
   }
 
   /**
-   * The next controller that could know who answers the worker. A worker that is sent nowhere tries
-   * the next one by itself; where that one does not answer workers, the one after it is named: each
-   * attempt in vain costs a third of a worker's lease.
+   * The next controller that could route the worker's heartbeat. A worker that receives no redirect
+   * tries the next controller by itself. If that one does not respond to workers, a later one is
+   * named, since each unanswered attempt costs the worker a third of its lease.
    */
   private Optional<NodeId> nextController(WorkerHeartbeat heartbeat) {
     Optional<NodeId> owner =
         view.shardOf(heartbeat.machine()).map(view.grants()::get).map(GrantRecord::owner);
-    return others().stream()
-        .filter(node -> !owner.equals(Optional.of(node)) && owners.answersWorkers(node))
+    return otherControllers().stream()
+        .filter(node -> !owner.equals(Optional.of(node)) && responsiveness.answersWorkers(node))
         .findFirst();
   }
 
-  /** The other controllers in the order in which a worker tries them after this one. */
-  private List<NodeId> others() {
+  /** The other controllers, in the order in which a worker tries them after this one. */
+  private List<NodeId> otherControllers() {
     List<NodeId> all = new ArrayList<>(peers.nodes());
     all.add(self);
     all.sort(Comparator.comparing(NodeId::value));
@@ -195,8 +209,10 @@
     return all.subList(1, all.size());
   }
 
-  /** Where no other controller could answer, the worker may as well wait here. */
-  private Duration holdLimit(Held next) {
-    return nextController(next.heartbeat()).isPresent() ? HOLD_LIMIT : LONG_HOLD_LIMIT;
+  /** Longer if no other controller could respond: then the worker loses nothing by waiting here. */
+  private Duration maxHoldTime(PendingHeartbeat pending) {
+    return nextController(pending.heartbeat()).isPresent()
+        ? HOLD_LIMIT
+        : HOLD_LIMIT_WITHOUT_ALTERNATIVE;
   }
 }
--- a/src/main/java/org/mulleinshift/sharding/HeldHeartbeats.java
+++ b/src/main/java/org/mulleinshift/sharding/HeldHeartbeats.java
@@ -13,90 +13,96 @@
 import org.mulleinshift.transport.Responder;
 
 /**
- * Heartbeats whose response waits until it is known who should answer them. A worker that is told
- * so goes there at once; one that is sent on without an answer loses a second, and several if it
- * meets a controller that can't answer it.
+ * Heartbeats whose responses are held back until it is known which controller should respond. A
+ * worker that is redirected retries there at once. One that is turned away without a redirect waits
+ * a second before it tries the next controller, and loses several seconds if that one can't respond
+ * to it either.
  */
 final class HeldHeartbeats {
-  private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
+  private static final Duration RETRY_INTERVAL = Duration.ofMillis(100);
   private static final int MAX_HEARTBEATS = 512;
 
-  /** A heartbeat may report thousands of tasks. */
+  /** Limit for all held heartbeats together: a single one may report thousands of tasks. */
   private static final int MAX_TASKS = 16_384;
 
   /**
-   * A heartbeat and the way to respond to it.
+   * A heartbeat that has not been responded to.
    *
-   * @param arrivedAt when it arrived here
+   * @param arrivedAt when it arrived at this controller
    */
-  record Held(WorkerHeartbeat heartbeat, Responder responder, MonotonicTime arrivedAt) {}
+  record PendingHeartbeat(
+      WorkerHeartbeat heartbeat, Responder responder, MonotonicTime arrivedAt) {}
 
   private final EventLoop loop;
-  private final Predicate<Held> settle;
-  private final Function<Held, Duration> limit;
-  private final Consumer<Held> giveUp;
-  private final List<Held> held = new ArrayList<>();
-  private int tasks;
+  private final Predicate<PendingHeartbeat> tryRespond;
+  private final Function<PendingHeartbeat, Duration> maxHoldTime;
+  private final Consumer<PendingHeartbeat> respondUnresolved;
+  private final List<PendingHeartbeat> held = new ArrayList<>();
+  private int heldTasks;
 
   /**
-   * Nothing is held.
+   * Creates an empty set.
    *
-   * @param settle responds if it is known by now who should answer; returns whether it is
-   * @param limit for how long it may be held at the most
-   * @param giveUp responds although it is not known
+   * @param tryRespond responds if it is known which controller should; returns whether it responded
+   * @param maxHoldTime the longest time for which a heartbeat may be held
+   * @param respondUnresolved responds although it is not known which controller should
    */
   HeldHeartbeats(
       EventLoop loop,
-      Predicate<Held> settle,
-      Function<Held, Duration> limit,
-      Consumer<Held> giveUp) {
+      Predicate<PendingHeartbeat> tryRespond,
+      Function<PendingHeartbeat, Duration> maxHoldTime,
+      Consumer<PendingHeartbeat> respondUnresolved) {
     this.loop = loop;
-    this.settle = settle;
-    this.limit = limit;
-    this.giveUp = giveUp;
+    this.tryRespond = tryRespond;
+    this.maxHoldTime = maxHoldTime;
+    this.respondUnresolved = respondUnresolved;
   }
 
-  /** Holds the heartbeat until it can be settled, or for a limited time. */
-  void hold(Held next) {
-    int more = next.heartbeat().tasks().size();
-    if (held.size() >= MAX_HEARTBEATS || tasks + more > MAX_TASKS) {
-      giveUp.accept(next);
+  /**
+   * Holds the heartbeat until {@code tryRespond} succeeds or its maximum hold time has passed. If
+   * too many heartbeats or tasks are held already, responds at once.
+   */
+  void hold(PendingHeartbeat pending) {
+    int taskCount = pending.heartbeat().tasks().size();
+    if (held.size() >= MAX_HEARTBEATS || heldTasks + taskCount > MAX_TASKS) {
+      respondUnresolved.accept(pending);
       return;
     }
     if (held.isEmpty()) {
-      loop.after(CHECK_INTERVAL, this::tick);
+      loop.after(RETRY_INTERVAL, this::retryPeriodically);
     }
-    held.add(next);
-    tasks += more;
+    held.add(pending);
+    heldTasks += taskCount;
   }
 
-  /** Something has changed on which it depends who should answer. */
-  void review() {
-    Iterator<Held> each = held.iterator();
-    while (each.hasNext()) {
-      Held next = each.next();
-      if (isDone(next)) {
-        each.remove();
-        tasks -= next.heartbeat().tasks().size();
+  /** Tries to respond to each held heartbeat, and ends the wait of those held for too long. */
+  void retryAll() {
+    Iterator<PendingHeartbeat> iterator = held.iterator();
+    while (iterator.hasNext()) {
+      PendingHeartbeat pending = iterator.next();
+      if (respondOrExpire(pending)) {
+        iterator.remove();
+        heldTasks -= pending.heartbeat().tasks().size();
       }
     }
   }
 
-  private boolean isDone(Held next) {
-    if (settle.test(next)) {
+  private boolean respondOrExpire(PendingHeartbeat pending) {
+    if (tryRespond.test(pending)) {
       return true;
     }
-    boolean expired = loop.now().since(next.arrivedAt()).compareTo(limit.apply(next)) >= 0;
+    boolean expired =
+        loop.now().since(pending.arrivedAt()).compareTo(maxHoldTime.apply(pending)) >= 0;
     if (expired) {
-      giveUp.accept(next);
+      respondUnresolved.accept(pending);
     }
     return expired;
   }
 
-  private void tick() {
-    review();
+  private void retryPeriodically() {
+    retryAll();
     if (!held.isEmpty()) {
-      loop.after(CHECK_INTERVAL, this::tick);
+      loop.after(RETRY_INTERVAL, this::retryPeriodically);
     }
   }
 }
