--- a/src/main/java/org/mulleinshift/autoscaling/Consolidator.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Consolidator.java
@@ -166,7 +166,7 @@
   /** How often each request occurs among the tasks on a machine. */
   private Map<ResourceRequest, Integer> requestsOn(MachineId machine) {
     Map<ResourceRequest, Integer> requests = new LinkedHashMap<>();
-    for (TaskAssignment assignment : state.allocations().on(machine)) {
+    for (TaskAssignment assignment : state.allocations().assignmentsOn(machine)) {
       Job job = state.jobs().find(assignment.task().job()).orElseThrow();
       requests.merge(ResourceRequest.of(job.spec()), 1, Integer::sum);
     }
--- a/src/main/java/org/mulleinshift/autoscaling/MachineHealthCheck.java
+++ b/src/main/java/org/mulleinshift/autoscaling/MachineHealthCheck.java
@@ -80,7 +80,7 @@
     if (outlook.equals(Optional.of(BootTimeEstimator.Outlook.DELAYED))) {
       boots.onDelayed(record.type());
     }
-    if (state.isBusy(id, shard.id())) {
+    if (state.mayHaveTasks(id, shard.id())) {
       machine.markBusy(loop.now());
     }
     if (outlook.equals(Optional.of(BootTimeEstimator.Outlook.ABANDONED))) {
--- a/src/main/java/org/mulleinshift/autoscaling/RunningTaskCollector.java
+++ b/src/main/java/org/mulleinshift/autoscaling/RunningTaskCollector.java
@@ -67,7 +67,7 @@
 
   private double remainingSeconds(TaskAssignment assignment, double expectedSeconds) {
     double ran = assignment.runningSince().map(since -> loop.now().secondsSince(since)).orElse(0.0);
-    return RunTimeEstimator.remaining(expectedSeconds, ran);
+    return RunTimeEstimator.remainingSeconds(expectedSeconds, ran);
   }
 
   private static void collectUnplaced(List<UnplacedGroup> unplaced, CapacitySnapshot snapshot) {
--- a/src/main/java/org/mulleinshift/autoscaling/ScaleIn.java
+++ b/src/main/java/org/mulleinshift/autoscaling/ScaleIn.java
@@ -48,7 +48,7 @@
         Machine machine = state.machines().track(id);
         if (isReleasable(machine, entry.getValue())
             && isUnused(machine, used.contains(id))
-            && !state.isBusy(id, shard.id())) {
+            && !state.mayHaveTasks(id, shard.id())) {
           releaser.release(id, ReleaseReason.IDLE);
         }
       }
--- a/src/main/java/org/mulleinshift/dependencies/DurationEstimates.java
+++ b/src/main/java/org/mulleinshift/dependencies/DurationEstimates.java
@@ -47,7 +47,7 @@
     MonotonicTime now = loop.now();
     for (TaskAssignment assignment : job.assignments()) {
       double ran = assignment.runningSince().map(now::secondsSince).orElse(0.0);
-      remaining = Math.max(remaining, RunTimeEstimator.remaining(expected, ran));
+      remaining = Math.max(remaining, RunTimeEstimator.remainingSeconds(expected, ran));
     }
     return remaining;
   }
--- a/src/main/java/org/mulleinshift/leader/EstimateReplicator.java
+++ b/src/main/java/org/mulleinshift/leader/EstimateReplicator.java
@@ -65,7 +65,9 @@
       return;
     }
     LearnedEstimates estimates = received.get();
-    estimates.getRunTimeRatios().forEach(item -> runTimes.learn(item.getName(), item.getRatio()));
+    estimates
+        .getRunTimeRatios()
+        .forEach(item -> runTimes.adoptRatio(item.getName(), item.getRatio()));
     estimates
         .getBootTimes()
         .forEach(
--- a/src/main/java/org/mulleinshift/leader/TermComponents.java
+++ b/src/main/java/org/mulleinshift/leader/TermComponents.java
@@ -264,7 +264,7 @@
   private final class QueuedDemand implements Demand {
     @Override
     public List<Job> rankedJobs() {
-      return scheduling.ranking().order();
+      return scheduling.ranking().rankedJobs();
     }
 
     @Override
--- a/src/main/java/org/mulleinshift/scheduling/AllocationIndex.java
+++ b/src/main/java/org/mulleinshift/scheduling/AllocationIndex.java
@@ -68,24 +68,24 @@
   }
 
   /** What the tasks on a machine take. */
-  Resources used(MachineId machine) {
+  Resources usedResources(MachineId machine) {
     MachineLoad load = machines.get(machine);
     return load == null ? Resources.ZERO : load.used;
   }
 
   /** The tasks on a machine. */
-  public Collection<TaskAssignment> on(MachineId machine) {
+  public Collection<TaskAssignment> assignmentsOn(MachineId machine) {
     MachineLoad load = machines.get(machine);
     return load == null ? List.of() : load.tasks.values();
   }
 
   /** The tasks assigned to a shard whose owner has not placed them yet. */
-  Collection<TaskAssignment> unplaced(ShardId shard) {
+  Collection<TaskAssignment> unplacedAssignments(ShardId shard) {
     return unplaced.getOrDefault(shard, Map.of()).values();
   }
 
   /** Whether a task is, or may be about to be, on the machine. */
-  public boolean busy(MachineId machine, ShardId shard) {
-    return machines.containsKey(machine) || !unplaced(shard).isEmpty();
+  public boolean mayHaveTasks(MachineId machine, ShardId shard) {
+    return machines.containsKey(machine) || !unplacedAssignments(shard).isEmpty();
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/AssignAheadPass.java
+++ b/src/main/java/org/mulleinshift/scheduling/AssignAheadPass.java
@@ -41,14 +41,14 @@
   }
 
   void run(CycleState cycle) {
-    if (aheadSeconds == 0 || cycle.order().stream().noneMatch(AssignAheadPass::isCandidate)) {
+    if (aheadSeconds == 0 || cycle.rankedJobs().stream().noneMatch(AssignAheadPass::isCandidate)) {
       return;
     }
     releaseEndingTasks(cycle);
-    cycle.onCapacityGrown();
+    cycle.clearUnschedulable();
     allocateQueuedTasks(cycle);
     minimumSharePass.run(cycle, AssignAheadPass::mayQueueAtOwner);
-    for (Job job : cycle.order()) {
+    for (Job job : cycle.rankedJobs()) {
       if (mayQueueAtOwner(job)) {
         assigner.assign(job, cycle);
       }
@@ -73,7 +73,7 @@
     cycle
         .capacities()
         .forEach(capacity -> byMachine.put(capacity.machine(), Optional.of(capacity)));
-    for (Job job : cycle.order()) {
+    for (Job job : cycle.rankedJobs()) {
       for (TaskAssignment assignment : endingSoon(job)) {
         byMachine
             .computeIfAbsent(
--- a/src/main/java/org/mulleinshift/scheduling/AvailableCapacity.java
+++ b/src/main/java/org/mulleinshift/scheduling/AvailableCapacity.java
@@ -58,7 +58,7 @@
 
   private List<MachineCapacity> collectShard(ShardView shard, Resources minRequested) {
     Map<JobId, Integer> unplaced = new LinkedHashMap<>();
-    for (TaskAssignment assignment : state.allocations().unplaced(shard.id())) {
+    for (TaskAssignment assignment : state.allocations().unplacedAssignments(shard.id())) {
       unplaced.merge(assignment.task().job(), 1, Integer::sum);
     }
     Resources min = minRequested;
@@ -102,7 +102,7 @@
       return Optional.empty();
     }
     // Most machines of a busy cluster are full: what costs more to find out comes after this.
-    Resources available = type.size().minus(state.allocations().used(id));
+    Resources available = type.size().minus(state.allocations().usedResources(id));
     if (!minAvailable.fitsInto(available)) {
       return Optional.empty();
     }
@@ -124,7 +124,7 @@
   /** Images on the machine, and those its tasks fetch: equal tasks then share the fetch. */
   private Set<String> images(MachineId machine, MachineStatus status) {
     Set<String> images = new HashSet<>(status.getImages());
-    for (TaskAssignment assignment : state.allocations().on(machine)) {
+    for (TaskAssignment assignment : state.allocations().assignmentsOn(machine)) {
       Job job = state.jobs().find(assignment.task().job()).orElse(null);
       if (job != null) {
         images.add(job.spec().image());
--- a/src/main/java/org/mulleinshift/scheduling/CapacityReservation.java
+++ b/src/main/java/org/mulleinshift/scheduling/CapacityReservation.java
@@ -25,32 +25,32 @@
   public record Reservation(ResourceRequest request, int count) {}
 
   /** What the jobs of a class request. */
-  private static final class Arrivals {
+  private static final class ClassDemand {
     private ResourceRequest latestRequest;
     private double meanTasks;
-    private MonotonicTime latestAt;
+    private MonotonicTime latestArrival;
   }
 
   private final Set<String> reservedClasses = new HashSet<>();
-  private final Map<String, Arrivals> arrivalsByClass = new HashMap<>();
-  private final double share;
-  private final Duration keepFor;
+  private final Map<String, ClassDemand> demandByClass = new HashMap<>();
+  private final double reservedJobs;
+  private final Duration keepDuration;
 
   /**
    * Reservations by the objectives of a deployment.
    *
-   * @param share how much of what a job requests on average is reserved
-   * @param keepFor how long capacity is reserved after the last job of a class arrived
+   * @param reservedJobs how much of what a job requests on average is reserved
+   * @param keepDuration how long capacity is reserved after the last job of a class arrived
    */
   public CapacityReservation(
-      List<PlatformSettings.Objective> objectives, double share, Duration keepFor) {
+      List<PlatformSettings.Objective> objectives, double reservedJobs, Duration keepDuration) {
     for (PlatformSettings.Objective objective : objectives) {
       if (objective.kind() == ObjectiveKind.WAIT) {
         objective.jobClass().ifPresent(reservedClasses::add);
       }
     }
-    this.share = share;
-    this.keepFor = keepFor;
+    this.reservedJobs = reservedJobs;
+    this.keepDuration = keepDuration;
   }
 
   /** Whether capacity is reserved for the job's class. */
@@ -59,30 +59,30 @@
   }
 
   /** Whether any class has a start objective. */
-  boolean isActive() {
+  boolean hasReservedClasses() {
     return !reservedClasses.isEmpty();
   }
 
   /** A job has arrived, of whichever class. */
   public void onJobArrived(JobSpec spec, MonotonicTime now) {
     if (appliesTo(spec)) {
-      Arrivals known = arrivalsByClass.computeIfAbsent(spec.jobClass(), key -> new Arrivals());
-      known.meanTasks =
-          known.latestRequest == null
+      ClassDemand demand = demandByClass.computeIfAbsent(spec.jobClass(), key -> new ClassDemand());
+      demand.meanTasks =
+          demand.latestRequest == null
               ? spec.tasks()
-              : known.meanTasks * (1 - LATEST_WEIGHT) + spec.tasks() * LATEST_WEIGHT;
-      known.latestRequest = ResourceRequest.of(spec);
-      known.latestAt = now;
+              : demand.meanTasks * (1 - LATEST_WEIGHT) + spec.tasks() * LATEST_WEIGHT;
+      demand.latestRequest = ResourceRequest.of(spec);
+      demand.latestArrival = now;
     }
   }
 
   /** What is reserved now. */
   public List<Reservation> reservations(MonotonicTime now) {
     List<Reservation> reserved = new ArrayList<>();
-    for (Arrivals known : arrivalsByClass.values()) {
-      int count = (int) Math.round(known.meanTasks * share);
-      if (count > 0 && now.since(known.latestAt).compareTo(keepFor) < 0) {
-        reserved.add(new Reservation(known.latestRequest, count));
+    for (ClassDemand demand : demandByClass.values()) {
+      int count = (int) Math.round(demand.meanTasks * reservedJobs);
+      if (count > 0 && now.since(demand.latestArrival).compareTo(keepDuration) < 0) {
+        reserved.add(new Reservation(demand.latestRequest, count));
       }
     }
     return reserved;
--- a/src/main/java/org/mulleinshift/scheduling/CycleState.java
+++ b/src/main/java/org/mulleinshift/scheduling/CycleState.java
@@ -31,8 +31,8 @@
   }
 
   /** All jobs, most urgent first. */
-  List<Job> order() {
-    return queue.ranking().order();
+  List<Job> rankedJobs() {
+    return queue.ranking().rankedJobs();
   }
 
   JobRanking ranking() {
@@ -53,7 +53,7 @@
   }
 
   /** Forgets which requests found no machine: they may find one, now that capacity has grown. */
-  void onCapacityGrown() {
+  void clearUnschedulable() {
     unschedulable = new UnschedulableRequests();
   }
 
@@ -63,7 +63,7 @@
   }
 
   /** What one team uses, with all that this cycle has assigned. */
-  Resources used(TeamId team) {
+  Resources usageOf(TeamId team) {
     return usageByTeam.getOrDefault(team, Resources.ZERO);
   }
 
--- a/src/main/java/org/mulleinshift/scheduling/EntityGroup.java
+++ b/src/main/java/org/mulleinshift/scheduling/EntityGroup.java
@@ -56,12 +56,12 @@
   }
 
   /** Tasks of such a share in all were assigned to the job's entity. */
-  void onClaimed(Job job, double share) {
+  void consumeClaim(Job job, double share) {
     remainingClaims.merge(entityNameOf(job), -share, Double::sum);
   }
 
   /** What the job's entity uses beyond its minimum share; negative if it uses less. */
-  double aboveMinimum(Job job) {
+  double shareAboveMinimum(Job job) {
     ShareEntity entity = entities.get(entityNameOf(job));
     return entity == null ? 0 : entity.inUse() - claims.minimum(entity.name());
   }
--- a/src/main/java/org/mulleinshift/scheduling/FailureAttribution.java
+++ b/src/main/java/org/mulleinshift/scheduling/FailureAttribution.java
@@ -25,10 +25,10 @@
   private static final Logger LOG = LoggerFactory.getLogger(FailureAttribution.class);
 
   /** A job that failed on so many machines, and never succeeded, is failing. */
-  private static final int FAILING_JOB_MACHINES = 3;
+  private static final int FAILING_JOB_MIN_MACHINES = 3;
 
   /** A job that failed so often, and never succeeded, is failing, on however few machines. */
-  private static final int FAILING_JOB_FAILURES = 10;
+  private static final int FAILING_JOB_MIN_FAILURES = 10;
 
   private static final int MAX_BACKOFF_DOUBLINGS = 4;
   private static final Duration SUSPICION_PERIOD = Duration.ofSeconds(10);
@@ -37,15 +37,15 @@
   private static final class JobFailures {
     private final Set<MachineId> machines = new LinkedHashSet<>();
     private int failures;
-    private int failedAttempts;
+    private int failedRetries;
     private boolean failing;
-    private MonotonicTime notBefore;
+    private MonotonicTime nextAttemptAt;
   }
 
   /** Failures on a machine since its last success. */
   private static final class MachineFailures {
     private final Map<Job, Integer> byJob = new LinkedHashMap<>();
-    private MonotonicTime lastAt;
+    private MonotonicTime lastFailureAt;
   }
 
   private final int quarantineFailures;
@@ -68,32 +68,34 @@
 
   /** A task of the job failed on the machine. */
   public void onFailure(Job job, MachineId machine, MonotonicTime now) {
-    JobFailures known = jobs.computeIfAbsent(job.spec().id(), key -> new JobFailures());
-    known.failures++;
-    if (known.failing) {
-      known.failedAttempts++;
-      known.notBefore =
+    JobFailures jobFailures = jobs.computeIfAbsent(job.spec().id(), key -> new JobFailures());
+    jobFailures.failures++;
+    if (jobFailures.failing) {
+      jobFailures.failedRetries++;
+      jobFailures.nextAttemptAt =
           now.plus(
               retryBackoff.multipliedBy(
-                  1L << Math.min(known.failedAttempts, MAX_BACKOFF_DOUBLINGS)));
+                  1L << Math.min(jobFailures.failedRetries, MAX_BACKOFF_DOUBLINGS)));
       return;
     }
-    MachineFailures onMachine = machines.computeIfAbsent(machine, key -> new MachineFailures());
-    onMachine.byJob.merge(job, 1, Integer::sum);
-    onMachine.lastAt = now;
-    if (known.machines.size() < FAILING_JOB_MACHINES && !isQuarantined(machine)) {
-      known.machines.add(machine);
+    MachineFailures machineFailures =
+        machines.computeIfAbsent(machine, key -> new MachineFailures());
+    machineFailures.byJob.merge(job, 1, Integer::sum);
+    machineFailures.lastFailureAt = now;
+    if (jobFailures.machines.size() < FAILING_JOB_MIN_MACHINES && !isQuarantined(machine)) {
+      jobFailures.machines.add(machine);
     }
     boolean failsEverywhere =
-        known.machines.size() >= FAILING_JOB_MACHINES || known.failures >= FAILING_JOB_FAILURES;
+        jobFailures.machines.size() >= FAILING_JOB_MIN_MACHINES
+            || jobFailures.failures >= FAILING_JOB_MIN_FAILURES;
     if (failsEverywhere && !hasSucceeded(job)) {
       LOG.info(
           "job fails everywhere, job={} machines={} failures={}",
           job.spec().id(),
-          known.machines.size(),
-          known.failures);
-      known.failing = true;
-      known.notBefore = now.plus(retryBackoff);
+          jobFailures.machines.size(),
+          jobFailures.failures);
+      jobFailures.failing = true;
+      jobFailures.nextAttemptAt = now.plus(retryBackoff);
       forgetOnMachines(job.spec().id());
     }
   }
@@ -101,8 +103,8 @@
   /** A task of the job was done on the machine: neither is the cause of earlier failures. */
   public void onSuccess(Job job, MachineId machine) {
     machines.remove(machine);
-    JobFailures known = jobs.remove(job.spec().id());
-    if (known != null && known.failing) {
+    JobFailures jobFailures = jobs.remove(job.spec().id());
+    if (jobFailures != null && jobFailures.failing) {
       LOG.info("failing job succeeded, job={}", job.spec().id());
     }
   }
@@ -111,9 +113,9 @@
     machines
         .values()
         .removeIf(
-            onMachine -> {
-              onMachine.byJob.keySet().removeIf(other -> other.spec().id().equals(job));
-              return onMachine.byJob.isEmpty();
+            machineFailures -> {
+              machineFailures.byJob.keySet().removeIf(other -> other.spec().id().equals(job));
+              return machineFailures.byJob.isEmpty();
             });
   }
 
@@ -134,8 +136,8 @@
 
   /** Whether the job fails wherever it runs. */
   boolean isJobFailing(Job job) {
-    JobFailures known = jobs.get(job.spec().id());
-    return known != null && known.failing;
+    JobFailures jobFailures = jobs.get(job.spec().id());
+    return jobFailures != null && jobFailures.failing;
   }
 
   /**
@@ -144,11 +146,11 @@
    * attempt.
    */
   public int allowedAttempts(Job job, MonotonicTime now) {
-    JobFailures known = jobs.get(job.spec().id());
-    if (known == null || !known.failing) {
+    JobFailures jobFailures = jobs.get(job.spec().id());
+    if (jobFailures == null || !jobFailures.failing) {
       return Integer.MAX_VALUE;
     }
-    boolean due = job.assignedCount() == 0 && !known.notBefore.isAfter(now);
+    boolean due = job.assignedCount() == 0 && !jobFailures.nextAttemptAt.isAfter(now);
     int tasks = job.spec().kind() == JobKind.GANG ? job.spec().tasks() : 1;
     return due ? tasks : 0;
   }
@@ -158,13 +160,13 @@
    * several jobs, or one job twice as often.
    */
   public boolean isQuarantined(MachineId machine) {
-    MachineFailures onMachine = machines.get(machine);
-    if (onMachine == null) {
+    MachineFailures machineFailures = machines.get(machine);
+    if (machineFailures == null) {
       return false;
     }
     int failedJobs = 0;
     int failures = 0;
-    for (Map.Entry<Job, Integer> entry : onMachine.byJob.entrySet()) {
+    for (Map.Entry<Job, Integer> entry : machineFailures.byJob.entrySet()) {
       if (hasSucceeded(entry.getKey())) {
         failedJobs++;
         failures += entry.getValue();
@@ -175,10 +177,10 @@
 
   /** Whether tasks fail on the machine and it is not clear yet why: it takes none for a while. */
   public boolean isSuspect(MachineId machine, MonotonicTime now) {
-    MachineFailures onMachine = machines.get(machine);
-    return onMachine != null
-        && now.since(onMachine.lastAt).compareTo(SUSPICION_PERIOD) < 0
-        && onMachine.byJob.values().stream().mapToInt(Integer::intValue).sum()
+    MachineFailures machineFailures = machines.get(machine);
+    return machineFailures != null
+        && now.since(machineFailures.lastFailureAt).compareTo(SUSPICION_PERIOD) < 0
+        && machineFailures.byJob.values().stream().mapToInt(Integer::intValue).sum()
             >= quarantineFailures;
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/JobRanking.java
+++ b/src/main/java/org/mulleinshift/scheduling/JobRanking.java
@@ -23,17 +23,17 @@
   private static final Comparator<Job> BY_ARRIVAL =
       Comparator.comparingLong(Job::readyMillis).thenComparing(job -> job.spec().id());
 
-  private final List<Job> order;
+  private final List<Job> rankedJobs;
   private final Map<JobId, Integer> ranks;
   private final Set<JobId> withinGuarantee;
 
   private JobRanking(List<Entry> entries, Set<JobId> withinGuarantee) {
-    this.order = new ArrayList<>(entries.size());
+    this.rankedJobs = new ArrayList<>(entries.size());
     this.ranks = new HashMap<>(2 * entries.size());
     this.withinGuarantee = withinGuarantee;
     for (Entry entry : entries) {
-      ranks.put(entry.job.spec().id(), order.size());
-      order.add(entry.job);
+      ranks.put(entry.job.spec().id(), rankedJobs.size());
+      rankedJobs.add(entry.job);
     }
   }
 
@@ -63,7 +63,7 @@
         withinGuarantee.add(job.spec().id());
       }
       entries.add(
-          new Entry(job, isFailing, isGuaranteed, tardiness.position(job, shares, nowMillis)));
+          new Entry(job, isFailing, isGuaranteed, tardiness.rankingKey(job, shares, nowMillis)));
     }
     entries.sort(Entry.BY_URGENCY);
     return new JobRanking(entries, withinGuarantee);
@@ -88,37 +88,37 @@
     /** A late job ranks below jobs of the next priority that are not late. */
     private static final int LEVELS_PER_PRIORITY = 2;
 
-    private static final int LATE_LEVELS = 3;
+    private static final int LATE_LEVEL_PENALTY = 3;
 
     private static final Comparator<Entry> BY_URGENCY =
         Comparator.comparing((Entry entry) -> entry.failing)
             .thenComparingInt(entry -> entry.level)
             .thenComparing(entry -> !entry.guaranteed)
-            .thenComparingInt(entry -> entry.grade.rank())
-            .thenComparingDouble(entry -> entry.order)
+            .thenComparingInt(entry -> entry.lateness.rank())
+            .thenComparingDouble(entry -> entry.weightedSlackSeconds)
             .thenComparing(entry -> entry.job, BY_ARRIVAL.reversed());
 
     private final Job job;
     private final boolean failing;
     private final boolean guaranteed;
     private final int level;
-    private final Tardiness.Grade grade;
-    private final double order;
+    private final Tardiness.Lateness lateness;
+    private final double weightedSlackSeconds;
 
-    Entry(Job job, boolean failing, boolean guaranteed, Tardiness.Position position) {
+    Entry(Job job, boolean failing, boolean guaranteed, Tardiness.RankingKey rankingKey) {
       this.job = job;
       this.failing = failing;
       this.guaranteed = guaranteed;
-      this.grade = position.grade();
-      this.order = position.order();
-      int lateLevels = grade == Tardiness.Grade.LATE ? LATE_LEVELS : 0;
-      this.level = LEVELS_PER_PRIORITY * job.priority().rank() + lateLevels;
+      this.lateness = rankingKey.lateness();
+      this.weightedSlackSeconds = rankingKey.weightedSlackSeconds();
+      int latenessPenalty = lateness == Tardiness.Lateness.LATE ? LATE_LEVEL_PENALTY : 0;
+      this.level = LEVELS_PER_PRIORITY * job.priority().rank() + latenessPenalty;
     }
   }
 
   /** All jobs, most urgent first. */
-  public List<Job> order() {
-    return order;
+  public List<Job> rankedJobs() {
+    return rankedJobs;
   }
 
   /** The job's place in the order, from 0; a job that arrived since is last. */
--- a/src/main/java/org/mulleinshift/scheduling/MinimumSharePass.java
+++ b/src/main/java/org/mulleinshift/scheduling/MinimumSharePass.java
@@ -15,12 +15,12 @@
   /** Assigns tasks of eligible jobs, in the cycle's order, up to what their entities may claim. */
   void run(CycleState cycle, Predicate<Job> eligible) {
     for (EntityGroup group : cycle.shares().groups()) {
-      List<Job> claimants = group.hasClaims() ? cycle.order() : List.of();
+      List<Job> claimants = group.hasClaims() ? cycle.rankedJobs() : List.of();
       for (Job job : claimants) {
         double sharePerTask = cycle.shares().shareOfTask(job);
         int maxTasks = group.claimableTasks(job, sharePerTask);
         if (maxTasks > 0 && job.waitingCount() > 0 && eligible.test(job)) {
-          group.onClaimed(job, sharePerTask * assigner.assign(job, maxTasks, cycle));
+          group.consumeClaim(job, sharePerTask * assigner.assign(job, maxTasks, cycle));
         }
       }
     }
--- a/src/main/java/org/mulleinshift/scheduling/Preemption.java
+++ b/src/main/java/org/mulleinshift/scheduling/Preemption.java
@@ -29,7 +29,7 @@
 
   /** Finds the location of a task, if its owner has placed it on a machine of a known shard. */
   interface Locator {
-    Optional<Location> of(TaskAssignment assignment);
+    Optional<Location> locate(TaskAssignment assignment);
   }
 
   /** Decides whether work may be preempted for a job, and keeps count of what was. */
@@ -40,15 +40,16 @@
   }
 
   /** A group of candidates with the shortest run time of them, as one preempting job sees it. */
-  private record Option(PreemptionCandidates.Group group, int tasksPerVictim, double ranSeconds)
-      implements Comparable<Option> {
-    static Option of(PreemptionCandidates.Group group, int tasksPerVictim) {
-      return new Option(group, tasksPerVictim, group.shortestRanSeconds());
+  private record RankedGroup(
+      PreemptionCandidates.Group group, int tasksPerVictim, double shortestRunSeconds)
+      implements Comparable<RankedGroup> {
+    static RankedGroup of(PreemptionCandidates.Group group, int tasksPerVictim) {
+      return new RankedGroup(group, tasksPerVictim, group.shortestRunSeconds());
     }
 
     @Override
-    public int compareTo(Option other) {
-      return Double.compare(ranSeconds, other.ranSeconds);
+    public int compareTo(RankedGroup other) {
+      return Double.compare(shortestRunSeconds, other.shortestRunSeconds);
     }
   }
 
@@ -84,7 +85,7 @@
   /**
    * Tasks whose stop frees capacity for so many of the job's tasks; they are no longer candidates.
    */
-  List<TaskAssignment> victims(
+  List<TaskAssignment> selectVictims(
       Job job,
       int wanted,
       PreemptionCandidates candidates,
@@ -92,7 +93,7 @@
       Predicate<Location> usable) {
     ResourceRequest request = ResourceRequest.of(job.spec());
     int missing = wanted;
-    PriorityQueue<Option> options = new PriorityQueue<>();
+    PriorityQueue<RankedGroup> rankedGroups = new PriorityQueue<>();
     for (PreemptionCandidates.Group group : candidates.groups()) {
       int tasksPerVictim = request.perTask().countIn(group.job().spec().perTask());
       if (tasksPerVictim > 0 && policy.mayPreempt(group.job()) && usable.test(group.location())) {
@@ -100,19 +101,19 @@
         missing -= group.stopping() * tasksPerVictim;
         // A large task that gives way to a few small ones loses more than they win.
         if (tasksPerVictim <= MAX_TASKS_PER_VICTIM && group.hasCandidates()) {
-          options.add(Option.of(group, tasksPerVictim));
+          rankedGroups.add(RankedGroup.of(group, tasksPerVictim));
         }
       }
     }
-    return choose(missing, options, policy);
+    return choose(missing, rankedGroups, policy);
   }
 
   private static List<TaskAssignment> choose(
-      int wanted, PriorityQueue<Option> options, Policy policy) {
+      int wanted, PriorityQueue<RankedGroup> rankedGroups, Policy policy) {
     int missing = wanted;
     List<TaskAssignment> chosen = new ArrayList<>();
-    while (missing > 0 && !options.isEmpty()) {
-      Option next = options.poll();
+    while (missing > 0 && !rankedGroups.isEmpty()) {
+      RankedGroup next = rankedGroups.poll();
       PreemptionCandidates.Group group = next.group();
       // Asked again: what was chosen meanwhile may have used up what the policy allows.
       if (policy.mayPreempt(group.job())) {
@@ -120,7 +121,7 @@
         chosen.add(group.preemptShortest());
         missing -= next.tasksPerVictim();
         if (group.hasCandidates()) {
-          options.add(Option.of(group, next.tasksPerVictim()));
+          rankedGroups.add(RankedGroup.of(group, next.tasksPerVictim()));
         }
       }
     }
@@ -128,7 +129,7 @@
   }
 
   /** Whether the job is of a priority that may preempt at all. */
-  static boolean mayPreempt(Job job) {
+  static boolean hasPreemptingPriority(Job job) {
     return job.state() == Job.State.ACTIVE && job.priority().isAbove(Priority.NORMAL);
   }
 
--- a/src/main/java/org/mulleinshift/scheduling/PreemptionCandidates.java
+++ b/src/main/java/org/mulleinshift/scheduling/PreemptionCandidates.java
@@ -29,14 +29,14 @@
     GUARANTEE
   }
 
-  private record Candidate(TaskAssignment assignment, double ranSeconds) {}
+  private record Candidate(TaskAssignment assignment, double runSeconds) {}
 
   /** A job's tasks on machines of one kind: for whoever preempts, any of them is as good. */
   static final class Group {
     private final Job job;
     private final Preemption.Location location;
     private final PriorityQueue<Candidate> candidates =
-        new PriorityQueue<>(Comparator.comparingDouble(Candidate::ranSeconds));
+        new PriorityQueue<>(Comparator.comparingDouble(Candidate::runSeconds));
     private int stopping;
 
     private Group(Job job, Preemption.Location location) {
@@ -44,11 +44,11 @@
       this.location = location;
     }
 
-    private void add(TaskAssignment assignment, double ranSeconds) {
+    private void add(TaskAssignment assignment, double runSeconds) {
       if (assignment.stopRequested()) {
         stopping++;
       } else {
-        candidates.add(new Candidate(assignment, ranSeconds));
+        candidates.add(new Candidate(assignment, runSeconds));
       }
     }
 
@@ -70,8 +70,8 @@
     }
 
     /** The run time of the candidate that would lose the least work. */
-    double shortestRanSeconds() {
-      return candidates.element().ranSeconds();
+    double shortestRunSeconds() {
+      return candidates.element().runSeconds();
     }
 
     /** Removes the candidate that would lose the least work, and counts it as stopping. */
@@ -85,7 +85,7 @@
   private final Preemption.Locator locator;
   private final double maxRunSeconds;
   private final MonotonicTime now;
-  private final Map<Reason, Integer> admitted = new EnumMap<>(Reason.class);
+  private final Map<Reason, Integer> admittedJobs = new EnumMap<>(Reason.class);
   private Optional<List<Group>> groups = Optional.empty();
 
   /** The jobs' tasks that ran for at most so long; see {@link Preemption#candidates}. */
@@ -99,7 +99,7 @@
 
   /** Whether one more job may preempt for this reason; counts it. */
   boolean admit(Reason reason) {
-    return admitted.merge(reason, 1, Integer::sum) <= MAX_JOBS_PER_REASON;
+    return admittedJobs.merge(reason, 1, Integer::sum) <= MAX_JOBS_PER_REASON;
   }
 
   /** All candidates; collected on first use, as most cycles preempt nothing. */
@@ -115,12 +115,12 @@
   private Collection<Group> groupsOf(Job job) {
     Map<Preemption.Location, Group> byLocation = new LinkedHashMap<>();
     for (TaskAssignment assignment : job.assignments()) {
-      double ran = assignment.runningSince().map(now::secondsSince).orElse(0.0);
-      if (assignment.stopRequested() || ran <= maxRunSeconds) {
+      double runSeconds = assignment.runningSince().map(now::secondsSince).orElse(0.0);
+      if (assignment.stopRequested() || runSeconds <= maxRunSeconds) {
         locator
-            .of(assignment)
+            .locate(assignment)
             .map(location -> byLocation.computeIfAbsent(location, key -> new Group(job, key)))
-            .ifPresent(group -> group.add(assignment, ran));
+            .ifPresent(group -> group.add(assignment, runSeconds));
       }
     }
     return byLocation.values();
--- a/src/main/java/org/mulleinshift/scheduling/PreemptionPass.java
+++ b/src/main/java/org/mulleinshift/scheduling/PreemptionPass.java
@@ -32,8 +32,8 @@
 
   void run(CycleState cycle) {
     PreemptionCandidates candidates =
-        preemption.candidates(cycle.order(), this::locationOf, loop.now());
-    for (Job job : cycle.order()) {
+        preemption.candidates(cycle.rankedJobs(), this::locationOf, loop.now());
+    for (Job job : cycle.rankedJobs()) {
       if (job.state() == Job.State.ACTIVE
           && job.waitingCount() > 0
           && !state.failures().isJobFailing(job)) {
@@ -43,7 +43,7 @@
   }
 
   private void preemptFor(Job job, CycleState cycle, PreemptionCandidates candidates) {
-    if (Preemption.mayPreempt(job)
+    if (Preemption.hasPreemptingPriority(job)
         && isUrgent(job)
         && candidates.admit(PreemptionCandidates.Reason.PRIORITY)) {
       requestStops(job, cycle, candidates, priorityPolicy(job, cycle, candidates));
@@ -55,10 +55,10 @@
 
   private void requestStops(
       Job job, CycleState cycle, PreemptionCandidates candidates, Preemption.Policy policy) {
-    int allowed = state.quotas().tasksWithinLimit(job, cycle.used(job.spec().team()));
+    int allowed = state.quotas().tasksWithinLimit(job, cycle.usageOf(job.spec().team()));
     int wanted = job.waiting(allowed, loop.now()).length;
     preemption
-        .victims(job, wanted, candidates, policy, location -> canFreeCapacity(job, location))
+        .selectVictims(job, wanted, candidates, policy, location -> canFreeCapacity(job, location))
         .forEach(actions::requestStop);
   }
 
@@ -94,7 +94,7 @@
 
   /** The job lies within its team's guarantee, the team has less than that, and time runs out. */
   private boolean claimsGuarantee(Job job, CycleState cycle) {
-    Resources used = cycle.used(job.spec().team());
+    Resources used = cycle.usageOf(job.spec().team());
     double waitedSeconds = (loop.wallMillis() - job.readyMillis()) / MILLIS_PER_SECOND;
     return guaranteeWithinSeconds.filter(within -> waitedSeconds >= within).isPresent()
         && cycle.ranking().withinGuarantee(job)
--- a/src/main/java/org/mulleinshift/scheduling/PreemptionPolicies.java
+++ b/src/main/java/org/mulleinshift/scheduling/PreemptionPolicies.java
@@ -62,24 +62,25 @@
       this.policy = policy;
       this.group = group;
       this.shares = shares;
-      candidates.forEachStopping(this::count);
+      candidates.forEachStopping(this::countStopping);
     }
 
     @Override
     public boolean mayPreempt(Job other) {
       double remaining =
-          group.aboveMinimum(other) - stoppedShares.getOrDefault(group.entityNameOf(other), 0.0);
+          group.shareAboveMinimum(other)
+              - stoppedShares.getOrDefault(group.entityNameOf(other), 0.0);
       boolean sameEntity = group.entityNameOf(other).equals(group.entityNameOf(job));
       return (sameEntity || remaining > 0) && policy.mayPreempt(other);
     }
 
     @Override
     public void onPreempted(Job other) {
-      count(other, 1);
+      countStopping(other, 1);
       policy.onPreempted(other);
     }
 
-    private void count(Job other, int tasks) {
+    private void countStopping(Job other, int tasks) {
       stoppedShares.merge(
           group.entityNameOf(other), tasks * shares.shareOfTask(other), Double::sum);
     }
@@ -109,7 +110,7 @@
       usageByTeam.forEach(
           (team, used) -> excessCpus.put(team, used.cpus() - quotas.guaranteedCpus(team)));
       // What is stopping already no longer counts as excess.
-      candidates.forEachStopping(this::count);
+      candidates.forEachStopping(this::countStopping);
     }
 
     @Override
@@ -123,10 +124,10 @@
 
     @Override
     public void onPreempted(Job other) {
-      count(other, 1);
+      countStopping(other, 1);
     }
 
-    private void count(Job other, int tasks) {
+    private void countStopping(Job other, int tasks) {
       excessCpus.merge(other.spec().team(), -tasks * other.spec().perTask().cpus(), Double::sum);
     }
   }
--- a/src/main/java/org/mulleinshift/scheduling/RunTimeEstimator.java
+++ b/src/main/java/org/mulleinshift/scheduling/RunTimeEstimator.java
@@ -41,7 +41,7 @@
   }
 
   /** Takes over a ratio that another leader learned; ignores one out of range. */
-  public void learn(String jobClass, double ratio) {
+  public void adoptRatio(String jobClass, double ratio) {
     if (ratio >= MIN_RATIO && ratio <= MAX_RATIO) {
       ratioByClass.put(jobClass, ratio);
     }
@@ -51,17 +51,17 @@
    * How many seconds a task should still run. One past its expected end is not counted on to end
    * soon.
    */
-  public static double remaining(double expectedSeconds, double ranSeconds) {
+  public static double remainingSeconds(double expectedSeconds, double ranSeconds) {
     return ranSeconds > expectedSeconds ? expectedSeconds / 2 : expectedSeconds - ranSeconds;
   }
 
   /** How many seconds a task of the job should run. */
   public double expectedSeconds(Job job) {
     double estimate = job.spec().estimateSeconds();
-    double byClass =
+    double fromEstimate =
         estimate > 0
             ? estimate * ratioByClass.getOrDefault(job.spec().jobClass(), 1.0)
             : DEFAULT_SECONDS;
-    return job.meanRunSeconds().orElse(byClass);
+    return job.meanRunSeconds().orElse(fromEstimate);
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/SchedulingCycle.java
+++ b/src/main/java/org/mulleinshift/scheduling/SchedulingCycle.java
@@ -57,7 +57,7 @@
     this.preemptionPass = new PreemptionPass(loop, state, settings, actions);
     // Capacity that frees first refills the reservation of classes with a start objective; tasks
     // queued at owners would take it before.
-    double aheadSeconds = reservation.isActive() ? 0 : settings.assignAheadSeconds();
+    double aheadSeconds = reservation.hasReservedClasses() ? 0 : settings.assignAheadSeconds();
     this.assignAheadPass =
         new AssignAheadPass(state, availableCapacity, assigner, minimumSharePass, aheadSeconds);
   }
@@ -68,7 +68,7 @@
     CycleState cycle =
         new CycleState(
             queue,
-            availableCapacity.collect(minRequested(queue.ranking().order())),
+            availableCapacity.collect(minRequested(queue.ranking().rankedJobs())),
             state.usageByTeam());
     startStarvedJobs(cycle);
     minimumSharePass.run(cycle, SchedulingCycle::isActive);
@@ -112,7 +112,7 @@
   }
 
   private void assignAll(CycleState cycle, Predicate<Job> eligible) {
-    for (Job job : cycle.order()) {
+    for (Job job : cycle.rankedJobs()) {
       if (eligible.test(job)) {
         assigner.assign(job, cycle);
       }
--- a/src/main/java/org/mulleinshift/scheduling/StarvationPrevention.java
+++ b/src/main/java/org/mulleinshift/scheduling/StarvationPrevention.java
@@ -47,8 +47,8 @@
     return starved.stream().filter(StarvationPrevention::notStarted).toList();
   }
 
-  private static List<Job> findStarved(Collection<Job> jobs, long readyBefore) {
-    if (jobs.stream().noneMatch(job -> notStarted(job) && job.readyMillis() < readyBefore)) {
+  private static List<Job> findStarved(Collection<Job> jobs, long readyBeforeMillis) {
+    if (jobs.stream().noneMatch(job -> notStarted(job) && job.readyMillis() < readyBeforeMillis)) {
       return List.of();
     }
     Map<String, List<Job>> byClass = new HashMap<>();
@@ -62,7 +62,7 @@
       ofClass.sort(LARGEST_FIRST);
       int count = Math.max(1, Math.min(MAX_JOBS_PER_CLASS, ofClass.size() / JOBS_PER_STARVED_JOB));
       for (Job job : ofClass.subList(0, count)) {
-        if (notStarted(job) && job.readyMillis() < readyBefore) {
+        if (notStarted(job) && job.readyMillis() < readyBeforeMillis) {
           found.add(job);
         }
       }
--- a/src/main/java/org/mulleinshift/scheduling/Tardiness.java
+++ b/src/main/java/org/mulleinshift/scheduling/Tardiness.java
@@ -12,7 +12,7 @@
  */
 final class Tardiness {
   /** How late a job is expected to be; the earlier grade is served first. */
-  enum Grade {
+  enum Lateness {
     ON_TIME(0),
     /** Late, but within the multiple of its deadline that its class's objectives tolerate. */
     WITHIN_TOLERANCE(1),
@@ -20,7 +20,7 @@
 
     private final int rank;
 
-    Grade(int rank) {
+    Lateness(int rank) {
       this.rank = rank;
     }
 
@@ -34,7 +34,7 @@
    * Time to find capacity for all tasks and start them; without it, jobs served at the last moment
    * are all late.
    */
-  private static final double START_SECONDS = 4;
+  private static final double START_LATENCY_SECONDS = 4;
 
   /** How much longer than the mean the last of a job's tasks takes. */
   private static final double SLOWEST_TASK_FACTOR = 1.1;
@@ -71,31 +71,36 @@
   /**
    * A job's place among those of its priority and guarantee.
    *
-   * @param order the order of jobs of one grade; lower is served first. The seconds until the job's
-   *     last start, plus what its waiting tasks take in seconds of the whole cluster, weighted.
-   *     Without the first a large job waits too long when there is capacity for it; without the
-   *     second all jobs are late when there is not
+   * @param weightedSlackSeconds the order of jobs of one grade; lower is served first. The seconds
+   *     until the job's last start, plus what its waiting tasks take in seconds of the whole
+   *     cluster, weighted. Without the first a large job waits too long when there is capacity for
+   *     it; without the second all jobs are late when there is not
    */
-  record Position(Grade grade, double order) {}
+  record RankingKey(Lateness lateness, double weightedSlackSeconds) {}
 
   /** The job's place at a time of day. */
-  Position position(Job job, ShareSnapshot shares, long nowMillis) {
-    double expected = runTimes.expectedSeconds(job);
-    double slack = (job.deadlineMillis() - nowMillis) / MILLIS_PER_SECOND - expected;
-    double remainingWork = shares.shareOfTask(job) * job.waitingCount() * expected;
-    return new Position(grade(job, expected, nowMillis), slack + WORK_WEIGHT * remainingWork);
+  RankingKey rankingKey(Job job, ShareSnapshot shares, long nowMillis) {
+    double expectedSeconds = runTimes.expectedSeconds(job);
+    double slackSeconds = (job.deadlineMillis() - nowMillis) / MILLIS_PER_SECOND - expectedSeconds;
+    double remainingClusterSeconds = shares.shareOfTask(job) * job.waitingCount() * expectedSeconds;
+    return new RankingKey(
+        lateness(job, expectedSeconds, nowMillis),
+        slackSeconds + WORK_WEIGHT * remainingClusterSeconds);
   }
 
   /** A job that is long overdue counts as on time: it has waited enough. */
-  private Grade grade(Job job, double expected, long nowMillis) {
-    double expectedEnd =
-        nowMillis + MILLIS_PER_SECOND * (START_SECONDS + SLOWEST_TASK_FACTOR * expected);
-    if (expectedEnd <= job.deadlineMillis() || nowMillis - job.deadlineMillis() > overdueMillis) {
-      return Grade.ON_TIME;
+  private Lateness lateness(Job job, double expectedSeconds, long nowMillis) {
+    double expectedEndMillis =
+        nowMillis
+            + MILLIS_PER_SECOND * (START_LATENCY_SECONDS + SLOWEST_TASK_FACTOR * expectedSeconds);
+    if (expectedEndMillis <= job.deadlineMillis()
+        || nowMillis - job.deadlineMillis() > overdueMillis) {
+      return Lateness.ON_TIME;
     }
-    double allowed = job.deadlineMillis() - job.acceptedMillis();
-    double latestEnd =
-        job.acceptedMillis() + allowed * toleranceFactors.getOrDefault(job.spec().jobClass(), 1.0);
-    return expectedEnd <= latestEnd ? Grade.WITHIN_TOLERANCE : Grade.LATE;
+    double allowedMillis = job.deadlineMillis() - job.acceptedMillis();
+    double latestEndMillis =
+        job.acceptedMillis()
+            + allowedMillis * toleranceFactors.getOrDefault(job.spec().jobClass(), 1.0);
+    return expectedEndMillis <= latestEndMillis ? Lateness.WITHIN_TOLERANCE : Lateness.LATE;
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/TaskAssigner.java
+++ b/src/main/java/org/mulleinshift/scheduling/TaskAssigner.java
@@ -45,7 +45,7 @@
    */
   int assign(Job job, int maxTasks, CycleState cycle) {
     TeamId team = job.spec().team();
-    Resources used = cycle.used(team);
+    Resources used = cycle.usageOf(team);
     int allowed = allowedTasks(job, used, maxTasks);
     if (allowed == 0 || job.waitingCount() == 0) {
       return 0;
@@ -55,11 +55,11 @@
       return 0;
     }
     int[] waiting = job.waiting(allowed, loop.now());
-    BinPacker.CapacityConsumer consumer = assignmentsOf(job, waiting);
+    BinPacker.CapacityConsumer consumer = assigningConsumer(job, waiting);
     int assigned =
-        constrainsOwnTasks(job)
-            ? placeOneByOne(job, request, waiting.length, cycle, consumer)
-            : placeTogether(job, request, waiting.length, cycle, consumer);
+        hasInterTaskZoneConstraints(job)
+            ? assignOneByOne(job, request, waiting.length, cycle, consumer)
+            : assignTogether(job, request, waiting.length, cycle, consumer);
     cycle.recordUsage(team, used.plus(job.spec().perTask().times(assigned)));
     return assigned;
   }
@@ -78,15 +78,15 @@
         && !PlacementConstraints.gangFits(job, request, cycle.capacities(), allowed, loop.now())) {
       return false;
     }
-    return constrainsOwnTasks(job) || !cycle.isUnschedulable(request);
+    return hasInterTaskZoneConstraints(job) || !cycle.isUnschedulable(request);
   }
 
   /** Whether each task of the job that is placed changes which zones the others may be in. */
-  private static boolean constrainsOwnTasks(Job job) {
+  private static boolean hasInterTaskZoneConstraints(Job job) {
     return job.spec().requiresSpread() || job.spec().requiresSingleZone();
   }
 
-  private BinPacker.CapacityConsumer assignmentsOf(Job job, int[] waiting) {
+  private BinPacker.CapacityConsumer assigningConsumer(Job job, int[] waiting) {
     PrimitiveIterator.OfInt taskIndexes = Arrays.stream(waiting).iterator();
     return (capacity, count) -> {
       for (int i = 0; i < count; i++) {
@@ -97,35 +97,35 @@
     };
   }
 
-  private static int placeOneByOne(
+  private static int assignOneByOne(
       Job job,
       ResourceRequest request,
       int count,
       CycleState cycle,
       BinPacker.CapacityConsumer consumer) {
-    int placed = 0;
-    while (placed < count
+    int assigned = 0;
+    while (assigned < count
         && BinPacker.fill(request, 1, allowedCapacities(job, cycle), consumer) == 1) {
-      placed++;
+      assigned++;
     }
-    return placed;
+    return assigned;
   }
 
-  private static int placeTogether(
+  private static int assignTogether(
       Job job,
       ResourceRequest request,
       int count,
       CycleState cycle,
       BinPacker.CapacityConsumer consumer) {
-    int placed = BinPacker.fill(request, count, allowedCapacities(job, cycle), consumer);
-    if (placed < count) {
+    int assigned = BinPacker.fill(request, count, allowedCapacities(job, cycle), consumer);
+    if (assigned < count) {
       cycle.markUnschedulable(request);
     }
-    return placed;
+    return assigned;
   }
 
   private static List<MachineCapacity> allowedCapacities(Job job, CycleState cycle) {
-    if (job.spec().zone().isEmpty() && !constrainsOwnTasks(job)) {
+    if (job.spec().zone().isEmpty() && !hasInterTaskZoneConstraints(job)) {
       return cycle.capacities();
     }
     return cycle.capacities().stream()
--- a/src/main/java/org/mulleinshift/scheduling/TeamQuotas.java
+++ b/src/main/java/org/mulleinshift/scheduling/TeamQuotas.java
@@ -79,8 +79,8 @@
   /** A team's weight in fair shares: the same for all, plus its part of all guarantees. */
   double fairShareWeight(TeamId team) {
     double allGuaranteed = teams.values().stream().mapToDouble(PlatformSettings.Team::cpus).sum();
-    double ofGuarantees = allGuaranteed > 0 ? guaranteedCpus(team) / allGuaranteed : 0;
-    return 1.0 / Math.max(1, teams.size()) + ofGuarantees;
+    double shareOfGuarantees = allGuaranteed > 0 ? guaranteedCpus(team) / allGuaranteed : 0;
+    return 1.0 / Math.max(1, teams.size()) + shareOfGuarantees;
   }
 
   private Optional<PlatformSettings.Team> find(TeamId team) {
--- a/src/test/java/org/mulleinshift/scheduling/LongQueueTest.java
+++ b/src/test/java/org/mulleinshift/scheduling/LongQueueTest.java
@@ -113,7 +113,7 @@
   private static int preempt(
       Job job, PreemptionCandidates candidates, Predicate<Preemption.Location> usable) {
     List<TaskAssignment> victims =
-        PREEMPTION.victims(
+        PREEMPTION.selectVictims(
             job, WAITING_TASKS, candidates, new PreemptionPolicies.LowerPriority(job), usable);
     victims.forEach(TaskAssignment::requestStop);
     return victims.size();
@@ -133,7 +133,7 @@
 
     // When a job of higher priority preempts.
     List<TaskAssignment> victims =
-        PREEMPTION.victims(
+        PREEMPTION.selectVictims(
             waiting,
             WAITING_TASKS,
             candidates,
