--- a/src/main/java/org/mulleinshift/scheduling/AllocationIndex.java
+++ b/src/main/java/org/mulleinshift/scheduling/AllocationIndex.java
@@ -12,11 +12,12 @@
 import org.mulleinshift.protocol.TaskId;
 
 /**
- * Where the assigned tasks are: what they take of each machine, and which of a shard are not placed
- * yet. Updated with every change, so that a cycle need not look at every task.
+ * Indexes the task assignments of a term by machine, with the resources that they use on each, and
+ * by shard those that are not on a machine yet. Updated with every change, so that a scheduling
+ * cycle does not have to visit every task.
  */
 public final class AllocationIndex {
-  /** The tasks on one machine. */
+  /** The tasks on one machine, and the sum of what they request. */
   private static final class MachineLoad {
     private final Map<TaskId, TaskAssignment> tasks = new LinkedHashMap<>();
     private Resources used = Resources.ZERO;
@@ -25,7 +26,10 @@
   private final Map<MachineId, MachineLoad> machines = new HashMap<>();
   private final Map<ShardId, Map<TaskId, TaskAssignment>> unplaced = new HashMap<>();
 
-  /** Called before an assignment changes. */
+  /**
+   * Removes an assignment from the index. Call this before the assignment changes, since it is
+   * found by its current machine or shard.
+   */
   public void remove(TaskAssignment assignment) {
     if (assignment.state() == TaskAssignment.State.ENDED) {
       return;
@@ -48,7 +52,7 @@
     }
   }
 
-  /** Called after an assignment has changed. */
+  /** Adds an assignment to the index, after it has changed; an ended one is not indexed. */
   public void add(TaskAssignment assignment) {
     if (assignment.state() == TaskAssignment.State.ENDED) {
       return;
@@ -67,24 +71,27 @@
     }
   }
 
-  /** What the tasks on a machine take. */
+  /** The resources that the tasks on a machine use; zero if there are none. */
   Resources usedResources(MachineId machine) {
     MachineLoad load = machines.get(machine);
     return load == null ? Resources.ZERO : load.used;
   }
 
-  /** The tasks on a machine. */
+  /** The assignments of the tasks on a machine; empty if there are none. */
   public Collection<TaskAssignment> assignmentsOn(MachineId machine) {
     MachineLoad load = machines.get(machine);
     return load == null ? List.of() : load.tasks.values();
   }
 
-  /** The tasks assigned to a shard whose owner has not placed them yet. */
+  /** The assignments of a shard that its owner has not placed on a machine yet. */
   Collection<TaskAssignment> unplacedAssignments(ShardId shard) {
     return unplaced.getOrDefault(shard, Map.of()).values();
   }
 
-  /** Whether a task is, or may be about to be, on the machine. */
+  /**
+   * Whether the machine has a task, or may get one since the owner of its shard still has tasks to
+   * place.
+   */
   public boolean mayHaveTasks(MachineId machine, ShardId shard) {
     return machines.containsKey(machine) || !unplacedAssignments(shard).isEmpty();
   }
--- a/src/main/java/org/mulleinshift/scheduling/AssignAheadPass.java
+++ b/src/main/java/org/mulleinshift/scheduling/AssignAheadPass.java
@@ -15,9 +15,9 @@
 import org.mulleinshift.protocol.ShardId;
 
 /**
- * Assigns tasks to the capacity that should become free before an assignment would arrive. Storing
- * and sending an assignment takes longer than a machine should stand idle; the owner starts the
- * task when the capacity is there.
+ * Assigns tasks to capacity that should become free before the assignment reaches the shard's
+ * owner. Storing and sending an assignment takes longer than a machine should be idle, so the owner
+ * queues the task and starts it as soon as there is capacity.
  */
 final class AssignAheadPass {
   private final ClusterState state;
@@ -26,7 +26,11 @@
   private final MinimumSharePass minimumSharePass;
   private final double aheadSeconds;
 
-  /** A pass that looks so many seconds ahead; with 0 it does nothing. */
+  /**
+   * Creates the pass.
+   *
+   * @param aheadSeconds how far ahead capacity is counted as available; 0 disables the pass
+   */
   AssignAheadPass(
       ClusterState state,
       AvailableCapacity availableCapacity,
@@ -59,7 +63,10 @@
     return mayQueueAtOwner(job) && job.waitingCount() > 0;
   }
 
-  /** Where the job's other tasks are decides where a task may go: then it is not sent ahead. */
+  /**
+   * Whether tasks of the job may be assigned before there is capacity. This excludes jobs whose
+   * tasks are restricted to zones by where the job's other tasks are.
+   */
   private static boolean mayQueueAtOwner(Job job) {
     return job.state() == Job.State.ACTIVE
         && job.spec().kind() == JobKind.ARRAY
@@ -67,7 +74,7 @@
         && !job.spec().requiresSpread();
   }
 
-  /** Counts the capacity of tasks that should end soon as available. */
+  /** Counts the capacity of tasks that are expected to end soon as available. */
   private void releaseEndingTasks(CycleState cycle) {
     Map<MachineId, Optional<MachineCapacity>> byMachine = new HashMap<>();
     cycle
@@ -84,7 +91,10 @@
     }
   }
 
-  /** Adds a machine that was not collected since too little of it is available, if it is usable. */
+  /**
+   * Adds a machine that was left out because too little of it was available; empty if it is not
+   * usable.
+   */
   private Optional<MachineCapacity> addSaturatedMachine(
       ShardId shard, MachineId machine, CycleState cycle) {
     Optional<MachineCapacity> capacity =
@@ -96,7 +106,9 @@
     return capacity;
   }
 
-  /** The tasks that wait at owners get the capacity that frees before any other. */
+  /**
+   * Allocates capacity to the tasks already queued at owners: they take what becomes free first.
+   */
   private void allocateQueuedTasks(CycleState cycle) {
     for (AvailableCapacity.QueuedAtOwner queued : availableCapacity.queuedAtOwners()) {
       List<MachineCapacity> ofShard =
@@ -107,7 +119,10 @@
     }
   }
 
-  /** As many of the job's running tasks as should end soon, the longest running first. */
+  /**
+   * The running tasks that are expected to end soon: as many as the expected run time suggests, the
+   * longest-running first.
+   */
   private List<TaskAssignment> endingSoon(Job job) {
     List<TaskAssignment> running =
         job.assignments().stream()
--- a/src/main/java/org/mulleinshift/scheduling/AvailableCapacity.java
+++ b/src/main/java/org/mulleinshift/scheduling/AvailableCapacity.java
@@ -25,27 +25,40 @@
 import org.mulleinshift.sharding.MachinePhase;
 import org.mulleinshift.sharding.ShardView;
 
-/** The capacity that a cycle can assign, and the tasks that wait at owners for more of it. */
+/**
+ * Determines the capacity that a scheduling cycle can assign, and the assigned tasks that are
+ * queued at owners for lack of capacity.
+ */
 public final class AvailableCapacity {
-  /** Equal tasks that wait at a shard's owner for capacity. */
+  /** Equal tasks that are queued at a shard's owner for lack of capacity. */
   record QueuedAtOwner(ShardId shard, ResourceRequest request, int count) {}
 
   private final ClusterState state;
   private final List<QueuedAtOwner> queuedAtOwners = new ArrayList<>();
 
-  /** What a term's cluster has available. */
+  /**
+   * The capacity of one term's cluster.
+   *
+   * @param state the leader's view of the cluster
+   */
   public AvailableCapacity(ClusterState state) {
     this.state = state;
   }
 
-  /** What was assigned and did not fit when capacity was last collected. */
+  /**
+   * Assigned tasks that did not fit into the available capacity at the last call of {@link
+   * #collect}.
+   */
   List<QueuedAtOwner> queuedAtOwners() {
     return queuedAtOwners;
   }
 
   /**
-   * Capacity as the owners report it, less what is assigned and not yet placed. Machines that have
-   * less available than the minimum that is requested are left out.
+   * Collects the available capacity of all machines that their owners report as usable, less what
+   * is assigned to a shard and not placed on a machine yet.
+   *
+   * @param minRequested the smallest amount of each resource that is requested; machines that have
+   *     less available are left out, unless unplaced tasks request less
    */
   List<MachineCapacity> collect(Resources minRequested) {
     List<MachineCapacity> capacities = new ArrayList<>();
@@ -83,7 +96,10 @@
     return state.jobs().find(job).orElseThrow().spec();
   }
 
-  /** The capacities of a shard's machines that have at least so much available. */
+  /**
+   * The capacities of a shard's usable machines that have at least {@code minAvailable}; empty
+   * until the shard's current owner has reported its status.
+   */
   public List<MachineCapacity> ofShard(ShardView shard, Resources minAvailable) {
     List<MachineCapacity> found = new ArrayList<>();
     if (shard.hasStatus()) {
@@ -94,14 +110,17 @@
     return found;
   }
 
-  /** What a machine has available, if it may take tasks and has at least so much. */
+  /**
+   * The available capacity of a machine; empty if it may not take tasks or has less than {@code
+   * minAvailable}.
+   */
   Optional<MachineCapacity> ofMachine(ShardView shard, MachineId id, Resources minAvailable) {
     MachineRecord record = shard.machines().get(id);
     MachineType type = record == null ? null : state.catalog().type(record.type()).orElse(null);
     if (type == null || !record.up() || !shard.hasStatus()) {
       return Optional.empty();
     }
-    // Most machines of a busy cluster are full: what costs more to find out comes after this.
+    // Most machines of a busy cluster are full, so the more expensive checks follow this one.
     Resources available = type.size().minus(state.allocations().usedResources(id));
     if (!minAvailable.fitsInto(available)) {
       return Optional.empty();
@@ -121,7 +140,10 @@
                     images(id, status)));
   }
 
-  /** Images on the machine, and those its tasks fetch: equal tasks then share the fetch. */
+  /**
+   * Images that are cached on the machine, and those of tasks on it, which may still be fetched:
+   * tasks with the same image share the fetch.
+   */
   private Set<String> images(MachineId machine, MachineStatus status) {
     Set<String> images = new HashSet<>(status.getImages());
     for (TaskAssignment assignment : state.allocations().assignmentsOn(machine)) {
--- a/src/main/java/org/mulleinshift/scheduling/CapacityReservation.java
+++ b/src/main/java/org/mulleinshift/scheduling/CapacityReservation.java
@@ -14,17 +14,18 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Capacity kept free of less urgent work for classes whose tasks must start soon: a share of what
- * their jobs request on average, as long as such jobs keep arriving.
+ * Reserves capacity for classes whose tasks must start soon, by keeping it free of tasks of other
+ * classes. The amount is a multiple of what a job of the class requests on average; it is reserved
+ * as long as such jobs keep arriving.
  */
 public final class CapacityReservation {
-  /** Of the latest job in the moving average. */
+  /** Weight of the latest job in the moving average. */
   private static final double LATEST_WEIGHT = 0.2;
 
-  /** Tasks of one class for which capacity is reserved. */
+  /** Capacity reserved for a number of equal tasks of one class. */
   public record Reservation(ResourceRequest request, int count) {}
 
-  /** What the jobs of a class request. */
+  /** The latest request, mean number of tasks and latest arrival of a class's jobs. */
   private static final class ClassDemand {
     private ResourceRequest latestRequest;
     private double meanTasks;
@@ -37,9 +38,11 @@
   private final Duration keepDuration;
 
   /**
-   * Reservations by the objectives of a deployment.
+   * Reserves capacity for the classes that have a start-time objective.
    *
-   * @param reservedJobs how much of what a job requests on average is reserved
+   * @param objectives the objectives of the deployment
+   * @param reservedJobs for how many average jobs of each class capacity is reserved; may be a
+   *     fraction
    * @param keepDuration how long capacity is reserved after the last job of a class arrived
    */
   public CapacityReservation(
@@ -53,17 +56,17 @@
     this.keepDuration = keepDuration;
   }
 
-  /** Whether capacity is reserved for the job's class. */
+  /** Whether capacity is reserved for the job's class, which then has a start-time objective. */
   boolean appliesTo(JobSpec spec) {
     return reservedClasses.contains(spec.jobClass());
   }
 
-  /** Whether any class has a start objective. */
+  /** Whether any class has a start-time objective. */
   boolean hasReservedClasses() {
     return !reservedClasses.isEmpty();
   }
 
-  /** A job has arrived, of whichever class. */
+  /** Records the arrival of a job; a job whose class has no reservation is ignored. */
   public void onJobArrived(JobSpec spec, MonotonicTime now) {
     if (appliesTo(spec)) {
       ClassDemand demand = demandByClass.computeIfAbsent(spec.jobClass(), key -> new ClassDemand());
@@ -76,7 +79,7 @@
     }
   }
 
-  /** What is reserved now. */
+  /** The reservations in effect, at most one for each class. */
   public List<Reservation> reservations(MonotonicTime now) {
     List<Reservation> reserved = new ArrayList<>();
     for (ClassDemand demand : demandByClass.values()) {
--- a/src/main/java/org/mulleinshift/scheduling/ClusterState.java
+++ b/src/main/java/org/mulleinshift/scheduling/ClusterState.java
@@ -14,21 +14,21 @@
 import org.mulleinshift.transport.EventLoop;
 
 /**
- * What the leader of a term knows of the cluster: the tables and indexes that scheduling and
- * autoscaling share. All of it is owned by the event loop and lasts as long as the term.
+ * The leader's view of the cluster: the tables and indexes that scheduling and autoscaling share.
+ * It is used by the event loop only and lasts as long as the leader's term.
  *
  * @param loop the event loop, for its clock
  * @param jobs jobs that may run or are about to end
  * @param shards shards of machines and what their owners reported
  * @param machines provisioned machines
- * @param allocations where the assigned tasks are
+ * @param allocations the assigned tasks, by machine and shard
  * @param quotas limits and guarantees of teams
  * @param failures attributes task failures to jobs or machines
  * @param reservation capacity kept free for classes whose tasks must start soon
- * @param unreadable jobs that this build can't read
+ * @param unreadable jobs whose stored records this build can't read
  * @param catalog machine types and prices
  * @param runTimes expected run times
- * @param view control keys as the store last showed them
+ * @param view control keys as last received from the store
  */
 public record ClusterState(
     EventLoop loop,
@@ -44,19 +44,28 @@
     RunTimeEstimator runTimes,
     ClusterView view) {
 
-  /** Whether the machine must take no new task. */
+  /**
+   * Whether the machine may take no new task: it is cordoned, quarantined or suspected of causing
+   * task failures.
+   */
   public boolean isCordoned(MachineId machine) {
     return machines.isCordoned(machine)
         || failures.isQuarantined(machine)
         || failures.isSuspect(machine, loop.now());
   }
 
-  /** Whether a task is, may be about to be, or may unknown to this build be on the machine. */
+  /**
+   * Whether the machine has, or may soon have, a task; tasks of jobs that this build can't read
+   * count, too.
+   */
   public boolean mayHaveTasks(MachineId machine, ShardId shard) {
     return allocations.mayHaveTasks(machine, shard) || unreadable.mayOccupy(shard);
   }
 
-  /** What each team uses, or may use. */
+  /**
+   * The resources that each team uses, including the most that jobs which this build can't read may
+   * use.
+   */
   public Map<TeamId, Resources> usageByTeam() {
     Map<TeamId, Resources> usage = TeamQuotas.usageByTeam(jobs.all());
     unreadable.addUsage(usage);
--- a/src/main/java/org/mulleinshift/scheduling/CycleState.java
+++ b/src/main/java/org/mulleinshift/scheduling/CycleState.java
@@ -9,7 +9,7 @@
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.TeamId;
 
-/** What the passes of one scheduling cycle share, and change as they assign tasks. */
+/** State that the passes of one scheduling cycle share and update as they assign tasks. */
 final class CycleState {
   private final RankedQueue queue;
   private final List<MachineCapacity> capacities;
@@ -19,9 +19,9 @@
   /**
    * The state at the start of a cycle.
    *
-   * @param queue the jobs in the order of this cycle, and the shares it was derived from
-   * @param capacities available capacity by machine; becomes the cycle's own
-   * @param usageByTeam what each team uses; becomes the cycle's own
+   * @param queue the ranking for this cycle, and the shares that it was computed from
+   * @param capacities available capacity by machine; modified by the cycle
+   * @param usageByTeam the resources that each team uses; modified by the cycle
    */
   CycleState(
       RankedQueue queue, List<MachineCapacity> capacities, Map<TeamId, Resources> usageByTeam) {
@@ -30,7 +30,7 @@
     this.usageByTeam = usageByTeam;
   }
 
-  /** All jobs, most urgent first. */
+  /** All jobs, the highest-ranked first. */
   List<Job> rankedJobs() {
     return queue.ranking().rankedJobs();
   }
@@ -43,7 +43,7 @@
     return queue.shares();
   }
 
-  /** The available capacity by machine; the order breaks ties between equally good machines. */
+  /** The available capacity by machine; of equally good machines, the first is chosen. */
   List<MachineCapacity> capacities() {
     return capacities;
   }
@@ -52,17 +52,17 @@
     capacities.add(capacity);
   }
 
-  /** Forgets which requests found no machine: they may find one, now that capacity has grown. */
+  /** Clears the requests known to fit no machine, since capacity has grown and they may fit now. */
   void clearUnschedulable() {
     unschedulable = new UnschedulableRequests();
   }
 
-  /** What each team uses, with all that this cycle has assigned. */
+  /** The resources that each team uses, including what this cycle has assigned. */
   Map<TeamId, Resources> usageByTeam() {
     return usageByTeam;
   }
 
-  /** What one team uses, with all that this cycle has assigned. */
+  /** The resources that a team uses, including what this cycle has assigned. */
   Resources usageOf(TeamId team) {
     return usageByTeam.getOrDefault(team, Resources.ZERO);
   }
--- a/src/main/java/org/mulleinshift/scheduling/EntityGroup.java
+++ b/src/main/java/org/mulleinshift/scheduling/EntityGroup.java
@@ -10,9 +10,12 @@
 import org.mulleinshift.fairness.ShareEntity;
 import org.mulleinshift.model.Job;
 
-/** The entities of one kind that share the cluster (classes or teams), and what they may claim. */
+/**
+ * The entities of one kind (job classes or teams) that share the cluster, with their minimum shares
+ * and the claims that remain in this cycle.
+ */
 final class EntityGroup {
-  /** Keeps a claim of whole tasks from being rounded up to one more. */
+  /** Keeps a rounding error from turning a claim of whole tasks into one task more. */
   private static final double ROUNDING_TOLERANCE = 1e-6;
 
   private static final int PERCENT = 100;
@@ -23,11 +26,11 @@
   private final Map<String, Double> remainingClaims;
 
   /**
-   * Entities and their claims.
+   * Computes the claims of the entities.
    *
    * @param entityNameOf the name of a job's entity
-   * @param all the entities; their order matters to the rounding of the shares
-   * @param minimumShare how much of its fair share is an entity's minimum share
+   * @param all the entities; their order affects the rounding of the shares
+   * @param minimumShare the part of its fair share that is an entity's minimum share
    */
   EntityGroup(
       Function<Job, String> entityNameOf, Collection<ShareEntity> all, double minimumShare) {
@@ -42,12 +45,16 @@
     return entityNameOf.apply(job);
   }
 
-  /** Whether any entity had a claim when the cycle began. */
+  /** Whether any entity had a claim at the start of the cycle. */
   boolean hasClaims() {
     return !remainingClaims.isEmpty();
   }
 
-  /** How many of the job's tasks, each of such a share, its entity may still claim. */
+  /**
+   * How many of the job's tasks its entity may still claim.
+   *
+   * @param sharePerTask the share of the cluster that one task takes
+   */
   int claimableTasks(Job job, double sharePerTask) {
     double remaining = remainingClaims.getOrDefault(entityNameOf(job), 0.0);
     return sharePerTask > 0 && remaining > 0
@@ -55,18 +62,24 @@
         : 0;
   }
 
-  /** Tasks of such a share in all were assigned to the job's entity. */
+  /** Reduces the claim of the job's entity by a share of the cluster that was assigned to it. */
   void consumeClaim(Job job, double share) {
     remainingClaims.merge(entityNameOf(job), -share, Double::sum);
   }
 
-  /** What the job's entity uses beyond its minimum share; negative if it uses less. */
+  /**
+   * The share of the cluster that the job's entity uses beyond its minimum share; negative if it
+   * uses less.
+   */
   double shareAboveMinimum(Job job) {
     ShareEntity entity = entities.get(entityNameOf(job));
     return entity == null ? 0 : entity.inUse() - claims.minimum(entity.name());
   }
 
-  /** Each entity's share of the cluster, minimum share and demand, in percent. */
+  /**
+   * Formats the use, minimum share and demand of each entity, in percent of the cluster, for the
+   * log.
+   */
   String describe() {
     return entities.values().stream().map(this::describe).collect(Collectors.joining(" "));
   }
--- a/src/main/java/org/mulleinshift/scheduling/FailureAttribution.java
+++ b/src/main/java/org/mulleinshift/scheduling/FailureAttribution.java
@@ -17,23 +17,25 @@
 
 /**
  * Attributes task failures to jobs or machines. A job that fails on several machines and has never
- * succeeded was submitted with a mistake; a machine is quarantined when jobs that succeed elsewhere
- * fail there repeatedly. Failures of a failing job are not counted against machines: else one
- * mistake takes the whole cluster out of use.
+ * succeeded is taken to be the cause itself. A machine is quarantined when jobs that succeed
+ * elsewhere fail on it repeatedly. Failures of a failing job do not count against machines:
+ * otherwise one broken job could take every machine out of use.
  */
 public final class FailureAttribution {
   private static final Logger LOG = LoggerFactory.getLogger(FailureAttribution.class);
 
-  /** A job that failed on so many machines, and never succeeded, is failing. */
+  /** A job that has never succeeded is failing once it failed on this many machines. */
   private static final int FAILING_JOB_MIN_MACHINES = 3;
 
-  /** A job that failed so often, and never succeeded, is failing, on however few machines. */
+  /**
+   * A job that has never succeeded is failing after this many failures, on however few machines.
+   */
   private static final int FAILING_JOB_MIN_FAILURES = 10;
 
   private static final int MAX_BACKOFF_DOUBLINGS = 4;
   private static final Duration SUSPICION_PERIOD = Duration.ofSeconds(10);
 
-  /** Failures of a job since its last success. */
+  /** Failures of a job's tasks since the last task that succeeded. */
   private static final class JobFailures {
     private final Set<MachineId> machines = new LinkedHashSet<>();
     private int failures;
@@ -42,7 +44,7 @@
     private MonotonicTime nextAttemptAt;
   }
 
-  /** Failures on a machine since its last success. */
+  /** Failures on a machine since the last task that succeeded there, by job. */
   private static final class MachineFailures {
     private final Map<Job, Integer> byJob = new LinkedHashMap<>();
     private MonotonicTime lastFailureAt;
@@ -54,19 +56,19 @@
   private final Map<MachineId, MachineFailures> machines = new HashMap<>();
 
   /**
-   * No failures yet.
+   * Starts without recorded failures.
    *
-   * @param quarantineFailures a machine on which several jobs that succeed elsewhere failed so
-   *     often is quarantined
-   * @param retryBackoff the first delay between attempts of a failing job; it doubles with each
-   *     attempt
+   * @param quarantineFailures a machine is quarantined after this many failures of several jobs
+   *     that succeed elsewhere, or twice as many of one such job
+   * @param retryBackoff the first delay before a failing job is attempted again; it doubles with
+   *     each failed attempt, up to a limit
    */
   public FailureAttribution(int quarantineFailures, Duration retryBackoff) {
     this.quarantineFailures = quarantineFailures;
     this.retryBackoff = retryBackoff;
   }
 
-  /** A task of the job failed on the machine. */
+  /** Records that a task of the job failed on the machine. */
   public void onFailure(Job job, MachineId machine, MonotonicTime now) {
     JobFailures jobFailures = jobs.computeIfAbsent(job.spec().id(), key -> new JobFailures());
     jobFailures.failures++;
@@ -100,7 +102,10 @@
     }
   }
 
-  /** A task of the job was done on the machine: neither is the cause of earlier failures. */
+  /**
+   * Records that a task of the job completed on the machine, and discards the earlier failures of
+   * both: neither was the cause.
+   */
   public void onSuccess(Job job, MachineId machine) {
     machines.remove(machine);
     JobFailures jobFailures = jobs.remove(job.spec().id());
@@ -119,13 +124,13 @@
             });
   }
 
-  /** The job needs no attribution any more. */
+  /** Discards the failures of a job that has ended. */
   public void onJobEnded(JobId job) {
     jobs.remove(job);
     forgetOnMachines(job);
   }
 
-  /** The machines are gone for good. */
+  /** Discards the failures on machines that were deleted. */
   public void onMachinesDeleted(List<MachineId> deleted) {
     machines.keySet().removeAll(deleted);
   }
@@ -134,16 +139,16 @@
     return job.doneCount() > 0;
   }
 
-  /** Whether the job fails wherever it runs. */
+  /** Whether the job is failing: it fails wherever it runs. */
   boolean isJobFailing(Job job) {
     JobFailures jobFailures = jobs.get(job.spec().id());
     return jobFailures != null && jobFailures.failing;
   }
 
   /**
-   * How many of the job's tasks may be attempted now: of a failing job one at a time, with backoff.
-   * A gang is attempted whole: one task of it alone fits nowhere, and it would never get another
-   * attempt.
+   * How many of the job's tasks may be attempted now. For a failing job it is one at a time, with
+   * backoff; for a failing gang all of its tasks, since a gang never starts in part and would
+   * otherwise not be attempted again.
    */
   public int allowedAttempts(Job job, MonotonicTime now) {
     JobFailures jobFailures = jobs.get(job.spec().id());
@@ -156,8 +161,8 @@
   }
 
   /**
-   * Whether jobs that succeed elsewhere failed on the machine repeatedly, with no success between:
-   * several jobs, or one job twice as often.
+   * Whether the machine is quarantined: jobs that succeed elsewhere failed on it repeatedly, with
+   * no success in between. One job alone must fail twice as often as several.
    */
   public boolean isQuarantined(MachineId machine) {
     MachineFailures machineFailures = machines.get(machine);
@@ -175,7 +180,10 @@
     return failures >= (failedJobs > 1 ? quarantineFailures : 2 * quarantineFailures);
   }
 
-  /** Whether tasks fail on the machine and it is not clear yet why: it takes none for a while. */
+  /**
+   * Whether tasks failed on the machine repeatedly and recently. Until the cause is known it takes
+   * no new tasks for a while.
+   */
   public boolean isSuspect(MachineId machine, MonotonicTime now) {
     MachineFailures machineFailures = machines.get(machine);
     return machineFailures != null
--- a/src/main/java/org/mulleinshift/scheduling/JobRanking.java
+++ b/src/main/java/org/mulleinshift/scheduling/JobRanking.java
@@ -15,9 +15,11 @@
 import org.mulleinshift.protocol.TeamId;
 
 /**
- * The order in which jobs get capacity: priority, then guarantee, then who can make its deadline,
- * then whose last start is near and who requests little: where not all can be on time, that lets
- * most be. Last come those that fail everywhere, which also use up nothing of a guarantee.
+ * Ranks jobs for the assignment of capacity: by priority, then by whether they are within their
+ * team's guarantee, then by expected lateness, then by the time until the latest start and the
+ * remaining work. Where not all jobs can be on time, the last criterion lets most of them be. Late
+ * jobs rank below those of the next lower priority that are not late. Failing jobs come last and do
+ * not count against a guarantee.
  */
 public final class JobRanking {
   private static final Comparator<Job> BY_ARRIVAL =
@@ -41,7 +43,7 @@
    * Ranks jobs.
    *
    * @param failing whether a job fails wherever it runs
-   * @param shares what the jobs' tasks take of the cluster
+   * @param shares gives the share of the cluster that a job's task takes
    * @param nowMillis the time of day
    */
   static JobRanking of(
@@ -70,9 +72,9 @@
   }
 
   /**
-   * Adds the job to what its team requests.
+   * Adds the job's unfinished tasks to the resources that its team requests.
    *
-   * @return whether that is still within the team's guarantee
+   * @return whether the team's total is still within its guarantee
    */
   private static boolean countAgainstGuarantee(
       Job job, Map<TeamId, Resources> requestedByTeam, TeamQuotas quotas) {
@@ -83,9 +85,9 @@
     return quotas.isWithinGuarantee(team, requested);
   }
 
-  /** A job with all that its rank depends on, each worked out once and not at each comparison. */
+  /** A job with its sort keys, which are computed once rather than in each comparison. */
   private static final class Entry {
-    /** A late job ranks below jobs of the next priority that are not late. */
+    /** A late job ranks just below the jobs of the next lower priority that are not late. */
     private static final int LEVELS_PER_PRIORITY = 2;
 
     private static final int LATE_LEVEL_PENALTY = 3;
@@ -116,17 +118,20 @@
     }
   }
 
-  /** All jobs, most urgent first. */
+  /** All jobs, the highest-ranked first. */
   public List<Job> rankedJobs() {
     return rankedJobs;
   }
 
-  /** The job's place in the order, from 0; a job that arrived since is last. */
+  /** The job's position in the ranking, from 0; a job that arrived after the ranking comes last. */
   public int rank(JobId job) {
     return ranks.getOrDefault(job, ranks.size());
   }
 
-  /** Whether the job fits into its team's guarantee together with the team's earlier jobs. */
+  /**
+   * Whether the job fits into its team's guarantee, together with the jobs of the team that were
+   * ready before it.
+   */
   boolean withinGuarantee(Job job) {
     return withinGuarantee.contains(job.spec().id());
   }
--- a/src/main/java/org/mulleinshift/scheduling/MinimumSharePass.java
+++ b/src/main/java/org/mulleinshift/scheduling/MinimumSharePass.java
@@ -4,7 +4,10 @@
 import java.util.function.Predicate;
 import org.mulleinshift.model.Job;
 
-/** Assigns capacity to classes and teams below their minimum share, before the usual order. */
+/**
+ * Assigns capacity to classes and teams that are below their minimum share, before jobs are served
+ * in ranking order.
+ */
 final class MinimumSharePass {
   private final TaskAssigner assigner;
 
@@ -12,7 +15,7 @@
     this.assigner = assigner;
   }
 
-  /** Assigns tasks of eligible jobs, in the cycle's order, up to what their entities may claim. */
+  /** Assigns tasks of eligible jobs, in ranking order, up to what their class or team may claim. */
   void run(CycleState cycle, Predicate<Job> eligible) {
     for (EntityGroup group : cycle.shares().groups()) {
       List<Job> claimants = group.hasClaims() ? cycle.rankedJobs() : List.of();
--- a/src/main/java/org/mulleinshift/scheduling/MinimumShares.java
+++ b/src/main/java/org/mulleinshift/scheduling/MinimumShares.java
@@ -23,8 +23,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The shares that classes and teams use, demand and can reach of the cluster, and their minimum
- * shares. All of it follows from what is stored, so a new leader comes to the same result.
+ * Computes which shares of the cluster classes and teams use, demand and can reach, and their
+ * minimum shares. The result depends only on what is stored, so a new leader computes the same.
  */
 final class MinimumShares {
   private static final Logger LOG = LoggerFactory.getLogger(MinimumShares.class);
@@ -36,9 +36,9 @@
   private Optional<MonotonicTime> loggedAt = Optional.empty();
 
   /**
-   * Shares of a term's cluster.
+   * Computes shares of one term's cluster.
    *
-   * @param minimumShare how much of its fair share is an entity's minimum share
+   * @param minimumShare the part of its fair share that is an entity's minimum share
    */
   MinimumShares(ClusterState state, double minimumShare) {
     this.state = state;
@@ -46,7 +46,7 @@
     this.capacity = new UsableClusterCapacity(state);
   }
 
-  /** Sums up what the jobs of one entity use and demand, as shares of the cluster. */
+  /** Sums what the jobs of one class or team use and demand, as shares of the cluster. */
   private static final class EntityTotals {
     private final double weight;
     private final Set<MachineTypeId> types = new HashSet<>();
@@ -68,10 +68,10 @@
     }
   }
 
-  /** The shares of the cluster that a job's assigned and waiting tasks take. */
+  /** The shares of the cluster that a job's assigned tasks use and its waiting tasks request. */
   private record JobShares(double inUse, double waiting) {}
 
-  /** The shares as they are now. */
+  /** Computes the current shares. */
   ShareSnapshot snapshot(
       Collection<Job> jobs, Map<TeamId, Resources> usageByTeam, MonotonicTime now) {
     capacity.refreshIfDue(now);
@@ -137,12 +137,15 @@
     return new EntityGroup(job -> job.spec().team().value(), entities, minimumShare);
   }
 
-  /** Twice the weight for each step of priority. */
+  /** The weight of a class: it doubles with each step of priority. */
   private static double weight(Priority priority) {
     return 1 << (Priority.LOW.rank() - priority.rank());
   }
 
-  /** Shows operators that minimum shares take effect: only then, and only now and then. */
+  /**
+   * Tells operators that minimum shares take effect: logs only while an entity has a claim, and at
+   * most once per interval.
+   */
   private void logClaims(ShareSnapshot snapshot, MonotonicTime now) {
     boolean claimed = snapshot.groups().stream().anyMatch(EntityGroup::hasClaims);
     boolean due = loggedAt.isEmpty() || now.since(loggedAt.get()).compareTo(LOG_INTERVAL) >= 0;
--- a/src/main/java/org/mulleinshift/scheduling/Preemption.java
+++ b/src/main/java/org/mulleinshift/scheduling/Preemption.java
@@ -15,31 +15,42 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Chooses tasks that give way to a job of higher priority: only such as have run for a short while,
- * the shortest first, so that little work is lost.
+ * Selects tasks to preempt. Only tasks that have run for a short time are selected, those with the
+ * shortest run time first, so that little work is lost.
  */
 final class Preemption {
-  /** A task is stopped for at most so many tasks of the preempting job. */
+  /**
+   * A task that makes capacity for more than this many tasks of the preempting job is not
+   * preempted.
+   */
   private static final int MAX_TASKS_PER_VICTIM = 2;
 
   private static final int MILLIS_PER_SECOND = 1000;
 
-  /** The kind of machine that a task is on. */
+  /** The zone and kind of machine that a task is on. */
   record Location(ZoneId zone, MachineTypeId type, boolean spot) {}
 
-  /** Finds the location of a task, if its owner has placed it on a machine of a known shard. */
+  /**
+   * Finds the location of a task; empty unless its owner has placed it on a machine of a known
+   * shard.
+   */
   interface Locator {
     Optional<Location> locate(TaskAssignment assignment);
   }
 
-  /** Decides whether work may be preempted for a job, and keeps count of what was. */
+  /** Decides whose tasks may be preempted for a job, and keeps account of those that were. */
   interface Policy {
     boolean mayPreempt(Job other);
 
     void onPreempted(Job other);
   }
 
-  /** A group of candidates with the shortest run time of them, as one preempting job sees it. */
+  /**
+   * A group of candidates, ordered by the shortest run time among them.
+   *
+   * @param tasksPerVictim how many tasks of the preempting job fit into the capacity of one
+   *     candidate
+   */
   private record RankedGroup(
       PreemptionCandidates.Group group, int tasksPerVictim, double shortestRunSeconds)
       implements Comparable<RankedGroup> {
@@ -57,24 +68,25 @@
   private final double slackSeconds;
 
   /**
-   * Preemption within limits.
+   * Sets the limits of preemption.
    *
-   * @param maxRunSeconds a task that ran for longer is not preempted
-   * @param slackSeconds a job preempts only when its last start is as near as this
+   * @param maxRunSeconds tasks that have run for longer are not preempted
+   * @param slackSeconds a job with a deadline preempts only if it must start within this time
    */
   Preemption(double maxRunSeconds, double slackSeconds) {
     this.maxRunSeconds = maxRunSeconds;
     this.slackSeconds = slackSeconds;
   }
 
-  /** The tasks of the jobs that may be preempted in one cycle. */
+  /** The tasks that may be preempted in one cycle; see {@link PreemptionCandidates}. */
   PreemptionCandidates candidates(Collection<Job> jobs, Locator locator, MonotonicTime now) {
     return new PreemptionCandidates(jobs, locator, maxRunSeconds, now);
   }
 
   /**
-   * Whether the job is so near the last moment for its start that work should be lost for it. On a
-   * large cluster tasks end all the time, and most jobs get their capacity from those.
+   * Whether the job must start so soon that work should be lost for it: it has no deadline, or
+   * little slack before it. On a large cluster tasks end all the time, and most jobs get their
+   * capacity from those.
    */
   boolean isUrgent(Job job, double expectedSeconds, long nowMillis) {
     return !job.hasDeadline()
@@ -83,7 +95,8 @@
   }
 
   /**
-   * Tasks whose stop frees capacity for so many of the job's tasks; they are no longer candidates.
+   * Selects tasks whose preemption, with that of tasks already stopping, frees capacity for up to
+   * {@code wanted} of the job's tasks. The selected tasks are no longer candidates.
    */
   List<TaskAssignment> selectVictims(
       Job job,
@@ -97,9 +110,9 @@
     for (PreemptionCandidates.Group group : candidates.groups()) {
       int tasksPerVictim = request.perTask().countIn(group.job().spec().perTask());
       if (tasksPerVictim > 0 && policy.mayPreempt(group.job()) && usable.test(group.location())) {
-        // Already stopping: that capacity is about to be released.
+        // Tasks that are already stopping will release their capacity soon.
         missing -= group.stopping() * tasksPerVictim;
-        // A large task that gives way to a few small ones loses more than they win.
+        // Preempting a large task for a few small ones loses more than it gains.
         if (tasksPerVictim <= MAX_TASKS_PER_VICTIM && group.hasCandidates()) {
           rankedGroups.add(RankedGroup.of(group, tasksPerVictim));
         }
@@ -115,7 +128,7 @@
     while (missing > 0 && !rankedGroups.isEmpty()) {
       RankedGroup next = rankedGroups.poll();
       PreemptionCandidates.Group group = next.group();
-      // Asked again: what was chosen meanwhile may have used up what the policy allows.
+      // Checked again: tasks selected meanwhile may have used up what the policy allows.
       if (policy.mayPreempt(group.job())) {
         policy.onPreempted(group.job());
         chosen.add(group.preemptShortest());
@@ -128,12 +141,12 @@
     return chosen;
   }
 
-  /** Whether the job is of a priority that may preempt at all. */
+  /** Whether the job is active and of a priority that may preempt at all. */
   static boolean hasPreemptingPriority(Job job) {
     return job.state() == Job.State.ACTIVE && job.priority().isAbove(Priority.NORMAL);
   }
 
-  /** Whether the preempting job may use the machine. */
+  /** Whether tasks of the job may be on that kind of machine, whatever its zone. */
   static boolean isUsableMachine(Job job, Location location) {
     return ResourceRequest.of(job.spec()).allows(location.type(), location.spot());
   }
--- a/src/main/java/org/mulleinshift/scheduling/PreemptionCandidates.java
+++ b/src/main/java/org/mulleinshift/scheduling/PreemptionCandidates.java
@@ -15,15 +15,15 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * The tasks that may be preempted in one cycle. They are collected once, however many jobs preempt,
- * and only so many jobs may: capacity that is freed goes to the most urgent of those that wait,
- * whichever job it was freed for.
+ * The tasks that may be preempted in one cycle. They are collected once for all preempting jobs,
+ * whose number is limited: freed capacity goes to the highest-ranked job that waits, whichever job
+ * it was freed for.
  */
 final class PreemptionCandidates {
-  /** So many jobs may preempt in a cycle for each reason. */
+  /** The maximum number of jobs that may preempt in a cycle for each reason. */
   private static final int MAX_JOBS_PER_REASON = 24;
 
-  /** Why a job may preempt. */
+  /** Why a job may preempt: its priority, or its team's guarantee. */
   enum Reason {
     PRIORITY,
     GUARANTEE
@@ -31,7 +31,10 @@
 
   private record Candidate(TaskAssignment assignment, double runSeconds) {}
 
-  /** A job's tasks on machines of one kind: for whoever preempts, any of them is as good. */
+  /**
+   * A job's tasks on machines of one kind in one zone; the capacity of each is equally useful to a
+   * preempting job.
+   */
   static final class Group {
     private final Job job;
     private final Preemption.Location location;
@@ -60,7 +63,7 @@
       return location;
     }
 
-    /** How many tasks of the group were asked to stop and are not gone yet. */
+    /** The number of tasks that were asked to stop and have not ended yet. */
     int stopping() {
       return stopping;
     }
@@ -69,12 +72,12 @@
       return !candidates.isEmpty();
     }
 
-    /** The run time of the candidate that would lose the least work. */
+    /** The shortest run time among the candidates; there must be one. */
     double shortestRunSeconds() {
       return candidates.element().runSeconds();
     }
 
-    /** Removes the candidate that would lose the least work, and counts it as stopping. */
+    /** Removes the candidate with the shortest run time and counts it as stopping. */
     TaskAssignment preemptShortest() {
       stopping++;
       return candidates.remove().assignment();
@@ -88,7 +91,11 @@
   private final Map<Reason, Integer> admittedJobs = new EnumMap<>(Reason.class);
   private Optional<List<Group>> groups = Optional.empty();
 
-  /** The jobs' tasks that ran for at most so long; see {@link Preemption#candidates}. */
+  /**
+   * Candidates among the jobs' tasks; see {@link Preemption#candidates}.
+   *
+   * @param maxRunSeconds tasks that have run for longer are not candidates
+   */
   PreemptionCandidates(
       Collection<Job> jobs, Preemption.Locator locator, double maxRunSeconds, MonotonicTime now) {
     this.jobs = jobs;
@@ -97,12 +104,12 @@
     this.now = now;
   }
 
-  /** Whether one more job may preempt for this reason; counts it. */
+  /** Counts a job that is about to preempt, and returns whether it is within the limit. */
   boolean admit(Reason reason) {
     return admittedJobs.merge(reason, 1, Integer::sum) <= MAX_JOBS_PER_REASON;
   }
 
-  /** All candidates; collected on first use, as most cycles preempt nothing. */
+  /** All groups of candidates; collected on first use, since most cycles preempt nothing. */
   List<Group> groups() {
     if (groups.isEmpty()) {
       List<Group> collected = new ArrayList<>();
@@ -126,7 +133,7 @@
     return byLocation.values();
   }
 
-  /** How many tasks of each job are stopping. */
+  /** Passes the job and the number of stopping tasks of each group to the consumer. */
   void forEachStopping(BiConsumer<Job, Integer> consumer) {
     groups().forEach(group -> consumer.accept(group.job, group.stopping));
   }
--- a/src/main/java/org/mulleinshift/scheduling/PreemptionPass.java
+++ b/src/main/java/org/mulleinshift/scheduling/PreemptionPass.java
@@ -8,7 +8,10 @@
 import org.mulleinshift.sharding.ShardView;
 import org.mulleinshift.transport.EventLoop;
 
-/** Requests that running tasks stop for jobs that still wait and that the protocol lets preempt. */
+/**
+ * Requests that running tasks stop, for jobs that still wait for capacity and that the protocol
+ * allows to preempt.
+ */
 final class PreemptionPass {
   private static final double MILLIS_PER_SECOND = 1000.0;
 
@@ -92,7 +95,10 @@
         || preemption.isUrgent(job, expected, loop.wallMillis());
   }
 
-  /** The job lies within its team's guarantee, the team has less than that, and time runs out. */
+  /**
+   * Whether the job may reclaim guaranteed capacity: it is within its team's guarantee, the team
+   * uses less than that, and the job has waited for as long as the objective allows.
+   */
   private boolean claimsGuarantee(Job job, CycleState cycle) {
     Resources used = cycle.usageOf(job.spec().team());
     double waitedSeconds = (loop.wallMillis() - job.readyMillis()) / MILLIS_PER_SECOND;
--- a/src/main/java/org/mulleinshift/scheduling/PreemptionPolicies.java
+++ b/src/main/java/org/mulleinshift/scheduling/PreemptionPolicies.java
@@ -7,11 +7,11 @@
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.TeamId;
 
-/** The cases in which the protocol lets work be preempted, and what narrows them. */
+/** The cases in which the protocol allows preemption, and further restrictions of them. */
 final class PreemptionPolicies {
   private PreemptionPolicies() {}
 
-  /** Only work of strictly lower priority. */
+  /** Allows the preemption of jobs of strictly lower priority. */
   record LowerPriority(Job job) implements Preemption.Policy {
     @Override
     public boolean mayPreempt(Job other) {
@@ -20,13 +20,14 @@
 
     @Override
     public void onPreempted(Job other) {
-      // Priorities do not change with what was stopped.
+      // Priorities do not depend on what was preempted.
     }
   }
 
   /**
-   * What a policy allows, but only work that ranks below the job: a job too late for its objectives
-   * ranks below less urgent work, and would preempt what gets its capacity back at once.
+   * Restricts a policy to jobs that rank below the preempting job. A job that is too late for its
+   * objectives ranks below jobs of lower priority: those would get back at once the capacity that
+   * it preempts.
    */
   record LowerRanked(Preemption.Policy policy, int rank, JobRanking ranking)
       implements Preemption.Policy {
@@ -42,8 +43,8 @@
   }
 
   /**
-   * What a policy allows, but nothing within the minimum share of another entity: what was assigned
-   * to a minimum share would be preempted again at once.
+   * Restricts a policy to jobs of the same entity and of entities that use more than their minimum
+   * share. Otherwise tasks that were assigned for a minimum share would be preempted again at once.
    */
   static final class AboveMinimumShare implements Preemption.Policy {
     private final Preemption.Policy policy;
@@ -87,9 +88,9 @@
   }
 
   /**
-   * Only work that another team runs beyond its own guarantee, and only down to that. Narrower than
-   * the protocol allows: nothing of higher priority, and nothing that itself has a start objective,
-   * which each preemption would miss.
+   * Allows the preemption of tasks that another team runs beyond its own guarantee, and only down
+   * to that guarantee. Stricter than the protocol: jobs of higher priority are excluded, and so are
+   * jobs with a start-time objective, since each preemption would make them miss it.
    */
   static final class ReclaimGuarantee implements Preemption.Policy {
     private final Job job;
@@ -109,7 +110,7 @@
       this.hasStartObjective = hasStartObjective;
       usageByTeam.forEach(
           (team, used) -> excessCpus.put(team, used.cpus() - quotas.guaranteedCpus(team)));
-      // What is stopping already no longer counts as excess.
+      // Tasks that are already stopping no longer count as excess.
       candidates.forEachStopping(this::countStopping);
     }
 
--- a/src/main/java/org/mulleinshift/scheduling/QueueRanker.java
+++ b/src/main/java/org/mulleinshift/scheduling/QueueRanker.java
@@ -3,7 +3,10 @@
 import java.util.Optional;
 import org.mulleinshift.transport.EventLoop;
 
-/** Ranks the queue once per cycle; between cycles the order changes little and is kept. */
+/**
+ * Ranks the queue once per cycle and keeps the result until the next, since the order changes
+ * little between cycles.
+ */
 final class QueueRanker {
   private final EventLoop loop;
   private final ClusterState state;
@@ -19,12 +22,12 @@
         new Tardiness(state.runTimes(), settings.objectives(), settings.overdueSeconds());
   }
 
-  /** The queue as last ranked; ranks it if that has not happened yet. */
+  /** The latest ranking; computed now if there is none yet. */
   RankedQueue latest() {
     return latest.orElseGet(this::refresh);
   }
 
-  /** Ranks the queue as it is now. */
+  /** Ranks the queue by its current state. */
   RankedQueue refresh() {
     ShareSnapshot shares =
         minimumShares.snapshot(state.jobs().all(), state.usageByTeam(), loop.now());
--- a/src/main/java/org/mulleinshift/scheduling/RankedQueue.java
+++ b/src/main/java/org/mulleinshift/scheduling/RankedQueue.java
@@ -1,9 +1,9 @@
 package org.mulleinshift.scheduling;
 
 /**
- * The queue as one cycle sees it.
+ * The ranking of the queue for one cycle.
  *
- * @param ranking the order of the jobs
- * @param shares the shares of classes and teams that the order was derived from
+ * @param ranking the jobs in ranking order
+ * @param shares the shares of classes and teams that the ranking was computed from
  */
 record RankedQueue(JobRanking ranking, ShareSnapshot shares) {}
--- a/src/main/java/org/mulleinshift/scheduling/RunTimeEstimator.java
+++ b/src/main/java/org/mulleinshift/scheduling/RunTimeEstimator.java
@@ -7,11 +7,12 @@
 import org.mulleinshift.protocol.JobSpec;
 
 /**
- * Estimates run times of tasks: by the job's own finished tasks if there are any, else by the
- * submitted estimate and its class's ratio of run times to estimates.
+ * Estimates the run times of tasks: from the job's own completed tasks if there are any, otherwise
+ * from the submitted estimate, corrected by the ratio of run time to estimate that was learned for
+ * the job's class.
  */
 public final class RunTimeEstimator {
-  /** Of the latest task in the moving average. */
+  /** Weight of the latest task in the moving average. */
   private static final double LATEST_WEIGHT = 0.1;
 
   private static final double MIN_RATIO = 0.2;
@@ -20,7 +21,10 @@
 
   private final Map<String, Double> ratioByClass = new HashMap<>();
 
-  /** A task of the job finished after so many seconds. */
+  /**
+   * Records the run time of a completed task; ignored without a submitted estimate or a known run
+   * time.
+   */
   public void onTaskDone(JobSpec spec, double seconds) {
     if (spec.estimateSeconds() > 0 && seconds > 0) {
       double ratio = Math.min(MAX_RATIO, Math.max(MIN_RATIO, seconds / spec.estimateSeconds()));
@@ -31,7 +35,7 @@
     }
   }
 
-  /** The learned ratios of run time to estimate, by class; at most so many. */
+  /** The learned ratios of run time to estimate, for at most {@code maxClasses} classes. */
   public Map<String, Double> ratios(int maxClasses) {
     Map<String, Double> selected = new TreeMap<>();
     ratioByClass.entrySet().stream()
@@ -40,7 +44,7 @@
     return selected;
   }
 
-  /** Takes over a ratio that another leader learned; ignores one out of range. */
+  /** Adopts a ratio that another leader learned; one that is out of range is ignored. */
   public void adoptRatio(String jobClass, double ratio) {
     if (ratio >= MIN_RATIO && ratio <= MAX_RATIO) {
       ratioByClass.put(jobClass, ratio);
@@ -48,14 +52,14 @@
   }
 
   /**
-   * How many seconds a task should still run. One past its expected end is not counted on to end
-   * soon.
+   * The expected remaining run time of a task, in seconds. A task past its expected end is not
+   * assumed to end soon: half of the expected run time remains.
    */
   public static double remainingSeconds(double expectedSeconds, double ranSeconds) {
     return ranSeconds > expectedSeconds ? expectedSeconds / 2 : expectedSeconds - ranSeconds;
   }
 
-  /** How many seconds a task of the job should run. */
+  /** The expected run time of a task of the job, in seconds. */
   public double expectedSeconds(Job job) {
     double estimate = job.spec().estimateSeconds();
     double fromEstimate =
--- a/src/main/java/org/mulleinshift/scheduling/SchedulingCycle.java
+++ b/src/main/java/org/mulleinshift/scheduling/SchedulingCycle.java
@@ -10,12 +10,13 @@
 import org.mulleinshift.transport.EventLoop;
 
 /**
- * The scheduling cycles of one term. Each cycle assigns waiting tasks to available capacity, within
- * quotas and placement constraints, then requests preemption for jobs that still wait and may
- * preempt. The order of the passes decides who gets capacity first.
+ * Runs the scheduling cycles of one term. Each cycle assigns waiting tasks to available capacity,
+ * within quotas and placement constraints, then requests preemption for jobs that still wait and
+ * may preempt, then assigns tasks to capacity that should become free soon. The order of the passes
+ * decides who gets capacity first.
  */
 public final class SchedulingCycle {
-  /** The first assignment of a starved job is its tasks divided by this, rounded up. */
+  /** A starved job is first assigned its number of tasks divided by this, rounded up. */
   private static final int STARVED_JOB_DIVISOR = 16;
 
   private final ClusterState state;
@@ -30,13 +31,13 @@
   private final AssignAheadPass assignAheadPass;
 
   /**
-   * The cycles of one term.
+   * Creates the cycles of one term.
    *
    * @param loop the event loop that runs the cycles
-   * @param term the leader's term, from which attempts are numbered
-   * @param state what the leader knows of the cluster
-   * @param availableCapacity collects what the cycles may assign
-   * @param settings of the cycle
+   * @param term the leader's term; the numbers of attempts start from it
+   * @param state the leader's view of the cluster
+   * @param availableCapacity collects the capacity that can be assigned
+   * @param settings settings of the cycle
    * @param actions carries out what the cycles decide
    */
   public SchedulingCycle(
@@ -55,8 +56,8 @@
     this.assigner = new TaskAssigner(loop, term, state, actions);
     this.minimumSharePass = new MinimumSharePass(assigner);
     this.preemptionPass = new PreemptionPass(loop, state, settings, actions);
-    // Capacity that frees first refills the reservation of classes with a start objective; tasks
-    // queued at owners would take it before.
+    // Capacity that becomes free must first refill the reservations of classes with a start-time
+    // objective; tasks queued at owners would take it before.
     double aheadSeconds = reservation.hasReservedClasses() ? 0 : settings.assignAheadSeconds();
     this.assignAheadPass =
         new AssignAheadPass(state, availableCapacity, assigner, minimumSharePass, aheadSeconds);
@@ -75,12 +76,12 @@
     assignAll(cycle, job -> isActive(job) && reservation.appliesTo(job.spec()));
     reserveCapacity(cycle);
     assignAll(cycle, job -> isActive(job) && !reservation.appliesTo(job.spec()));
-    // Only once all capacity is assigned: what still waits may preempt.
+    // Only jobs that still wait after all capacity is assigned may preempt.
     preemptionPass.run(cycle);
     assignAheadPass.run(cycle);
   }
 
-  /** The order of the current cycle; between cycles it changes little. */
+  /** The ranking of the latest cycle; it changes little between cycles. */
   public JobRanking ranking() {
     return ranker.latest().ranking();
   }
@@ -89,7 +90,7 @@
     return job.state() == Job.State.ACTIVE;
   }
 
-  /** Of each resource the minimum that a waiting task, or a reservation, requests. */
+  /** The smallest amount of each resource that a waiting task or a reservation requests. */
   private Resources minRequested(List<Job> order) {
     Resources min = Resources.UNBOUNDED;
     for (Job job : order) {
@@ -103,7 +104,9 @@
     return UnschedulableRequests.minimum(min, minReserved);
   }
 
-  /** Some tasks of each of the largest jobs that waited too long, whatever their rank. */
+  /**
+   * Assigns some tasks of each of the largest jobs that waited too long, regardless of their rank.
+   */
   private void startStarvedJobs(CycleState cycle) {
     for (Job job : starvation.jobsToStart(state.jobs().all(), loop.now(), loop.wallMillis())) {
       int maxTasks = (job.spec().tasks() + STARVED_JOB_DIVISOR - 1) / STARVED_JOB_DIVISOR;
--- a/src/main/java/org/mulleinshift/scheduling/SchedulingSettings.java
+++ b/src/main/java/org/mulleinshift/scheduling/SchedulingSettings.java
@@ -7,15 +7,16 @@
 import org.mulleinshift.settings.Tunables;
 
 /**
- * The settings of the scheduling cycle, read once.
+ * The settings of the scheduling cycle.
  *
  * @param objectives service-level objectives
  * @param minimumShare part of its fair share that each class and team gets before others
- * @param preemptMaxRunSeconds a task that ran for longer is not preempted
- * @param preemptSlackSeconds a job preempts only when its last start is as near as this
- * @param assignAheadSeconds tasks are assigned to capacity that frees within this time
- * @param maxWaitSeconds the largest jobs of a class start within this time
- * @param overdueSeconds a job that is later than this counts as on time again
+ * @param preemptMaxRunSeconds tasks that have run for longer are not preempted
+ * @param preemptSlackSeconds a job with a deadline preempts only if it must start within this time
+ * @param assignAheadSeconds tasks are assigned to capacity that should become free within this time
+ * @param maxWaitSeconds some tasks of the largest jobs of a class start after this wait, regardless
+ *     of rank
+ * @param overdueSeconds a job that is further past its deadline is ranked as if it were on time
  */
 public record SchedulingSettings(
     List<PlatformSettings.Objective> objectives,
@@ -25,7 +26,7 @@
     double assignAheadSeconds,
     double maxWaitSeconds,
     double overdueSeconds) {
-  /** The settings of a deployment. */
+  /** Reads the settings of a deployment. */
   public static SchedulingSettings of(PlatformSettings platform, Tunables tunables) {
     return new SchedulingSettings(
         platform.cluster().objectives(),
@@ -37,7 +38,10 @@
         tunables.number(Tunables.Key.OVERDUE_S));
   }
 
-  /** How soon work within a guarantee should start, if an objective says so. */
+  /**
+   * The time within which jobs within their team's guarantee should start; empty without such an
+   * objective.
+   */
   Optional<Double> guaranteeWithinSeconds() {
     return objectives.stream()
         .filter(objective -> objective.kind() == ObjectiveKind.GUARANTEE)
--- a/src/main/java/org/mulleinshift/scheduling/ShareSnapshot.java
+++ b/src/main/java/org/mulleinshift/scheduling/ShareSnapshot.java
@@ -7,8 +7,8 @@
 /**
  * The shares of classes and teams in one cycle.
  *
- * @param clusterCapacity all that can be used
- * @param groups the classes, and the teams
+ * @param clusterCapacity the total size of the usable machines
+ * @param groups the classes and the teams, in this order
  */
 record ShareSnapshot(Resources clusterCapacity, List<EntityGroup> groups) {
   /** The share of the cluster that one task of the job takes. */
--- a/src/main/java/org/mulleinshift/scheduling/StarvationPrevention.java
+++ b/src/main/java/org/mulleinshift/scheduling/StarvationPrevention.java
@@ -11,12 +11,12 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Finds the largest jobs of each class that have waited too long without any task. The order by
- * remaining work would put them off for as long as smaller ones arrive; a few at a time may start
- * before that order. All of it follows from what is stored, so a new leader finds the same.
+ * Finds the largest jobs of each class that have waited too long without any task. Ranking by
+ * remaining work would defer them for as long as smaller jobs arrive, so a few at a time may start
+ * ahead of it. The result depends only on what is stored, so a new leader finds the same jobs.
  */
 final class StarvationPrevention {
-  /** Of so many jobs of a class, one may start before the usual order. */
+  /** One in this many jobs of a class, but at least one, may start ahead of the ranking. */
   private static final int JOBS_PER_STARVED_JOB = 10;
 
   private static final int MAX_JOBS_PER_CLASS = 16;
@@ -32,13 +32,13 @@
   private List<Job> starved = List.of();
   private MonotonicTime checkedAt;
 
-  /** Jobs starve that wait for longer than this. */
+  /** Jobs that have waited for longer than {@code maxWaitSeconds} without a task are starved. */
   StarvationPrevention(double maxWaitSeconds, MonotonicTime now) {
     this.maxWaitMillis = (long) (MILLIS_PER_SECOND * maxWaitSeconds);
     this.checkedAt = now.minus(CHECK_INTERVAL);
   }
 
-  /** The jobs that should start now, the one that waited longest first. */
+  /** The starved jobs that should start now, the one that waited longest first. */
   List<Job> jobsToStart(Collection<Job> jobs, MonotonicTime now, long wallMillis) {
     if (now.since(checkedAt).compareTo(CHECK_INTERVAL) >= 0) {
       checkedAt = now;
--- a/src/main/java/org/mulleinshift/scheduling/Tardiness.java
+++ b/src/main/java/org/mulleinshift/scheduling/Tardiness.java
@@ -7,14 +7,16 @@
 import org.mulleinshift.settings.PlatformSettings;
 
 /**
- * How late a job will be at best, and for how long that may put it behind others: a queue of late
- * jobs must not make all that come after them late, too, nor may a late job wait for ever.
+ * Determines how late a job is expected to be and how that ranks it among others. Jobs that are
+ * already late must not delay all later ones as well, and a late job must not wait forever.
  */
 final class Tardiness {
-  /** How late a job is expected to be; the earlier grade is served first. */
+  /** The expected lateness of a job; earlier values are served first. */
   enum Lateness {
     ON_TIME(0),
-    /** Late, but within the multiple of its deadline that its class's objectives tolerate. */
+    /**
+     * Late, but by no more than the multiple of its deadline that its class's objectives tolerate.
+     */
     WITHIN_TOLERANCE(1),
     LATE(2);
 
@@ -24,22 +26,22 @@
       this.rank = rank;
     }
 
-    /** Its place in the order of grades; 0 is served first. */
+    /** Its position in the serving order; 0 is served first. */
     int rank() {
       return rank;
     }
   }
 
   /**
-   * Time to find capacity for all tasks and start them; without it, jobs served at the last moment
-   * are all late.
+   * Time to find capacity for all tasks and start them. Without it, jobs that are served at the
+   * last moment are all late.
    */
   private static final double START_LATENCY_SECONDS = 4;
 
-  /** How much longer than the mean the last of a job's tasks takes. */
+  /** The run time of the slowest of a job's tasks, as a multiple of the mean. */
   private static final double SLOWEST_TASK_FACTOR = 1.1;
 
-  /** Seconds of a job's slack that a second of the whole cluster is worth. */
+  /** How many seconds of slack one second of work of the whole cluster counts as. */
   private static final double WORK_WEIGHT = 60;
 
   private static final double MILLIS_PER_SECOND = 1000.0;
@@ -49,9 +51,9 @@
   private final double overdueMillis;
 
   /**
-   * Tardiness by the objectives of a deployment.
+   * Takes tolerances from the objectives of a deployment.
    *
-   * @param overdueSeconds a job that is later than this counts as on time again
+   * @param overdueSeconds a job that is further past its deadline counts as on time again
    */
   Tardiness(
       RunTimeEstimator runTimes,
@@ -69,16 +71,16 @@
   }
 
   /**
-   * A job's place among those of its priority and guarantee.
+   * Sort keys of a job among those of equal priority and guarantee.
    *
-   * @param weightedSlackSeconds the order of jobs of one grade; lower is served first. The seconds
-   *     until the job's last start, plus what its waiting tasks take in seconds of the whole
-   *     cluster, weighted. Without the first a large job waits too long when there is capacity for
-   *     it; without the second all jobs are late when there is not
+   * @param weightedSlackSeconds orders jobs of equal lateness, the lowest first: the seconds until
+   *     the job's latest start, plus the weighted time that the whole cluster would need for its
+   *     waiting tasks. Without the first term, large jobs wait too long while there is capacity for
+   *     them; without the second, all jobs are late when there is not enough
    */
   record RankingKey(Lateness lateness, double weightedSlackSeconds) {}
 
-  /** The job's place at a time of day. */
+  /** Computes the job's sort keys at a time of day. */
   RankingKey rankingKey(Job job, ShareSnapshot shares, long nowMillis) {
     double expectedSeconds = runTimes.expectedSeconds(job);
     double slackSeconds = (job.deadlineMillis() - nowMillis) / MILLIS_PER_SECOND - expectedSeconds;
@@ -88,7 +90,7 @@
         slackSeconds + WORK_WEIGHT * remainingClusterSeconds);
   }
 
-  /** A job that is long overdue counts as on time: it has waited enough. */
+  /** A job that is long overdue counts as on time, so that it does not wait any longer. */
   private Lateness lateness(Job job, double expectedSeconds, long nowMillis) {
     double expectedEndMillis =
         nowMillis
--- a/src/main/java/org/mulleinshift/scheduling/TaskActions.java
+++ b/src/main/java/org/mulleinshift/scheduling/TaskActions.java
@@ -3,11 +3,14 @@
 import org.mulleinshift.model.Job;
 import org.mulleinshift.model.TaskAssignment;
 
-/** What a scheduling cycle has decided, to be carried out by the leader. */
+/** Carries out the decisions of a scheduling cycle; implemented by the leader. */
 public interface TaskActions {
-  /** A task was assigned: this has to be stored before it is sent to the shard's owner. */
+  /**
+   * Called when a task was assigned. The assignment must be stored before it is sent to the shard's
+   * owner.
+   */
   void onAssigned(Job job, int taskIndex);
 
-  /** A task should be stopped, to be preempted. */
+  /** Requests that the owner stop a task that is preempted. */
   void requestStop(TaskAssignment assignment);
 }
--- a/src/main/java/org/mulleinshift/scheduling/TaskAssigner.java
+++ b/src/main/java/org/mulleinshift/scheduling/TaskAssigner.java
@@ -17,7 +17,10 @@
 
 /** Assigns tasks of one job to available capacity, within quotas and placement constraints. */
 final class TaskAssigner {
-  /** Attempts of a term are numbered in the low bits, so those of later terms are higher. */
+  /**
+   * The low bits of an attempt number count within a term; the high bits are the term, so attempts
+   * of later terms have higher numbers.
+   */
   private static final int ATTEMPT_BITS = 20;
 
   private final EventLoop loop;
@@ -32,14 +35,14 @@
     this.firstAttempt = new Attempt((term.value() << ATTEMPT_BITS) + 1);
   }
 
-  /** Assigns as many of the job's waiting tasks as it may have and capacity allows. */
+  /** Assigns as many of the job's waiting tasks as quotas, failures and capacity allow. */
   void assign(Job job, CycleState cycle) {
     assign(job, Integer.MAX_VALUE, cycle);
   }
 
   /**
-   * Assigns at most so many of the job's waiting tasks; a gang is assigned whole or not at all,
-   * whatever the maximum.
+   * Assigns at most {@code maxTasks} of the job's waiting tasks. The maximum applies to array jobs
+   * only; a gang is assigned as a whole or not at all.
    *
    * @return how many tasks were assigned
    */
@@ -72,7 +75,7 @@
     return job.spec().kind() == JobKind.ARRAY ? Math.min(allowed, maxTasks) : allowed;
   }
 
-  /** False only if no task of the job can be placed. */
+  /** Whether tasks of the job may fit; false only if none can be placed. */
   private boolean mayFit(Job job, ResourceRequest request, int allowed, CycleState cycle) {
     if (job.spec().kind() == JobKind.GANG
         && !PlacementConstraints.gangFits(job, request, cycle.capacities(), allowed, loop.now())) {
@@ -81,7 +84,7 @@
     return hasInterTaskZoneConstraints(job) || !cycle.isUnschedulable(request);
   }
 
-  /** Whether each task of the job that is placed changes which zones the others may be in. */
+  /** Whether each assigned task of the job changes which zones its other tasks may be in. */
   private static boolean hasInterTaskZoneConstraints(Job job) {
     return job.spec().requiresSpread() || job.spec().requiresSingleZone();
   }
--- a/src/main/java/org/mulleinshift/scheduling/TeamQuotas.java
+++ b/src/main/java/org/mulleinshift/scheduling/TeamQuotas.java
@@ -10,22 +10,27 @@
 import org.mulleinshift.protocol.TeamId;
 import org.mulleinshift.settings.PlatformSettings;
 
-/** The teams' limits and guarantees. What is assigned counts as running until its end is stored. */
+/** The limits and guarantees of teams. Assigned tasks count as in use until their end is stored. */
 public final class TeamQuotas {
   private static final double NO_LIMIT = 1e12;
   private static final Resources UNLIMITED = new Resources(NO_LIMIT, NO_LIMIT, NO_LIMIT);
 
-  /** Keeps rounding from taking a team that uses just its guarantee for one that uses more. */
+  /**
+   * Keeps a rounding error from making a team that uses exactly its guarantee appear to exceed it.
+   */
   private static final double ROUNDING_TOLERANCE = 1e-6;
 
   private final Map<String, PlatformSettings.Team> teams = new HashMap<>();
 
-  /** The quotas of a deployment's teams. */
+  /** Quotas of the teams that a deployment configures. */
   public TeamQuotas(List<PlatformSettings.Team> teams) {
     teams.forEach(team -> this.teams.put(team.name(), team));
   }
 
-  /** What the assigned tasks of each team take; teams without any are left out. */
+  /**
+   * The resources that the assigned tasks of each team use; teams without assigned tasks are left
+   * out.
+   */
   public static Map<TeamId, Resources> usageByTeam(Collection<Job> jobs) {
     Map<TeamId, Resources> usage = new HashMap<>();
     for (Job job : jobs) {
@@ -36,13 +41,15 @@
     return usage;
   }
 
-  /** How many more of the job's tasks its team may run; none if the team is not known. */
+  /** How many more of the job's tasks its team's limit allows; 0 if the team is not configured. */
   public int tasksWithinLimit(Job job, Resources used) {
     TeamId team = job.spec().team();
     return find(team).isEmpty() ? 0 : job.spec().perTask().countIn(limit(team).minus(used));
   }
 
-  /** The maximum that a team may use at once. */
+  /**
+   * The resources that a team may use at most at a time; unlimited if the team is not configured.
+   */
   Resources limit(TeamId id) {
     return find(id)
         .map(
@@ -51,22 +58,26 @@
         .orElse(UNLIMITED);
   }
 
-  /** In the settings, 0 stands for no limit. */
+  /** Converts a limit from the settings, where 0 means that there is none. */
   private static double limitOrNone(double limit) {
     return limit > 0 ? limit : NO_LIMIT;
   }
 
-  /** The processors that a team is guaranteed. */
+  /** The number of CPUs that a team is guaranteed; 0 if the team is not configured. */
   double guaranteedCpus(TeamId team) {
     return find(team).map(PlatformSettings.Team::cpus).orElse(0.0);
   }
 
-  /** Whether the team is guaranteed so many processors; a team that is not known has 0. */
+  /**
+   * Whether the team is guaranteed at least {@code cpus} CPUs; a team that is not configured has 0.
+   */
   boolean isWithinGuaranteedCpus(TeamId team, double cpus) {
     return cpus <= guaranteedCpus(team) + ROUNDING_TOLERANCE;
   }
 
-  /** Whether the team is known and guaranteed as many processors and accelerators as these. */
+  /**
+   * Whether the team is configured and its guarantee covers the CPUs and GPUs of {@code resources}.
+   */
   boolean isWithinGuarantee(TeamId id, Resources resources) {
     return find(id)
         .filter(
@@ -76,7 +87,10 @@
         .isPresent();
   }
 
-  /** A team's weight in fair shares: the same for all, plus its part of all guarantees. */
+  /**
+   * A team's weight in fair shares: an equal part for each team, plus the team's part of all
+   * guaranteed CPUs.
+   */
   double fairShareWeight(TeamId team) {
     double allGuaranteed = teams.values().stream().mapToDouble(PlatformSettings.Team::cpus).sum();
     double shareOfGuarantees = allGuaranteed > 0 ? guaranteedCpus(team) / allGuaranteed : 0;
--- a/src/main/java/org/mulleinshift/scheduling/UsableClusterCapacity.java
+++ b/src/main/java/org/mulleinshift/scheduling/UsableClusterCapacity.java
@@ -16,8 +16,8 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * The total size of the machines that can be used: those that are up or being provisioned, without
- * those that are cordoned or known not to send heartbeats. Summed up anew now and then.
+ * The total size of the usable machines: those that are up or being provisioned, except those that
+ * are cordoned or that their owner reports as not alive. Recomputed at most once per interval.
  */
 final class UsableClusterCapacity {
   private static final Duration REFRESH_INTERVAL = Duration.ofSeconds(1);
@@ -31,7 +31,7 @@
     this.state = state;
   }
 
-  /** Sums up the machines, unless that was done a short while ago. */
+  /** Recomputes the total if the interval has passed since the last time. */
   void refreshIfDue(MonotonicTime now) {
     if (refreshedAt.isEmpty() || now.since(refreshedAt.get()).compareTo(REFRESH_INTERVAL) >= 0) {
       refreshedAt = Optional.of(now);
@@ -65,7 +65,7 @@
     return total;
   }
 
-  /** The share of all processors that machines of these types have; 1 if there are no machines. */
+  /** The share of all CPUs that machines of these types have; 1 if there are no machines. */
   double shareOfTypes(Set<MachineTypeId> types) {
     Resources reachable = Resources.ZERO;
     for (MachineTypeId type : types) {
--- a/src/main/java/org/mulleinshift/scheduling/package-info.java
+++ b/src/main/java/org/mulleinshift/scheduling/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which waiting task gets capacity next: quotas, ranking, minimum shares, preemption and reserved
- * capacity.
+ * The scheduling cycle: decides which waiting tasks get capacity, by ranking, quotas, minimum
+ * shares, reservations and preemption.
  */
 package org.mulleinshift.scheduling;
--- a/src/test/java/org/mulleinshift/scheduling/LongQueueTest.java
+++ b/src/test/java/org/mulleinshift/scheduling/LongQueueTest.java
@@ -28,7 +28,10 @@
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** The work of a preemption pass does not grow with the number of jobs that wait in vain. */
+/**
+ * Guards against preemption whose cost grows with the queue: where each waiting job scans all
+ * running tasks, a long queue of jobs that cannot start slows down every scheduling cycle.
+ */
 final class LongQueueTest {
   private static final MonotonicTime NOW = new MonotonicTime(100_000_000_000L);
   private static final ZoneId ZONE = new ZoneId("a");
@@ -71,11 +74,11 @@
     return job;
   }
 
-  /** Fails where each waiting job looks at all that runs: 100 jobs then look 200,000 times. */
+  /** Fails if each waiting job scans all running tasks: 100 jobs then locate 200,000 tasks. */
   @ParameterizedTest
   @ValueSource(ints = {100, 1000, 10_000})
   void candidatesAreCollectedOnceHoweverManyJobsPreempt(int waitingJobs) {
-    // Given many urgent jobs that wait, and one job whose tasks may all be preempted.
+    // Given many waiting jobs of high priority, and one job whose tasks may all be preempted.
     List<Job> order = new ArrayList<>();
     for (int i = 0; i < waitingJobs; i++) {
       order.add(job(i, Priority.HIGH, WAITING_TASKS));
@@ -95,7 +98,7 @@
         };
     PreemptionCandidates candidates = PREEMPTION.candidates(order, locator, NOW);
 
-    // When each of the waiting jobs preempts, if it is admitted.
+    // When each waiting job that is admitted preempts.
     int stopped = 0;
     for (Job job : order.subList(0, waitingJobs)) {
       if (candidates.admit(PreemptionCandidates.Reason.PRIORITY)) {
@@ -103,11 +106,11 @@
       }
     }
 
-    // Then the work does not grow with the queue.
-    assertEquals(RUNNING_TASKS, located.get(), "running tasks looked at");
+    // Then the number of tasks located and groups tried does not depend on the queue's length.
+    assertEquals(RUNNING_TASKS, located.get(), "running tasks located");
     assertTrue(tried.get() <= 100, "candidates tried: " + tried);
     assertEquals(
-        WAITING_TASKS, stopped, "what the first job preempts is on its way for those after it");
+        WAITING_TASKS, stopped, "capacity that the first job frees counts for the jobs after it");
   }
 
   private static int preempt(
@@ -122,11 +125,11 @@
   @ParameterizedTest
   @ValueSource(ints = {13, 60})
   void tasksThatRanForLongAreNotEvenLocated(int ranSeconds) {
-    // Given a job whose tasks have run for longer than may be preempted.
+    // Given a job whose tasks have run for too long to be preempted.
     Job waiting = job(0, Priority.HIGH, WAITING_TASKS);
     Preemption.Locator failing =
         assignment -> {
-          throw new AssertionError("looked at " + assignment.task());
+          throw new AssertionError("located " + assignment.task());
         };
     PreemptionCandidates candidates =
         PREEMPTION.candidates(List.of(waiting, running(1, ranSeconds)), failing, NOW);
