--- a/src/main/java/org/mulleinshift/scheduling/CapacityReservation.java
+++ b/src/main/java/org/mulleinshift/scheduling/CapacityReservation.java
@@ -14,75 +14,78 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Capacity kept free of less urgent work for classes whose tasks must start soon: a share of what
- * their jobs request on average, as long as such jobs keep arriving.
+ * Reserves capacity for classes whose tasks must start soon, by keeping it free of tasks of other
+ * classes. The amount is a multiple of what a job of the class requests on average; it is reserved
+ * as long as such jobs keep arriving.
  */
 public final class CapacityReservation {
-  /** Of the latest job in the moving average. */
+  /** Weight of the latest job in the moving average. */
   private static final double LATEST_WEIGHT = 0.2;
 
-  /** Tasks of one class for which capacity is reserved. */
+  /** Capacity reserved for a number of equal tasks of one class. */
   public record Reservation(ResourceRequest request, int count) {}
 
-  /** What the jobs of a class request. */
-  private static final class Arrivals {
+  /** The latest request, mean number of tasks and latest arrival of a class's jobs. */
+  private static final class ClassDemand {
     private ResourceRequest latestRequest;
     private double meanTasks;
-    private MonotonicTime latestAt;
+    private MonotonicTime latestArrival;
   }
 
   private final Set<String> reservedClasses = new HashSet<>();
-  private final Map<String, Arrivals> arrivalsByClass = new HashMap<>();
-  private final double share;
-  private final Duration keepFor;
+  private final Map<String, ClassDemand> demandByClass = new HashMap<>();
+  private final double reservedJobs;
+  private final Duration keepDuration;
 
   /**
-   * Reservations by the objectives of a deployment.
+   * Reserves capacity for the classes that have a start-time objective.
    *
-   * @param share how much of what a job requests on average is reserved
-   * @param keepFor how long capacity is reserved after the last job of a class arrived
+   * @param objectives the objectives of the deployment
+   * @param reservedJobs for how many average jobs of each class capacity is reserved; may be a
+   *     fraction
+   * @param keepDuration how long capacity is reserved after the last job of a class arrived
    */
   public CapacityReservation(
-      List<PlatformSettings.Objective> objectives, double share, Duration keepFor) {
+      List<PlatformSettings.Objective> objectives, double reservedJobs, Duration keepDuration) {
     for (PlatformSettings.Objective objective : objectives) {
       if (objective.kind() == ObjectiveKind.WAIT) {
         objective.jobClass().ifPresent(reservedClasses::add);
       }
     }
-    this.share = share;
-    this.keepFor = keepFor;
+    this.reservedJobs = reservedJobs;
+    this.keepDuration = keepDuration;
   }
 
-  /** Whether capacity is reserved for the job's class. */
+  /** Whether capacity is reserved for the job's class, which then has a start-time objective. */
   boolean appliesTo(JobSpec spec) {
     return reservedClasses.contains(spec.jobClass());
   }
 
-  /** Whether any class has a start objective. */
-  boolean isActive() {
+  /** Whether any class has a start-time objective. */
+  boolean hasReservedClasses() {
     return !reservedClasses.isEmpty();
   }
 
-  /** A job has arrived, of whichever class. */
+  /** Records the arrival of a job; a job whose class has no reservation is ignored. */
   public void onJobArrived(JobSpec spec, MonotonicTime now) {
     if (appliesTo(spec)) {
-      Arrivals known = arrivalsByClass.computeIfAbsent(spec.jobClass(), key -> new Arrivals());
-      known.meanTasks =
-          known.latestRequest == null
+      ClassDemand demand = demandByClass.computeIfAbsent(spec.jobClass(), key -> new ClassDemand());
+      demand.meanTasks =
+          demand.latestRequest == null
               ? spec.tasks()
-              : known.meanTasks * (1 - LATEST_WEIGHT) + spec.tasks() * LATEST_WEIGHT;
-      known.latestRequest = ResourceRequest.of(spec);
-      known.latestAt = now;
+              : demand.meanTasks * (1 - LATEST_WEIGHT) + spec.tasks() * LATEST_WEIGHT;
+      demand.latestRequest = ResourceRequest.of(spec);
+      demand.latestArrival = now;
     }
   }
 
-  /** What is reserved now. */
+  /** The reservations in effect, at most one for each class. */
   public List<Reservation> reservations(MonotonicTime now) {
     List<Reservation> reserved = new ArrayList<>();
-    for (Arrivals known : arrivalsByClass.values()) {
-      int count = (int) Math.round(known.meanTasks * share);
-      if (count > 0 && now.since(known.latestAt).compareTo(keepFor) < 0) {
-        reserved.add(new Reservation(known.latestRequest, count));
+    for (ClassDemand demand : demandByClass.values()) {
+      int count = (int) Math.round(demand.meanTasks * reservedJobs);
+      if (count > 0 && now.since(demand.latestArrival).compareTo(keepDuration) < 0) {
+        reserved.add(new Reservation(demand.latestRequest, count));
       }
     }
     return reserved;
--- a/src/main/java/org/mulleinshift/scheduling/FailureAttribution.java
+++ b/src/main/java/org/mulleinshift/scheduling/FailureAttribution.java
@@ -17,35 +17,37 @@
 
 /**
  * Attributes task failures to jobs or machines. A job that fails on several machines and has never
- * succeeded was submitted with a mistake; a machine is quarantined when jobs that succeed elsewhere
- * fail there repeatedly. Failures of a failing job are not counted against machines: else one
- * mistake takes the whole cluster out of use.
+ * succeeded is taken to be the cause itself. A machine is quarantined when jobs that succeed
+ * elsewhere fail on it repeatedly. Failures of a failing job do not count against machines:
+ * otherwise one broken job could take every machine out of use.
  */
 public final class FailureAttribution {
   private static final Logger LOG = LoggerFactory.getLogger(FailureAttribution.class);
 
-  /** A job that failed on so many machines, and never succeeded, is failing. */
-  private static final int FAILING_JOB_MACHINES = 3;
+  /** A job that has never succeeded is failing once it failed on this many machines. */
+  private static final int FAILING_JOB_MIN_MACHINES = 3;
 
-  /** A job that failed so often, and never succeeded, is failing, on however few machines. */
-  private static final int FAILING_JOB_FAILURES = 10;
+  /**
+   * A job that has never succeeded is failing after this many failures, on however few machines.
+   */
+  private static final int FAILING_JOB_MIN_FAILURES = 10;
 
   private static final int MAX_BACKOFF_DOUBLINGS = 4;
   private static final Duration SUSPICION_PERIOD = Duration.ofSeconds(10);
 
-  /** Failures of a job since its last success. */
+  /** Failures of a job's tasks since the last task that succeeded. */
   private static final class JobFailures {
     private final Set<MachineId> machines = new LinkedHashSet<>();
     private int failures;
-    private int failedAttempts;
+    private int failedRetries;
     private boolean failing;
-    private MonotonicTime notBefore;
+    private MonotonicTime nextAttemptAt;
   }
 
-  /** Failures on a machine since its last success. */
+  /** Failures on a machine since the last task that succeeded there, by job. */
   private static final class MachineFailures {
     private final Map<Job, Integer> byJob = new LinkedHashMap<>();
-    private MonotonicTime lastAt;
+    private MonotonicTime lastFailureAt;
   }
 
   private final int quarantineFailures;
@@ -54,55 +56,60 @@
   private final Map<MachineId, MachineFailures> machines = new HashMap<>();
 
   /**
-   * No failures yet.
+   * Starts without recorded failures.
    *
-   * @param quarantineFailures a machine on which several jobs that succeed elsewhere failed so
-   *     often is quarantined
-   * @param retryBackoff the first delay between attempts of a failing job; it doubles with each
-   *     attempt
+   * @param quarantineFailures a machine is quarantined after this many failures of several jobs
+   *     that succeed elsewhere, or twice as many of one such job
+   * @param retryBackoff the first delay before a failing job is attempted again; it doubles with
+   *     each failed attempt, up to a limit
    */
   public FailureAttribution(int quarantineFailures, Duration retryBackoff) {
     this.quarantineFailures = quarantineFailures;
     this.retryBackoff = retryBackoff;
   }
 
-  /** A task of the job failed on the machine. */
+  /** Records that a task of the job failed on the machine. */
   public void onFailure(Job job, MachineId machine, MonotonicTime now) {
-    JobFailures known = jobs.computeIfAbsent(job.spec().id(), key -> new JobFailures());
-    known.failures++;
-    if (known.failing) {
-      known.failedAttempts++;
-      known.notBefore =
+    JobFailures jobFailures = jobs.computeIfAbsent(job.spec().id(), key -> new JobFailures());
+    jobFailures.failures++;
+    if (jobFailures.failing) {
+      jobFailures.failedRetries++;
+      jobFailures.nextAttemptAt =
           now.plus(
               retryBackoff.multipliedBy(
-                  1L << Math.min(known.failedAttempts, MAX_BACKOFF_DOUBLINGS)));
+                  1L << Math.min(jobFailures.failedRetries, MAX_BACKOFF_DOUBLINGS)));
       return;
     }
-    MachineFailures onMachine = machines.computeIfAbsent(machine, key -> new MachineFailures());
-    onMachine.byJob.merge(job, 1, Integer::sum);
-    onMachine.lastAt = now;
-    if (known.machines.size() < FAILING_JOB_MACHINES && !isQuarantined(machine)) {
-      known.machines.add(machine);
+    MachineFailures machineFailures =
+        machines.computeIfAbsent(machine, key -> new MachineFailures());
+    machineFailures.byJob.merge(job, 1, Integer::sum);
+    machineFailures.lastFailureAt = now;
+    if (jobFailures.machines.size() < FAILING_JOB_MIN_MACHINES && !isQuarantined(machine)) {
+      jobFailures.machines.add(machine);
     }
     boolean failsEverywhere =
-        known.machines.size() >= FAILING_JOB_MACHINES || known.failures >= FAILING_JOB_FAILURES;
+        jobFailures.machines.size() >= FAILING_JOB_MIN_MACHINES
+            || jobFailures.failures >= FAILING_JOB_MIN_FAILURES;
     if (failsEverywhere && !hasSucceeded(job)) {
       LOG.info(
           "job fails everywhere, job={} machines={} failures={}",
           job.spec().id(),
-          known.machines.size(),
-          known.failures);
-      known.failing = true;
-      known.notBefore = now.plus(retryBackoff);
+          jobFailures.machines.size(),
+          jobFailures.failures);
+      jobFailures.failing = true;
+      jobFailures.nextAttemptAt = now.plus(retryBackoff);
       forgetOnMachines(job.spec().id());
     }
   }
 
-  /** A task of the job was done on the machine: neither is the cause of earlier failures. */
+  /**
+   * Records that a task of the job completed on the machine, and discards the earlier failures of
+   * both: neither was the cause.
+   */
   public void onSuccess(Job job, MachineId machine) {
     machines.remove(machine);
-    JobFailures known = jobs.remove(job.spec().id());
-    if (known != null && known.failing) {
+    JobFailures jobFailures = jobs.remove(job.spec().id());
+    if (jobFailures != null && jobFailures.failing) {
       LOG.info("failing job succeeded, job={}", job.spec().id());
     }
   }
@@ -111,19 +118,19 @@
     machines
         .values()
         .removeIf(
-            onMachine -> {
-              onMachine.byJob.keySet().removeIf(other -> other.spec().id().equals(job));
-              return onMachine.byJob.isEmpty();
+            machineFailures -> {
+              machineFailures.byJob.keySet().removeIf(other -> other.spec().id().equals(job));
+              return machineFailures.byJob.isEmpty();
             });
   }
 
-  /** The job needs no attribution any more. */
+  /** Discards the failures of a job that has ended. */
   public void onJobEnded(JobId job) {
     jobs.remove(job);
     forgetOnMachines(job);
   }
 
-  /** The machines are gone for good. */
+  /** Discards the failures on machines that were deleted. */
   public void onMachinesDeleted(List<MachineId> deleted) {
     machines.keySet().removeAll(deleted);
   }
@@ -132,39 +139,39 @@
     return job.doneCount() > 0;
   }
 
-  /** Whether the job fails wherever it runs. */
+  /** Whether the job is failing: it fails wherever it runs. */
   boolean isJobFailing(Job job) {
-    JobFailures known = jobs.get(job.spec().id());
-    return known != null && known.failing;
+    JobFailures jobFailures = jobs.get(job.spec().id());
+    return jobFailures != null && jobFailures.failing;
   }
 
   /**
-   * How many of the job's tasks may be attempted now: of a failing job one at a time, with backoff.
-   * A gang is attempted whole: one task of it alone fits nowhere, and it would never get another
-   * attempt.
+   * How many of the job's tasks may be attempted now. For a failing job it is one at a time, with
+   * backoff; for a failing gang all of its tasks, since a gang never starts in part and would
+   * otherwise not be attempted again.
    */
   public int allowedAttempts(Job job, MonotonicTime now) {
-    JobFailures known = jobs.get(job.spec().id());
-    if (known == null || !known.failing) {
+    JobFailures jobFailures = jobs.get(job.spec().id());
+    if (jobFailures == null || !jobFailures.failing) {
       return Integer.MAX_VALUE;
     }
-    boolean due = job.assignedCount() == 0 && !known.notBefore.isAfter(now);
+    boolean due = job.assignedCount() == 0 && !jobFailures.nextAttemptAt.isAfter(now);
     int tasks = job.spec().kind() == JobKind.GANG ? job.spec().tasks() : 1;
     return due ? tasks : 0;
   }
 
   /**
-   * Whether jobs that succeed elsewhere failed on the machine repeatedly, with no success between:
-   * several jobs, or one job twice as often.
+   * Whether the machine is quarantined: jobs that succeed elsewhere failed on it repeatedly, with
+   * no success in between. One job alone must fail twice as often as several.
    */
   public boolean isQuarantined(MachineId machine) {
-    MachineFailures onMachine = machines.get(machine);
-    if (onMachine == null) {
+    MachineFailures machineFailures = machines.get(machine);
+    if (machineFailures == null) {
       return false;
     }
     int failedJobs = 0;
     int failures = 0;
-    for (Map.Entry<Job, Integer> entry : onMachine.byJob.entrySet()) {
+    for (Map.Entry<Job, Integer> entry : machineFailures.byJob.entrySet()) {
       if (hasSucceeded(entry.getKey())) {
         failedJobs++;
         failures += entry.getValue();
@@ -173,12 +180,15 @@
     return failures >= (failedJobs > 1 ? quarantineFailures : 2 * quarantineFailures);
   }
 
-  /** Whether tasks fail on the machine and it is not clear yet why: it takes none for a while. */
+  /**
+   * Whether tasks failed on the machine repeatedly and recently. Until the cause is known it takes
+   * no new tasks for a while.
+   */
   public boolean isSuspect(MachineId machine, MonotonicTime now) {
-    MachineFailures onMachine = machines.get(machine);
-    return onMachine != null
-        && now.since(onMachine.lastAt).compareTo(SUSPICION_PERIOD) < 0
-        && onMachine.byJob.values().stream().mapToInt(Integer::intValue).sum()
+    MachineFailures machineFailures = machines.get(machine);
+    return machineFailures != null
+        && now.since(machineFailures.lastFailureAt).compareTo(SUSPICION_PERIOD) < 0
+        && machineFailures.byJob.values().stream().mapToInt(Integer::intValue).sum()
             >= quarantineFailures;
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/PreemptionPass.java
+++ b/src/main/java/org/mulleinshift/scheduling/PreemptionPass.java
@@ -8,7 +8,10 @@
 import org.mulleinshift.sharding.ShardView;
 import org.mulleinshift.transport.EventLoop;
 
-/** Requests that running tasks stop for jobs that still wait and that the protocol lets preempt. */
+/**
+ * Requests that running tasks stop, for jobs that still wait for capacity and that the protocol
+ * allows to preempt.
+ */
 final class PreemptionPass {
   private static final double MILLIS_PER_SECOND = 1000.0;
 
@@ -32,8 +35,8 @@
 
   void run(CycleState cycle) {
     PreemptionCandidates candidates =
-        preemption.candidates(cycle.order(), this::locationOf, loop.now());
-    for (Job job : cycle.order()) {
+        preemption.candidates(cycle.rankedJobs(), this::locationOf, loop.now());
+    for (Job job : cycle.rankedJobs()) {
       if (job.state() == Job.State.ACTIVE
           && job.waitingCount() > 0
           && !state.failures().isJobFailing(job)) {
@@ -43,7 +46,7 @@
   }
 
   private void preemptFor(Job job, CycleState cycle, PreemptionCandidates candidates) {
-    if (Preemption.mayPreempt(job)
+    if (Preemption.hasPreemptingPriority(job)
         && isUrgent(job)
         && candidates.admit(PreemptionCandidates.Reason.PRIORITY)) {
       requestStops(job, cycle, candidates, priorityPolicy(job, cycle, candidates));
@@ -55,10 +58,10 @@
 
   private void requestStops(
       Job job, CycleState cycle, PreemptionCandidates candidates, Preemption.Policy policy) {
-    int allowed = state.quotas().tasksWithinLimit(job, cycle.used(job.spec().team()));
+    int allowed = state.quotas().tasksWithinLimit(job, cycle.usageOf(job.spec().team()));
     int wanted = job.waiting(allowed, loop.now()).length;
     preemption
-        .victims(job, wanted, candidates, policy, location -> canFreeCapacity(job, location))
+        .selectVictims(job, wanted, candidates, policy, location -> canFreeCapacity(job, location))
         .forEach(actions::requestStop);
   }
 
@@ -92,9 +95,12 @@
         || preemption.isUrgent(job, expected, loop.wallMillis());
   }
 
-  /** The job lies within its team's guarantee, the team has less than that, and time runs out. */
+  /**
+   * Whether the job may reclaim guaranteed capacity: it is within its team's guarantee, the team
+   * uses less than that, and the job has waited for as long as the objective allows.
+   */
   private boolean claimsGuarantee(Job job, CycleState cycle) {
-    Resources used = cycle.used(job.spec().team());
+    Resources used = cycle.usageOf(job.spec().team());
     double waitedSeconds = (loop.wallMillis() - job.readyMillis()) / MILLIS_PER_SECOND;
     return guaranteeWithinSeconds.filter(within -> waitedSeconds >= within).isPresent()
         && cycle.ranking().withinGuarantee(job)
--- a/src/main/java/org/mulleinshift/scheduling/TaskAssigner.java
+++ b/src/main/java/org/mulleinshift/scheduling/TaskAssigner.java
@@ -17,7 +17,10 @@
 
 /** Assigns tasks of one job to available capacity, within quotas and placement constraints. */
 final class TaskAssigner {
-  /** Attempts of a term are numbered in the low bits, so those of later terms are higher. */
+  /**
+   * The low bits of an attempt number count within a term; the high bits are the term, so attempts
+   * of later terms have higher numbers.
+   */
   private static final int ATTEMPT_BITS = 20;
 
   private final EventLoop loop;
@@ -32,20 +35,20 @@
     this.firstAttempt = new Attempt((term.value() << ATTEMPT_BITS) + 1);
   }
 
-  /** Assigns as many of the job's waiting tasks as it may have and capacity allows. */
+  /** Assigns as many of the job's waiting tasks as quotas, failures and capacity allow. */
   void assign(Job job, CycleState cycle) {
     assign(job, Integer.MAX_VALUE, cycle);
   }
 
   /**
-   * Assigns at most so many of the job's waiting tasks; a gang is assigned whole or not at all,
-   * whatever the maximum.
+   * Assigns at most {@code maxTasks} of the job's waiting tasks. The maximum applies to array jobs
+   * only; a gang is assigned as a whole or not at all.
    *
    * @return how many tasks were assigned
    */
   int assign(Job job, int maxTasks, CycleState cycle) {
     TeamId team = job.spec().team();
-    Resources used = cycle.used(team);
+    Resources used = cycle.usageOf(team);
     int allowed = allowedTasks(job, used, maxTasks);
     if (allowed == 0 || job.waitingCount() == 0) {
       return 0;
@@ -55,11 +58,11 @@
       return 0;
     }
     int[] waiting = job.waiting(allowed, loop.now());
-    BinPacker.CapacityConsumer consumer = assignmentsOf(job, waiting);
+    BinPacker.CapacityConsumer consumer = assigningConsumer(job, waiting);
     int assigned =
-        constrainsOwnTasks(job)
-            ? placeOneByOne(job, request, waiting.length, cycle, consumer)
-            : placeTogether(job, request, waiting.length, cycle, consumer);
+        hasInterTaskZoneConstraints(job)
+            ? assignOneByOne(job, request, waiting.length, cycle, consumer)
+            : assignTogether(job, request, waiting.length, cycle, consumer);
     cycle.recordUsage(team, used.plus(job.spec().perTask().times(assigned)));
     return assigned;
   }
@@ -72,21 +75,21 @@
     return job.spec().kind() == JobKind.ARRAY ? Math.min(allowed, maxTasks) : allowed;
   }
 
-  /** False only if no task of the job can be placed. */
+  /** Whether tasks of the job may fit; false only if none can be placed. */
   private boolean mayFit(Job job, ResourceRequest request, int allowed, CycleState cycle) {
     if (job.spec().kind() == JobKind.GANG
         && !PlacementConstraints.gangFits(job, request, cycle.capacities(), allowed, loop.now())) {
       return false;
     }
-    return constrainsOwnTasks(job) || !cycle.isUnschedulable(request);
+    return hasInterTaskZoneConstraints(job) || !cycle.isUnschedulable(request);
   }
 
-  /** Whether each task of the job that is placed changes which zones the others may be in. */
-  private static boolean constrainsOwnTasks(Job job) {
+  /** Whether each assigned task of the job changes which zones its other tasks may be in. */
+  private static boolean hasInterTaskZoneConstraints(Job job) {
     return job.spec().requiresSpread() || job.spec().requiresSingleZone();
   }
 
-  private BinPacker.CapacityConsumer assignmentsOf(Job job, int[] waiting) {
+  private BinPacker.CapacityConsumer assigningConsumer(Job job, int[] waiting) {
     PrimitiveIterator.OfInt taskIndexes = Arrays.stream(waiting).iterator();
     return (capacity, count) -> {
       for (int i = 0; i < count; i++) {
@@ -97,35 +100,35 @@
     };
   }
 
-  private static int placeOneByOne(
+  private static int assignOneByOne(
       Job job,
       ResourceRequest request,
       int count,
       CycleState cycle,
       BinPacker.CapacityConsumer consumer) {
-    int placed = 0;
-    while (placed < count
+    int assigned = 0;
+    while (assigned < count
         && BinPacker.fill(request, 1, allowedCapacities(job, cycle), consumer) == 1) {
-      placed++;
+      assigned++;
     }
-    return placed;
+    return assigned;
   }
 
-  private static int placeTogether(
+  private static int assignTogether(
       Job job,
       ResourceRequest request,
       int count,
       CycleState cycle,
       BinPacker.CapacityConsumer consumer) {
-    int placed = BinPacker.fill(request, count, allowedCapacities(job, cycle), consumer);
-    if (placed < count) {
+    int assigned = BinPacker.fill(request, count, allowedCapacities(job, cycle), consumer);
+    if (assigned < count) {
       cycle.markUnschedulable(request);
     }
-    return placed;
+    return assigned;
   }
 
   private static List<MachineCapacity> allowedCapacities(Job job, CycleState cycle) {
-    if (job.spec().zone().isEmpty() && !constrainsOwnTasks(job)) {
+    if (job.spec().zone().isEmpty() && !hasInterTaskZoneConstraints(job)) {
       return cycle.capacities();
     }
     return cycle.capacities().stream()
