--- a/src/main/java/org/mulleinshift/autoscaling/PendingQueue.java
+++ b/src/main/java/org/mulleinshift/autoscaling/PendingQueue.java
@@ -80,7 +80,7 @@
           && !release.job().priority().isAbove(queue.get(position).job().priority())) {
         position++;
       }
-      queue.add(position, new QueuedJob(release.job(), release.inSeconds()));
+      queue.add(position, new QueuedJob(release.job(), release.secondsUntilRelease()));
     }
     return queue;
   }
--- a/src/main/java/org/mulleinshift/controller/ActiveJobsListener.java
+++ b/src/main/java/org/mulleinshift/controller/ActiveJobsListener.java
@@ -61,7 +61,7 @@
     if (job.isPresent()) {
       onReadable(job.get());
     } else {
-      currentTerm.ifLeading(leader -> leader.onUnreadable(id, item.get().value()));
+      currentTerm.ifLeading(leader -> leader.onUnreadableJob(id, item.get().value()));
     }
   }
 
@@ -69,7 +69,7 @@
     if (job.cancelled()) {
       cancelledJobs.add(job.id());
     }
-    currentTerm.ifLeading(leader -> leader.onJob(job));
+    currentTerm.ifLeading(leader -> leader.onJobRecord(job));
   }
 
   @Override
--- a/src/main/java/org/mulleinshift/controller/ComponentEvents.java
+++ b/src/main/java/org/mulleinshift/controller/ComponentEvents.java
@@ -89,7 +89,7 @@
   /** The view of the control keys has changed. */
   void onViewChange() {
     components.ownedShards().onControlChange();
-    components.currentTerm().ifLeading(Leader::onControlChange);
+    components.currentTerm().ifLeading(Leader::onControlKeysChanged);
     components.leadership().observeElection();
   }
 
--- a/src/main/java/org/mulleinshift/dependencies/DependencyListWriter.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyListWriter.java
@@ -31,28 +31,29 @@
   private static final int MAX_BUSY_RETRIES = 14;
 
   /** Submissions whose progress is remembered: a retry goes on where the last attempt ended. */
-  private static final int MAX_SUBMISSIONS_REMEMBERED = 64;
+  private static final int MAX_TRACKED_SUBMISSIONS = 64;
 
   /** Guards a key that must not exist. */
-  private static final Revision ABSENT = new Revision(0);
+  private static final Revision ABSENT_REVISION = new Revision(0);
 
   private final EventLoop loop;
   private final KeyValueStore store;
-  private final Map<String, Integer> writtenByDigest = new BoundedMap<>(MAX_SUBMISSIONS_REMEMBERED);
-  private final int valueBytes;
+  private final Map<String, Integer> writtenListsByDigest =
+      new BoundedMap<>(MAX_TRACKED_SUBMISSIONS);
+  private final int maxValueBytes;
   private final int maxOperations;
 
   /**
    * A writer.
    *
-   * @param valueBytes size of a value at most
+   * @param maxValueBytes size of a value at most
    * @param maxOperations writes of a transaction at most
    */
   public DependencyListWriter(
-      EventLoop loop, KeyValueStore store, int valueBytes, int maxOperations) {
+      EventLoop loop, KeyValueStore store, int maxValueBytes, int maxOperations) {
     this.loop = loop;
     this.store = store;
-    this.valueBytes = valueBytes;
+    this.maxValueBytes = maxValueBytes;
     this.maxOperations = maxOperations;
   }
 
@@ -67,9 +68,9 @@
       List<JobId> dependencies,
       Consumer<JobDependencies> onWritten,
       Consumer<CommitResult> onFailed) {
-    String names = job + " " + dependencies;
-    String digest = UUID.nameUUIDFromBytes(names.getBytes(StandardCharsets.UTF_8)).toString();
-    List<List<JobId>> lists = JobDependencies.partition(dependencies, valueBytes);
+    String content = job + " " + dependencies;
+    String digest = UUID.nameUUIDFromBytes(content.getBytes(StandardCharsets.UTF_8)).toString();
+    List<List<JobId>> lists = JobDependencies.partition(dependencies, maxValueBytes);
     List<Write> writes = new ArrayList<>();
     for (int i = 0; i < lists.size(); i++) {
       String key = StoreKeys.dependencyList(job, digest, i);
@@ -91,13 +92,13 @@
     /** Holds as long as the job is not accepted. */
     List<Compare> guards() {
       return List.of(
-          new Compare(StoreKeys.activeJob(job), ABSENT),
-          new Compare(StoreKeys.endedJob(job), ABSENT));
+          new Compare(StoreKeys.activeJob(job), ABSENT_REVISION),
+          new Compare(StoreKeys.endedJob(job), ABSENT_REVISION));
     }
   }
 
   private void writeNext(Submission submission, int remainingRetries) {
-    int written = writtenByDigest.getOrDefault(submission.digest(), 0);
+    int written = writtenListsByDigest.getOrDefault(submission.digest(), 0);
     List<Write> remaining = submission.writes().subList(written, submission.writes().size());
     if (remaining.isEmpty()) {
       submission.onWritten().run();
@@ -110,7 +111,7 @@
         KeyValueStore.Urgency.PROMPT,
         result -> {
           if (result instanceof CommitResult.Committed) {
-            writtenByDigest.put(submission.digest(), written + batch.size());
+            writtenListsByDigest.put(submission.digest(), written + batch.size());
             writeNext(submission, remainingRetries);
           } else if (result instanceof CommitResult.Busy && remainingRetries > 0) {
             loop.after(BUSY_RETRY_DELAY, () -> writeNext(submission, remainingRetries - 1));
--- a/src/main/java/org/mulleinshift/dependencies/DependencyLoader.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyLoader.java
@@ -33,40 +33,40 @@
   private static final Logger LOG = LoggerFactory.getLogger(DependencyLoader.class);
   private static final int MAX_CONCURRENT_READS = 8;
   private static final Duration RETRY_DELAY = Duration.ofMillis(300);
-  private static final Duration LOGGED_DURATION = Duration.ofSeconds(1);
+  private static final Duration MIN_LOGGED_DURATION = Duration.ofSeconds(1);
 
   private final EventLoop loop;
   private final KeyValueStore store;
-  private final BooleanSupplier serving;
+  private final BooleanSupplier termOngoing;
   private final BiConsumer<JobId, JobEnd> onEnded;
   private final Deque<Runnable> queue = new ArrayDeque<>();
-  private final Set<JobId> requestedEnds = new HashSet<>();
+  private final Set<JobId> endsBeingRead = new HashSet<>();
   private int readsInFlight;
-  private int readsInARow;
-  private int retries;
-  private MonotonicTime busySince;
+  private int readsInBurst;
+  private int retriesInBurst;
+  private MonotonicTime burstStartedAt;
 
   /**
    * A loader for one term.
    *
-   * @param serving whether the term goes on
+   * @param termOngoing whether the term goes on
    * @param onEnded is notified of each end that was read
    */
   DependencyLoader(
       EventLoop loop,
       KeyValueStore store,
-      BooleanSupplier serving,
+      BooleanSupplier termOngoing,
       BiConsumer<JobId, JobEnd> onEnded) {
     this.loop = loop;
     this.store = store;
-    this.serving = serving;
+    this.termOngoing = termOngoing;
     this.onEnded = onEnded;
-    this.busySince = loop.now();
+    this.burstStartedAt = loop.now();
   }
 
   /** Reads how a job ended that is not active, unless that is being read already. */
   void loadEnd(JobId job) {
-    if (requestedEnds.add(job)) {
+    if (endsBeingRead.add(job)) {
       enqueue(() -> readEnd(job));
     }
   }
@@ -75,7 +75,7 @@
     read(
         StoreKeys.endedJob(job),
         item -> {
-          requestedEnds.remove(job);
+          endsBeingRead.remove(job);
           item.flatMap(DependencyLoader::parseEnd).ifPresent(end -> onEnded.accept(job, end));
         });
   }
@@ -90,14 +90,15 @@
    * Reads all lists of a job's dependencies. If one can't be read, the job waits on.
    *
    * @param onLoaded gets the dependencies once all lists were read
-   * @param onRead gets each list's item as it is read
+   * @param onListRead gets each list's item as it is read
    */
   void loadLists(
       JobId job,
       JobDependencies dependencies,
       Consumer<List<JobId>> onLoaded,
-      Consumer<KeyValue> onRead) {
-    ListsRequest request = new ListsRequest(job, dependencies, new ArrayList<>(), onLoaded, onRead);
+      Consumer<KeyValue> onListRead) {
+    ListsRequest request =
+        new ListsRequest(job, dependencies, new ArrayList<>(), onLoaded, onListRead);
     enqueue(() -> readList(request, 0));
   }
 
@@ -107,32 +108,32 @@
       JobDependencies dependencies,
       List<JobId> found,
       Consumer<List<JobId>> onLoaded,
-      Consumer<KeyValue> onRead) {
-    String key(int list) {
-      return StoreKeys.dependencyList(job, dependencies.digest(), list);
+      Consumer<KeyValue> onListRead) {
+    String key(int listIndex) {
+      return StoreKeys.dependencyList(job, dependencies.digest(), listIndex);
     }
   }
 
-  private void readList(ListsRequest request, int list) {
-    read(request.key(list), item -> onList(request, list, item));
+  private void readList(ListsRequest request, int listIndex) {
+    read(request.key(listIndex), item -> onList(request, listIndex, item));
   }
 
-  private void onList(ListsRequest request, int list, Optional<KeyValue> item) {
+  private void onList(ListsRequest request, int listIndex, Optional<KeyValue> item) {
     try {
       if (item.isEmpty()) {
         throw new MalformedMessageException("the key is absent");
       }
-      request.onRead().accept(item.get());
+      request.onListRead().accept(item.get());
       request.found().addAll(JobDependencies.readList(item.get().value()));
     } catch (MalformedMessageException e) {
       LOG.error(
           "dependency list unreadable, job waits, key={} job={} reason={}",
-          request.key(list),
+          request.key(listIndex),
           request.job(),
           e.getMessage());
       return;
     }
-    int next = list + 1;
+    int next = listIndex + 1;
     if (next < request.dependencies().lists()) {
       enqueue(() -> readList(request, next));
     } else {
@@ -147,11 +148,11 @@
 
   private void startReads() {
     while (readsInFlight < MAX_CONCURRENT_READS && !queue.isEmpty()) {
-      if (readsInFlight == 0 && readsInARow == 0) {
-        busySince = loop.now();
+      if (readsInFlight == 0 && readsInBurst == 0) {
+        burstStartedAt = loop.now();
       }
       readsInFlight++;
-      readsInARow++;
+      readsInBurst++;
       queue.poll().run();
     }
   }
@@ -162,14 +163,14 @@
         key,
         KeyValueStore.Urgency.NORMAL,
         answer -> {
-          if (!serving.getAsBoolean()) {
+          if (!termOngoing.getAsBoolean()) {
             queue.clear();
           } else if (answer instanceof ReadResult.Found<KeyValue> found) {
             finishRead(onAnswer, Optional.of(found.value()));
           } else if (answer instanceof ReadResult.Absent<KeyValue>) {
             finishRead(onAnswer, Optional.empty());
           } else {
-            retries++;
+            retriesInBurst++;
             loop.after(RETRY_DELAY, () -> read(key, onAnswer));
           }
         });
@@ -185,12 +186,15 @@
   }
 
   private void logReads() {
-    Duration took = loop.now().since(busySince);
-    if (took.compareTo(LOGGED_DURATION) >= 0) {
+    Duration took = loop.now().since(burstStartedAt);
+    if (took.compareTo(MIN_LOGGED_DURATION) >= 0) {
       LOG.info(
-          "dependencies read, reads={} retries={} ms={}", readsInARow, retries, took.toMillis());
+          "dependencies read, reads={} retries={} ms={}",
+          readsInBurst,
+          retriesInBurst,
+          took.toMillis());
     }
-    readsInARow = 0;
-    retries = 0;
+    readsInBurst = 0;
+    retriesInBurst = 0;
   }
 }
--- a/src/main/java/org/mulleinshift/dependencies/DependencyResolver.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyResolver.java
@@ -36,12 +36,12 @@
 
   private final DependencyGraph graph = new DependencyGraph();
   private final Map<JobId, Job> waitingJobs = new LinkedHashMap<>();
-  private final Map<JobId, Long> lastEndMillis = new HashMap<>();
+  private final Map<JobId, Long> latestDependencyEndMillis = new HashMap<>();
   private final JobTable activeJobs;
   private final DurationEstimates estimates;
   private final PriorityPropagation priorities;
   private final Listener listener;
-  private final LongSupplier wallMillis;
+  private final LongSupplier wallClockMillis;
   private final Revision term;
   private boolean changed;
 
@@ -51,20 +51,20 @@
    * @param activeJobs the jobs that do not wait
    * @param estimates how long jobs should take
    * @param listener is notified of released and cancelled jobs
-   * @param wallMillis the wall clock in milliseconds
+   * @param wallClockMillis the wall clock in milliseconds
    * @param term the term, for the log
    */
   DependencyResolver(
       JobTable activeJobs,
       DurationEstimates estimates,
       Listener listener,
-      LongSupplier wallMillis,
+      LongSupplier wallClockMillis,
       Revision term) {
     this.activeJobs = activeJobs;
     this.estimates = estimates;
     this.priorities = new PriorityPropagation(graph, this::findUnfinished, estimates);
     this.listener = listener;
-    this.wallMillis = wallMillis;
+    this.wallClockMillis = wallClockMillis;
     this.term = term;
   }
 
@@ -90,7 +90,7 @@
   /** The job no longer waits, for whatever reason. */
   void remove(JobId job) {
     waitingJobs.remove(job);
-    lastEndMillis.remove(job);
+    latestDependencyEndMillis.remove(job);
     graph.remove(job);
     changed = true;
   }
@@ -104,20 +104,22 @@
   /** The end of a job is stored. */
   void onEnded(JobId job, JobEnd end) {
     if (end.phase() == JobPhase.DONE) {
-      onDone(job, end.atMillis());
+      onDone(job, end.endedAtMillis());
     } else {
       onCancelled(job);
     }
   }
 
   private void onDone(JobId done, long atMillis) {
-    graph.dependentsOf(done).forEach(job -> lastEndMillis.merge(job, atMillis, Math::max));
+    graph
+        .dependentsOf(done)
+        .forEach(job -> latestDependencyEndMillis.merge(job, atMillis, Math::max));
     for (JobId id : graph.complete(done)) {
       Job job = waitingJobs.get(id);
-      long readyMillis = lastEndMillis.getOrDefault(id, atMillis);
+      long readyMillis = latestDependencyEndMillis.getOrDefault(id, atMillis);
       remove(id);
       if (job != null) {
-        job.release(readyMillis, wallMillis.getAsLong());
+        job.release(readyMillis, wallClockMillis.getAsLong());
         listener.onReleased(job);
       }
     }
@@ -143,10 +145,10 @@
   }
 
   /** Whether the waiting jobs or their dependencies changed since the last call. */
-  boolean pollChanged() {
-    boolean polled = changed;
+  boolean getAndClearChanged() {
+    boolean wasChanged = changed;
     changed = false;
-    return polled;
+    return wasChanged;
   }
 
   /** Passes priorities and deadlines from jobs to their dependencies. */
@@ -157,13 +159,13 @@
   /** The jobs that should be released within the horizon, each after its dependencies. */
   List<ExpectedRelease> expectedReleases(double horizonSeconds) {
     List<ExpectedRelease> expected = new ArrayList<>();
-    Map<JobId, Double> releaseSeconds = new HashMap<>();
-    for (Job job : waitingDependenciesFirst()) {
+    Map<JobId, Double> secondsUntilRelease = new HashMap<>();
+    for (Job job : waitingJobsDependenciesFirst()) {
       double release = 0;
       for (JobId dependency : graph.dependenciesOf(job.spec().id())) {
-        release = Math.max(release, secondsUntilDone(dependency, releaseSeconds));
+        release = Math.max(release, secondsUntilDone(dependency, secondsUntilRelease));
       }
-      releaseSeconds.put(job.spec().id(), release);
+      secondsUntilRelease.put(job.spec().id(), release);
       if (release <= horizonSeconds) {
         expected.add(new ExpectedRelease(job, release));
       }
@@ -171,16 +173,16 @@
     return expected;
   }
 
-  private double secondsUntilDone(JobId dependency, Map<JobId, Double> releaseSeconds) {
+  private double secondsUntilDone(JobId dependency, Map<JobId, Double> secondsUntilRelease) {
     Job waiting = waitingJobs.get(dependency);
     if (waiting == null) {
       return activeJobs.find(dependency).map(estimates::remainingSeconds).orElse(Double.MAX_VALUE);
     }
-    double release = releaseSeconds.getOrDefault(dependency, Double.MAX_VALUE);
+    double release = secondsUntilRelease.getOrDefault(dependency, Double.MAX_VALUE);
     return estimates.secondsUntilDependentsRun(waiting, release);
   }
 
-  private List<Job> waitingDependenciesFirst() {
+  private List<Job> waitingJobsDependenciesFirst() {
     List<Job> jobs = new ArrayList<>();
     graph.visitDependentsFirst(id -> findWaiting(id).ifPresent(jobs::add));
     Collections.reverse(jobs);
--- a/src/main/java/org/mulleinshift/dependencies/DependencyTracker.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyTracker.java
@@ -19,7 +19,7 @@
  * they may run, and informs the resolver of how their dependencies ended.
  */
 public final class DependencyTracker {
-  private static final int MAX_ENDS_REMEMBERED = 20_000;
+  private static final int MAX_CACHED_ENDS = 20_000;
 
   /** Expected run times change; inherited priorities follow them with this interval. */
   private static final double PROPAGATION_INTERVAL_SECONDS = 2;
@@ -30,7 +30,7 @@
     boolean isActive();
 
     /** The term goes on, or will once it has loaded its state. */
-    boolean isServing();
+    boolean isOngoing();
 
     /** A job may run, or is to end. */
     void onReady(Job job);
@@ -45,8 +45,8 @@
   private final TransactionBatcher batcher;
   private final DependencyResolver resolver;
   private final DependencyLoader loader;
-  private final Map<JobId, JobEnd> ends = new BoundedMap<>(MAX_ENDS_REMEMBERED);
-  private MonotonicTime propagatedAt;
+  private final Map<JobId, JobEnd> cachedEnds = new BoundedMap<>(MAX_CACHED_ENDS);
+  private MonotonicTime lastPropagatedAt;
 
   /**
    * A tracker for one term.
@@ -76,8 +76,8 @@
             new ResolverListener(),
             loop::wallMillis,
             batcher.term());
-    this.propagatedAt = loop.now();
-    this.loader = new DependencyLoader(loop, store, term::isServing, resolver::onEnded);
+    this.lastPropagatedAt = loop.now();
+    this.loader = new DependencyLoader(loop, store, term::isOngoing, resolver::onEnded);
   }
 
   /** The job, if it waits for others. */
@@ -99,7 +99,7 @@
   }
 
   /** All stored state was read, progress too: jobs that have some were released before. */
-  public void begin() {
+  public void start() {
     for (Job job : List.copyOf(resolver.waitingJobs())) {
       if (job.state() == Job.State.AWAITING_DEPENDENCIES) {
         loadDependencies(job);
@@ -127,13 +127,13 @@
         findWaitingJob(job.spec().id()).filter(found -> found == job).isPresent();
     if (stillWaiting) {
       resolver.addDependencies(job, dependencies);
-      dependencies.forEach(this::resolve);
+      dependencies.forEach(this::resolveDependency);
     }
   }
 
   /** Active jobs are known to this leader; all others are over, or the watch will show them. */
-  private void resolve(JobId dependency) {
-    JobEnd end = ends.get(dependency);
+  private void resolveDependency(JobId dependency) {
+    JobEnd end = cachedEnds.get(dependency);
     Optional<Job> unfinished = jobs.find(dependency).or(() -> resolver.findWaiting(dependency));
     if (end != null) {
       resolver.onEnded(dependency, end);
@@ -165,7 +165,7 @@
    */
   public void onEnded(Job job, long atMillis) {
     JobEnd end = new JobEnd(job.terminalPhase(), atMillis);
-    ends.put(job.spec().id(), end);
+    cachedEnds.put(job.spec().id(), end);
     resolver.onEnded(job.spec().id(), end);
   }
 
@@ -177,8 +177,9 @@
   /** Updates what jobs inherit from their dependents, if it may have changed. */
   public void propagatePriorities() {
     MonotonicTime now = loop.now();
-    if (resolver.pollChanged() || now.secondsSince(propagatedAt) >= PROPAGATION_INTERVAL_SECONDS) {
-      propagatedAt = now;
+    if (resolver.getAndClearChanged()
+        || now.secondsSince(lastPropagatedAt) >= PROPAGATION_INTERVAL_SECONDS) {
+      lastPropagatedAt = now;
       resolver.propagatePriorities();
     }
   }
--- a/src/main/java/org/mulleinshift/dependencies/DependencyValidator.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyValidator.java
@@ -20,7 +20,7 @@
  */
 public final class DependencyValidator {
   private static final int MAX_CONCURRENT_READS = 8;
-  private static final int MAX_ACCEPTED_REMEMBERED = 10_000;
+  private static final int MAX_CACHED_ACCEPTED_JOBS = 10_000;
 
   /** The outcome of a check. */
   public enum Verdict {
@@ -33,31 +33,31 @@
   }
 
   private final KeyValueStore store;
-  private final Predicate<JobId> knownAccepted;
+  private final Predicate<JobId> isKnownAccepted;
 
   /** A long list is read at the rate that the store permits; a retry goes on with the rest. */
-  private final Set<JobId> accepted = BoundedMap.set(MAX_ACCEPTED_REMEMBERED);
+  private final Set<JobId> cachedAccepted = BoundedMap.set(MAX_CACHED_ACCEPTED_JOBS);
 
   /**
    * A validator.
    *
-   * @param knownAccepted whether a job is known to have been accepted
+   * @param isKnownAccepted whether a job is known to have been accepted
    */
-  public DependencyValidator(KeyValueStore store, Predicate<JobId> knownAccepted) {
+  public DependencyValidator(KeyValueStore store, Predicate<JobId> isKnownAccepted) {
     this.store = store;
-    this.knownAccepted = knownAccepted;
+    this.isKnownAccepted = isKnownAccepted;
   }
 
   /** A job whose record was seen was accepted, whatever becomes of it. */
   public void markAccepted(JobId job) {
-    accepted.add(job);
+    cachedAccepted.add(job);
   }
 
   /** Checks the jobs; the consumer gets the verdict once. */
   public void check(List<JobId> jobs, Consumer<Verdict> onVerdict) {
     Deque<JobId> unchecked = new ArrayDeque<>();
     jobs.stream()
-        .filter(job -> !knownAccepted.test(job) && !accepted.contains(job))
+        .filter(job -> !isKnownAccepted.test(job) && !cachedAccepted.contains(job))
         .forEach(unchecked::add);
     if (unchecked.isEmpty()) {
       onVerdict.accept(Verdict.ALL_ACCEPTED);
@@ -108,7 +108,7 @@
     }
 
     private void onAccepted(JobId job) {
-      accepted.add(job);
+      cachedAccepted.add(job);
       readsInFlight--;
       if (finished) {
         return;
--- a/src/main/java/org/mulleinshift/dependencies/DurationEstimates.java
+++ b/src/main/java/org/mulleinshift/dependencies/DurationEstimates.java
@@ -15,7 +15,7 @@
    * From a job's last end until the tasks of the next one run: storing the end, publishing the
    * assignments, fetching the image.
    */
-  private static final double RELEASE_DELAY_SECONDS = 5;
+  private static final double DEPENDENT_START_DELAY_SECONDS = 5;
 
   private final EventLoop loop;
   private final RunTimeEstimator runTimes;
@@ -29,12 +29,12 @@
    * Seconds until the dependents of a job can run.
    *
    * @param job the job
-   * @param releaseSeconds until the job itself is released
+   * @param secondsUntilRelease until the job itself is released
    */
-  double secondsUntilDependentsRun(Job job, double releaseSeconds) {
-    return releaseSeconds
+  double secondsUntilDependentsRun(Job job, double secondsUntilRelease) {
+    return secondsUntilRelease
         + SLOWEST_TASK_FACTOR * runTimes.expectedSeconds(job)
-        + RELEASE_DELAY_SECONDS;
+        + DEPENDENT_START_DELAY_SECONDS;
   }
 
   /** Seconds that any of the job's tasks should still take at most, if those waiting start now. */
--- a/src/main/java/org/mulleinshift/dependencies/PriorityPropagation.java
+++ b/src/main/java/org/mulleinshift/dependencies/PriorityPropagation.java
@@ -20,7 +20,7 @@
   private final DurationEstimates estimates;
 
   /** Jobs of the latest run that wait or are waited for. */
-  private final Map<JobId, Job> visitedJobs = new HashMap<>();
+  private final Map<JobId, Job> lastVisited = new HashMap<>();
 
   /**
    * The propagation along a graph.
@@ -48,19 +48,19 @@
                     job -> {
                       visited.put(id, job);
                       job.inherit(inherited.getOrDefault(id, Job.Inherited.NONE));
-                      passOn(job, inherited);
+                      propagateToDependencies(job, inherited);
                     }));
-    resetAllBut(visited);
-    visitedJobs.clear();
-    visitedJobs.putAll(visited);
+    resetUnvisited(visited);
+    lastVisited.clear();
+    lastVisited.putAll(visited);
   }
 
-  private void passOn(Job job, Map<JobId, Job.Inherited> inherited) {
-    Job.Inherited passedOn = new Job.Inherited(job.priority(), dependencyDeadlineMillis(job));
+  private void propagateToDependencies(Job job, Map<JobId, Job.Inherited> inherited) {
+    Job.Inherited propagated = new Job.Inherited(job.priority(), dependencyDeadlineMillis(job));
     graph
         .dependenciesOf(job.spec().id())
         .forEach(
-            dependency -> inherited.merge(dependency, passedOn, PriorityPropagation::moreUrgent));
+            dependency -> inherited.merge(dependency, propagated, PriorityPropagation::combine));
   }
 
   private long dependencyDeadlineMillis(Job job) {
@@ -71,8 +71,8 @@
   }
 
   /** Jobs that nothing waits for any more are as submitted again; released ones keep theirs. */
-  private void resetAllBut(Map<JobId, Job> visited) {
-    visitedJobs.forEach(
+  private void resetUnvisited(Map<JobId, Job> visited) {
+    lastVisited.forEach(
         (id, job) -> {
           if (!visited.containsKey(id) && job.state() == Job.State.ACTIVE) {
             job.inherit(Job.Inherited.NONE);
@@ -80,9 +80,9 @@
         });
   }
 
-  private static Job.Inherited moreUrgent(Job.Inherited one, Job.Inherited other) {
+  private static Job.Inherited combine(Job.Inherited first, Job.Inherited second) {
     Priority priority =
-        one.priority().isAbove(other.priority()) ? one.priority() : other.priority();
-    return new Job.Inherited(priority, Math.min(one.deadlineMillis(), other.deadlineMillis()));
+        first.priority().isAbove(second.priority()) ? first.priority() : second.priority();
+    return new Job.Inherited(priority, Math.min(first.deadlineMillis(), second.deadlineMillis()));
   }
 }
--- a/src/main/java/org/mulleinshift/leader/BatchLimits.java
+++ b/src/main/java/org/mulleinshift/leader/BatchLimits.java
@@ -7,9 +7,9 @@
  * How large and how frequent the leader's transactions may be.
  *
  * @param maxOperations changes of one transaction at most
- * @param spacing shortest time between two transactions
+ * @param minInterval shortest time between two transactions
  */
-record BatchLimits(int maxOperations, Duration spacing) {
+record BatchLimits(int maxOperations, Duration minInterval) {
   /** Share of the store's requests that the leader's transactions may use. */
   private static final double REQUEST_SHARE = 0.2;
 
--- a/src/main/java/org/mulleinshift/leader/CycleScheduler.java
+++ b/src/main/java/org/mulleinshift/leader/CycleScheduler.java
@@ -11,16 +11,16 @@
  */
 final class CycleScheduler {
   /** Time between two cycles, in durations of the last one. */
-  private static final int MIN_PAUSE_FACTOR = 4;
+  private static final int MIN_INTERVAL_FACTOR = 4;
 
   /** Changes that come in quick succession share a cycle. */
-  private static final Duration MIN_DELAY = Duration.ofMillis(5);
+  private static final Duration COALESCING_DELAY = Duration.ofMillis(5);
 
   private final EventLoop loop;
   private final LeadershipTerm term;
   private final Duration interval;
   private final Runnable cycle;
-  private MonotonicTime lastStart;
+  private MonotonicTime lastStartedAt;
   private Duration lastDuration = Duration.ZERO;
   private boolean scheduled;
 
@@ -29,7 +29,7 @@
     this.term = term;
     this.interval = interval;
     this.cycle = cycle;
-    this.lastStart = loop.now();
+    this.lastStartedAt = loop.now();
   }
 
   /** Runs a cycle as soon as the spacing allows. */
@@ -47,18 +47,18 @@
   }
 
   private Duration delay() {
-    Duration pause = lastDuration.multipliedBy(MIN_PAUSE_FACTOR);
-    Duration spacing = pause.compareTo(interval) > 0 ? pause : interval;
-    Duration elapsed = loop.now().since(lastStart);
-    return elapsed.compareTo(spacing) >= 0 ? MIN_DELAY : spacing.minus(elapsed);
+    Duration proportional = lastDuration.multipliedBy(MIN_INTERVAL_FACTOR);
+    Duration minInterval = proportional.compareTo(interval) > 0 ? proportional : interval;
+    Duration elapsed = loop.now().since(lastStartedAt);
+    return elapsed.compareTo(minInterval) >= 0 ? COALESCING_DELAY : minInterval.minus(elapsed);
   }
 
   private void run() {
     if (!term.isActive() || !term.hasValidLease()) {
       return;
     }
-    lastStart = loop.now();
+    lastStartedAt = loop.now();
     cycle.run();
-    lastDuration = loop.now().since(lastStart);
+    lastDuration = loop.now().since(lastStartedAt);
   }
 }
--- a/src/main/java/org/mulleinshift/leader/EstimateReplicator.java
+++ b/src/main/java/org/mulleinshift/leader/EstimateReplicator.java
@@ -23,9 +23,9 @@
  */
 public final class EstimateReplicator {
   private static final Logger LOG = LoggerFactory.getLogger(EstimateReplicator.class);
-  private static final int MAX_CLASSES = 256;
-  private static final int MAX_TYPES = 64;
-  private static final Duration MAX_AGE = Duration.ofMinutes(2);
+  private static final int MAX_JOB_CLASSES = 256;
+  private static final int MAX_MACHINE_TYPES = 64;
+  private static final Duration MAX_ESTIMATE_AGE = Duration.ofMinutes(2);
   private static final Duration RESEND_INTERVAL = Duration.ofSeconds(10);
 
   private final EventLoop loop;
@@ -58,9 +58,9 @@
   }
 
   /** A new leader starts from what the last one learned, if that is not too old. */
-  void apply(BootTimeEstimator bootTimes) {
+  void applyReceived(BootTimeEstimator bootTimes) {
     Duration age = loop.now().since(receivedAt);
-    if (received.isEmpty() || age.compareTo(MAX_AGE) > 0) {
+    if (received.isEmpty() || age.compareTo(MAX_ESTIMATE_AGE) > 0) {
       LOG.info("no estimates of an earlier leader applied");
       return;
     }
@@ -79,7 +79,7 @@
   }
 
   /** The estimates to send to the standby now; empty if it received the same ones recently. */
-  Optional<LearnedEstimates> next(long term, BootTimeEstimator bootTimes, NodeId standby) {
+  Optional<LearnedEstimates> nextUpdate(long term, BootTimeEstimator bootTimes, NodeId standby) {
     LearnedEstimates estimates =
         new LearnedEstimates(term, runTimeRatios(), bootTimeSamples(bootTimes));
     if (recentlySent(estimates, standby)) {
@@ -94,7 +94,7 @@
   private List<RunTimeRatio> runTimeRatios() {
     List<RunTimeRatio> ratios = new ArrayList<>();
     runTimes
-        .ratios(MAX_CLASSES)
+        .ratios(MAX_JOB_CLASSES)
         .forEach((jobClass, ratio) -> ratios.add(new RunTimeRatio(jobClass, ratio)));
     return ratios;
   }
@@ -102,7 +102,7 @@
   private static List<BootTimeSamples> bootTimeSamples(BootTimeEstimator bootTimes) {
     List<BootTimeSamples> samples = new ArrayList<>();
     bootTimes.latestSamples().entrySet().stream()
-        .limit(MAX_TYPES)
+        .limit(MAX_MACHINE_TYPES)
         .forEach(
             entry -> samples.add(new BootTimeSamples(entry.getKey().value(), entry.getValue())));
     return samples;
--- a/src/main/java/org/mulleinshift/leader/JobLifecycle.java
+++ b/src/main/java/org/mulleinshift/leader/JobLifecycle.java
@@ -58,7 +58,7 @@
     dependencies.admit(record);
     if (term.isActive()) {
       // It may be cancelled already: no later change of its record would say so again.
-      state.jobs().find(record.id()).ifPresent(this::settle);
+      state.jobs().find(record.id()).ifPresent(this::reconcile);
     }
   }
 
@@ -73,7 +73,7 @@
     } else {
       job.update(record);
       progress.onRecordChanged(job);
-      settle(job);
+      reconcile(job);
     }
   }
 
@@ -95,7 +95,7 @@
   /** The term is active: publishes the jobs' assignments, resolves dependencies. */
   void start() {
     state.jobs().all().forEach(this::restoreAssignments);
-    dependencies.begin();
+    dependencies.start();
   }
 
   /** Restores the assignments of a job's tasks that are stored. */
@@ -110,8 +110,8 @@
   }
 
   @Override
-  public boolean isServing() {
-    return term.isServing();
+  public boolean isOngoing() {
+    return term.isOngoing();
   }
 
   @Override
@@ -127,7 +127,7 @@
   @Override
   public void onCancelled(Job job) {
     onReady(job);
-    settle(job);
+    reconcile(job);
   }
 
   @Override
@@ -172,7 +172,7 @@
   }
 
   /** Ends the job if none of its tasks remains; stops its tasks if it was cancelled. */
-  void settle(Job job) {
+  void reconcile(Job job) {
     if (job.cancelled()) {
       // Also while its own end waits to be stored: its dependents' ends need not wait for that.
       dependencies.onCancelled(job.spec().id());
@@ -184,8 +184,8 @@
         }
       }
     }
-    boolean over = job.state() == Job.State.ACTIVE ? job.complete() : job.drained();
-    if (over) {
+    boolean allTasksFinished = job.state() == Job.State.ACTIVE ? job.complete() : job.drained();
+    if (allTasksFinished) {
       progress.end(job);
     }
   }
@@ -193,12 +193,12 @@
   /** A task has ended: this is to be stored, and may end the job. */
   void onTaskEnded(Job job, int taskIndex) {
     progress.store(job, taskIndex);
-    settle(job);
+    reconcile(job);
   }
 
   @Override
   public void onProgressStored(Job job) {
-    settle(job);
+    reconcile(job);
     term.scheduleCycle();
   }
 
--- a/src/main/java/org/mulleinshift/leader/Leader.java
+++ b/src/main/java/org/mulleinshift/leader/Leader.java
@@ -48,7 +48,7 @@
 public final class Leader {
   private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
   private static final Duration MAINTENANCE_INTERVAL = Duration.ofMillis(500);
-  private static final Duration VIEW_RETRY = Duration.ofMillis(50);
+  private static final Duration VIEW_POLL_INTERVAL = Duration.ofMillis(50);
 
   /** States of a term. */
   enum State {
@@ -107,9 +107,9 @@
   private final AssignmentSender assignments;
   private final ShardStatusHandler shardStatus;
   private final SummaryBroadcaster summaries;
-  private final List<JobRecord> arrivedWhileLoading = new ArrayList<>();
+  private final List<JobRecord> recordsReceivedWhileLoading = new ArrayList<>();
   private State state = State.LOADING;
-  private Revision loadedAt = new Revision(0);
+  private Revision firstPageRevision = new Revision(0);
 
   /**
    * A term that this controller was elected for.
@@ -121,7 +121,7 @@
     this.context = context;
     this.loop = context.loop();
     this.term = term;
-    TermComponents components = new TermComponents(context, term, new Term());
+    TermComponents components = new TermComponents(context, term, new TermStateAdapter());
     this.batcher = components.batcher();
     this.cluster = components.cluster();
     this.jobs = components.jobs();
@@ -154,12 +154,13 @@
 
   private void loadJobs(StoreCodec.Range page) {
     // The first page's: what changed since then comes by the watch.
-    loadedAt = loadedAt.value() == 0 ? page.revision() : loadedAt;
+    firstPageRevision = firstPageRevision.value() == 0 ? page.revision() : firstPageRevision;
     for (KeyValue item : page.items()) {
       Optional<JobRecord> record = JobRecord.read(item);
       record.ifPresent(jobs::admit);
       if (record.isEmpty()) {
-        onUnreadable(new JobId(item.key().substring(StoreKeys.ACTIVE_JOBS.length())), item.value());
+        onUnreadableJob(
+            new JobId(item.key().substring(StoreKeys.ACTIVE_JOBS.length())), item.value());
       }
     }
   }
@@ -172,7 +173,7 @@
     boolean current =
         context.view().leader().filter(leader -> leader.term().equals(term)).isPresent();
     if (!current || !context.catalog().isLoaded()) {
-      loop.after(VIEW_RETRY, this::awaitClusterView);
+      loop.after(VIEW_POLL_INTERVAL, this::awaitClusterView);
       return;
     }
     context.view().shards().forEach(this::loadShard);
@@ -201,13 +202,13 @@
   private void startLeading() {
     jobs.finishLoading();
     transitionTo(State.LEADING);
-    context.estimates().apply(autoscaler.bootTimes());
+    context.estimates().applyReceived(autoscaler.bootTimes());
     jobs.start();
-    onControlChange();
-    arrivedWhileLoading.forEach(this::onJob);
-    arrivedWhileLoading.clear();
-    List.copyOf(cluster.jobs().all()).forEach(jobs::settle);
-    maintain();
+    onControlKeysChanged();
+    recordsReceivedWhileLoading.forEach(this::onJobRecord);
+    recordsReceivedWhileLoading.clear();
+    List.copyOf(cluster.jobs().all()).forEach(jobs::reconcile);
+    runMaintenance();
     summaries.start();
     autoscaler.start();
     cycles.schedule();
@@ -217,7 +218,7 @@
    * A job's record that this build can't read. When a newer build rewrites a job that this leader
    * has already admitted, the leader leaves it alone at once.
    */
-  public void onUnreadable(JobId id, JsonNode record) {
+  public void onUnreadableJob(JobId id, JsonNode record) {
     if (state == State.RETIRED) {
       return;
     }
@@ -227,14 +228,14 @@
   }
 
   /** A change of an active job in the store, as the watch brings it. */
-  public void onJob(JobRecord record) {
+  public void onJobRecord(JobRecord record) {
     if (state == State.LOADING) {
       // What is accepted while a new leader loads may be in no page that it read.
-      arrivedWhileLoading.add(record);
+      recordsReceivedWhileLoading.add(record);
       return;
     }
     if (state != State.LEADING
-        || record.revision().compareTo(loadedAt) <= 0
+        || record.revision().compareTo(firstPageRevision) <= 0
         || cluster.unreadable().contains(record.id())) {
       return;
     }
@@ -248,7 +249,7 @@
   }
 
   /** The control keys changed: grants may be there, or have gone with a controller's session. */
-  public void onControlChange() {
+  public void onControlKeysChanged() {
     if (state != State.LEADING) {
       return;
     }
@@ -288,11 +289,11 @@
     }
   }
 
-  private void maintain() {
+  private void runMaintenance() {
     if (state != State.LEADING) {
       return;
     }
-    loop.after(MAINTENANCE_INTERVAL, this::maintain);
+    loop.after(MAINTENANCE_INTERVAL, this::runMaintenance);
     logShards();
     jobs.maintainProgress();
     grants.assign();
@@ -318,7 +319,7 @@
   }
 
   /** This term as its components see it. */
-  private final class Term implements TermState {
+  private final class TermStateAdapter implements TermState {
     @Override
     public boolean isLoading() {
       return state == State.LOADING;
@@ -330,7 +331,7 @@
     }
 
     @Override
-    public boolean isServing() {
+    public boolean isOngoing() {
       return state != State.RETIRED;
     }
 
--- a/src/main/java/org/mulleinshift/leader/ShardStatusHandler.java
+++ b/src/main/java/org/mulleinshift/leader/ShardStatusHandler.java
@@ -43,7 +43,7 @@
    * @return whether it reports a machine or a task that an earlier one did not
    */
   boolean onStatus(ShardStatus status) {
-    ShardView shard = shardUnderGrant(status.getShard(), status.getGrant()).orElse(null);
+    ShardView shard = findShardByGrant(status.getShard(), status.getGrant()).orElse(null);
     if (shard == null) {
       return false;
     }
@@ -71,7 +71,7 @@
   /** Machines of a shard sent heartbeats to another controller: their owner doesn't answer them. */
   void onOwnerSuspicion(NodeId reporter, OwnerSuspicion suspicion) {
     MonotonicTime now = state.loop().now();
-    shardUnderGrant(suspicion.getShard(), suspicion.getGrant())
+    findShardByGrant(suspicion.getShard(), suspicion.getGrant())
         .ifPresent(
             shard ->
                 suspicion
@@ -102,10 +102,12 @@
                         shard.lastSequence())));
   }
 
-  private Optional<ShardView> shardUnderGrant(String shard, long grant) {
+  private Optional<ShardView> findShardByGrant(String shard, long grant) {
     return state
         .shards()
         .find(new ShardId(shard))
-        .filter(found -> found.grant().filter(g -> g.revision().value() == grant).isPresent());
+        .filter(
+            found ->
+                found.grant().filter(current -> current.revision().value() == grant).isPresent());
   }
 }
--- a/src/main/java/org/mulleinshift/leader/SummaryBroadcaster.java
+++ b/src/main/java/org/mulleinshift/leader/SummaryBroadcaster.java
@@ -53,7 +53,7 @@
         .ifPresent(
             standby ->
                 estimates
-                    .next(termNumber.value(), autoscaler.bootTimes(), standby)
+                    .nextUpdate(termNumber.value(), autoscaler.bootTimes(), standby)
                     .ifPresent(message -> messenger.send(standby, message)));
     messenger.broadcast(new JobSummary(taskCounts()));
   }
--- a/src/main/java/org/mulleinshift/leader/TaskStatusHandler.java
+++ b/src/main/java/org/mulleinshift/leader/TaskStatusHandler.java
@@ -19,7 +19,7 @@
   private static final double MAX_BACKOFF_FACTOR = 12;
 
   /** Before a task that found no capacity at its owner is assigned again. */
-  private static final Duration REJECTED_PAUSE = Duration.ofMillis(500);
+  private static final Duration REJECTED_RETRY_DELAY = Duration.ofMillis(500);
 
   private final ClusterState state;
   private final JobLifecycle jobs;
@@ -58,8 +58,8 @@
       }
       case DONE -> onDone(status, job, assignment, machine);
       case FAILED -> onFailed(job, assignment, machine);
-      case REJECTED -> onReturned(job, assignment, Optional.of(now.plus(REJECTED_PAUSE)));
-      case STOPPED, LOST -> onReturned(job, assignment, Optional.empty());
+      case REJECTED -> returnTask(job, assignment, Optional.of(now.plus(REJECTED_RETRY_DELAY)));
+      case STOPPED, LOST -> returnTask(job, assignment, Optional.empty());
     }
   }
 
@@ -78,11 +78,13 @@
     state.shards().markChanged(assignment.shard());
     job.countFailure();
     double failuresPerTask = job.failures() / (double) job.spec().tasks();
-    double pause = retryBackoffSeconds * Math.min(MAX_BACKOFF_FACTOR, Math.max(1, failuresPerTask));
-    onReturned(job, assignment, Optional.of(now.plusMillis((long) (pause * MILLIS_PER_SECOND))));
+    double delaySeconds =
+        retryBackoffSeconds * Math.min(MAX_BACKOFF_FACTOR, Math.max(1, failuresPerTask));
+    returnTask(
+        job, assignment, Optional.of(now.plusMillis((long) (delaySeconds * MILLIS_PER_SECOND))));
   }
 
-  private void onReturned(Job job, TaskAssignment assignment, Optional<MonotonicTime> notBefore) {
+  private void returnTask(Job job, TaskAssignment assignment, Optional<MonotonicTime> notBefore) {
     job.taskReturned(assignment, notBefore);
     jobs.onTaskEnded(job, assignment.task().index());
   }
--- a/src/main/java/org/mulleinshift/leader/TermComponents.java
+++ b/src/main/java/org/mulleinshift/leader/TermComponents.java
@@ -132,7 +132,7 @@
         context.store(),
         term,
         batchLimits.maxOperations(),
-        batchLimits.spacing(),
+        batchLimits.minInterval(),
         () -> context.election().resign("another leader's term"));
   }
 
--- a/src/main/java/org/mulleinshift/leader/TermLoader.java
+++ b/src/main/java/org/mulleinshift/leader/TermLoader.java
@@ -19,7 +19,7 @@
  */
 final class TermLoader {
   private static final Logger LOG = LoggerFactory.getLogger(TermLoader.class);
-  private static final Duration RETRY = Duration.ofMillis(400);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(400);
 
   private final EventLoop loop;
   private final KeyValueStore store;
@@ -40,15 +40,15 @@
   }
 
   /** The reading of all keys with a prefix, and what it has taken so far. */
-  private final class Reading {
+  private final class PrefixScan {
     private final String prefix;
     private final Consumer<StoreCodec.Range> onPage;
     private final Runnable next;
     private final MonotonicTime startedAt = loop.now();
-    private int keys;
+    private int keyCount;
     private int retries;
 
-    Reading(String prefix, Consumer<StoreCodec.Range> onPage, Runnable next) {
+    PrefixScan(String prefix, Consumer<StoreCodec.Range> onPage, Runnable next) {
       this.prefix = prefix;
       this.onPage = onPage;
       this.next = next;
@@ -66,13 +66,13 @@
               onPage(found.value());
             } else {
               retries++;
-              loop.after(RETRY, () -> readPage(after));
+              loop.after(RETRY_DELAY, () -> readPage(after));
             }
           });
     }
 
     private void onPage(StoreCodec.Range page) {
-      keys += page.items().size();
+      keyCount += page.items().size();
       onPage.accept(page);
       if (page.next().isPresent()) {
         readPage(page.next());
@@ -82,7 +82,7 @@
           "term state read, term={} prefix={} keys={} retries={} ms={}",
           term,
           prefix,
-          keys,
+          keyCount,
           retries,
           loop.now().since(startedAt).toMillis());
       next.run();
@@ -91,6 +91,6 @@
 
   /** Hands over each page of the keys with the prefix, then runs the next step. */
   void load(String prefix, Consumer<StoreCodec.Range> onPage, Runnable next) {
-    new Reading(prefix, onPage, next).readPage(Optional.empty());
+    new PrefixScan(prefix, onPage, next).readPage(Optional.empty());
   }
 }
--- a/src/main/java/org/mulleinshift/leader/TermState.java
+++ b/src/main/java/org/mulleinshift/leader/TermState.java
@@ -9,7 +9,7 @@
   boolean isLoading();
 
   /** The term loads what is stored, or has done so, and has not ended. */
-  boolean isServing();
+  boolean isOngoing();
 
   /** Something changed that may let tasks be assigned. */
   void scheduleCycle();
--- a/src/test/java/org/mulleinshift/dependencies/DependencyGraphTest.java
+++ b/src/test/java/org/mulleinshift/dependencies/DependencyGraphTest.java
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void cycleIsLeftOutOfTheVisit() {
+  void jobsOnACycleAreNotVisited() {
     graph.add(FIRST, List.of(SECOND));
     graph.add(SECOND, List.of(FIRST));
     List<JobId> visited = new ArrayList<>();
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void longPathsNeedNoDeepStack() {
+  void longPathsDoNotOverflowTheStack() {
     // Given a path of jobs, each of which waits for the one before
     for (int i = 1; i < LONG_PATH; i++) {
       graph.add(new JobId("job-" + i), List.of(new JobId("job-" + (i - 1))));
