--- a/src/main/java/org/mulleinshift/dependencies/DependencyGraph.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyGraph.java
@@ -14,14 +14,15 @@
 import org.mulleinshift.protocol.JobId;
 
 /**
- * The unfinished dependencies of jobs that wait. The end of a job costs as much as it has direct
- * dependents; no method recurses, however long a path through the graph is.
+ * The graph of unfinished dependencies between jobs. Completing a job takes time proportional to
+ * the number of its direct dependents. No method recurses, so a long chain of dependencies cannot
+ * overflow the stack.
  */
 final class DependencyGraph {
   private final Map<JobId, Set<JobId>> dependencies = new HashMap<>();
   private final Map<JobId, Set<JobId>> dependents = new HashMap<>();
 
-  /** Adds a job that waits for the given ones. */
+  /** Adds a job that waits for the given dependencies. */
   void add(JobId job, Collection<JobId> jobDependencies) {
     dependencies.put(job, new LinkedHashSet<>(jobDependencies));
     for (JobId dependency : jobDependencies) {
@@ -29,17 +30,20 @@
     }
   }
 
-  /** The jobs that the job still waits for. */
+  /** The dependencies that the job still waits for; empty if it does not wait. */
   Set<JobId> dependenciesOf(JobId job) {
     return Collections.unmodifiableSet(dependencies.getOrDefault(job, Set.of()));
   }
 
-  /** The jobs that wait for the job directly. */
+  /** The jobs that directly depend on the job and still wait; empty if there are none. */
   Set<JobId> dependentsOf(JobId job) {
     return Collections.unmodifiableSet(dependents.getOrDefault(job, Set.of()));
   }
 
-  /** The job is done; returns the jobs that waited for nothing else. */
+  /**
+   * Removes a job that is done from the graph; returns the dependents that it was the last to
+   * block.
+   */
   List<JobId> complete(JobId done) {
     List<JobId> released = new ArrayList<>();
     Set<JobId> waiting = dependents.remove(done);
@@ -54,7 +58,9 @@
     return released;
   }
 
-  /** The job no longer waits, whatever its dependencies; its own dependents still do. */
+  /**
+   * Removes the dependencies of a job that no longer waits. Its own dependents keep waiting for it.
+   */
   void remove(JobId job) {
     Set<JobId> removed = dependencies.remove(job);
     for (JobId dependency : removed == null ? Set.<JobId>of() : removed) {
@@ -66,7 +72,7 @@
     }
   }
 
-  /** All jobs that depend on the job, directly or through others, the nearest first. */
+  /** All jobs that depend on the job, directly or transitively, in breadth-first order. */
   List<JobId> transitiveDependentsOf(JobId job) {
     Set<JobId> found = new LinkedHashSet<>(dependentsOf(job));
     Deque<JobId> unvisited = new ArrayDeque<>(found);
@@ -81,8 +87,9 @@
   }
 
   /**
-   * Visits every job that waits or is waited for, each after all of its dependents. A cycle is left
-   * out; users cannot make one, since a job may only name jobs that were accepted before.
+   * Visits every job in the graph in reverse topological order: each job after all of its
+   * dependents. Jobs on a cycle, and the jobs that they depend on, are not visited. Users cannot
+   * create a cycle, since a submission may only name jobs that were accepted before it.
    */
   void visitDependentsFirst(Consumer<JobId> visitor) {
     Map<JobId, Integer> visitedDependents = new HashMap<>();
--- a/src/main/java/org/mulleinshift/dependencies/DependencyListWriter.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyListWriter.java
@@ -19,21 +19,27 @@
 import org.mulleinshift.transport.EventLoop;
 
 /**
- * Stores a job's dependencies in lists under keys of their own, before the job's record refers to
- * them. The keys contain a digest of the job and all its dependencies, so that lists of different
- * submissions are never mixed, and every write requires that the job is not accepted yet: a write
- * that is applied late changes nothing of an accepted job.
+ * Stores a job's dependencies in lists under separate keys, before the job's record that refers to
+ * them is written. The keys contain a digest of the job id and all its dependencies, so that lists
+ * of different submissions are never mixed. Every write is conditional on the job not being
+ * accepted yet, so a write that the store applies late cannot change an accepted job.
  */
 public final class DependencyListWriter {
   private static final Duration BUSY_RETRY_DELAY = Duration.ofMillis(250);
 
-  /** With the delay between them, within the time that a client waits for an answer. */
+  /**
+   * Chosen so that the retries, with the delays between them, end before the client stops waiting
+   * for a response.
+   */
   private static final int MAX_BUSY_RETRIES = 14;
 
-  /** Submissions whose progress is remembered: a retry goes on where the last attempt ended. */
+  /**
+   * Maximum number of submissions whose progress is kept, so that a retry resumes after the lists
+   * that were already written.
+   */
   private static final int MAX_TRACKED_SUBMISSIONS = 64;
 
-  /** Guards a key that must not exist. */
+  /** The revision that a guard compares with if the key must not exist. */
   private static final Revision ABSENT_REVISION = new Revision(0);
 
   private final EventLoop loop;
@@ -44,10 +50,10 @@
   private final int maxOperations;
 
   /**
-   * A writer.
+   * Creates a writer.
    *
-   * @param maxValueBytes size of a value at most
-   * @param maxOperations writes of a transaction at most
+   * @param maxValueBytes maximum size of a stored value
+   * @param maxOperations maximum number of writes in a transaction
    */
   public DependencyListWriter(
       EventLoop loop, KeyValueStore store, int maxValueBytes, int maxOperations) {
@@ -58,10 +64,11 @@
   }
 
   /**
-   * Stores the dependencies of a job.
+   * Stores the dependencies of a job in as many transactions as are needed.
    *
-   * @param onWritten gets what the job's record is to contain
-   * @param onFailed gets the reason if not all lists were stored: then the job is not accepted
+   * @param onWritten receives the reference to the lists that the job's record must contain
+   * @param onFailed receives the result of the failed transaction if not all lists were stored; the
+   *     job must not be accepted then
    */
   public void write(
       JobId job,
@@ -82,14 +89,14 @@
     writeNext(submission, MAX_BUSY_RETRIES);
   }
 
-  /** The lists of one submission, and who is notified of the outcome. */
+  /** The lists of one submission, and the callbacks for the outcome. */
   private record Submission(
       JobId job,
       String digest,
       List<Write> writes,
       Runnable onWritten,
       Consumer<CommitResult> onFailed) {
-    /** Holds as long as the job is not accepted. */
+    /** Conditions that hold as long as the job has not been accepted. */
     List<Compare> guards() {
       return List.of(
           new Compare(StoreKeys.activeJob(job), ABSENT_REVISION),
--- a/src/main/java/org/mulleinshift/dependencies/DependencyLoader.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyLoader.java
@@ -25,9 +25,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads from the store what a leader does not know of dependencies: how jobs ended that are not
- * active, and lists of dependencies that did not fit into a job's record. It reads a few keys at a
- * time, with less urgency than what a client waits for.
+ * Reads from the store what the leader does not have in memory about dependencies: how inactive
+ * jobs ended, and dependency lists that did not fit into a job's record. Only a few reads run
+ * concurrently, at a lower urgency than requests that a client waits for.
  */
 final class DependencyLoader {
   private static final Logger LOG = LoggerFactory.getLogger(DependencyLoader.class);
@@ -47,10 +47,10 @@
   private MonotonicTime burstStartedAt;
 
   /**
-   * A loader for one term.
+   * Creates a loader for one term.
    *
-   * @param termOngoing whether the term goes on
-   * @param onEnded is notified of each end that was read
+   * @param termOngoing whether the term has not ended; once it has, queued reads are dropped
+   * @param onEnded called for each job whose end was read
    */
   DependencyLoader(
       EventLoop loop,
@@ -64,7 +64,7 @@
     this.burstStartedAt = loop.now();
   }
 
-  /** Reads how a job ended that is not active, unless that is being read already. */
+  /** Reads how an inactive job ended, unless a read of it is already queued or in flight. */
   void loadEnd(JobId job) {
     if (endsBeingRead.add(job)) {
       enqueue(() -> readEnd(job));
@@ -80,17 +80,18 @@
         });
   }
 
-  /** Empty if this build can't read the record: the job's dependents wait on. */
+  /** Empty if this build does not know the stored phase; the job's dependents keep waiting then. */
   private static Optional<JobEnd> parseEnd(KeyValue item) {
     return JobRecord.endedPhase(item)
         .map(phase -> new JobEnd(phase, JobRecord.endedMillis(item).orElse(0)));
   }
 
   /**
-   * Reads all lists of a job's dependencies. If one can't be read, the job waits on.
+   * Reads all dependency lists of a job. If a list is missing or malformed, this is logged, {@code
+   * onLoaded} is not called, and the job keeps waiting.
    *
-   * @param onLoaded gets the dependencies once all lists were read
-   * @param onListRead gets each list's item as it is read
+   * @param onLoaded receives the dependencies once all lists were read
+   * @param onListRead receives the stored item of each list as it is read
    */
   void loadLists(
       JobId job,
@@ -102,7 +103,7 @@
     enqueue(() -> readList(request, 0));
   }
 
-  /** The lists of one job, and what was read of them. */
+  /** A request for the lists of one job, with the dependencies read so far. */
   private record ListsRequest(
       JobId job,
       JobDependencies dependencies,
@@ -127,7 +128,7 @@
       request.found().addAll(JobDependencies.readList(item.get().value()));
     } catch (MalformedMessageException e) {
       LOG.error(
-          "dependency list unreadable, job waits, key={} job={} reason={}",
+          "dependency list unreadable, job keeps waiting, key={} job={} reason={}",
           request.key(listIndex),
           request.job(),
           e.getMessage());
@@ -157,7 +158,7 @@
     }
   }
 
-  /** Reads a key, with retries until there is an answer. */
+  /** Reads a key, and retries until the store answers whether it exists. */
   private void read(String key, Consumer<Optional<KeyValue>> onAnswer) {
     store.get(
         key,
--- a/src/main/java/org/mulleinshift/dependencies/DependencyResolver.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyResolver.java
@@ -18,19 +18,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The jobs of one term that wait for others to be done. A job is released once the end of all its
- * dependencies is stored as done, and cancelled once one of them is stored as cancelled. A
- * dependency of which nothing is known is not done.
+ * The jobs of one term that wait for their dependencies. A job is released once all its
+ * dependencies are stored as done, and cancelled once the cancellation of one of them is stored. A
+ * dependency whose outcome is unknown counts as not done.
  */
 final class DependencyResolver {
   private static final Logger LOG = LoggerFactory.getLogger(DependencyResolver.class);
 
-  /** Is notified of what becomes of jobs that waited. */
+  /** Notified when a job stops waiting because of the outcome of its dependencies. */
   interface Listener {
     /** All dependencies of the job are done. */
     void onReleased(Job job);
 
-    /** A dependency of the job was cancelled, and so is the job. */
+    /** The job was cancelled because one of its dependencies was. */
     void onCancelled(Job job);
   }
 
@@ -46,13 +46,13 @@
   private boolean changed;
 
   /**
-   * A resolver without jobs.
+   * Creates a resolver without jobs.
    *
-   * @param activeJobs the jobs that do not wait
-   * @param estimates how long jobs should take
-   * @param listener is notified of released and cancelled jobs
+   * @param activeJobs the unfinished jobs that do not wait for dependencies
+   * @param estimates expected durations of jobs
+   * @param listener notified of released and cancelled jobs
    * @param wallClockMillis the wall clock in milliseconds
-   * @param term the term, for the log
+   * @param term the term, used only in log messages
    */
   DependencyResolver(
       JobTable activeJobs,
@@ -68,17 +68,19 @@
     this.term = term;
   }
 
-  /** Adds a job that waits; its dependencies are unknown until {@link #addDependencies}. */
+  /**
+   * Adds a waiting job, whose dependencies are unknown until {@link #addDependencies} is called.
+   */
   void addWaiting(Job job) {
     waitingJobs.put(job.spec().id(), job);
   }
 
-  /** The job, if it waits. */
+  /** The job, if it is waiting for dependencies. */
   Optional<Job> findWaiting(JobId job) {
     return Optional.ofNullable(waitingJobs.get(job));
   }
 
-  /** All jobs that wait. */
+  /** An unmodifiable view of all waiting jobs, in the order in which they were added. */
   Collection<Job> waitingJobs() {
     return Collections.unmodifiableCollection(waitingJobs.values());
   }
@@ -87,7 +89,7 @@
     return findWaiting(job).or(() -> activeJobs.find(job));
   }
 
-  /** The job no longer waits, for whatever reason. */
+  /** Removes a job that no longer waits, whatever the reason. */
   void remove(JobId job) {
     waitingJobs.remove(job);
     latestDependencyEndMillis.remove(job);
@@ -95,13 +97,13 @@
     changed = true;
   }
 
-  /** The dependencies of a job that waits. */
+  /** Sets the dependencies of a waiting job. */
   void addDependencies(Job job, Collection<JobId> dependencies) {
     graph.add(job.spec().id(), dependencies);
     changed = true;
   }
 
-  /** The end of a job is stored. */
+  /** Releases or cancels the dependents of a job whose end is stored. */
   void onEnded(JobId job, JobEnd end) {
     if (end.phase() == JobPhase.DONE) {
       onDone(job, end.endedAtMillis());
@@ -126,7 +128,9 @@
     changed = true;
   }
 
-  /** A cancellation is stored: all dependents, none of which has a task, are cancelled too. */
+  /**
+   * Cancels all transitive dependents of a cancelled job; since they wait, none of them has a task.
+   */
   void onCancelled(JobId cancelled) {
     List<JobId> dependents = graph.transitiveDependentsOf(cancelled);
     if (!dependents.isEmpty()) {
@@ -144,19 +148,19 @@
     }
   }
 
-  /** Whether the waiting jobs or their dependencies changed since the last call. */
+  /** Whether the waiting jobs or their dependencies have changed since the last call. */
   boolean getAndClearChanged() {
     boolean wasChanged = changed;
     changed = false;
     return wasChanged;
   }
 
-  /** Passes priorities and deadlines from jobs to their dependencies. */
+  /** Propagates priorities and deadlines from jobs to their dependencies. */
   void propagatePriorities() {
     priorities.run();
   }
 
-  /** The jobs that should be released within the horizon, each after its dependencies. */
+  /** The jobs expected to be released within the horizon; each follows those it depends on. */
   List<ExpectedRelease> expectedReleases(double horizonSeconds) {
     List<ExpectedRelease> expected = new ArrayList<>();
     Map<JobId, Double> secondsUntilRelease = new HashMap<>();
--- a/src/main/java/org/mulleinshift/dependencies/DependencyTracker.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyTracker.java
@@ -15,27 +15,30 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Connects the dependency resolver to a leader's term: keeps jobs that wait for others apart until
- * they may run, and informs the resolver of how their dependencies ended.
+ * Connects the dependency resolver to a leader's term. Holds back jobs with unfinished dependencies
+ * until they may run, and informs the resolver of how their dependencies ended.
  */
 public final class DependencyTracker {
   private static final int MAX_CACHED_ENDS = 20_000;
 
-  /** Expected run times change; inherited priorities follow them with this interval. */
+  /**
+   * Inherited deadlines depend on expected run times, which keep changing, so propagation is
+   * repeated at this interval even if no dependency has changed.
+   */
   private static final double PROPAGATION_INTERVAL_SECONDS = 2;
 
-  /** The term that the jobs belong to. */
+  /** The leader's term that the jobs belong to. */
   public interface TermContext {
     /** The term has loaded its state and has not ended. */
     boolean isActive();
 
-    /** The term goes on, or will once it has loaded its state. */
+    /** The term has not ended; it may still be loading its state. */
     boolean isOngoing();
 
-    /** A job may run, or is to end. */
+    /** A job no longer waits for dependencies: it may run, or is cancelled and has to end. */
     void onReady(Job job);
 
-    /** A job that was waiting is cancelled. */
+    /** A job was cancelled while it waited for its dependencies. */
     void onCancelled(Job job);
   }
 
@@ -49,14 +52,15 @@
   private MonotonicTime lastPropagatedAt;
 
   /**
-   * A tracker for one term.
+   * Creates a tracker for one term.
    *
-   * @param loop owns all state
-   * @param store where ends and long lists of dependencies are read
-   * @param batcher writes for the term, and so is to know the revision of each key read
-   * @param jobs the jobs that do not wait
+   * @param loop the event loop that all state is confined to
+   * @param store source of job ends and of dependency lists
+   * @param batcher writer of the term, which is given the revision of each dependency list read, so
+   *     that it can delete the list later
+   * @param jobs the unfinished jobs that do not wait for dependencies
    * @param runTimes expected run times
-   * @param term the jobs belong to
+   * @param term the term that the jobs belong to
    */
   public DependencyTracker(
       EventLoop loop,
@@ -80,12 +84,12 @@
     this.loader = new DependencyLoader(loop, store, term::isOngoing, resolver::onEnded);
   }
 
-  /** The job, if it waits for others. */
+  /** The job, if it waits for dependencies. */
   public Optional<Job> findWaitingJob(JobId job) {
     return resolver.findWaiting(job);
   }
 
-  /** Admits a stored job: it may run, or waits until its dependencies are done. */
+  /** Admits a stored job, which waits until its dependencies are done if it has any. */
   public void admit(JobRecord record) {
     Job job = new Job(record);
     if (job.state() != Job.State.AWAITING_DEPENDENCIES) {
@@ -98,7 +102,10 @@
     }
   }
 
-  /** All stored state was read, progress too: jobs that have some were released before. */
+  /**
+   * Starts resolving dependencies once all stored state is loaded. Jobs that an earlier leader
+   * released, as their stored progress shows, and cancelled jobs do not wait.
+   */
   public void start() {
     for (Job job : List.copyOf(resolver.waitingJobs())) {
       if (job.state() == Job.State.AWAITING_DEPENDENCIES) {
@@ -131,7 +138,11 @@
     }
   }
 
-  /** Active jobs are known to this leader; all others are over, or the watch will show them. */
+  /**
+   * Applies the outcome of a dependency if it is known, or reads it from the store. The leader
+   * knows all active jobs; any other dependency has ended, or is new and will be reported by the
+   * watch.
+   */
   private void resolveDependency(JobId dependency) {
     JobEnd end = cachedEnds.get(dependency);
     Optional<Job> unfinished = jobs.find(dependency).or(() -> resolver.findWaiting(dependency));
@@ -144,7 +155,7 @@
     }
   }
 
-  /** The stored record of a waiting job changed. */
+  /** Applies a changed record of a waiting job; a cancelled job stops waiting. */
   public void update(Job job, JobRecord record) {
     job.update(record);
     if (job.state() == Job.State.CANCELLING) {
@@ -153,13 +164,13 @@
     }
   }
 
-  /** A cancellation is stored: the job's dependents are cancelled too. */
+  /** Cancels the dependents of a job whose cancellation is stored. */
   public void onCancelled(JobId job) {
     resolver.onCancelled(job);
   }
 
   /**
-   * The end of a job is stored.
+   * Releases or cancels the dependents of a job whose end is stored.
    *
    * @param atMillis wall-clock time of the end in milliseconds
    */
@@ -169,12 +180,12 @@
     resolver.onEnded(job.spec().id(), end);
   }
 
-  /** The job no longer waits, and nothing becomes of it. */
+  /** Stops tracking a waiting job without releasing or cancelling it. */
   public void remove(JobId job) {
     resolver.remove(job);
   }
 
-  /** Updates what jobs inherit from their dependents, if it may have changed. */
+  /** Updates the priorities and deadlines that jobs inherit, if they may have changed. */
   public void propagatePriorities() {
     MonotonicTime now = loop.now();
     if (resolver.getAndClearChanged()
@@ -184,7 +195,7 @@
     }
   }
 
-  /** The waiting jobs that should be released within the horizon. */
+  /** The waiting jobs expected to be released within the horizon. */
   public List<ExpectedRelease> expectedReleases(double horizonSeconds) {
     return resolver.expectedReleases(horizonSeconds);
   }
--- a/src/main/java/org/mulleinshift/dependencies/DependencyValidator.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyValidator.java
@@ -14,9 +14,10 @@
 import org.mulleinshift.store.StoreKeys;
 
 /**
- * Checks whether the dependencies of a submission were ever accepted. That a job was accepted stays
- * true, so it need not be read again; that it was not is certain only by reading its keys now,
- * first the active one, since a job moves only from there to the ended one.
+ * Checks whether the dependencies of a submission were ever accepted. An accepted job stays
+ * accepted, so a positive result is cached. A negative result requires reading both keys of the job
+ * now: first the active one, then the ended one, since a job only ever moves from the former to the
+ * latter.
  */
 public final class DependencyValidator {
   private static final int MAX_CONCURRENT_READS = 8;
@@ -24,36 +25,39 @@
 
   /** The outcome of a check. */
   public enum Verdict {
-    /** All jobs were accepted. */
+    /** All jobs have been accepted. */
     ALL_ACCEPTED,
-    /** One of the jobs was certainly never accepted. */
+    /** At least one of the jobs has certainly not been accepted. */
     UNKNOWN_JOB,
-    /** The store did not answer. */
+    /** The store refused a read or did not answer it. */
     UNDECIDED
   }
 
   private final KeyValueStore store;
   private final Predicate<JobId> isKnownAccepted;
 
-  /** A long list is read at the rate that the store permits; a retry goes on with the rest. */
+  /**
+   * Jobs found to be accepted. The store's rate limit may not permit checking a long list at once;
+   * a retry of the submission skips the jobs that are already in this cache.
+   */
   private final Set<JobId> cachedAccepted = BoundedMap.set(MAX_CACHED_ACCEPTED_JOBS);
 
   /**
-   * A validator.
+   * Creates a validator.
    *
-   * @param isKnownAccepted whether a job is known to have been accepted
+   * @param isKnownAccepted whether a job is known to be accepted without reading the store
    */
   public DependencyValidator(KeyValueStore store, Predicate<JobId> isKnownAccepted) {
     this.store = store;
     this.isKnownAccepted = isKnownAccepted;
   }
 
-  /** A job whose record was seen was accepted, whatever becomes of it. */
+  /** Records that a job has been accepted, for example because its record was seen. */
   public void markAccepted(JobId job) {
     cachedAccepted.add(job);
   }
 
-  /** Checks the jobs; the consumer gets the verdict once. */
+  /** Checks the jobs and calls the consumer exactly once, possibly before this method returns. */
   public void check(List<JobId> jobs, Consumer<Verdict> onVerdict) {
     Deque<JobId> unchecked = new ArrayDeque<>();
     jobs.stream()
@@ -91,7 +95,7 @@
       read(job, StoreKeys.endedJob(job), () -> finish(Verdict.UNKNOWN_JOB));
     }
 
-    /** A key that exists, whatever its value, means that the job was accepted. */
+    /** The job was accepted if the key exists, whatever its value is. */
     private void read(JobId job, String key, Runnable onAbsent) {
       store.get(
           key,
--- a/src/main/java/org/mulleinshift/dependencies/DurationEstimates.java
+++ b/src/main/java/org/mulleinshift/dependencies/DurationEstimates.java
@@ -6,14 +6,14 @@
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** How long jobs should still take, and those that wait for them. */
+/** Estimates how long active jobs still take, and when the dependents of a job can run. */
 final class DurationEstimates {
-  /** The last of a job's tasks takes longer than the mean. */
+  /** Expected run time of a job's slowest task, relative to the mean. */
   private static final double SLOWEST_TASK_FACTOR = 1.3;
 
   /**
-   * From a job's last end until the tasks of the next one run: storing the end, publishing the
-   * assignments, fetching the image.
+   * Estimated delay between the end of a job's last task and the start of its dependents' tasks:
+   * storing the end, publishing the assignments, fetching the image.
    */
   private static final double DEPENDENT_START_DELAY_SECONDS = 5;
 
@@ -26,10 +26,9 @@
   }
 
   /**
-   * Seconds until the dependents of a job can run.
+   * Seconds until the dependents of a job that has not started can run.
    *
-   * @param job the job
-   * @param secondsUntilRelease until the job itself is released
+   * @param secondsUntilRelease seconds until the job itself is released
    */
   double secondsUntilDependentsRun(Job job, double secondsUntilRelease) {
     return secondsUntilRelease
@@ -37,7 +36,10 @@
         + DEPENDENT_START_DELAY_SECONDS;
   }
 
-  /** Seconds that any of the job's tasks should still take at most, if those waiting start now. */
+  /**
+   * Seconds until the last of the job's tasks should complete, if the waiting ones start now;
+   * {@link Double#MAX_VALUE} unless the job is in state {@code ACTIVE}.
+   */
   double remainingSeconds(Job job) {
     if (job.state() != Job.State.ACTIVE) {
       return Double.MAX_VALUE;
--- a/src/main/java/org/mulleinshift/dependencies/ExpectedRelease.java
+++ b/src/main/java/org/mulleinshift/dependencies/ExpectedRelease.java
@@ -3,9 +3,9 @@
 import org.mulleinshift.model.Job;
 
 /**
- * A job that should be released within some time.
+ * A waiting job whose dependencies are expected to be done within a given time.
  *
- * @param job the job, which waits now
- * @param secondsUntilRelease when it should be released, from now on
+ * @param job the waiting job
+ * @param secondsUntilRelease expected time from now until the job is released, in seconds
  */
 public record ExpectedRelease(Job job, double secondsUntilRelease) {}
--- a/src/main/java/org/mulleinshift/dependencies/JobEnd.java
+++ b/src/main/java/org/mulleinshift/dependencies/JobEnd.java
@@ -3,9 +3,10 @@
 import org.mulleinshift.protocol.JobPhase;
 
 /**
- * How a job ended, as stored.
+ * The stored end of a job.
  *
  * @param phase the terminal phase
- * @param endedAtMillis wall-clock time of the end in milliseconds, of a job that was done
+ * @param endedAtMillis wall-clock time of the end in milliseconds; 0 if the stored end has none.
+ *     Used only if the job is done.
  */
 record JobEnd(JobPhase phase, long endedAtMillis) {}
--- a/src/main/java/org/mulleinshift/dependencies/PriorityPropagation.java
+++ b/src/main/java/org/mulleinshift/dependencies/PriorityPropagation.java
@@ -9,8 +9,9 @@
 import org.mulleinshift.protocol.Priority;
 
 /**
- * Passes priorities and deadlines from jobs to their dependencies: a job is as urgent as the most
- * urgent job that waits for it, and its deadline leaves time for the longest path after it.
+ * Propagates priorities and deadlines from jobs to their dependencies. A job inherits the highest
+ * priority of the jobs that wait for it, and a deadline that leaves enough time for its dependents
+ * to meet theirs.
  */
 final class PriorityPropagation {
   private static final int MILLIS_PER_SECOND = 1000;
@@ -19,13 +20,13 @@
   private final Function<JobId, Optional<Job>> findUnfinished;
   private final DurationEstimates estimates;
 
-  /** Jobs of the latest run that wait or are waited for. */
+  /** Unfinished jobs of the graph as of the last run. */
   private final Map<JobId, Job> lastVisited = new HashMap<>();
 
   /**
-   * The propagation along a graph.
+   * Creates a propagation along a graph.
    *
-   * @param findUnfinished finds jobs that are not over, waiting or not
+   * @param findUnfinished finds an unfinished job, whether it waits for dependencies or not
    */
   PriorityPropagation(
       DependencyGraph graph,
@@ -36,7 +37,7 @@
     this.estimates = estimates;
   }
 
-  /** Computes anew what each job inherits. */
+  /** Recomputes what each job inherits from its dependents. */
   void run() {
     Map<JobId, Job.Inherited> inherited = new HashMap<>();
     Map<JobId, Job> visited = new HashMap<>();
@@ -70,7 +71,10 @@
         : Job.Inherited.NONE.deadlineMillis();
   }
 
-  /** Jobs that nothing waits for any more are as submitted again; released ones keep theirs. */
+  /**
+   * Resets active jobs that no waiting job depends on any more to the priority and deadline that
+   * they were submitted with. Jobs in other states keep what they inherited.
+   */
   private void resetUnvisited(Map<JobId, Job> visited) {
     lastVisited.forEach(
         (id, job) -> {
--- a/src/main/java/org/mulleinshift/dependencies/package-info.java
+++ b/src/main/java/org/mulleinshift/dependencies/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Jobs that depend on other jobs: the dependency graph, which jobs the end of a job releases,
- * cascading cancellation, and what a job inherits from its dependents.
+ * Dependencies between jobs: the dependency graph, releasing and cancelling jobs when their
+ * dependencies end, and inheriting priorities and deadlines from dependents.
  */
 package org.mulleinshift.dependencies;
--- a/src/main/java/org/mulleinshift/leader/BatchLimits.java
+++ b/src/main/java/org/mulleinshift/leader/BatchLimits.java
@@ -4,22 +4,23 @@
 import org.mulleinshift.settings.PlatformSettings;
 
 /**
- * How large and how frequent the leader's transactions may be.
+ * Limits on the size and the rate of the leader's transactions.
  *
- * @param maxOperations changes of one transaction at most
- * @param minInterval shortest time between two transactions
+ * @param maxOperations maximum number of writes in a transaction
+ * @param minInterval minimum time between two transactions
  */
 record BatchLimits(int maxOperations, Duration minInterval) {
-  /** Share of the store's requests that the leader's transactions may use. */
+  /** Share of the store's request rate that the leader's transactions may use. */
   private static final double REQUEST_SHARE = 0.2;
 
-  /** The changes that end a job are one transaction. */
+  /** Ending a job takes two writes, which must be in the same transaction. */
   private static final int MIN_OPERATIONS = 2;
 
   private static final double NANOS_PER_SECOND = 1e9;
 
   static BatchLimits of(PlatformSettings.StoreLimits limits) {
-    // A transaction above what the store lets through at once would be refused for ever.
+    // The store would refuse a transaction that exceeds its burst limit however often it is
+    // retried, so the size is limited to half a second's writes at the reduced rate.
     int burst = (int) (limits.writesPerSecond() * limits.writesShareAfterReduction() / 2);
     int operations = Math.min(limits.minTransactionOperations(), Math.max(MIN_OPERATIONS, burst));
     double requests =
--- a/src/main/java/org/mulleinshift/leader/CycleScheduler.java
+++ b/src/main/java/org/mulleinshift/leader/CycleScheduler.java
@@ -6,14 +6,14 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Spaces scheduling cycles. A cycle that takes long on a busy processor comes less often, since
- * heartbeats, lease renewals and submissions share the event loop with it.
+ * Limits how often scheduling cycles run. Cycles that take long, for example on a busy processor,
+ * run less often, since heartbeats, lease renewals and submissions share the event loop with them.
  */
 final class CycleScheduler {
-  /** Time between two cycles, in durations of the last one. */
+  /** Minimum time between the starts of two cycles, as a multiple of the last cycle's duration. */
   private static final int MIN_INTERVAL_FACTOR = 4;
 
-  /** Changes that come in quick succession share a cycle. */
+  /** Delay before a cycle that is due, so that changes in quick succession share it. */
   private static final Duration COALESCING_DELAY = Duration.ofMillis(5);
 
   private final EventLoop loop;
@@ -32,7 +32,7 @@
     this.lastStartedAt = loop.now();
   }
 
-  /** Runs a cycle as soon as the spacing allows. */
+  /** Runs a cycle once the minimum interval has passed, unless one is already scheduled. */
   void schedule() {
     if (scheduled || !term.isActive()) {
       return;
--- a/src/main/java/org/mulleinshift/leader/EstimateReplicator.java
+++ b/src/main/java/org/mulleinshift/leader/EstimateReplicator.java
@@ -17,9 +17,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Replicates what a leader learns and nobody stores, run times by job class and boot times by
- * machine type, to its standby, so that a new leader's first scheduling cycles need not guess.
- * Estimates only: whatever a guarantee depends on is read from the store.
+ * Replicates the leader's learned estimates, which are not stored, to its standby: run times by job
+ * class and boot times by machine type. With them the first scheduling cycles of a new leader do
+ * not have to start from defaults. Whatever a guarantee depends on is read from the store instead.
  */
 public final class EstimateReplicator {
   private static final Logger LOG = LoggerFactory.getLogger(EstimateReplicator.class);
@@ -37,9 +37,9 @@
   private MonotonicTime sentAt;
 
   /**
-   * A replicator that has received and sent nothing.
+   * Creates a replicator that has received and sent nothing.
    *
-   * @param loop the event loop, for its clock
+   * @param loop the event loop, used for its clock
    * @param runTimes learned run times, which outlive a term
    */
   public EstimateReplicator(EventLoop loop, RunTimeEstimator runTimes) {
@@ -49,7 +49,7 @@
     this.sentAt = receivedAt;
   }
 
-  /** Keeps a leader's estimates; those of an earlier term than the last are out of date. */
+  /** Keeps estimates received from a leader, unless those already kept are of a later term. */
   public void onEstimates(LearnedEstimates estimates) {
     if (received.filter(known -> known.getTerm() > estimates.getTerm()).isEmpty()) {
       received = Optional.of(estimates);
@@ -57,7 +57,7 @@
     }
   }
 
-  /** A new leader starts from what the last one learned, if that is not too old. */
+  /** Applies the estimates received from an earlier leader, if they are recent enough. */
   void applyReceived(BootTimeEstimator bootTimes) {
     Duration age = loop.now().since(receivedAt);
     if (received.isEmpty() || age.compareTo(MAX_ESTIMATE_AGE) > 0) {
@@ -78,7 +78,7 @@
         estimates.getBootTimes().size());
   }
 
-  /** The estimates to send to the standby now; empty if it received the same ones recently. */
+  /** The estimates to send to the standby now; empty if the same ones were sent to it recently. */
   Optional<LearnedEstimates> nextUpdate(long term, BootTimeEstimator bootTimes, NodeId standby) {
     LearnedEstimates estimates =
         new LearnedEstimates(term, runTimeRatios(), bootTimeSamples(bootTimes));
--- a/src/main/java/org/mulleinshift/leader/JobLifecycle.java
+++ b/src/main/java/org/mulleinshift/leader/JobLifecycle.java
@@ -22,8 +22,8 @@
 import org.mulleinshift.store.TransactionBatcher;
 
 /**
- * Takes the jobs of a term from admission to their stored end: what is stored of them, which
- * dependencies they await, and when their tasks are to stop.
+ * Manages the jobs of a term from admission to their stored end: persists their progress, holds
+ * them back until their dependencies are done, and stops the tasks of cancelled jobs.
  */
 final class JobLifecycle
     implements JobDirectory, ProgressListener, DependencyTracker.TermContext, TaskActions {
@@ -53,16 +53,19 @@
         new DependencyTracker(state.loop(), store, batcher, state.jobs(), state.runTimes(), this);
   }
 
-  /** Admits a job that is stored: it may run, or waits for others. */
+  /** Admits a stored job, which waits for its dependencies if it has any. */
   void admit(JobRecord record) {
     dependencies.admit(record);
     if (term.isActive()) {
-      // It may be cancelled already: no later change of its record would say so again.
+      // The job may already be cancelled, and no later change of its record would report that.
       state.jobs().find(record.id()).ifPresent(this::reconcile);
     }
   }
 
-  /** The stored record of a known job was shown by the watch, or read again. */
+  /**
+   * Applies the record of a known job, reported by the watch or read again, if it is newer than the
+   * known one.
+   */
   @Override
   public void onRecordRead(Job job, JobRecord record) {
     if (record.revision().compareTo(job.revision()) <= 0) {
@@ -77,28 +80,28 @@
     }
   }
 
-  /** Reads a page of the progress log; all of it comes before any page of chunks. */
+  /** Loads a page of the progress log. All pages of the log must be loaded before any chunks. */
   void loadLogSegments(StoreCodec.Range page) {
     progress.loader().loadSegments(page);
   }
 
-  /** Reads a page of progress that is stored in keys of each job. */
+  /** Loads a page of chunks: progress that is stored under separate keys for each job. */
   void loadChunks(StoreCodec.Range page) {
     progress.loader().loadChunks(page);
   }
 
-  /** All stored progress was read: restores the jobs' tasks from it. */
+  /** Restores the jobs' tasks once all stored progress has been loaded. */
   void finishLoading() {
     progress.loader().finish();
   }
 
-  /** The term is active: publishes the jobs' assignments, resolves dependencies. */
+  /** Publishes the jobs' assignments and resolves dependencies once the term is active. */
   void start() {
     state.jobs().all().forEach(this::restoreAssignments);
     dependencies.start();
   }
 
-  /** Restores the assignments of a job's tasks that are stored. */
+  /** Adds the stored assignments of a job to the allocations and publishes them to the owners. */
   private void restoreAssignments(Job job) {
     job.assignments().forEach(state.allocations()::add);
     job.assignments().forEach(state.shards()::publish);
@@ -140,7 +143,7 @@
     return state.jobs().all();
   }
 
-  /** Owners receive no more assignments of the job, and don't stop its running tasks. */
+  /** Stops managing the job and retracts its assignments; owners do not stop its running tasks. */
   @Override
   public void quarantineJob(JobId id, JsonNode record, String reason) {
     UnreadableJobs unreadable = state.unreadable();
@@ -156,25 +159,28 @@
     }
   }
 
-  /** Adopts the stored forms that all controllers support by now. */
+  /** Switches to the storage formats that all controllers support by now. */
   void maintainProgress() {
     progress.maintain();
   }
 
-  /** Updates the priorities that jobs inherit from their dependents, if they may have changed. */
+  /** Updates what jobs inherit from their dependents, if it may have changed. */
   void propagatePriorities() {
     dependencies.propagatePriorities();
   }
 
-  /** The waiting jobs that should be released within the horizon. */
+  /** The waiting jobs expected to be released within the horizon. */
   List<ExpectedRelease> expectedReleases(double horizonSeconds) {
     return dependencies.expectedReleases(horizonSeconds);
   }
 
-  /** Ends the job if none of its tasks remains; stops its tasks if it was cancelled. */
+  /**
+   * Brings the job to the next step of its life cycle: stops its tasks and cancels its dependents
+   * if it is cancelled, and has its end stored if no task remains.
+   */
   void reconcile(Job job) {
     if (job.cancelled()) {
-      // Also while its own end waits to be stored: its dependents' ends need not wait for that.
+      // Also if the job is already ending: its dependents can end before its own end is stored.
       dependencies.onCancelled(job.spec().id());
     }
     if (job.state() == Job.State.CANCELLING) {
@@ -190,7 +196,7 @@
     }
   }
 
-  /** A task has ended: this is to be stored, and may end the job. */
+  /** Stores the end of a task, which may also end the job. */
   void onTaskEnded(Job job, int taskIndex) {
     progress.store(job, taskIndex);
     reconcile(job);
--- a/src/main/java/org/mulleinshift/leader/Leader.java
+++ b/src/main/java/org/mulleinshift/leader/Leader.java
@@ -42,8 +42,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One term of leadership: loads what is stored, then decides which tasks go to which shard, within
- * quotas, zones and spread, and stores that before anybody acts on it.
+ * One term of leadership. Loads the stored state, then assigns tasks to shards within quotas and
+ * zone and spread constraints. Assignments are stored before any owner acts on them.
  */
 public final class Leader {
   private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
@@ -58,21 +58,21 @@
   }
 
   /**
-   * The components of a controller that a term works with.
+   * The components of the controller that a term uses.
    *
-   * @param loop owns all state of the term
-   * @param store holds what outlives the term
-   * @param settings of the platform
-   * @param tunables of the operators
-   * @param self this controller
-   * @param view control keys as last shown
+   * @param loop the event loop that all state of the term is confined to
+   * @param store the key-value store, whose contents outlive the term
+   * @param settings settings of the platform
+   * @param tunables parameters that operators may tune
+   * @param self the id of this controller
+   * @param view control keys as last reported by the watch
    * @param catalog machine types
    * @param runTimes learned run times, which outlive the term
-   * @param estimates shares learned values with the standby
-   * @param featureGates which stored forms all controllers read
-   * @param failover names the standby
+   * @param estimates replicates learned estimates to the standby
+   * @param featureGates tells which storage formats all controllers can read
+   * @param failover chooses the standby
    * @param peers health of the other controllers
-   * @param messenger sends to them
+   * @param messenger sends messages to the other controllers
    * @param election holds the leader's lease
    * @param cloud provisions and deletes machines
    */
@@ -112,10 +112,10 @@
   private Revision firstPageRevision = new Revision(0);
 
   /**
-   * A term that this controller was elected for.
+   * Creates the leader of a term that this controller was elected for.
    *
    * @param context the components of the controller
-   * @param term the revision of the leader's key
+   * @param term the revision of the leader key, which identifies the term
    */
   public Leader(Context context, Revision term) {
     this.context = context;
@@ -135,25 +135,25 @@
     this.summaries = components.summaries();
   }
 
-  /** The only place where the state changes. */
+  /** Changes the state and logs the change; all state changes go through this method. */
   private void transitionTo(State next) {
     LOG.info("leader state changed, term={} from={} to={}", term, state, next);
     state = next;
   }
 
-  /** Loads what is stored; then the term begins. */
+  /** Starts loading the stored state; the leader becomes active when that is complete. */
   public void start() {
     loader.load(StoreKeys.ACTIVE_JOBS, this::loadJobs, this::awaitClusterView);
   }
 
-  /** The term is over: nothing of it acts any more. */
+  /** Ends the term: none of its components acts any more. */
   public void retire() {
     transitionTo(State.RETIRED);
     batcher.close();
   }
 
   private void loadJobs(StoreCodec.Range page) {
-    // The first page's: what changed since then comes by the watch.
+    // The watch reports all changes since the revision of the first page.
     firstPageRevision = firstPageRevision.value() == 0 ? page.revision() : firstPageRevision;
     for (KeyValue item : page.items()) {
       Optional<JobRecord> record = JobRecord.read(item);
@@ -165,7 +165,10 @@
     }
   }
 
-  /** The view must show this term: then it shows all that earlier leaders wrote. */
+  /**
+   * Waits until the cluster view contains this term, and therefore everything that earlier leaders
+   * wrote, and until the machine types are loaded.
+   */
   private void awaitClusterView() {
     if (state != State.LOADING) {
       return;
@@ -215,22 +218,22 @@
   }
 
   /**
-   * A job's record that this build can't read. When a newer build rewrites a job that this leader
-   * has already admitted, the leader leaves it alone at once.
+   * Quarantines a job whose record this build cannot read. The job may already be admitted, if a
+   * newer build has since rewritten its record; the leader stops managing it at once.
    */
   public void onUnreadableJob(JobId id, JsonNode record) {
     if (state == State.RETIRED) {
       return;
     }
-    jobs.quarantineJob(id, record, "its record");
+    jobs.quarantineJob(id, record, "unreadable job record");
     cluster.shards().all().forEach(ShardView::markDirty);
     assignments.schedule();
   }
 
-  /** A change of an active job in the store, as the watch brings it. */
+  /** Handles a new or changed record of an active job that the watch reported. */
   public void onJobRecord(JobRecord record) {
     if (state == State.LOADING) {
-      // What is accepted while a new leader loads may be in no page that it read.
+      // A job accepted while the leader loads may be missing from all pages that it reads.
       recordsReceivedWhileLoading.add(record);
       return;
     }
@@ -248,7 +251,7 @@
     cycles.schedule();
   }
 
-  /** The control keys changed: grants may be there, or have gone with a controller's session. */
+  /** Handles changed control keys: grants may be new, or gone with the session of a controller. */
   public void onControlKeysChanged() {
     if (state != State.LEADING) {
       return;
@@ -268,21 +271,23 @@
     assignments.schedule();
   }
 
-  /** A shard's owner reports what has changed. */
+  /** Handles an owner's report of changes in its shard. */
   public void onShardStatus(ShardStatus status) {
     if (state == State.LEADING && shardStatus.onStatus(status)) {
       cycles.schedule();
     }
   }
 
-  /** A machine that belongs to no shard reported to some controller. */
+  /** Handles a report from a machine that is in no shard, which some controller relayed. */
   public void onUnknownWorker(UnknownWorkerReport report) {
     if (state == State.LEADING) {
       autoscaler.onUnknownWorker(report);
     }
   }
 
-  /** Machines report to another controller than their shard's owner. */
+  /**
+   * Handles a report that machines sent heartbeats to a controller that does not own their shard.
+   */
   public void onOwnerSuspicion(NodeId reporter, OwnerSuspicion suspicion) {
     if (state == State.LEADING) {
       shardStatus.onOwnerSuspicion(reporter, suspicion);
@@ -318,7 +323,7 @@
     }
   }
 
-  /** This term as its components see it. */
+  /** Exposes the state of this term to its components. */
   private final class TermStateAdapter implements TermState {
     @Override
     public boolean isLoading() {
--- a/src/main/java/org/mulleinshift/leader/ShardStatusHandler.java
+++ b/src/main/java/org/mulleinshift/leader/ShardStatusHandler.java
@@ -16,7 +16,7 @@
 import org.mulleinshift.sharding.ShardView;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Receives the statuses that shard owners report, and acknowledges them. */
+/** Applies the status messages of shard owners and acknowledges them. */
 final class ShardStatusHandler {
   private final ClusterState state;
   private final Revision term;
@@ -38,9 +38,9 @@
   }
 
   /**
-   * Applies a status of the shard's current owner.
+   * Applies a status message; ignores it unless it was sent under the shard's current grant.
    *
-   * @return whether it reports a machine or a task that an earlier one did not
+   * @return whether a new status was applied that reports any machine or task
    */
   boolean onStatus(ShardStatus status) {
     ShardView shard = findShardByGrant(status.getShard(), status.getGrant()).orElse(null);
@@ -52,8 +52,8 @@
       shard.onAssignmentAck(status.getSeenVersion(), now);
     }
     if (!shard.isContiguous(status)) {
-      // A status was lost, or this leader is new: the owner reports again from the acknowledged
-      // one.
+      // A status was lost, or this leader is new: the acknowledgement makes the owner resend all
+      // changes since the acknowledged status.
       acknowledge(shard);
       return false;
     }
@@ -68,7 +68,9 @@
     return !reportedMachines.isEmpty() || !status.getTasks().isEmpty();
   }
 
-  /** Machines of a shard sent heartbeats to another controller: their owner doesn't answer them. */
+  /**
+   * Records machines that sent heartbeats to another controller because their owner did not answer.
+   */
   void onOwnerSuspicion(NodeId reporter, OwnerSuspicion suspicion) {
     MonotonicTime now = state.loop().now();
     findShardByGrant(suspicion.getShard(), suspicion.getGrant())
@@ -79,7 +81,7 @@
                     .forEach(machine -> shard.onSuspicion(new MachineId(machine), reporter, now)));
   }
 
-  /** Acknowledges to owners up to which status their shard is known here. */
+  /** Sends the owners the acknowledgements that are due. */
   void acknowledgeAll() {
     for (ShardView shard : state.shards().all()) {
       if (shard.ackDue()) {
--- a/src/main/java/org/mulleinshift/leader/SummaryBroadcaster.java
+++ b/src/main/java/org/mulleinshift/leader/SummaryBroadcaster.java
@@ -13,7 +13,9 @@
 import org.mulleinshift.protocol.peer.JobTaskCounts;
 import org.mulleinshift.scheduling.ClusterState;
 
-/** Publishes the jobs' task counts to all controllers, and learned estimates to the standby. */
+/**
+ * Broadcasts the jobs' task counts to all controllers and sends learned estimates to the standby.
+ */
 final class SummaryBroadcaster {
   private static final Duration INTERVAL = Duration.ofSeconds(1);
 
@@ -42,7 +44,7 @@
     this.messenger = messenger;
   }
 
-  /** Sends now and then periodically, until the term ends. */
+  /** Sends now and at a fixed interval from then on, until the term ends. */
   void start() {
     if (!term.isActive()) {
       return;
@@ -58,7 +60,7 @@
     messenger.broadcast(new JobSummary(taskCounts()));
   }
 
-  /** Counts of the jobs with any task done or running; a job that is absent has none. */
+  /** Task counts of each job that has done or running tasks; other jobs are left out. */
   private List<JobTaskCounts> taskCounts() {
     List<JobTaskCounts> counts = new ArrayList<>();
     for (Job job : state.jobs().all()) {
--- a/src/main/java/org/mulleinshift/leader/TaskStatusHandler.java
+++ b/src/main/java/org/mulleinshift/leader/TaskStatusHandler.java
@@ -11,14 +11,14 @@
 import org.mulleinshift.sharding.TaskPhase;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Applies what shard owners report of tasks to the jobs that they belong to. */
+/** Applies the task statuses that shard owners report to the jobs of the tasks. */
 final class TaskStatusHandler {
   private static final double MILLIS_PER_SECOND = 1000;
 
-  /** Longest pause after a failure, in multiples of the first one. */
+  /** Maximum retry delay after a failure, as a multiple of the initial delay. */
   private static final double MAX_BACKOFF_FACTOR = 12;
 
-  /** Before a task that found no capacity at its owner is assigned again. */
+  /** Delay before a task that its owner could not start is assigned again. */
   private static final Duration REJECTED_RETRY_DELAY = Duration.ofMillis(500);
 
   private final ClusterState state;
@@ -31,7 +31,10 @@
     this.retryBackoffSeconds = retryBackoffSeconds;
   }
 
-  /** A report of an attempt that is over, or that was never assigned, is out of date. */
+  /**
+   * Applies a status. One of an attempt that has ended, or was never assigned, is stale and
+   * ignored.
+   */
   void onStatus(TaskStatus status) {
     Optional<Job> job = state.jobs().find(new JobId(status.getJob()));
     Optional<TaskAssignment> assignment =
@@ -71,7 +74,10 @@
     jobs.onTaskEnded(job, status.getIndex());
   }
 
-  /** Retries are spaced out, so that a job that fails everywhere does not fill the cluster. */
+  /**
+   * Delays the retry in proportion to the job's failures per task, so that a job that fails
+   * everywhere does not fill the cluster.
+   */
   private void onFailed(Job job, TaskAssignment assignment, MachineId machine) {
     MonotonicTime now = state.loop().now();
     state.failures().onFailure(job, machine, now);
--- a/src/main/java/org/mulleinshift/leader/TermComponents.java
+++ b/src/main/java/org/mulleinshift/leader/TermComponents.java
@@ -32,7 +32,7 @@
 import org.mulleinshift.sharding.ShardTable;
 import org.mulleinshift.store.TransactionBatcher;
 
-/** Builds the components of one term and joins them; all of them last as long as the term. */
+/** Creates and connects the components of one term, all of which live as long as the term. */
 final class TermComponents {
   private final Leader.Context context;
   private final Revision term;
@@ -51,7 +51,7 @@
   private final ShardStatusHandler shardStatus;
   private final SummaryBroadcaster summaries;
 
-  /** Builds each component after those that it works with. */
+  /** Creates the components in the order of their dependencies. */
   TermComponents(Leader.Context context, Revision term, TermState state) {
     this.context = context;
     this.term = term;
@@ -71,32 +71,32 @@
     this.summaries = createSummaryBroadcaster();
   }
 
-  /** Stores changes of this term, each guarded by the leader's key. */
+  /** Writes to the store for this term, on condition that the leader key still belongs to it. */
   TransactionBatcher batcher() {
     return batcher;
   }
 
-  /** What the term knows of the cluster. */
+  /** The state of the cluster as known to the leader. */
   ClusterState cluster() {
     return cluster;
   }
 
-  /** Reads what is stored when the term starts. */
+  /** Reads the stored state at the start of the term. */
   TermLoader loader() {
     return loader;
   }
 
-  /** The jobs' way from admission to their stored end. */
+  /** Manages jobs from admission to their stored end. */
   JobLifecycle jobs() {
     return jobs;
   }
 
-  /** Which machines may take tasks. */
+  /** Finds the machines that may take tasks. */
   AvailableCapacity availableCapacity() {
     return availableCapacity;
   }
 
-  /** When scheduling cycles run. */
+  /** Decides when scheduling cycles run. */
   CycleScheduler cycles() {
     return cycles;
   }
@@ -116,12 +116,12 @@
     return grants;
   }
 
-  /** Receives the statuses that owners report. */
+  /** Applies the status messages of shard owners. */
   ShardStatusHandler shardStatus() {
     return shardStatus;
   }
 
-  /** Publishes the jobs' task counts. */
+  /** Broadcasts the jobs' task counts, and sends learned estimates to the standby. */
   SummaryBroadcaster summaries() {
     return summaries;
   }
@@ -133,7 +133,7 @@
         term,
         batchLimits.maxOperations(),
         batchLimits.minInterval(),
-        () -> context.election().resign("another leader's term"));
+        () -> context.election().resign("leader key no longer belongs to this term"));
   }
 
   private ClusterState createClusterState() {
@@ -260,7 +260,7 @@
         context.messenger());
   }
 
-  /** The queue as the autoscaler sees it. */
+  /** Gives the autoscaler access to the queued jobs and to the expected releases. */
   private final class QueuedDemand implements Demand {
     @Override
     public List<Job> rankedJobs() {
--- a/src/main/java/org/mulleinshift/leader/TermLoader.java
+++ b/src/main/java/org/mulleinshift/leader/TermLoader.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads stored keys page by page at the start of a term. No page is kept: after all controllers
- * have failed there are many.
+ * Reads stored keys page by page at the start of a term. Pages are processed one at a time rather
+ * than collected, since there may be many of them after all controllers have failed.
  */
 final class TermLoader {
   private static final Logger LOG = LoggerFactory.getLogger(TermLoader.class);
@@ -27,10 +27,10 @@
   private final Revision term;
 
   /**
-   * A loader for one term.
+   * Creates a loader for one term.
    *
-   * @param loading whether the term still loads its state
-   * @param term the term, for the log
+   * @param loading whether the term is still loading its state; if not, reading stops
+   * @param term the term, used only in log messages
    */
   TermLoader(EventLoop loop, KeyValueStore store, BooleanSupplier loading, Revision term) {
     this.loop = loop;
@@ -39,7 +39,7 @@
     this.term = term;
   }
 
-  /** The reading of all keys with a prefix, and what it has taken so far. */
+  /** A paged read of all keys with a prefix, with counters and start time for the log. */
   private final class PrefixScan {
     private final String prefix;
     private final Consumer<StoreCodec.Range> onPage;
@@ -89,7 +89,12 @@
     }
   }
 
-  /** Hands over each page of the keys with the prefix, then runs the next step. */
+  /**
+   * Reads all keys with the prefix.
+   *
+   * @param onPage receives each page in order
+   * @param next runs after the last page
+   */
   void load(String prefix, Consumer<StoreCodec.Range> onPage, Runnable next) {
     new PrefixScan(prefix, onPage, next).readPage(Optional.empty());
   }
--- a/src/main/java/org/mulleinshift/leader/TermState.java
+++ b/src/main/java/org/mulleinshift/leader/TermState.java
@@ -3,14 +3,14 @@
 import org.mulleinshift.membership.LeadershipTerm;
 import org.mulleinshift.sharding.ShardTable;
 
-/** A term as its components see it: how far it has come, and whom they notify of changes. */
+/** The state of a term as exposed to its components, which also notify it of changes. */
 interface TermState extends LeadershipTerm, ShardTable.Listener {
-  /** The term still loads what is stored. */
+  /** The term is still loading its stored state. */
   boolean isLoading();
 
-  /** The term loads what is stored, or has done so, and has not ended. */
+  /** The term has not ended; it may still be loading its state. */
   boolean isOngoing();
 
-  /** Something changed that may let tasks be assigned. */
+  /** Requests a scheduling cycle, after a change that may allow tasks to be assigned. */
   void scheduleCycle();
 }
