--- a/src/main/java/org/mulleinshift/dependencies/DependencyListWriter.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyListWriter.java
@@ -19,57 +19,65 @@
 import org.mulleinshift.transport.EventLoop;
 
 /**
- * Stores a job's dependencies in lists under keys of their own, before the job's record refers to
- * them. The keys contain a digest of the job and all its dependencies, so that lists of different
- * submissions are never mixed, and every write requires that the job is not accepted yet: a write
- * that is applied late changes nothing of an accepted job.
+ * Stores a job's dependencies in lists under separate keys, before the job's record that refers to
+ * them is written. The keys contain a digest of the job id and all its dependencies, so that lists
+ * of different submissions are never mixed. Every write is conditional on the job not being
+ * accepted yet, so a write that the store applies late cannot change an accepted job.
  */
 public final class DependencyListWriter {
   private static final Duration BUSY_RETRY_DELAY = Duration.ofMillis(250);
 
-  /** With the delay between them, within the time that a client waits for an answer. */
+  /**
+   * Chosen so that the retries, with the delays between them, end before the client stops waiting
+   * for a response.
+   */
   private static final int MAX_BUSY_RETRIES = 14;
 
-  /** Submissions whose progress is remembered: a retry goes on where the last attempt ended. */
-  private static final int MAX_SUBMISSIONS_REMEMBERED = 64;
+  /**
+   * Maximum number of submissions whose progress is kept, so that a retry resumes after the lists
+   * that were already written.
+   */
+  private static final int MAX_TRACKED_SUBMISSIONS = 64;
 
-  /** Guards a key that must not exist. */
-  private static final Revision ABSENT = new Revision(0);
+  /** The revision that a guard compares with if the key must not exist. */
+  private static final Revision ABSENT_REVISION = new Revision(0);
 
   private final EventLoop loop;
   private final KeyValueStore store;
-  private final Map<String, Integer> writtenByDigest = new BoundedMap<>(MAX_SUBMISSIONS_REMEMBERED);
-  private final int valueBytes;
+  private final Map<String, Integer> writtenListsByDigest =
+      new BoundedMap<>(MAX_TRACKED_SUBMISSIONS);
+  private final int maxValueBytes;
   private final int maxOperations;
 
   /**
-   * A writer.
+   * Creates a writer.
    *
-   * @param valueBytes size of a value at most
-   * @param maxOperations writes of a transaction at most
+   * @param maxValueBytes maximum size of a stored value
+   * @param maxOperations maximum number of writes in a transaction
    */
   public DependencyListWriter(
-      EventLoop loop, KeyValueStore store, int valueBytes, int maxOperations) {
+      EventLoop loop, KeyValueStore store, int maxValueBytes, int maxOperations) {
     this.loop = loop;
     this.store = store;
-    this.valueBytes = valueBytes;
+    this.maxValueBytes = maxValueBytes;
     this.maxOperations = maxOperations;
   }
 
   /**
-   * Stores the dependencies of a job.
+   * Stores the dependencies of a job in as many transactions as are needed.
    *
-   * @param onWritten gets what the job's record is to contain
-   * @param onFailed gets the reason if not all lists were stored: then the job is not accepted
+   * @param onWritten receives the reference to the lists that the job's record must contain
+   * @param onFailed receives the result of the failed transaction if not all lists were stored; the
+   *     job must not be accepted then
    */
   public void write(
       JobId job,
       List<JobId> dependencies,
       Consumer<JobDependencies> onWritten,
       Consumer<CommitResult> onFailed) {
-    String names = job + " " + dependencies;
-    String digest = UUID.nameUUIDFromBytes(names.getBytes(StandardCharsets.UTF_8)).toString();
-    List<List<JobId>> lists = JobDependencies.partition(dependencies, valueBytes);
+    String content = job + " " + dependencies;
+    String digest = UUID.nameUUIDFromBytes(content.getBytes(StandardCharsets.UTF_8)).toString();
+    List<List<JobId>> lists = JobDependencies.partition(dependencies, maxValueBytes);
     List<Write> writes = new ArrayList<>();
     for (int i = 0; i < lists.size(); i++) {
       String key = StoreKeys.dependencyList(job, digest, i);
@@ -81,23 +89,23 @@
     writeNext(submission, MAX_BUSY_RETRIES);
   }
 
-  /** The lists of one submission, and who is notified of the outcome. */
+  /** The lists of one submission, and the callbacks for the outcome. */
   private record Submission(
       JobId job,
       String digest,
       List<Write> writes,
       Runnable onWritten,
       Consumer<CommitResult> onFailed) {
-    /** Holds as long as the job is not accepted. */
+    /** Conditions that hold as long as the job has not been accepted. */
     List<Compare> guards() {
       return List.of(
-          new Compare(StoreKeys.activeJob(job), ABSENT),
-          new Compare(StoreKeys.endedJob(job), ABSENT));
+          new Compare(StoreKeys.activeJob(job), ABSENT_REVISION),
+          new Compare(StoreKeys.endedJob(job), ABSENT_REVISION));
     }
   }
 
   private void writeNext(Submission submission, int remainingRetries) {
-    int written = writtenByDigest.getOrDefault(submission.digest(), 0);
+    int written = writtenListsByDigest.getOrDefault(submission.digest(), 0);
     List<Write> remaining = submission.writes().subList(written, submission.writes().size());
     if (remaining.isEmpty()) {
       submission.onWritten().run();
@@ -110,7 +118,7 @@
         KeyValueStore.Urgency.PROMPT,
         result -> {
           if (result instanceof CommitResult.Committed) {
-            writtenByDigest.put(submission.digest(), written + batch.size());
+            writtenListsByDigest.put(submission.digest(), written + batch.size());
             writeNext(submission, remainingRetries);
           } else if (result instanceof CommitResult.Busy && remainingRetries > 0) {
             loop.after(BUSY_RETRY_DELAY, () -> writeNext(submission, remainingRetries - 1));
--- a/src/main/java/org/mulleinshift/dependencies/DependencyLoader.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyLoader.java
@@ -25,48 +25,48 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads from the store what a leader does not know of dependencies: how jobs ended that are not
- * active, and lists of dependencies that did not fit into a job's record. It reads a few keys at a
- * time, with less urgency than what a client waits for.
+ * Reads from the store what the leader does not have in memory about dependencies: how inactive
+ * jobs ended, and dependency lists that did not fit into a job's record. Only a few reads run
+ * concurrently, at a lower urgency than requests that a client waits for.
  */
 final class DependencyLoader {
   private static final Logger LOG = LoggerFactory.getLogger(DependencyLoader.class);
   private static final int MAX_CONCURRENT_READS = 8;
   private static final Duration RETRY_DELAY = Duration.ofMillis(300);
-  private static final Duration LOGGED_DURATION = Duration.ofSeconds(1);
+  private static final Duration MIN_LOGGED_DURATION = Duration.ofSeconds(1);
 
   private final EventLoop loop;
   private final KeyValueStore store;
-  private final BooleanSupplier serving;
+  private final BooleanSupplier termOngoing;
   private final BiConsumer<JobId, JobEnd> onEnded;
   private final Deque<Runnable> queue = new ArrayDeque<>();
-  private final Set<JobId> requestedEnds = new HashSet<>();
+  private final Set<JobId> endsBeingRead = new HashSet<>();
   private int readsInFlight;
-  private int readsInARow;
-  private int retries;
-  private MonotonicTime busySince;
+  private int readsInBurst;
+  private int retriesInBurst;
+  private MonotonicTime burstStartedAt;
 
   /**
-   * A loader for one term.
+   * Creates a loader for one term.
    *
-   * @param serving whether the term goes on
-   * @param onEnded is notified of each end that was read
+   * @param termOngoing whether the term has not ended; once it has, queued reads are dropped
+   * @param onEnded called for each job whose end was read
    */
   DependencyLoader(
       EventLoop loop,
       KeyValueStore store,
-      BooleanSupplier serving,
+      BooleanSupplier termOngoing,
       BiConsumer<JobId, JobEnd> onEnded) {
     this.loop = loop;
     this.store = store;
-    this.serving = serving;
+    this.termOngoing = termOngoing;
     this.onEnded = onEnded;
-    this.busySince = loop.now();
+    this.burstStartedAt = loop.now();
   }
 
-  /** Reads how a job ended that is not active, unless that is being read already. */
+  /** Reads how an inactive job ended, unless a read of it is already queued or in flight. */
   void loadEnd(JobId job) {
-    if (requestedEnds.add(job)) {
+    if (endsBeingRead.add(job)) {
       enqueue(() -> readEnd(job));
     }
   }
@@ -75,64 +75,66 @@
     read(
         StoreKeys.endedJob(job),
         item -> {
-          requestedEnds.remove(job);
+          endsBeingRead.remove(job);
           item.flatMap(DependencyLoader::parseEnd).ifPresent(end -> onEnded.accept(job, end));
         });
   }
 
-  /** Empty if this build can't read the record: the job's dependents wait on. */
+  /** Empty if this build does not know the stored phase; the job's dependents keep waiting then. */
   private static Optional<JobEnd> parseEnd(KeyValue item) {
     return JobRecord.endedPhase(item)
         .map(phase -> new JobEnd(phase, JobRecord.endedMillis(item).orElse(0)));
   }
 
   /**
-   * Reads all lists of a job's dependencies. If one can't be read, the job waits on.
+   * Reads all dependency lists of a job. If a list is missing or malformed, this is logged, {@code
+   * onLoaded} is not called, and the job keeps waiting.
    *
-   * @param onLoaded gets the dependencies once all lists were read
-   * @param onRead gets each list's item as it is read
+   * @param onLoaded receives the dependencies once all lists were read
+   * @param onListRead receives the stored item of each list as it is read
    */
   void loadLists(
       JobId job,
       JobDependencies dependencies,
       Consumer<List<JobId>> onLoaded,
-      Consumer<KeyValue> onRead) {
-    ListsRequest request = new ListsRequest(job, dependencies, new ArrayList<>(), onLoaded, onRead);
+      Consumer<KeyValue> onListRead) {
+    ListsRequest request =
+        new ListsRequest(job, dependencies, new ArrayList<>(), onLoaded, onListRead);
     enqueue(() -> readList(request, 0));
   }
 
-  /** The lists of one job, and what was read of them. */
+  /** A request for the lists of one job, with the dependencies read so far. */
   private record ListsRequest(
       JobId job,
       JobDependencies dependencies,
       List<JobId> found,
       Consumer<List<JobId>> onLoaded,
-      Consumer<KeyValue> onRead) {
-    String key(int list) {
-      return StoreKeys.dependencyList(job, dependencies.digest(), list);
+      Consumer<KeyValue> onListRead) {
+    String key(int listIndex) {
+      return StoreKeys.dependencyList(job, dependencies.digest(), listIndex);
     }
   }
 
-  private void readList(ListsRequest request, int list) {
-    read(request.key(list), item -> onList(request, list, item));
+  private void readList(ListsRequest request, int listIndex) {
+    read(request.key(listIndex), item -> onList(request, listIndex, item));
   }
 
-  private void onList(ListsRequest request, int list, Optional<KeyValue> item) {
+  private void onList(ListsRequest request, int listIndex, Optional<KeyValue> item) {
     try {
       if (item.isEmpty()) {
         throw new MalformedMessageException("the key is absent");
       }
-      request.onRead().accept(item.get());
+      request.onListRead().accept(item.get());
       request.found().addAll(JobDependencies.readList(item.get().value()));
     } catch (MalformedMessageException e) {
       LOG.error(
-          "dependency list unreadable, job waits, key={} job={} reason={}",
-          request.key(list),
+          "dependency list unreadable, job keeps waiting, key={} job={} reason={}",
+          request.key(listIndex),
           request.job(),
           e.getMessage());
       return;
     }
-    int next = list + 1;
+    int next = listIndex + 1;
     if (next < request.dependencies().lists()) {
       enqueue(() -> readList(request, next));
     } else {
@@ -147,29 +149,29 @@
 
   private void startReads() {
     while (readsInFlight < MAX_CONCURRENT_READS && !queue.isEmpty()) {
-      if (readsInFlight == 0 && readsInARow == 0) {
-        busySince = loop.now();
+      if (readsInFlight == 0 && readsInBurst == 0) {
+        burstStartedAt = loop.now();
       }
       readsInFlight++;
-      readsInARow++;
+      readsInBurst++;
       queue.poll().run();
     }
   }
 
-  /** Reads a key, with retries until there is an answer. */
+  /** Reads a key, and retries until the store answers whether it exists. */
   private void read(String key, Consumer<Optional<KeyValue>> onAnswer) {
     store.get(
         key,
         KeyValueStore.Urgency.NORMAL,
         answer -> {
-          if (!serving.getAsBoolean()) {
+          if (!termOngoing.getAsBoolean()) {
             queue.clear();
           } else if (answer instanceof ReadResult.Found<KeyValue> found) {
             finishRead(onAnswer, Optional.of(found.value()));
           } else if (answer instanceof ReadResult.Absent<KeyValue>) {
             finishRead(onAnswer, Optional.empty());
           } else {
-            retries++;
+            retriesInBurst++;
             loop.after(RETRY_DELAY, () -> read(key, onAnswer));
           }
         });
@@ -185,12 +187,15 @@
   }
 
   private void logReads() {
-    Duration took = loop.now().since(busySince);
-    if (took.compareTo(LOGGED_DURATION) >= 0) {
+    Duration took = loop.now().since(burstStartedAt);
+    if (took.compareTo(MIN_LOGGED_DURATION) >= 0) {
       LOG.info(
-          "dependencies read, reads={} retries={} ms={}", readsInARow, retries, took.toMillis());
+          "dependencies read, reads={} retries={} ms={}",
+          readsInBurst,
+          retriesInBurst,
+          took.toMillis());
     }
-    readsInARow = 0;
-    retries = 0;
+    readsInBurst = 0;
+    retriesInBurst = 0;
   }
 }
--- a/src/main/java/org/mulleinshift/dependencies/DependencyResolver.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyResolver.java
@@ -18,67 +18,69 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The jobs of one term that wait for others to be done. A job is released once the end of all its
- * dependencies is stored as done, and cancelled once one of them is stored as cancelled. A
- * dependency of which nothing is known is not done.
+ * The jobs of one term that wait for their dependencies. A job is released once all its
+ * dependencies are stored as done, and cancelled once the cancellation of one of them is stored. A
+ * dependency whose outcome is unknown counts as not done.
  */
 final class DependencyResolver {
   private static final Logger LOG = LoggerFactory.getLogger(DependencyResolver.class);
 
-  /** Is notified of what becomes of jobs that waited. */
+  /** Notified when a job stops waiting because of the outcome of its dependencies. */
   interface Listener {
     /** All dependencies of the job are done. */
     void onReleased(Job job);
 
-    /** A dependency of the job was cancelled, and so is the job. */
+    /** The job was cancelled because one of its dependencies was. */
     void onCancelled(Job job);
   }
 
   private final DependencyGraph graph = new DependencyGraph();
   private final Map<JobId, Job> waitingJobs = new LinkedHashMap<>();
-  private final Map<JobId, Long> lastEndMillis = new HashMap<>();
+  private final Map<JobId, Long> latestDependencyEndMillis = new HashMap<>();
   private final JobTable activeJobs;
   private final DurationEstimates estimates;
   private final PriorityPropagation priorities;
   private final Listener listener;
-  private final LongSupplier wallMillis;
+  private final LongSupplier wallClockMillis;
   private final Revision term;
   private boolean changed;
 
   /**
-   * A resolver without jobs.
+   * Creates a resolver without jobs.
    *
-   * @param activeJobs the jobs that do not wait
-   * @param estimates how long jobs should take
-   * @param listener is notified of released and cancelled jobs
-   * @param wallMillis the wall clock in milliseconds
-   * @param term the term, for the log
+   * @param activeJobs the unfinished jobs that do not wait for dependencies
+   * @param estimates expected durations of jobs
+   * @param listener notified of released and cancelled jobs
+   * @param wallClockMillis the wall clock in milliseconds
+   * @param term the term, used only in log messages
    */
   DependencyResolver(
       JobTable activeJobs,
       DurationEstimates estimates,
       Listener listener,
-      LongSupplier wallMillis,
+      LongSupplier wallClockMillis,
       Revision term) {
     this.activeJobs = activeJobs;
     this.estimates = estimates;
     this.priorities = new PriorityPropagation(graph, this::findUnfinished, estimates);
     this.listener = listener;
-    this.wallMillis = wallMillis;
+    this.wallClockMillis = wallClockMillis;
     this.term = term;
   }
 
-  /** Adds a job that waits; its dependencies are unknown until {@link #addDependencies}. */
+  /**
+   * Adds a waiting job, whose dependencies are unknown until {@link #addDependencies} is called.
+   */
   void addWaiting(Job job) {
     waitingJobs.put(job.spec().id(), job);
   }
 
-  /** The job, if it waits. */
+  /** The job, if it is waiting for dependencies. */
   Optional<Job> findWaiting(JobId job) {
     return Optional.ofNullable(waitingJobs.get(job));
   }
 
-  /** All jobs that wait. */
+  /** An unmodifiable view of all waiting jobs, in the order in which they were added. */
   Collection<Job> waitingJobs() {
     return Collections.unmodifiableCollection(waitingJobs.values());
   }
@@ -87,44 +89,48 @@
     return findWaiting(job).or(() -> activeJobs.find(job));
   }
 
-  /** The job no longer waits, for whatever reason. */
+  /** Removes a job that no longer waits, whatever the reason. */
   void remove(JobId job) {
     waitingJobs.remove(job);
-    lastEndMillis.remove(job);
+    latestDependencyEndMillis.remove(job);
     graph.remove(job);
     changed = true;
   }
 
-  /** The dependencies of a job that waits. */
+  /** Sets the dependencies of a waiting job. */
   void addDependencies(Job job, Collection<JobId> dependencies) {
     graph.add(job.spec().id(), dependencies);
     changed = true;
   }
 
-  /** The end of a job is stored. */
+  /** Releases or cancels the dependents of a job whose end is stored. */
   void onEnded(JobId job, JobEnd end) {
     if (end.phase() == JobPhase.DONE) {
-      onDone(job, end.atMillis());
+      onDone(job, end.endedAtMillis());
     } else {
       onCancelled(job);
     }
   }
 
   private void onDone(JobId done, long atMillis) {
-    graph.dependentsOf(done).forEach(job -> lastEndMillis.merge(job, atMillis, Math::max));
+    graph
+        .dependentsOf(done)
+        .forEach(job -> latestDependencyEndMillis.merge(job, atMillis, Math::max));
     for (JobId id : graph.complete(done)) {
       Job job = waitingJobs.get(id);
-      long readyMillis = lastEndMillis.getOrDefault(id, atMillis);
+      long readyMillis = latestDependencyEndMillis.getOrDefault(id, atMillis);
       remove(id);
       if (job != null) {
-        job.release(readyMillis, wallMillis.getAsLong());
+        job.release(readyMillis, wallClockMillis.getAsLong());
         listener.onReleased(job);
       }
     }
     changed = true;
   }
 
-  /** A cancellation is stored: all dependents, none of which has a task, are cancelled too. */
+  /**
+   * Cancels all transitive dependents of a cancelled job; since they wait, none of them has a task.
+   */
   void onCancelled(JobId cancelled) {
     List<JobId> dependents = graph.transitiveDependentsOf(cancelled);
     if (!dependents.isEmpty()) {
@@ -142,28 +148,28 @@
     }
   }
 
-  /** Whether the waiting jobs or their dependencies changed since the last call. */
-  boolean pollChanged() {
-    boolean polled = changed;
+  /** Whether the waiting jobs or their dependencies have changed since the last call. */
+  boolean getAndClearChanged() {
+    boolean wasChanged = changed;
     changed = false;
-    return polled;
+    return wasChanged;
   }
 
-  /** Passes priorities and deadlines from jobs to their dependencies. */
+  /** Propagates priorities and deadlines from jobs to their dependencies. */
   void propagatePriorities() {
     priorities.run();
   }
 
-  /** The jobs that should be released within the horizon, each after its dependencies. */
+  /** The jobs expected to be released within the horizon; each follows those it depends on. */
   List<ExpectedRelease> expectedReleases(double horizonSeconds) {
     List<ExpectedRelease> expected = new ArrayList<>();
-    Map<JobId, Double> releaseSeconds = new HashMap<>();
-    for (Job job : waitingDependenciesFirst()) {
+    Map<JobId, Double> secondsUntilRelease = new HashMap<>();
+    for (Job job : waitingJobsDependenciesFirst()) {
       double release = 0;
       for (JobId dependency : graph.dependenciesOf(job.spec().id())) {
-        release = Math.max(release, secondsUntilDone(dependency, releaseSeconds));
+        release = Math.max(release, secondsUntilDone(dependency, secondsUntilRelease));
       }
-      releaseSeconds.put(job.spec().id(), release);
+      secondsUntilRelease.put(job.spec().id(), release);
       if (release <= horizonSeconds) {
         expected.add(new ExpectedRelease(job, release));
       }
@@ -171,16 +177,16 @@
     return expected;
   }
 
-  private double secondsUntilDone(JobId dependency, Map<JobId, Double> releaseSeconds) {
+  private double secondsUntilDone(JobId dependency, Map<JobId, Double> secondsUntilRelease) {
     Job waiting = waitingJobs.get(dependency);
     if (waiting == null) {
       return activeJobs.find(dependency).map(estimates::remainingSeconds).orElse(Double.MAX_VALUE);
     }
-    double release = releaseSeconds.getOrDefault(dependency, Double.MAX_VALUE);
+    double release = secondsUntilRelease.getOrDefault(dependency, Double.MAX_VALUE);
     return estimates.secondsUntilDependentsRun(waiting, release);
   }
 
-  private List<Job> waitingDependenciesFirst() {
+  private List<Job> waitingJobsDependenciesFirst() {
     List<Job> jobs = new ArrayList<>();
     graph.visitDependentsFirst(id -> findWaiting(id).ifPresent(jobs::add));
     Collections.reverse(jobs);
--- a/src/main/java/org/mulleinshift/dependencies/PriorityPropagation.java
+++ b/src/main/java/org/mulleinshift/dependencies/PriorityPropagation.java
@@ -9,8 +9,9 @@
 import org.mulleinshift.protocol.Priority;
 
 /**
- * Passes priorities and deadlines from jobs to their dependencies: a job is as urgent as the most
- * urgent job that waits for it, and its deadline leaves time for the longest path after it.
+ * Propagates priorities and deadlines from jobs to their dependencies. A job inherits the highest
+ * priority of the jobs that wait for it, and a deadline that leaves enough time for its dependents
+ * to meet theirs.
  */
 final class PriorityPropagation {
   private static final int MILLIS_PER_SECOND = 1000;
@@ -19,13 +20,13 @@
   private final Function<JobId, Optional<Job>> findUnfinished;
   private final DurationEstimates estimates;
 
-  /** Jobs of the latest run that wait or are waited for. */
-  private final Map<JobId, Job> visitedJobs = new HashMap<>();
+  /** Unfinished jobs of the graph as of the last run. */
+  private final Map<JobId, Job> lastVisited = new HashMap<>();
 
   /**
-   * The propagation along a graph.
+   * Creates a propagation along a graph.
    *
-   * @param findUnfinished finds jobs that are not over, waiting or not
+   * @param findUnfinished finds an unfinished job, whether it waits for dependencies or not
    */
   PriorityPropagation(
       DependencyGraph graph,
@@ -36,7 +37,7 @@
     this.estimates = estimates;
   }
 
-  /** Computes anew what each job inherits. */
+  /** Recomputes what each job inherits from its dependents. */
   void run() {
     Map<JobId, Job.Inherited> inherited = new HashMap<>();
     Map<JobId, Job> visited = new HashMap<>();
@@ -48,19 +49,19 @@
                     job -> {
                       visited.put(id, job);
                       job.inherit(inherited.getOrDefault(id, Job.Inherited.NONE));
-                      passOn(job, inherited);
+                      propagateToDependencies(job, inherited);
                     }));
-    resetAllBut(visited);
-    visitedJobs.clear();
-    visitedJobs.putAll(visited);
+    resetUnvisited(visited);
+    lastVisited.clear();
+    lastVisited.putAll(visited);
   }
 
-  private void passOn(Job job, Map<JobId, Job.Inherited> inherited) {
-    Job.Inherited passedOn = new Job.Inherited(job.priority(), dependencyDeadlineMillis(job));
+  private void propagateToDependencies(Job job, Map<JobId, Job.Inherited> inherited) {
+    Job.Inherited propagated = new Job.Inherited(job.priority(), dependencyDeadlineMillis(job));
     graph
         .dependenciesOf(job.spec().id())
         .forEach(
-            dependency -> inherited.merge(dependency, passedOn, PriorityPropagation::moreUrgent));
+            dependency -> inherited.merge(dependency, propagated, PriorityPropagation::combine));
   }
 
   private long dependencyDeadlineMillis(Job job) {
@@ -70,9 +71,12 @@
         : Job.Inherited.NONE.deadlineMillis();
   }
 
-  /** Jobs that nothing waits for any more are as submitted again; released ones keep theirs. */
-  private void resetAllBut(Map<JobId, Job> visited) {
-    visitedJobs.forEach(
+  /**
+   * Resets active jobs that no waiting job depends on any more to the priority and deadline that
+   * they were submitted with. Jobs in other states keep what they inherited.
+   */
+  private void resetUnvisited(Map<JobId, Job> visited) {
+    lastVisited.forEach(
         (id, job) -> {
           if (!visited.containsKey(id) && job.state() == Job.State.ACTIVE) {
             job.inherit(Job.Inherited.NONE);
@@ -80,9 +84,9 @@
         });
   }
 
-  private static Job.Inherited moreUrgent(Job.Inherited one, Job.Inherited other) {
+  private static Job.Inherited combine(Job.Inherited first, Job.Inherited second) {
     Priority priority =
-        one.priority().isAbove(other.priority()) ? one.priority() : other.priority();
-    return new Job.Inherited(priority, Math.min(one.deadlineMillis(), other.deadlineMillis()));
+        first.priority().isAbove(second.priority()) ? first.priority() : second.priority();
+    return new Job.Inherited(priority, Math.min(first.deadlineMillis(), second.deadlineMillis()));
   }
 }
--- a/src/main/java/org/mulleinshift/leader/TermLoader.java
+++ b/src/main/java/org/mulleinshift/leader/TermLoader.java
@@ -14,12 +14,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads stored keys page by page at the start of a term. No page is kept: after all controllers
- * have failed there are many.
+ * Reads stored keys page by page at the start of a term. Pages are processed one at a time rather
+ * than collected, since there may be many of them after all controllers have failed.
  */
 final class TermLoader {
   private static final Logger LOG = LoggerFactory.getLogger(TermLoader.class);
-  private static final Duration RETRY = Duration.ofMillis(400);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(400);
 
   private final EventLoop loop;
   private final KeyValueStore store;
@@ -27,10 +27,10 @@
   private final Revision term;
 
   /**
-   * A loader for one term.
+   * Creates a loader for one term.
    *
-   * @param loading whether the term still loads its state
-   * @param term the term, for the log
+   * @param loading whether the term is still loading its state; if not, reading stops
+   * @param term the term, used only in log messages
    */
   TermLoader(EventLoop loop, KeyValueStore store, BooleanSupplier loading, Revision term) {
     this.loop = loop;
@@ -39,16 +39,16 @@
     this.term = term;
   }
 
-  /** The reading of all keys with a prefix, and what it has taken so far. */
-  private final class Reading {
+  /** A paged read of all keys with a prefix, with counters and start time for the log. */
+  private final class PrefixScan {
     private final String prefix;
     private final Consumer<StoreCodec.Range> onPage;
     private final Runnable next;
     private final MonotonicTime startedAt = loop.now();
-    private int keys;
+    private int keyCount;
     private int retries;
 
-    Reading(String prefix, Consumer<StoreCodec.Range> onPage, Runnable next) {
+    PrefixScan(String prefix, Consumer<StoreCodec.Range> onPage, Runnable next) {
       this.prefix = prefix;
       this.onPage = onPage;
       this.next = next;
@@ -66,13 +66,13 @@
               onPage(found.value());
             } else {
               retries++;
-              loop.after(RETRY, () -> readPage(after));
+              loop.after(RETRY_DELAY, () -> readPage(after));
             }
           });
     }
 
     private void onPage(StoreCodec.Range page) {
-      keys += page.items().size();
+      keyCount += page.items().size();
       onPage.accept(page);
       if (page.next().isPresent()) {
         readPage(page.next());
@@ -82,15 +82,20 @@
           "term state read, term={} prefix={} keys={} retries={} ms={}",
           term,
           prefix,
-          keys,
+          keyCount,
           retries,
           loop.now().since(startedAt).toMillis());
       next.run();
     }
   }
 
-  /** Hands over each page of the keys with the prefix, then runs the next step. */
+  /**
+   * Reads all keys with the prefix.
+   *
+   * @param onPage receives each page in order
+   * @param next runs after the last page
+   */
   void load(String prefix, Consumer<StoreCodec.Range> onPage, Runnable next) {
-    new Reading(prefix, onPage, next).readPage(Optional.empty());
+    new PrefixScan(prefix, onPage, next).readPage(Optional.empty());
   }
 }
