--- a/src/main/java/org/mulleinshift/controller/ComponentEvents.java
+++ b/src/main/java/org/mulleinshift/controller/ComponentEvents.java
@@ -32,8 +32,8 @@
   }
 
   @Override
-  public boolean peerServedSince(MonotonicTime moment) {
-    return components.failureDetector().anyServedSince(moment);
+  public boolean anyPeerServedSince(MonotonicTime moment) {
+    return components.failureDetector().anyPeerServedSince(moment);
   }
 
   /**
@@ -83,7 +83,7 @@
 
   /** Grants of shards have changed in the store. */
   void onGrantsChange() {
-    components.session().verifyGrantsSoon();
+    components.session().scheduleGrantVerification();
   }
 
   /** The view of the control keys has changed. */
--- a/src/main/java/org/mulleinshift/controller/FrameMessenger.java
+++ b/src/main/java/org/mulleinshift/controller/FrameMessenger.java
@@ -99,7 +99,7 @@
     // A relayed frame may arrive a second time at worst: every message can be repeated.
     if (frame.length <= MAX_RELAYED_BYTES) {
       failureDetector
-          .relayTo(node)
+          .findRelayTo(node)
           .ifPresent(relay -> sendRelayed(relay, node, ByteBuffer.wrap(frame)));
     }
   }
--- a/src/main/java/org/mulleinshift/controller/HeartbeatExchange.java
+++ b/src/main/java/org/mulleinshift/controller/HeartbeatExchange.java
@@ -96,7 +96,7 @@
             leader.map(record -> record.term().value()).orElse(0L),
             chooseStandby(),
             reply == Reply.IMMEDIATE,
-            context.failureDetector().lastHeardList());
+            context.failureDetector().peersLastHeard());
     context.messenger().sendToOthers(heartbeat);
   }
 
--- a/src/main/java/org/mulleinshift/controller/LeadershipCoordinator.java
+++ b/src/main/java/org/mulleinshift/controller/LeadershipCoordinator.java
@@ -111,9 +111,9 @@
           new LeaderElection.TermLease(
               new Revision(transfer.getTerm()), new LeaseId(transfer.getLease()));
       if (transfer.getSuccessor().equals(self.value())) {
-        election.succeed(ended, view);
+        election.takeOver(ended, view);
       } else {
-        election.awaitSuccessor(ended, view);
+        election.deferToSuccessor(ended, view);
       }
     }
   }
@@ -123,6 +123,6 @@
    * guarded by it.
    */
   void depose(LeaderElection.TermLease failed) {
-    election.succeed(failed, view);
+    election.takeOver(failed, view);
   }
 }
--- a/src/main/java/org/mulleinshift/membership/AssignableShard.java
+++ b/src/main/java/org/mulleinshift/membership/AssignableShard.java
@@ -29,7 +29,7 @@
   Duration unownedFor(MonotonicTime now);
 
   /** Controllers, other than its owner, that its machines have lately reported to. */
-  Set<NodeId> reachedLately();
+  Set<NodeId> recentlyContactedControllers();
 
   /** For how long it has had its present grant, or none. */
   Duration grantUnchangedFor(MonotonicTime now);
--- a/src/main/java/org/mulleinshift/membership/ControllerSession.java
+++ b/src/main/java/org/mulleinshift/membership/ControllerSession.java
@@ -33,7 +33,7 @@
   private static final Duration RETRY_DELAY = Duration.ofMillis(500);
 
   /** Changes of several grants that are watched within this time share one read. */
-  private static final Duration VERIFY_DELAY = Duration.ofMillis(5);
+  private static final Duration GRANT_VERIFICATION_DELAY = Duration.ofMillis(5);
 
   /** States of the session. */
   public enum State {
@@ -57,10 +57,10 @@
   private final OwnershipLease ownership;
   private State state = State.REVOKING_OLD;
   private Optional<LeaseId> lease = Optional.empty();
-  private MonotonicTime verifiedAt;
-  private boolean loggedValid;
+  private MonotonicTime grantsVerifiedAsOf;
+  private boolean lastLoggedValid;
   private Map<ShardId, Revision> verifiedGrants = Map.of();
-  private boolean verifyScheduled;
+  private boolean verificationScheduled;
 
   /**
    * A session that has not started.
@@ -87,7 +87,7 @@
     this.confirmCancellations = confirmCancellations;
     this.onChange = onChange;
     this.ownership = new OwnershipLease(ttl);
-    this.verifiedAt = loop.now().minus(ttl);
+    this.grantsVerifiedAsOf = loop.now().minus(ttl);
   }
 
   /** Ends what an earlier process of this controller left at the store, then opens a session. */
@@ -163,16 +163,16 @@
         });
   }
 
-  private void register(LeaseId own) {
+  private void register(LeaseId ownLease) {
     transitionTo(State.REGISTERING);
     store.commit(
         List.of(new Compare(StoreKeys.node(self), new Revision(0))),
-        List.of(Write.put(StoreKeys.node(self), ClusterView.nodeValue(own), own)),
+        List.of(Write.put(StoreKeys.node(self), ClusterView.nodeValue(ownLease), ownLease)),
         KeyValueStore.Urgency.URGENT,
         outcome -> {
           if (outcome instanceof KeyValueStore.CommitResult.Committed) {
             transitionTo(State.ACTIVE);
-            renew(own);
+            renew(ownLease);
           } else {
             // Without an answer the key may have been created: start over, which finds it.
             loop.after(RETRY_DELAY, this::clearNodeKey);
@@ -180,8 +180,8 @@
         });
   }
 
-  private void renew(LeaseId own) {
-    if (!lease.equals(Optional.of(own))) {
+  private void renew(LeaseId ownLease) {
+    if (!lease.equals(Optional.of(ownLease))) {
       return;
     }
     MonotonicTime sent = loop.now();
@@ -190,19 +190,19 @@
       confirmCancellations.run();
     }
     store.renewLease(
-        own,
+        ownLease,
         answer -> {
-          if (!lease.equals(Optional.of(own))) {
+          if (!lease.equals(Optional.of(ownLease))) {
             // Meanwhile a peer reported that it has expired.
             return;
           }
           if (answer instanceof ReadResult.Found<Boolean>) {
             onRenewed(sent);
-            loop.after(renewInterval, () -> renew(own));
+            loop.after(renewInterval, () -> renew(ownLease));
           } else if (answer instanceof ReadResult.Absent<Boolean>) {
-            onLeaseExpired(own);
+            onLeaseExpired(ownLease);
           } else {
-            loop.after(RETRY_DELAY, () -> renew(own));
+            loop.after(RETRY_DELAY, () -> renew(ownLease));
           }
         });
   }
@@ -211,20 +211,20 @@
     ownership.confirm(Evidence.SESSION_RENEWED, sent);
   }
 
-  private void onLeaseExpired(LeaseId own) {
-    LOG.warn("session lease expired, lease={}", own);
+  private void onLeaseExpired(LeaseId expired) {
+    LOG.warn("session lease expired, lease={}", expired);
     lease = Optional.empty();
     ownership.invalidate(Evidence.SESSION_RENEWED);
     verifiedGrants = Map.of();
     acquire();
   }
 
-  private void onGrantsVerified(MonotonicTime sent, Map<ShardId, Revision> own) {
-    if (sent.isAfter(verifiedAt)) {
-      verifiedAt = sent;
+  private void onGrantsVerified(MonotonicTime sent, Map<ShardId, Revision> ownGrants) {
+    if (sent.isAfter(grantsVerifiedAsOf)) {
+      grantsVerifiedAsOf = sent;
       ownership.confirm(Evidence.GRANTS_READ, sent);
-      boolean changed = !own.equals(verifiedGrants);
-      verifiedGrants = own;
+      boolean changed = !ownGrants.equals(verifiedGrants);
+      verifiedGrants = ownGrants;
       if (changed) {
         onChange.run();
       }
@@ -236,12 +236,13 @@
    * happened after the request was sent, so the evidence counts from then.
    *
    * @param sent when this controller sent the request
-   * @param own the grants of this controller
+   * @param ownGrants the grants of this controller
    */
-  public void onRenewedByPeer(LeaseId renewed, MonotonicTime sent, Map<ShardId, Revision> own) {
+  public void onRenewedByPeer(
+      LeaseId renewed, MonotonicTime sent, Map<ShardId, Revision> ownGrants) {
     if (state == State.ACTIVE && lease.equals(Optional.of(renewed))) {
       onRenewed(sent);
-      onGrantsVerified(sent, own);
+      onGrantsVerified(sent, ownGrants);
     }
   }
 
@@ -259,28 +260,28 @@
         StoreKeys.GRANTS,
         answer -> {
           if (answer instanceof ReadResult.Found<StoreCodec.Range> found) {
-            Map<ShardId, Revision> own = new HashMap<>();
+            Map<ShardId, Revision> ownGrants = new HashMap<>();
             for (KeyValue item : found.value().items()) {
               if (ClusterView.readGrant(item).owner().equals(self)) {
-                own.put(
+                ownGrants.put(
                     new ShardId(item.key().substring(StoreKeys.GRANTS.length())), item.revision());
               }
             }
-            onGrantsVerified(sent, own);
+            onGrantsVerified(sent, ownGrants);
           }
         });
   }
 
   /** Reads the grants shortly; called when a watch shows a change of a grant. */
-  public void verifyGrantsSoon() {
-    if (verifyScheduled || state != State.ACTIVE) {
+  public void scheduleGrantVerification() {
+    if (verificationScheduled || state != State.ACTIVE) {
       return;
     }
-    verifyScheduled = true;
+    verificationScheduled = true;
     loop.after(
-        VERIFY_DELAY,
+        GRANT_VERIFICATION_DELAY,
         () -> {
-          verifyScheduled = false;
+          verificationScheduled = false;
           verifyGrants();
         });
   }
@@ -308,14 +309,14 @@
   }
 
   /** Logs changes of the ownership lease; called a few times a second while shards are owned. */
-  public void logOwnershipChange() {
+  public void logLeaseValidityChange() {
     boolean valid = hasValidOwnershipLease();
-    if (loggedValid && !valid) {
+    if (lastLoggedValid && !valid) {
       LOG.warn("ownership lease expired, {}", ownership.describeOldest(loop.now()));
-    } else if (!loggedValid && valid) {
+    } else if (!lastLoggedValid && valid) {
       LOG.info("ownership lease valid");
     }
-    loggedValid = valid;
+    lastLoggedValid = valid;
   }
 
   /** The grants of this controller as last read from the store. */
--- a/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
+++ b/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
@@ -43,16 +43,16 @@
   private static final Duration REQUEST_INTERVAL = Duration.ofSeconds(1);
 
   /** Longer responses are not sent; the lease of the sender of the request then expires. */
-  private static final int MAX_CHARACTERS = 1 << 19;
+  private static final int MAX_RESPONSE_CHARACTERS = 1 << 19;
 
   private static final LeaseId NO_LEASE = new LeaseId(0);
-  private static final Duration INVALID_LOG_INTERVAL = Duration.ofMinutes(1);
+  private static final Duration INVALID_RESPONSE_LOG_INTERVAL = Duration.ofMinutes(1);
 
   /**
    * A request without a response so far; {@code since} is the revision up to which changes are
    * known.
    */
-  private record PendingRequest(LeaseId lease, Revision since, MonotonicTime sentAt) {
+  private record PendingRequest(LeaseId lease, Revision sinceRevision, MonotonicTime sentAt) {
     String prefix() {
       return lease.equals(NO_LEASE) ? StoreKeys.ACTIVE_JOBS : StoreKeys.CONTROL;
     }
@@ -62,37 +62,37 @@
   private final NodeId self;
   private final KeyValueStore store;
   private final StoreHealth storeHealth;
-  private final PeerFailureDetector peers;
+  private final PeerFailureDetector failureDetector;
   private final ControllerSession session;
   private final ClusterView view;
-  private final WatchCache control;
-  private final WatchCache jobs;
+  private final WatchCache controlKeys;
+  private final WatchCache activeJobs;
   private final BiConsumer<NodeId, Object> sendToPeer;
-  private final Map<Long, PendingRequest> pending = new HashMap<>();
+  private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
   private long lastRequestId;
   private long attempts;
   private boolean running;
   private long invalidResponses;
-  private Optional<MonotonicTime> invalidLoggedAt = Optional.empty();
+  private Optional<MonotonicTime> invalidResponseLoggedAt = Optional.empty();
 
   /**
    * What the renewal needs of its controller.
    *
    * @param storeHealth health of the connection to the store
-   * @param peers which peers the store serves
+   * @param failureDetector which peers the store serves
    * @param session the session to renew
    * @param view the control keys, updated through {@code control}
-   * @param control the cached control keys
-   * @param jobs the cached records of active jobs
+   * @param controlKeys the cached control keys
+   * @param activeJobs the cached records of active jobs
    */
   public record Context(
       KeyValueStore store,
       StoreHealth storeHealth,
-      PeerFailureDetector peers,
+      PeerFailureDetector failureDetector,
       ControllerSession session,
       ClusterView view,
-      WatchCache control,
-      WatchCache jobs) {}
+      WatchCache controlKeys,
+      WatchCache activeJobs) {}
 
   /**
    * Sends nothing before {@link #start}.
@@ -105,11 +105,11 @@
     this.self = self;
     this.store = context.store();
     this.storeHealth = context.storeHealth();
-    this.peers = context.peers();
+    this.failureDetector = context.failureDetector();
     this.session = context.session();
     this.view = context.view();
-    this.control = context.control();
-    this.jobs = context.jobs();
+    this.controlKeys = context.controlKeys();
+    this.activeJobs = context.activeJobs();
     this.sendToPeer = sendToPeer;
   }
 
@@ -124,27 +124,29 @@
   private void requestRenewal() {
     if (storeHealth.state() != StoreHealth.State.LOST) {
       running = false;
-      pending.clear();
+      pendingRequests.clear();
       return;
     }
     loop.after(REQUEST_INTERVAL, this::requestRenewal);
-    List<NodeId> served = peers.peersServedByStore();
+    List<NodeId> served = failureDetector.peersServedByStore();
     Optional<LeaseId> lease = session.lease();
     if (lease.isEmpty() || served.isEmpty()) {
       return;
     }
-    pending.values().removeIf(old -> loop.now().since(old.sentAt).compareTo(REQUEST_INTERVAL) > 0);
+    pendingRequests
+        .values()
+        .removeIf(old -> loop.now().since(old.sentAt).compareTo(REQUEST_INTERVAL) > 0);
     // In turn: a peer that does not answer costs one attempt.
     NodeId peer = served.get((int) (attempts % served.size()));
     attempts++;
-    requestRenewal(peer, lease.get(), control.revision());
-    requestRenewal(peer, NO_LEASE, jobs.revision());
+    requestRenewal(peer, lease.get(), controlKeys.revision());
+    requestRenewal(peer, NO_LEASE, activeJobs.revision());
   }
 
-  private void requestRenewal(NodeId peer, LeaseId lease, Revision since) {
+  private void requestRenewal(NodeId peer, LeaseId lease, Revision sinceRevision) {
     long id = ++lastRequestId;
-    pending.put(id, new PendingRequest(lease, since, loop.now()));
-    sendToPeer.accept(peer, new LeaseRenewalRequest(id, lease.value(), since.value()));
+    pendingRequests.put(id, new PendingRequest(lease, sinceRevision, loop.now()));
+    sendToPeer.accept(peer, new LeaseRenewalRequest(id, lease.value(), sinceRevision.value()));
   }
 
   /** A peer without the store asks for a renewal. Costs three requests at the store, no write. */
@@ -192,7 +194,7 @@
       characters += value.length();
       list.add(new KeyChange(change.key(), value, change.revision().value()));
     }
-    boolean complete = characters <= MAX_CHARACTERS;
+    boolean complete = characters <= MAX_RESPONSE_CHARACTERS;
     return new LeaseRenewalResponse(
         request.getId(),
         request.getLease(),
@@ -207,7 +209,7 @@
    * to no pending request is out of date and ignored.
    */
   public void onResponse(NodeId peer, LeaseRenewalResponse response) {
-    PendingRequest request = pending.remove(response.getId());
+    PendingRequest request = pendingRequests.remove(response.getId());
     if (request == null) {
       return;
     }
@@ -234,8 +236,8 @@
     }
     if (request.lease.equals(NO_LEASE)) {
       // The cache notifies the session once it is current.
-      jobs.offer(changes, request.sentAt);
-    } else if (control.offer(changes, request.sentAt)) {
+      activeJobs.offer(changes, request.sentAt);
+    } else if (controlKeys.offer(changes, request.sentAt)) {
       session.onRenewedByPeer(request.lease, request.sentAt, ownGrants());
     }
   }
@@ -254,7 +256,7 @@
 
   private static Changes parse(PendingRequest request, LeaseRenewalResponse response)
       throws MalformedMessageException {
-    if (response.getRevision() < request.since.value()) {
+    if (response.getRevision() < request.sinceRevision.value()) {
       throw new MalformedMessageException("of an earlier revision than asked for");
     }
     List<Change> changes = new ArrayList<>();
@@ -275,8 +277,10 @@
   private void onInvalidResponse(NodeId peer, String reason) {
     invalidResponses++;
     MonotonicTime now = loop.now();
-    if (invalidLoggedAt.filter(at -> now.since(at).compareTo(INVALID_LOG_INTERVAL) < 0).isEmpty()) {
-      invalidLoggedAt = Optional.of(now);
+    if (invalidResponseLoggedAt
+        .filter(at -> now.since(at).compareTo(INVALID_RESPONSE_LOG_INTERVAL) < 0)
+        .isEmpty()) {
+      invalidResponseLoggedAt = Optional.of(now);
       LOG.warn(
           "lease renewal response invalid, peer={} reason={} count={}",
           peer,
--- a/src/main/java/org/mulleinshift/membership/LeaderElection.java
+++ b/src/main/java/org/mulleinshift/membership/LeaderElection.java
@@ -83,10 +83,10 @@
   private Optional<LeaseId> lease = Optional.empty();
   private Revision term = new Revision(0);
   private MonotonicTime renewedAt;
-  private MonotonicTime notBefore;
+  private MonotonicTime campaignNotBefore;
 
   /** The next campaign starts without delay. */
-  private boolean succeeding;
+  private boolean skipCampaignDelay;
 
   /**
    * A follower; it campaigns once {@link #observe} shows that the leader key is free.
@@ -108,7 +108,7 @@
     this.ttl = ttl;
     this.listener = listener;
     this.renewedAt = loop.now().minus(ttl);
-    this.notBefore = loop.now();
+    this.campaignNotBefore = loop.now();
   }
 
   /** The only place where the state changes. */
@@ -121,7 +121,7 @@
     if (next == State.LEADING) {
       listener.onElected(term);
     } else if (old == State.LEADING) {
-      lease.ifPresent(own -> store.revokeLease(own, answer -> {}));
+      lease.ifPresent(ownLease -> store.revokeLease(ownLease, answer -> {}));
       lease = Optional.empty();
       listener.onLeadershipLost();
     }
@@ -142,16 +142,16 @@
       transitionTo(State.CANDIDATE);
       // Drawn also by the chosen successor, which does not wait.
       Duration jitter = randomDelay(MIN_CAMPAIGN_JITTER_MS, CAMPAIGN_JITTER_RANGE_MS);
-      Duration delay = succeeding ? Duration.ZERO : gracePeriod().plus(jitter);
+      Duration delay = skipCampaignDelay ? Duration.ZERO : gracePeriod().plus(jitter);
       loop.after(delay, () -> campaign(view));
-      succeeding = false;
+      skipCampaignDelay = false;
     }
   }
 
   /** How long a free leader key is left to a chosen successor or to the standby. */
   private Duration gracePeriod() {
     Duration untilAllowed =
-        notBefore.isAfter(loop.now()) ? notBefore.since(loop.now()) : Duration.ZERO;
+        campaignNotBefore.isAfter(loop.now()) ? campaignNotBefore.since(loop.now()) : Duration.ZERO;
     Duration delay = campaignDelay.get();
     return untilAllowed.compareTo(delay) > 0 ? untilAllowed : delay;
   }
@@ -174,44 +174,44 @@
             renewedAt = sent;
             claimLeadership(found.value(), view);
           } else {
-            abandonCampaign(view);
+            retryLater(view);
           }
         });
   }
 
-  private void claimLeadership(LeaseId own, ClusterView view) {
+  private void claimLeadership(LeaseId ownLease, ClusterView view) {
     store.commit(
         List.of(new Compare(StoreKeys.LEADER, new Revision(0))),
-        List.of(Write.put(StoreKeys.LEADER, ClusterView.leaderValue(self, own), own)),
+        List.of(Write.put(StoreKeys.LEADER, ClusterView.leaderValue(self, ownLease), ownLease)),
         KeyValueStore.Urgency.URGENT,
         outcome -> {
           if (outcome instanceof KeyValueStore.CommitResult.Committed committed) {
             term = committed.revision();
             transitionTo(State.LEADING);
-            renew(own);
+            renew(ownLease);
           } else {
             // The key may have been created although the answer was lost: it goes with this lease.
-            store.revokeLease(own, revoked -> {});
+            store.revokeLease(ownLease, revoked -> {});
             lease = Optional.empty();
-            abandonCampaign(view);
+            retryLater(view);
           }
         });
   }
 
-  private void abandonCampaign(ClusterView view) {
+  private void retryLater(ClusterView view) {
     transitionTo(State.FOLLOWING);
     loop.after(randomDelay(MIN_RETRY_MS, RETRY_RANGE_MS), () -> observe(view, true));
   }
 
-  private void renew(LeaseId own) {
-    if (!isCurrentLease(own)) {
+  private void renew(LeaseId ownLease) {
+    if (!isCurrentLease(ownLease)) {
       return;
     }
     MonotonicTime sent = loop.now();
     store.renewLease(
-        own,
+        ownLease,
         answer -> {
-          if (!isCurrentLease(own)) {
+          if (!isCurrentLease(ownLease)) {
             return;
           }
           if (answer instanceof ReadResult.Absent<Boolean>) {
@@ -222,12 +222,13 @@
           if (renewed) {
             renewedAt = sent;
           }
-          loop.after(ttl.dividedBy(renewed ? RENEWALS_PER_TTL : RETRIES_PER_TTL), () -> renew(own));
+          loop.after(
+              ttl.dividedBy(renewed ? RENEWALS_PER_TTL : RETRIES_PER_TTL), () -> renew(ownLease));
         });
   }
 
-  private boolean isCurrentLease(LeaseId own) {
-    return state == State.LEADING && lease.equals(Optional.of(own));
+  private boolean isCurrentLease(LeaseId ownLease) {
+    return state == State.LEADING && lease.equals(Optional.of(ownLease));
   }
 
   /**
@@ -247,7 +248,9 @@
 
   /** The current term and its lease, so that a peer can revoke it; empty unless leading. */
   public Optional<TermLease> termLease() {
-    return state == State.LEADING ? lease.map(own -> new TermLease(term, own)) : Optional.empty();
+    return state == State.LEADING
+        ? lease.map(ownLease -> new TermLease(term, ownLease))
+        : Optional.empty();
   }
 
   /**
@@ -260,9 +263,9 @@
    *
    * @param ended the term of that leader
    */
-  public void succeed(TermLease ended, ClusterView view) {
+  public void takeOver(TermLease ended, ClusterView view) {
     if (state == State.FOLLOWING) {
-      succeeding = isCurrent(ended, view);
+      skipCampaignDelay = isCurrent(ended, view);
       store.revokeLease(ended.lease(), answer -> {});
     }
   }
@@ -273,11 +276,11 @@
    *
    * @param ended the term that its leader resigned from
    */
-  public void awaitSuccessor(TermLease ended, ClusterView view) {
+  public void deferToSuccessor(TermLease ended, ClusterView view) {
     if (state != State.FOLLOWING) {
       return;
     }
-    notBefore = loop.now().plus(SUCCESSOR_GRACE);
+    campaignNotBefore = loop.now().plus(SUCCESSOR_GRACE);
     loop.after(
         SUCCESSOR_GRACE,
         () -> {
--- a/src/main/java/org/mulleinshift/membership/OwnerEligibility.java
+++ b/src/main/java/org/mulleinshift/membership/OwnerEligibility.java
@@ -25,7 +25,7 @@
   private static final Duration FIRST_PROBATION = Duration.ofSeconds(5);
 
   /** An incident after this time counts as the first one again. */
-  private static final Duration INCIDENT_MEMORY = Duration.ofMinutes(3);
+  private static final Duration INCIDENT_WINDOW = Duration.ofMinutes(3);
 
   private static final int MAX_DOUBLINGS = 4;
 
@@ -52,22 +52,22 @@
   /**
    * The controllers that may not own shards now; all are judged together, before any shard moves.
    *
-   * @param suspicions how many machines of each owner reported to another controller lately
+   * @param suspicionCounts how many machines of each owner reported to another controller lately
    * @param live the controllers that could own shards
    */
-  public Set<NodeId> ineligible(
-      Map<NodeId, Integer> suspicions, Collection<NodeId> live, MonotonicTime now) {
+  public Set<NodeId> updateAndGetIneligible(
+      Map<NodeId, Integer> suspicionCounts, Collection<NodeId> live, MonotonicTime now) {
     boolean anyReachesWorkers =
         live.stream()
             .anyMatch(node -> reachability.apply(node) == WorkerReachability.State.REACHABLE);
     for (NodeId node : live) {
-      boolean suspected = suspicions.getOrDefault(node, 0) > 0;
+      boolean suspected = suspicionCounts.getOrDefault(node, 0) > 0;
       update(node, suspected, anyReachesWorkers, now);
     }
     Set<NodeId> ineligible = new HashSet<>();
     incidents.forEach(
-        (node, known) -> {
-          if (known.unreachable || known.ineligibleUntil.isAfter(now)) {
+        (node, history) -> {
+          if (history.unreachable || history.ineligibleUntil.isAfter(now)) {
             ineligible.add(node);
           }
         });
@@ -77,35 +77,35 @@
   private void update(
       NodeId node, boolean suspected, boolean anyReachesWorkers, MonotonicTime now) {
     WorkerReachability.State own = reachability.apply(node);
-    boolean allSilent = own == WorkerReachability.State.ALL_UNREACHABLE;
-    boolean mostSilent = allSilent || own == WorkerReachability.State.MOST_UNREACHABLE;
-    Incidents known = incidents.get(node);
-    if (known != null && known.unreachable) {
-      if (!mostSilent) {
-        onReachableAgain(node, known, now);
+    boolean allUnreachable = own == WorkerReachability.State.ALL_UNREACHABLE;
+    boolean mostUnreachable = allUnreachable || own == WorkerReachability.State.MOST_UNREACHABLE;
+    Incidents history = incidents.get(node);
+    if (history != null && history.unreachable) {
+      if (!mostUnreachable) {
+        onReachableAgain(node, history, now);
       }
-    } else if ((allSilent && anyReachesWorkers) || (mostSilent && suspected)) {
+    } else if ((allUnreachable && anyReachesWorkers) || (mostUnreachable && suspected)) {
       // Where no controller reaches its workers, the controller is not at fault.
       recordIncident(node, now);
     }
   }
 
   private void recordIncident(NodeId node, MonotonicTime now) {
-    Incidents known = incidents.computeIfAbsent(node, key -> new Incidents());
-    boolean expired = known.count > 0 && now.since(known.lastAt).compareTo(INCIDENT_MEMORY) > 0;
-    known.count = expired ? 1 : known.count + 1;
-    known.lastAt = now;
-    known.ineligibleUntil = now;
-    known.unreachable = true;
+    Incidents history = incidents.computeIfAbsent(node, key -> new Incidents());
+    boolean expired = history.count > 0 && now.since(history.lastAt).compareTo(INCIDENT_WINDOW) > 0;
+    history.count = expired ? 1 : history.count + 1;
+    history.lastAt = now;
+    history.ineligibleUntil = now;
+    history.unreachable = true;
     LOG.info("owner ineligible, node={} reason=workers unreachable", node);
   }
 
   /** The controller's own report is evidence of its workers; each probation is longer. */
-  private static void onReachableAgain(NodeId node, Incidents known, MonotonicTime now) {
+  private static void onReachableAgain(NodeId node, Incidents history, MonotonicTime now) {
     Duration probation =
-        FIRST_PROBATION.multipliedBy(1L << Math.min(known.count - 1, MAX_DOUBLINGS));
-    known.unreachable = false;
-    known.ineligibleUntil = now.plus(probation);
+        FIRST_PROBATION.multipliedBy(1L << Math.min(history.count - 1, MAX_DOUBLINGS));
+    history.unreachable = false;
+    history.ineligibleUntil = now.plus(probation);
     LOG.info("owner reaches its workers, node={} probation_s={}", node, probation.toSeconds());
   }
 }
--- a/src/main/java/org/mulleinshift/membership/OwnershipLease.java
+++ b/src/main/java/org/mulleinshift/membership/OwnershipLease.java
@@ -32,8 +32,8 @@
     CANCELLATIONS_KNOWN
   }
 
-  private final Duration usable;
-  private final Map<Evidence, MonotonicTime> asOf = new EnumMap<>(Evidence.class);
+  private final Duration usableFor;
+  private final Map<Evidence, MonotonicTime> evidenceAsOf = new EnumMap<>(Evidence.class);
 
   /**
    * A lease without any evidence, and so not valid.
@@ -41,7 +41,7 @@
    * @param lease lifetime of a shard lease
    */
   OwnershipLease(Duration lease) {
-    this.usable =
+    this.usableFor =
         Duration.ofNanos((long) (lease.toNanos() * (1 - MAX_CLOCK_DRIFT))).minus(SAFETY_MARGIN);
   }
 
@@ -51,34 +51,35 @@
    * @param requestedAt when the request was sent whose response gave the evidence
    */
   void confirm(Evidence evidence, MonotonicTime requestedAt) {
-    asOf.merge(evidence, requestedAt, (known, next) -> next.isAfter(known) ? next : known);
+    evidenceAsOf.merge(evidence, requestedAt, (known, next) -> next.isAfter(known) ? next : known);
   }
 
   /** The evidence no longer counts, however fresh it was. */
   void invalidate(Evidence evidence) {
-    asOf.remove(evidence);
+    evidenceAsOf.remove(evidence);
   }
 
   /** Whether the owner may act at this moment. */
   boolean isValid(MonotonicTime now) {
-    return asOf.size() == Evidence.values().length
-        && asOf.values().stream().allMatch(requestedAt -> requestedAt.plus(usable).isAfter(now));
+    return evidenceAsOf.size() == Evidence.values().length
+        && evidenceAsOf.values().stream()
+            .allMatch(requestedAt -> requestedAt.plus(usableFor).isAfter(now));
   }
 
   /** Whether the evidence was requested less than {@code maxAge} ago. */
   boolean isFresh(Evidence evidence, MonotonicTime now, Duration maxAge) {
-    MonotonicTime requestedAt = asOf.get(evidence);
+    MonotonicTime requestedAt = evidenceAsOf.get(evidence);
     return requestedAt != null && now.since(requestedAt).compareTo(maxAge) < 0;
   }
 
   /** The evidence that expires first, or that is missing, for the log. */
   String describeOldest(MonotonicTime now) {
     for (Evidence evidence : Evidence.values()) {
-      if (!asOf.containsKey(evidence)) {
+      if (!evidenceAsOf.containsKey(evidence)) {
         return "missing=" + evidence;
       }
     }
-    return asOf.entrySet().stream()
+    return evidenceAsOf.entrySet().stream()
         .min(Comparator.comparing(Map.Entry::getValue))
         .map(
             oldest ->
--- a/src/main/java/org/mulleinshift/membership/PeerFailureDetector.java
+++ b/src/main/java/org/mulleinshift/membership/PeerFailureDetector.java
@@ -57,13 +57,13 @@
    * A controller that can relay a frame to a peer: none if the peer and this controller receive
    * each other's messages, as far as each reports, or if no controller receives the peer's.
    */
-  public Optional<NodeId> relayTo(NodeId peer) {
+  public Optional<NodeId> findRelayTo(NodeId peer) {
     boolean notHeard = timeSinceDirectMessage(peer).compareTo(HEARTBEAT_TIMEOUT) >= 0;
-    boolean notHearing =
+    boolean notHeardByPeer =
         timeSinceHeardBy(peer, self)
             .filter(ago -> ago.compareTo(HEARTBEAT_TIMEOUT) >= 0)
             .isPresent();
-    if (!notHeard && !notHearing) {
+    if (!notHeard && !notHeardByPeer) {
       return Optional.empty();
     }
     return heartbeats.keySet().stream()
@@ -120,7 +120,7 @@
   }
 
   /** Whether some peer, by its fresh heartbeat, had an answer of the store after the moment. */
-  public boolean anyServedSince(MonotonicTime moment) {
+  public boolean anyPeerServedSince(MonotonicTime moment) {
     for (Map.Entry<NodeId, ReceivedHeartbeat> known : heartbeats.entrySet()) {
       ReceivedHeartbeat last = known.getValue();
       MonotonicTime answered =
@@ -162,7 +162,7 @@
    * When this controller last heard each peer directly, for its own heartbeat: so each learns who
    * does not receive its messages.
    */
-  public List<PeerLastHeard> lastHeardList() {
+  public List<PeerLastHeard> peersLastHeard() {
     List<PeerLastHeard> list = new ArrayList<>();
     lastHeardDirectlyAt
         .keySet()
@@ -187,11 +187,11 @@
     return freshHeartbeat(peer).stream()
         .flatMap(heartbeat -> heartbeat.getLastHeard().stream())
         .filter(heard -> heard.getNode().equals(other.value()))
-        .map(heard -> Duration.ofMillis(heard.getSilenceMs()).plus(age(peer)))
+        .map(heard -> Duration.ofMillis(heard.getSilenceMs()).plus(heartbeatAge(peer)))
         .findFirst();
   }
 
-  private Duration age(NodeId peer) {
+  private Duration heartbeatAge(NodeId peer) {
     return loop.now().since(heartbeats.get(peer).receivedAt);
   }
 
--- a/src/main/java/org/mulleinshift/membership/ShardAssigner.java
+++ b/src/main/java/org/mulleinshift/membership/ShardAssigner.java
@@ -38,7 +38,7 @@
    * For a shard whose machines left its owner: what it counts that nothing shows that a controller
    * is reached by machines. One that owns few can't tell for seconds that it is cut off too.
    */
-  private static final double UNPROVEN_PENALTY = 1e4;
+  private static final double UNKNOWN_REACHABILITY_PENALTY = 1e4;
 
   /** Loads that differ by less are not evened out. */
   private static final double MIN_LOAD_DIFFERENCE = 16;
@@ -63,12 +63,12 @@
    * @param shard the shard
    * @param owner its next owner
    */
-  public record Move(AssignableShard shard, NodeId owner) {}
+  public record PlannedGrant(AssignableShard shard, NodeId owner) {}
 
   private final NodeId self;
   private final Map<NodeId, ZoneId> zones;
   private final Map<NodeId, MonotonicTime> candidateSince = new HashMap<>();
-  private MonotonicTime movedAt;
+  private MonotonicTime lastPlannedAt;
 
   /**
    * The assigner of one term.
@@ -79,7 +79,7 @@
   public ShardAssigner(NodeId self, Map<NodeId, ZoneId> zones, MonotonicTime now) {
     this.self = self;
     this.zones = zones;
-    this.movedAt = now;
+    this.lastPlannedAt = now;
   }
 
   /**
@@ -89,7 +89,7 @@
    * @param candidates those of them whose connections allow them to own further shards
    * @param unresponsiveAfter time without an acknowledgement after which an owner loses its shard
    */
-  public List<Move> moves(
+  public List<PlannedGrant> planGrants(
       Collection<? extends AssignableShard> shards,
       List<NodeId> live,
       List<NodeId> candidates,
@@ -98,9 +98,9 @@
     candidateSince.keySet().retainAll(candidates);
     candidates.forEach(node -> candidateSince.putIfAbsent(node, now));
     Map<NodeId, Double> loads = loads(shards, candidates);
-    List<Move> moves = new ArrayList<>();
+    List<PlannedGrant> planned = new ArrayList<>();
     if (candidates.isEmpty()) {
-      return moves;
+      return planned;
     }
     for (AssignableShard shard : shards) {
       boolean hasLiveOwner = shard.owner().filter(live::contains).isPresent();
@@ -112,17 +112,17 @@
           || awaitsLastOwner(shard, candidates, now)) {
         continue;
       }
-      NodeId owner = nextOwner(shard, shards, candidates, loads);
+      NodeId owner = selectOwner(shard, shards, candidates, loads);
       loads.merge(owner, load(shard), Double::sum);
-      moves.add(new Move(shard, owner));
+      planned.add(new PlannedGrant(shard, owner));
     }
-    if (moves.isEmpty() && now.since(movedAt).compareTo(MIN_TIME_BETWEEN_MOVES) >= 0) {
-      balancingMove(shards, loads, now).ifPresent(moves::add);
+    if (planned.isEmpty() && now.since(lastPlannedAt).compareTo(MIN_TIME_BETWEEN_MOVES) >= 0) {
+      planBalancingMove(shards, loads, now).ifPresent(planned::add);
     }
-    if (!moves.isEmpty()) {
-      movedAt = now;
+    if (!planned.isEmpty()) {
+      lastPlannedAt = now;
     }
-    return moves;
+    return planned;
   }
 
   /**
@@ -136,7 +136,7 @@
         && shard.unownedFor(now).compareTo(LAST_OWNER_WAIT) < 0;
   }
 
-  private NodeId nextOwner(
+  private NodeId selectOwner(
       AssignableShard shard,
       Collection<? extends AssignableShard> shards,
       List<NodeId> candidates,
@@ -145,14 +145,14 @@
     if (shard.owner().isEmpty() && lastOwner.isPresent()) {
       return lastOwner.get();
     }
-    Predicate<NodeId> unproven = unproven(shard, shards);
+    Predicate<NodeId> reachabilityUnknown = reachabilityUnknown(shard, shards);
     return candidates.stream()
         .min(
             Comparator.comparingDouble(
                 node ->
                     loads.get(node)
-                        + distance(node, shard)
-                        + (unproven.test(node) ? UNPROVEN_PENALTY : 0)
+                        + zonePenalty(node, shard)
+                        + (reachabilityUnknown.test(node) ? UNKNOWN_REACHABILITY_PENALTY : 0)
                         + (shard.owner().equals(Optional.of(node)) ? UNRESPONSIVE_PENALTY : 0)))
         .orElseThrow();
   }
@@ -161,9 +161,9 @@
    * Controllers that the shard's machines did not report to after they left their owner, and that
    * own too few machines to notice soon that they are not reached.
    */
-  private static Predicate<NodeId> unproven(
+  private static Predicate<NodeId> reachabilityUnknown(
       AssignableShard shard, Collection<? extends AssignableShard> shards) {
-    Set<NodeId> reached = shard.reachedLately();
+    Set<NodeId> reached = shard.recentlyContactedControllers();
     if (reached.isEmpty()) {
       return node -> false;
     }
@@ -172,11 +172,12 @@
       other.owner().ifPresent(node -> machines.merge(node, other.machineCount(), Integer::sum));
     }
     return node ->
-        !reached.contains(node) && !WorkerReachability.noticesGaps(machines.getOrDefault(node, 0));
+        !reached.contains(node)
+            && !WorkerReachability.canDetectHeartbeatLoss(machines.getOrDefault(node, 0));
   }
 
   /** The move that brings the highest and the lowest load closest to each other. */
-  private Optional<Move> balancingMove(
+  private Optional<PlannedGrant> planBalancingMove(
       Collection<? extends AssignableShard> shards, Map<NodeId, Double> loads, MonotonicTime now) {
     loads
         .keySet()
@@ -198,7 +199,7 @@
             shard ->
                 difference >= MIN_LOAD_DIFFERENCE && load(shard) <= difference * MAX_MOVED_SHARE)
         .min(Comparator.comparingDouble(shard -> Math.abs(difference - 2 * load(shard))))
-        .map(shard -> new Move(shard, lowest));
+        .map(shard -> new PlannedGrant(shard, lowest));
   }
 
   private Map<NodeId, Double> loads(
@@ -222,7 +223,7 @@
     return LOAD_PER_SHARD + shard.machineCount();
   }
 
-  private double distance(NodeId node, AssignableShard shard) {
+  private double zonePenalty(NodeId node, AssignableShard shard) {
     return shard.zone().equals(zones.get(node)) ? 0 : OTHER_ZONE_PENALTY;
   }
 }
--- a/src/main/java/org/mulleinshift/membership/StandbyFailover.java
+++ b/src/main/java/org/mulleinshift/membership/StandbyFailover.java
@@ -30,7 +30,7 @@
   private static final Duration IDLE_CHECK_INTERVAL = Duration.ofMillis(500);
 
   /** False alarms before this time no longer count. */
-  private static final Duration FALSE_ALARM_MEMORY = Duration.ofMinutes(3);
+  private static final Duration FALSE_ALARM_WINDOW = Duration.ofMinutes(3);
 
   /** How long the other controllers leave a free leader key to a healthy standby. */
   private static final Duration STANDBY_HEAD_START = Duration.ofMillis(600);
@@ -57,17 +57,17 @@
   /**
    * What the failover needs of its controller.
    *
-   * @param peers when each peer was last heard, and its last heartbeat
+   * @param failureDetector when each peer was last heard, and its last heartbeat
    * @param view the leader as the store last showed it
    * @param healthy whether this controller reaches the store and its workers
-   * @param askPeers has the peers send a heartbeat at once
+   * @param requestHeartbeats has the peers send a heartbeat at once
    * @param depose revokes the lease of a term, and campaigns
    */
   public record Context(
-      PeerFailureDetector peers,
+      PeerFailureDetector failureDetector,
       ClusterView view,
       BooleanSupplier healthy,
-      Runnable askPeers,
+      Runnable requestHeartbeats,
       Consumer<LeaderElection.TermLease> depose) {}
 
   private final EventLoop loop;
@@ -76,12 +76,12 @@
   private final Duration maxLeaderTimeout;
   private final Context context;
   private State state = State.NONE;
-  private Duration leaderSilence = Duration.ZERO;
-  private MonotonicTime checkedAt;
+  private Duration leaderUnheardFor = Duration.ZERO;
+  private MonotonicTime lastCheckAt;
   private Duration currentInterval = SUSPECTING_CHECK_INTERVAL;
   private MonotonicTime deposedAt;
   private Optional<NodeId> deposedLeader = Optional.empty();
-  private long deposedSession;
+  private long deposedSessionLease;
   private int falseAlarms;
   private Optional<NodeId> standby = Optional.empty();
   private Optional<NodeId> lastLeader = Optional.empty();
@@ -103,13 +103,13 @@
     this.leaderTimeout = leaderTimeout;
     this.maxLeaderTimeout = maxLeaderTimeout;
     this.context = context;
-    this.checkedAt = loop.now();
-    this.deposedAt = checkedAt.minus(FALSE_ALARM_MEMORY);
+    this.lastCheckAt = loop.now();
+    this.deposedAt = lastCheckAt.minus(FALSE_ALARM_WINDOW);
   }
 
   /** Starts the periodic check. */
   public void start() {
-    checkedAt = loop.now();
+    lastCheckAt = loop.now();
     loop.after(SUSPECTING_CHECK_INTERVAL, this::check);
   }
 
@@ -125,11 +125,11 @@
    * Called by the leader: the controller that it names as its standby, kept as long as that one is
    * healthy.
    *
-   * @param otherZoneFirst the other controllers, in order of preference
+   * @param candidates the other controllers, in order of preference
    * @return the name of the standby, empty if no controller is healthy
    */
-  public String chooseStandby(List<NodeId> otherZoneFirst) {
-    List<NodeId> healthy = otherZoneFirst.stream().filter(this::isHealthy).toList();
+  public String chooseStandby(List<NodeId> candidates) {
+    List<NodeId> healthy = candidates.stream().filter(this::isHealthy).toList();
     if (standby.filter(healthy::contains).isEmpty()) {
       Optional<NodeId> previous = standby;
       standby = healthy.stream().findFirst();
@@ -142,9 +142,9 @@
 
   /** Whether the peer, by its fresh heartbeat, reaches the store and its workers. */
   private boolean isHealthy(NodeId peer) {
-    return context.peers.isServedByStore(peer)
+    return context.failureDetector.isServedByStore(peer)
         && context
-            .peers
+            .failureDetector
             .freshHeartbeat(peer)
             .map(PeerFailureDetector::workerReachability)
             .filter(reachability -> reachability == WorkerReachability.State.REACHABLE)
@@ -162,7 +162,7 @@
         standbyNamedBy(lastLeader())
             .filter(name -> !name.isEmpty())
             .map(NodeId::new)
-            .filter(node -> !node.equals(self) && context.peers.isServedByStore(node))
+            .filter(node -> !node.equals(self) && context.failureDetector.isServedByStore(node))
             .isPresent();
     return anotherIsStandby ? STANDBY_HEAD_START : Duration.ZERO;
   }
@@ -173,12 +173,12 @@
   }
 
   private Optional<String> standbyNamedBy(Optional<NodeId> leader) {
-    return leader.flatMap(context.peers::lastHeartbeat).map(Heartbeat::getStandby);
+    return leader.flatMap(context.failureDetector::lastHeartbeat).map(Heartbeat::getStandby);
   }
 
   private void check() {
-    Duration gap = loop.now().since(checkedAt);
-    checkedAt = loop.now();
+    Duration gap = loop.now().since(lastCheckAt);
+    lastCheckAt = loop.now();
     // A check that runs late shows nothing of the leader: its frames may be queued behind it.
     updateState(gap, gap.compareTo(currentInterval.plus(SUSPECTING_CHECK_INTERVAL)) > 0);
     currentInterval = nextInterval();
@@ -189,7 +189,7 @@
     if (state == State.NONE) {
       return IDLE_CHECK_INTERVAL;
     }
-    return leaderSilence.isZero() ? STANDBY_CHECK_INTERVAL : SUSPECTING_CHECK_INTERVAL;
+    return leaderUnheardFor.isZero() ? STANDBY_CHECK_INTERVAL : SUSPECTING_CHECK_INTERVAL;
   }
 
   /**
@@ -199,14 +199,14 @@
   private void updateState(Duration gap, boolean late) {
     Optional<LeaderRecord> leader = context.view.leader();
     lastLeader();
-    recordFalseAlarm();
+    detectFalseAlarm();
     boolean isStandby =
         leader.isPresent()
             && !leader.get().node().equals(self)
             && standbyNamedBy(leader.map(LeaderRecord::node)).equals(Optional.of(self.value()))
             && context.healthy.getAsBoolean();
     if (!isStandby) {
-      leaderSilence = Duration.ZERO;
+      leaderUnheardFor = Duration.ZERO;
       if (state != State.NONE) {
         transitionTo(
             State.NONE,
@@ -217,48 +217,49 @@
     if (state == State.NONE) {
       transitionTo(State.STANDBY, "named by " + leader.get().node());
     }
-    boolean heard = context.peers.timeSinceLastHeard(leader.get().node()).compareTo(gap) <= 0;
-    leaderSilence = heard || late ? Duration.ZERO : leaderSilence.plus(gap);
+    boolean heard =
+        context.failureDetector.timeSinceLastHeard(leader.get().node()).compareTo(gap) <= 0;
+    leaderUnheardFor = heard || late ? Duration.ZERO : leaderUnheardFor.plus(gap);
     watchLeader(leader.get());
   }
 
   private void watchLeader(LeaderRecord leader) {
-    Duration limit = limit();
+    Duration timeout = timeout();
     if (state == State.DEPOSED) {
-      if (leaderSilence.isZero()) {
+      if (leaderUnheardFor.isZero()) {
         // The request to revoke its lease was lost.
         transitionTo(State.STANDBY, leader.node() + " still leads");
       }
       return;
     }
-    if (leaderSilence.compareTo(limit.dividedBy(2)) < 0) {
+    if (leaderUnheardFor.compareTo(timeout.dividedBy(2)) < 0) {
       transitionTo(State.STANDBY, "leader heard");
       return;
     }
     if (state == State.STANDBY) {
       transitionTo(State.SUSPECTING, "leader not heard");
-      context.askPeers.run();
+      context.requestHeartbeats.run();
       return;
     }
-    if (leaderSilence.compareTo(limit) >= 0) {
-      if (peersAgree(leader.node(), limit)) {
+    if (leaderUnheardFor.compareTo(timeout) >= 0) {
+      if (peersAgree(leader.node(), timeout)) {
         depose(leader);
       } else {
-        context.askPeers.run();
+        context.requestHeartbeats.run();
       }
     }
   }
 
   /** Whether another controller has not heard the leader either, and none has heard it lately. */
-  private boolean peersAgree(NodeId leader, Duration limit) {
-    Duration agreement = limit.multipliedBy(AGREEMENT_NUMERATOR).dividedBy(AGREEMENT_DENOMINATOR);
+  private boolean peersAgree(NodeId leader, Duration timeout) {
+    Duration agreement = timeout.multipliedBy(AGREEMENT_NUMERATOR).dividedBy(AGREEMENT_DENOMINATOR);
     boolean agree = false;
-    for (NodeId peer : context.peers.peersServedByStore()) {
+    for (NodeId peer : context.failureDetector.peersServedByStore()) {
       if (peer.equals(leader)) {
         continue;
       }
-      Optional<Duration> sinceHeard = context.peers.timeSinceHeardBy(peer, leader);
-      if (sinceHeard.filter(since -> since.compareTo(limit.dividedBy(2)) < 0).isPresent()) {
+      Optional<Duration> sinceHeard = context.failureDetector.timeSinceHeardBy(peer, leader);
+      if (sinceHeard.filter(since -> since.compareTo(timeout.dividedBy(2)) < 0).isPresent()) {
         return false;
       }
       agree |= sinceHeard.isEmpty() || sinceHeard.get().compareTo(agreement) >= 0;
@@ -269,25 +270,32 @@
   private void depose(LeaderRecord leader) {
     transitionTo(
         State.DEPOSED,
-        leader.node() + " not heard for " + leaderSilence.toMillis() + " ms, another agrees");
+        leader.node() + " not heard for " + leaderUnheardFor.toMillis() + " ms, another agrees");
     deposedLeader = Optional.of(leader.node());
-    deposedSession =
-        context.peers.lastHeartbeat(leader.node()).map(Heartbeat::getSessionLease).orElse(0L);
-    falseAlarms = loop.now().since(deposedAt).compareTo(FALSE_ALARM_MEMORY) > 0 ? 0 : falseAlarms;
+    deposedSessionLease =
+        context
+            .failureDetector
+            .lastHeartbeat(leader.node())
+            .map(Heartbeat::getSessionLease)
+            .orElse(0L);
+    falseAlarms = loop.now().since(deposedAt).compareTo(FALSE_ALARM_WINDOW) > 0 ? 0 : falseAlarms;
     deposedAt = loop.now();
     context.depose.accept(new LeaderElection.TermLease(leader.term(), leader.lease()));
   }
 
   /** The same process is heard again: it was alive, and the next alarm takes longer. */
-  private void recordFalseAlarm() {
+  private void detectFalseAlarm() {
     boolean alive =
         deposedLeader
             .filter(
                 node ->
-                    context.peers.timeSinceLastHeard(node).compareTo(loop.now().since(deposedAt))
+                    context
+                            .failureDetector
+                            .timeSinceLastHeard(node)
+                            .compareTo(loop.now().since(deposedAt))
                         < 0)
-            .flatMap(context.peers::lastHeartbeat)
-            .filter(heartbeat -> heartbeat.getSessionLease() == deposedSession)
+            .flatMap(context.failureDetector::lastHeartbeat)
+            .filter(heartbeat -> heartbeat.getSessionLease() == deposedSessionLease)
             .isPresent();
     if (alive) {
       LOG.info("deposed leader was alive, node={}", deposedLeader.get());
@@ -297,7 +305,7 @@
   }
 
   /** Time since the leader was last heard after which it is deposed; doubles with false alarms. */
-  private Duration limit() {
+  private Duration timeout() {
     Duration longer = leaderTimeout.multipliedBy(1L << Math.min(falseAlarms, MAX_DOUBLINGS));
     return longer.compareTo(maxLeaderTimeout) < 0 ? longer : maxLeaderTimeout;
   }
--- a/src/main/java/org/mulleinshift/membership/StoreHealth.java
+++ b/src/main/java/org/mulleinshift/membership/StoreHealth.java
@@ -30,12 +30,12 @@
   private static final Duration PEER_TIMEOUT = Duration.ofSeconds(3);
 
   /** While the connection fails, peers are asked about theirs once in this time. */
-  private static final Duration SUSPICION_REPEAT = Duration.ofSeconds(1);
+  private static final Duration PEER_QUERY_INTERVAL = Duration.ofSeconds(1);
 
   private static final Duration FIRST_PROBATION = Duration.ofMillis(500);
 
   /** A loss after this time counts as the first one again. */
-  private static final Duration LOSS_MEMORY = Duration.ofMinutes(3);
+  private static final Duration LOSS_WINDOW = Duration.ofMinutes(3);
 
   private static final int MAX_DOUBLINGS = 5;
 
@@ -57,7 +57,7 @@
     void onSuspected();
 
     /** Whether some peer was served after that moment. */
-    boolean peerServedSince(MonotonicTime moment);
+    boolean anyPeerServedSince(MonotonicTime moment);
 
     /** The state has changed. */
     void onStateChanged(State next);
@@ -69,18 +69,18 @@
   private final Runnable probe;
   private final Listener listener;
   private State state = State.CONNECTED;
-  private int outstanding;
+  private int outstandingCalls;
   private boolean failing;
   private Duration failingFor = Duration.ZERO;
   private MonotonicTime lastCheckAt;
   private Duration currentInterval = CHECK_INTERVAL;
   private MonotonicTime lastCallAt;
   private MonotonicTime lastAnswerAt;
-  private MonotonicTime lostAt;
+  private MonotonicTime lastLossAt;
   private MonotonicTime servedSince;
   private MonotonicTime lastPeerServedAt;
-  private int losses;
-  private Optional<MonotonicTime> peersAheadSince = Optional.empty();
+  private int repeatedLosses;
+  private Optional<MonotonicTime> onlyPeersServedSince = Optional.empty();
 
   /**
    * A connection that counts as good until calls fail.
@@ -104,7 +104,7 @@
     this.lastCallAt = lastCheckAt;
     this.lastAnswerAt = lastCheckAt;
     this.servedSince = lastCheckAt;
-    this.lostAt = lastCheckAt.minus(LOSS_MEMORY);
+    this.lastLossAt = lastCheckAt.minus(LOSS_WINDOW);
     this.lastPeerServedAt = lastCheckAt;
   }
 
@@ -123,23 +123,23 @@
 
   @Override
   public void sent() {
-    outstanding++;
+    outstandingCalls++;
     lastCallAt = loop.now();
   }
 
   @Override
   public void served() {
-    outstanding--;
+    outstandingCalls--;
     failing = false;
     failingFor = Duration.ZERO;
     lastAnswerAt = loop.now();
   }
 
   @Override
-  public void failed(MonotonicTime calledAt) {
-    outstanding--;
+  public void failed(MonotonicTime sentAt) {
+    outstandingCalls--;
     // A call from before the last answer shows nothing new.
-    failing |= !lastAnswerAt.isAfter(calledAt);
+    failing |= !lastAnswerAt.isAfter(sentAt);
   }
 
   private void check() {
@@ -148,7 +148,7 @@
     Duration gap = now.since(lastCheckAt);
     lastCheckAt = now;
     gap = gap.compareTo(currentInterval.plus(CHECK_INTERVAL)) > 0 ? CHECK_INTERVAL : gap;
-    failingFor = outstanding > 0 || failing ? failingFor.plus(gap) : Duration.ZERO;
+    failingFor = outstandingCalls > 0 || failing ? failingFor.plus(gap) : Duration.ZERO;
     if (failingFor.compareTo(lostAfter.dividedBy(2)) >= 0) {
       servedSince = now;
     }
@@ -178,28 +178,28 @@
 
   private void checkSuspected(MonotonicTime now) {
     if (failingFor.isZero()) {
-      peersAheadSince = Optional.empty();
+      onlyPeersServedSince = Optional.empty();
       transitionTo(State.CONNECTED, "answered");
       return;
     }
-    comparePeers(now);
+    compareWithPeers(now);
     if (failingFor.compareTo(lostAfter) < 0) {
       return;
     }
     boolean confirmed =
-        peersAheadSince
+        onlyPeersServedSince
             .filter(since -> now.since(since).compareTo(confirmationTime()) >= 0)
             .isPresent();
     if (confirmed) {
-      peersAheadSince = Optional.empty();
+      onlyPeersServedSince = Optional.empty();
       onLost(now);
-    } else if (failingFor.toMillis() % SUSPICION_REPEAT.toMillis() < CHECK_INTERVAL.toMillis()) {
+    } else if (failingFor.toMillis() % PEER_QUERY_INTERVAL.toMillis() < CHECK_INTERVAL.toMillis()) {
       listener.onSuspected();
     }
   }
 
   private void checkLost(MonotonicTime now) {
-    if (listener.peerServedSince(now.minus(PEER_TIMEOUT))) {
+    if (listener.anyPeerServedSince(now.minus(PEER_TIMEOUT))) {
       lastPeerServedAt = now;
     }
     if (now.since(servedSince).compareTo(probation()) >= 0) {
@@ -214,12 +214,12 @@
    * store answers some controllers a moment before others: that is no loss, and calls made
    * meanwhile will show it.
    */
-  private void comparePeers(MonotonicTime now) {
+  private void compareWithPeers(MonotonicTime now) {
     MonotonicTime failingSince = now.minus(failingFor);
-    if (!listener.peerServedSince(failingSince.plus(PEER_ANSWER_MARGIN))) {
-      peersAheadSince = Optional.empty();
+    if (!listener.anyPeerServedSince(failingSince.plus(PEER_ANSWER_MARGIN))) {
+      onlyPeersServedSince = Optional.empty();
     } else {
-      peersAheadSince = Optional.of(peersAheadSince.orElse(now));
+      onlyPeersServedSince = Optional.of(onlyPeersServedSince.orElse(now));
       probe.run();
     }
   }
@@ -230,8 +230,11 @@
   }
 
   private void onLost(MonotonicTime now) {
-    losses = now.since(lostAt).compareTo(LOSS_MEMORY) > 0 ? 0 : Math.min(MAX_DOUBLINGS, losses + 1);
-    lostAt = now;
+    repeatedLosses =
+        now.since(lastLossAt).compareTo(LOSS_WINDOW) > 0
+            ? 0
+            : Math.min(MAX_DOUBLINGS, repeatedLosses + 1);
+    lastLossAt = now;
     lastPeerServedAt = now;
     servedSince = now;
     transitionTo(
@@ -240,7 +243,7 @@
 
   /** How long calls must be answered after a loss; doubles with each loss shortly after another. */
   private Duration probation() {
-    return FIRST_PROBATION.multipliedBy(1L << losses);
+    return FIRST_PROBATION.multipliedBy(1L << repeatedLosses);
   }
 
   /** The state of the connection. */
--- a/src/main/java/org/mulleinshift/membership/WorkerReachability.java
+++ b/src/main/java/org/mulleinshift/membership/WorkerReachability.java
@@ -55,7 +55,7 @@
    */
   private static final int SUSPICION_DIVISOR = 3;
 
-  private static final Duration MIN_CONCLUSIVE_GAP = Duration.ofMillis(1500);
+  private static final Duration MIN_HEARTBEAT_LOSS_TIMEOUT = Duration.ofMillis(1500);
 
   /** States of the connection to the workers, from good to bad. */
   public enum State {
@@ -93,22 +93,22 @@
   /**
    * What is known of the machines now.
    *
-   * @param known machines of the shards that this controller may act for
+   * @param expected machines of the shards that this controller may act for
    * @param unreachable those of them whose heartbeats have stopped
    */
-  public record Count(int known, int unreachable) {}
+  public record MachineCounts(int expected, int unreachable) {}
 
   /**
    * What the check needs of its controller.
    *
    * @param workers client for pings
-   * @param count counts the machines
+   * @param machineCounts counts the machines
    * @param addresses addresses of the machines
    * @param onChange called when the state has changed
    */
   public record Context(
       AsyncHttpClient workers,
-      Supplier<Count> count,
+      Supplier<MachineCounts> machineCounts,
       Supplier<List<InetSocketAddress>> addresses,
       Runnable onChange) {}
 
@@ -117,12 +117,12 @@
   private final Context context;
   private State state = State.REACHABLE;
   private Duration heartbeatGap = Duration.ZERO;
-  private MonotonicTime checkedAt;
-  private MonotonicTime changedAt;
-  private MonotonicTime pingedAt;
+  private MonotonicTime lastCheckAt;
+  private MonotonicTime stateChangedAt;
+  private MonotonicTime lastPingAt;
   private boolean heartbeatReceived;
   private boolean reachedSinceSuspected;
-  private int pings;
+  private int pingCount;
   private List<InetSocketAddress> lastKnownAddresses = List.of();
 
   /**
@@ -134,14 +134,14 @@
     this.loop = loop;
     this.heartbeatInterval = heartbeatInterval;
     this.context = context;
-    this.checkedAt = loop.now();
-    this.changedAt = checkedAt;
-    this.pingedAt = checkedAt;
+    this.lastCheckAt = loop.now();
+    this.stateChangedAt = lastCheckAt;
+    this.lastPingAt = lastCheckAt;
   }
 
   /** Starts the periodic check. */
   public void start() {
-    checkedAt = loop.now();
+    lastCheckAt = loop.now();
     loop.after(CHECK_INTERVAL, this::check);
   }
 
@@ -158,46 +158,47 @@
 
   private void check() {
     loop.after(CHECK_INTERVAL, this::check);
-    Duration gap = loop.now().since(checkedAt);
-    checkedAt = loop.now();
+    Duration gap = loop.now().since(lastCheckAt);
+    lastCheckAt = loop.now();
     // A check that runs late shows nothing: heartbeats may be queued behind it.
     boolean late = gap.compareTo(CHECK_INTERVAL.multipliedBy(2)) > 0;
     heartbeatGap = heartbeatReceived || late ? Duration.ZERO : heartbeatGap.plus(gap);
     heartbeatReceived = false;
-    State next = nextState(context.count().get());
+    State next = nextState(context.machineCounts().get());
     if (next != state) {
       transitionTo(next);
     }
-    if (state != State.REACHABLE && loop.now().since(pingedAt).compareTo(PING_INTERVAL) >= 0) {
+    if (state != State.REACHABLE && loop.now().since(lastPingAt).compareTo(PING_INTERVAL) >= 0) {
       ping();
     }
   }
 
-  private State nextState(Count count) {
-    Duration conclusiveGap = conclusiveGap(count.known(), heartbeatInterval);
-    boolean enoughMachines = noticesGaps(count.known());
-    if (enoughMachines && heartbeatGap.compareTo(conclusiveGap) >= 0) {
+  private State nextState(MachineCounts counts) {
+    Duration heartbeatLossTimeout = heartbeatLossTimeout(counts.expected(), heartbeatInterval);
+    boolean canDetectLoss = canDetectHeartbeatLoss(counts.expected());
+    if (canDetectLoss && heartbeatGap.compareTo(heartbeatLossTimeout) >= 0) {
       return State.ALL_UNREACHABLE;
     }
-    if (mostUnreachable(count)) {
+    if (mostUnreachable(counts)) {
       return state == State.ALL_UNREACHABLE ? state : State.MOST_UNREACHABLE;
     }
-    if (enoughMachines
-        && heartbeatGap.multipliedBy(SUSPICION_DIVISOR).compareTo(conclusiveGap) >= 0) {
+    if (canDetectLoss
+        && heartbeatGap.multipliedBy(SUSPICION_DIVISOR).compareTo(heartbeatLossTimeout) >= 0) {
       return state == State.REACHABLE ? State.SUSPECTED : state;
     }
-    return trustedAgain() ? State.REACHABLE : state;
+    return mayRecover() ? State.REACHABLE : state;
   }
 
-  private static boolean mostUnreachable(Count count) {
-    return count.known() >= MIN_MACHINES_FOR_MOST && 2 * count.unreachable() >= count.known();
+  private static boolean mostUnreachable(MachineCounts counts) {
+    return counts.expected() >= MIN_MACHINES_FOR_MOST
+        && 2 * counts.unreachable() >= counts.expected();
   }
 
-  private boolean trustedAgain() {
+  private boolean mayRecover() {
     return state == State.SUSPECTED
         || state == State.REACHABLE
         || reachedSinceSuspected
-        || loop.now().since(changedAt).compareTo(SUSPICION_TIMEOUT) >= 0;
+        || loop.now().since(stateChangedAt).compareTo(SUSPICION_TIMEOUT) >= 0;
   }
 
   /**
@@ -205,23 +206,25 @@
    * if it has too few to tell.
    */
   public static Optional<Duration> detectionTime(int machines, Duration heartbeatInterval) {
-    return noticesGaps(machines)
-        ? Optional.of(conclusiveGap(machines, heartbeatInterval))
+    return canDetectHeartbeatLoss(machines)
+        ? Optional.of(heartbeatLossTimeout(machines, heartbeatInterval))
         : Optional.empty();
   }
 
   /** Whether a controller with so many machines notices a gap in the heartbeats of all of them. */
-  static boolean noticesGaps(int machines) {
+  static boolean canDetectHeartbeatLoss(int machines) {
     return machines >= MIN_MACHINES_FOR_ALL;
   }
 
   /** The time in which {@link #MISSED_HEARTBEATS} heartbeats were due, jitter included. */
-  private static Duration conclusiveGap(int machines, Duration heartbeatInterval) {
-    Duration expected =
+  private static Duration heartbeatLossTimeout(int machines, Duration heartbeatInterval) {
+    Duration expectedTime =
         heartbeatInterval
             .multipliedBy(JITTER_NUMERATOR * MISSED_HEARTBEATS)
             .dividedBy(JITTER_DENOMINATOR * Math.max(1, machines));
-    return expected.compareTo(MIN_CONCLUSIVE_GAP) > 0 ? expected : MIN_CONCLUSIVE_GAP;
+    return expectedTime.compareTo(MIN_HEARTBEAT_LOSS_TIMEOUT) > 0
+        ? expectedTime
+        : MIN_HEARTBEAT_LOSS_TIMEOUT;
   }
 
   /** The only place where the state changes. */
@@ -239,20 +242,20 @@
       lastKnownAddresses = context.addresses().get();
     }
     state = next;
-    changedAt = loop.now();
+    stateChangedAt = loop.now();
     context.onChange().run();
   }
 
   /** Asks one of the machines known before, in turn, whether it can be reached. */
   private void ping() {
-    pingedAt = loop.now();
+    lastPingAt = loop.now();
     int machines = Math.min(MAX_PINGED_MACHINES, lastKnownAddresses.size());
     if (machines == 0) {
       return;
     }
     int step = Math.max(1, lastKnownAddresses.size() / machines);
     InetSocketAddress address =
-        lastKnownAddresses.get((pings++ * step) % lastKnownAddresses.size());
+        lastKnownAddresses.get((pingCount++ * step) % lastKnownAddresses.size());
     context
         .workers()
         .call(
--- a/src/main/java/org/mulleinshift/sharding/OwnedShards.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedShards.java
@@ -95,7 +95,7 @@
   private void tick() {
     loop.after(TICK, this::tick);
     if (!owned.isEmpty()) {
-      session.logOwnershipChange();
+      session.logLeaseValidityChange();
     }
     owned.values().forEach(ShardOwner::tick);
   }
@@ -104,7 +104,7 @@
    * Shards that this node may no longer act for are not counted: their machines may have gone to
    * others.
    */
-  private WorkerReachability.Count count() {
+  private WorkerReachability.MachineCounts count() {
     int expected = 0;
     int unreachable = 0;
     for (ShardOwner owner : owned.values()) {
@@ -113,7 +113,7 @@
         unreachable += owner.unreachableMachines();
       }
     }
-    return new WorkerReachability.Count(expected, unreachable);
+    return new WorkerReachability.MachineCounts(expected, unreachable);
   }
 
   private List<InetSocketAddress> addresses() {
--- a/src/main/java/org/mulleinshift/sharding/ShardGrants.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardGrants.java
@@ -77,8 +77,8 @@
     List<ShardView> known = new ArrayList<>(shards.all());
     known.removeIf(shard -> view.unreadableGrants().contains(shard.id()));
     Duration unacknowledgedLimit = silenceLimit.multipliedBy(2);
-    for (ShardAssigner.Move move :
-        assigner.moves(known, owners, candidates, unacknowledgedLimit, loop.now())) {
+    for (ShardAssigner.PlannedGrant move :
+        assigner.planGrants(known, owners, candidates, unacknowledgedLimit, loop.now())) {
       grant(shards.find(move.shard().id()).orElseThrow(), move.owner());
     }
   }
@@ -90,7 +90,8 @@
   private List<NodeId> eligibleOwners() {
     List<NodeId> live = new ArrayList<>(view.nodes().keySet());
     live.removeIf(node -> peers.timeSinceLastHeard(node).compareTo(silenceLimit) > 0);
-    Set<NodeId> ineligible = eligibility.ineligible(suspicionsByOwner(), live, loop.now());
+    Set<NodeId> ineligible =
+        eligibility.updateAndGetIneligible(suspicionsByOwner(), live, loop.now());
     if (!ineligible.containsAll(live)) {
       live.removeAll(ineligible);
     }
--- a/src/main/java/org/mulleinshift/sharding/ShardView.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardView.java
@@ -255,7 +255,7 @@
   }
 
   @Override
-  public Set<NodeId> reachedLately() {
+  public Set<NodeId> recentlyContactedControllers() {
     return suspicions.values().stream().map(Suspicion::reporter).collect(Collectors.toSet());
   }
 
--- a/src/test/java/org/mulleinshift/membership/IndirectLeaseRenewalTest.java
+++ b/src/test/java/org/mulleinshift/membership/IndirectLeaseRenewalTest.java
@@ -63,8 +63,8 @@
             }
 
             @Override
-            public boolean peerServedSince(MonotonicTime moment) {
-              return peers.anyServedSince(moment);
+            public boolean anyPeerServedSince(MonotonicTime moment) {
+              return peers.anyPeerServedSince(moment);
             }
 
             @Override
@@ -99,7 +99,7 @@
     return jobs;
   }
 
-  private WatchCache follow(String prefix, Runnable settled) {
+  private WatchCache follow(String prefix, Runnable onCaughtUp) {
     return new WatchCache(
         loop,
         store,
@@ -115,7 +115,7 @@
 
           @Override
           public void onCaughtUp(Revision revision) {
-            settled.run();
+            onCaughtUp.run();
           }
         });
   }
@@ -141,13 +141,13 @@
             : path.startsWith("/keys?")
                 ? "{\"rows\":[],\"more\":false,\"epoch\":3}"
                 : "{\"epoch\":3,\"news\":[]}";
-    boolean known = !path.startsWith("/keys/");
+    boolean keyExists = !path.startsWith("/keys/");
     boolean watching = path.startsWith("/changes") && !path.endsWith("hold_ms=0");
     boolean delayed = watchDelayed && path.startsWith("/changes");
     if (storeUnreachable || delayed) {
       loop.after(request.deadline(), () -> reply.accept(HttpResponse.NO_RESPONSE));
     } else if (!watching) {
-      loop.post(() -> reply.accept(new HttpResponse(known ? 200 : 404, body)));
+      loop.post(() -> reply.accept(new HttpResponse(keyExists ? 200 : 404, body)));
     }
   }
 
--- a/src/test/java/org/mulleinshift/membership/VirtualEventLoop.java
+++ b/src/test/java/org/mulleinshift/membership/VirtualEventLoop.java
@@ -12,22 +12,24 @@
   private static final double NANOS_PER_SECOND = 1e9;
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  private record Step(long at, long order, Runnable run) {}
+  private record ScheduledStep(long dueNanos, long sequence, Runnable run) {}
 
-  private final PriorityQueue<Step> steps =
-      new PriorityQueue<>(Comparator.comparingLong(Step::at).thenComparingLong(Step::order));
-  private long now;
-  private long order;
+  private final PriorityQueue<ScheduledStep> steps =
+      new PriorityQueue<>(
+          Comparator.comparingLong(ScheduledStep::dueNanos)
+              .thenComparingLong(ScheduledStep::sequence));
+  private long nowNanos;
+  private long sequence;
 
   /** Runs the steps that are due within the next seconds, in the order of their times. */
   public void runFor(double seconds) {
-    long end = now + (long) (seconds * NANOS_PER_SECOND);
-    while (!steps.isEmpty() && steps.peek().at <= end) {
-      Step next = steps.poll();
-      now = next.at;
+    long end = nowNanos + (long) (seconds * NANOS_PER_SECOND);
+    while (!steps.isEmpty() && steps.peek().dueNanos <= end) {
+      ScheduledStep next = steps.poll();
+      nowNanos = next.dueNanos;
       next.run.run();
     }
-    now = end;
+    nowNanos = end;
   }
 
   @Override
@@ -37,18 +39,18 @@
 
   @Override
   public Timer after(Duration delay, Runnable step) {
-    steps.add(new Step(now + delay.toNanos(), order++, step));
+    steps.add(new ScheduledStep(nowNanos + delay.toNanos(), sequence++, step));
     return () -> {};
   }
 
   @Override
   public MonotonicTime now() {
-    return new MonotonicTime(now);
+    return new MonotonicTime(nowNanos);
   }
 
   @Override
   public long wallMillis() {
-    return now / NANOS_PER_MILLI;
+    return nowNanos / NANOS_PER_MILLI;
   }
 
   @Override
