--- a/src/main/java/org/mulleinshift/membership/AssignableShard.java
+++ b/src/main/java/org/mulleinshift/membership/AssignableShard.java
@@ -8,38 +8,41 @@
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** A shard as far as it matters for who owns it. */
+/** What {@link ShardAssigner} needs to know of a shard in order to choose its owner. */
 public interface AssignableShard {
   /** The shard's id. */
   ShardId id();
 
-  /** The zone of its machines. */
+  /** The zone of the shard's machines. */
   ZoneId zone();
 
-  /** How many machines it has. */
+  /** The number of machines in the shard. */
   int machineCount();
 
-  /** The controller that the shard is granted to; empty without a grant. */
+  /** The controller that the shard is granted to; empty if it has no grant. */
   Optional<NodeId> owner();
 
-  /** The last owner by the stored record: its machines report there. Advice only. */
+  /**
+   * The controller that last owned the shard, to which its machines send their heartbeats. A hint
+   * only: it may be out of date.
+   */
   Optional<NodeId> lastOwner();
 
-  /** For how long it has had no grant at all. */
+  /** Time for which the shard has had no grant; zero if it has one. */
   Duration unownedFor(MonotonicTime now);
 
-  /** Controllers, other than its owner, that its machines have lately reported to. */
+  /** Controllers other than the owner that recently received heartbeats of the shard's machines. */
   Set<NodeId> recentlyContactedControllers();
 
-  /** For how long it has had its present grant, or none. */
+  /** Time since the shard's grant last changed. */
   Duration grantUnchangedFor(MonotonicTime now);
 
-  /** The next owner, while the grant is being stored. */
+  /** The next owner, while its grant is being written to the store; empty otherwise. */
   Optional<NodeId> pendingOwner();
 
   /**
-   * For how long the owner has not acknowledged anything new that was sent to it. Asking has an
-   * effect: that nothing is outstanding is noted as of {@code now}.
+   * Time since the owner last made progress in acknowledging what was sent to it. The call has a
+   * side effect: if nothing is outstanding, it resets that time to {@code now}.
    */
   Duration unacknowledgedFor(MonotonicTime now);
 }
--- a/src/main/java/org/mulleinshift/membership/ControllerSession.java
+++ b/src/main/java/org/mulleinshift/membership/ControllerSession.java
@@ -24,24 +24,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This process's session lease at the store, to which its shard grants are bound, and the evidence
- * that the grants are current. How long this controller may act on them is decided by its {@link
- * OwnershipLease}.
+ * The session lease of this process in the store, to which its shard grants are attached, and the
+ * evidence that the grants are current. The {@link OwnershipLease} determines for how long this
+ * controller may act on them.
  */
 public final class ControllerSession {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerSession.class);
   private static final Duration RETRY_DELAY = Duration.ofMillis(500);
 
-  /** Changes of several grants that are watched within this time share one read. */
+  /** Watched grant changes that arrive within this time are verified by a single read. */
   private static final Duration GRANT_VERIFICATION_DELAY = Duration.ofMillis(5);
 
   /** States of the session. */
   public enum State {
-    /** Revoking the leases of this controller's earlier process, which has certainly ended. */
+    /** Revoking the leases of this controller's previous process, which is known to have ended. */
     REVOKING_OLD,
-    /** Asking the store for a lease. */
+    /** Requesting a lease from the store. */
     ACQUIRING,
-    /** Creating this controller's node key, bound to the lease. */
+    /** Creating this controller's node key, attached to the lease. */
     REGISTERING,
     /** The node key exists and the lease is being renewed. */
     ACTIVE
@@ -63,13 +63,13 @@
   private boolean verificationScheduled;
 
   /**
-   * A session that has not started.
+   * Creates a session that has not started.
    *
-   * @param ttl lifetime of the session lease, and of the shard leases
+   * @param ttl lifetime of the session lease and of the shard leases
    * @param renewInterval time between two renewals
-   * @param confirmCancellations asks the store whether all cancellations are known; {@link
-   *     #onCancellationsKnown} reports the result
-   * @param onChange called when the state or the verified grants have changed
+   * @param confirmCancellations checks with the store that all cancellations are known; the result
+   *     is passed to {@link #onCancellationsKnown}
+   * @param onChange called when the state or the verified grants change
    */
   public ControllerSession(
       EventLoop loop,
@@ -90,7 +90,7 @@
     this.grantsVerifiedAsOf = loop.now().minus(ttl);
   }
 
-  /** Ends what an earlier process of this controller left at the store, then opens a session. */
+  /** Revokes the leases that the previous process left in the store, then opens a session. */
   public void start() {
     clearLeaderKey();
   }
@@ -101,7 +101,7 @@
     onChange.run();
   }
 
-  /** A restarted leader frees the leader key at once instead of waiting for its lease to expire. */
+  /** Lets a restarted leader free the leader key without waiting for its old lease to expire. */
   private void clearLeaderKey() {
     store.get(
         StoreKeys.LEADER,
@@ -174,7 +174,8 @@
             transitionTo(State.ACTIVE);
             renew(ownLease);
           } else {
-            // Without an answer the key may have been created: start over, which finds it.
+            // If the response was lost the key may exist: starting over finds it and revokes its
+            // lease.
             loop.after(RETRY_DELAY, this::clearNodeKey);
           }
         });
@@ -193,7 +194,7 @@
         ownLease,
         answer -> {
           if (!lease.equals(Optional.of(ownLease))) {
-            // Meanwhile a peer reported that it has expired.
+            // A peer has reported its expiry in the meantime.
             return;
           }
           if (answer instanceof ReadResult.Found<Boolean>) {
@@ -232,11 +233,11 @@
   }
 
   /**
-   * A peer renewed the session lease and read the grants on behalf of this controller. Both
-   * happened after the request was sent, so the evidence counts from then.
+   * Called when a peer has renewed the session lease and read the grants on behalf of this
+   * controller. Both happened after the request was sent, so the evidence is valid as of then.
    *
    * @param sent when this controller sent the request
-   * @param ownGrants the grants of this controller
+   * @param ownGrants the current grants of this controller
    */
   public void onRenewedByPeer(
       LeaseId renewed, MonotonicTime sent, Map<ShardId, Revision> ownGrants) {
@@ -246,14 +247,14 @@
     }
   }
 
-  /** A peer found that the session lease has expired. */
+  /** Called when a peer reports that the session lease has expired. */
   public void onExpiryReportedByPeer(LeaseId expired) {
     if (state == State.ACTIVE && lease.equals(Optional.of(expired))) {
       onLeaseExpired(expired);
     }
   }
 
-  /** Reads the current grants. A watch does not confirm them: its changes may be delayed. */
+  /** Reads the current grants. A watch can't confirm them since its events may be delayed. */
   private void verifyGrants() {
     MonotonicTime sent = loop.now();
     store.readAll(
@@ -272,7 +273,7 @@
         });
   }
 
-  /** Reads the grants shortly; called when a watch shows a change of a grant. */
+  /** Schedules a read of the grants; called when a watch shows that a grant has changed. */
   public void scheduleGrantVerification() {
     if (verificationScheduled || state != State.ACTIVE) {
       return;
@@ -287,28 +288,28 @@
   }
 
   /**
-   * Every cancellation stored before that moment is known to this controller.
+   * Records that this controller knows every cancellation stored before the given time.
    *
-   * @param requestedAt when the request was sent whose response showed it
+   * @param requestedAt when the request was sent whose response showed this
    */
   public void onCancellationsKnown(MonotonicTime requestedAt) {
     ownership.confirm(Evidence.CANCELLATIONS_KNOWN, requestedAt);
   }
 
   /**
-   * Whether this controller may act as the owner of the shard under that grant. Checked whenever it
-   * acts, not only by a timer: timers may go off late.
+   * Whether this controller may act as the owner of the shard under the grant. Checked before every
+   * action, since a timer that ended ownership could fire late.
    */
   public boolean isValidOwner(ShardId shard, Revision grant) {
     return hasValidOwnershipLease() && grant.equals(verifiedGrants.get(shard));
   }
 
-  /** Whether this controller may act as the owner of the shards granted to it. */
+  /** Whether the session is active and its ownership lease is valid. */
   boolean hasValidOwnershipLease() {
     return state == State.ACTIVE && ownership.isValid(loop.now());
   }
 
-  /** Logs changes of the ownership lease; called a few times a second while shards are owned. */
+  /** Logs when the ownership lease becomes valid or expires; called periodically by an owner. */
   public void logLeaseValidityChange() {
     boolean valid = hasValidOwnershipLease();
     if (lastLoggedValid && !valid) {
@@ -319,12 +320,12 @@
     lastLoggedValid = valid;
   }
 
-  /** The grants of this controller as last read from the store. */
+  /** This controller's grants as last read from the store. */
   public Map<ShardId, Revision> verifiedGrants() {
     return verifiedGrants;
   }
 
-  /** The session lease, while the session is active. */
+  /** The session lease; empty unless the session is active. */
   public Optional<LeaseId> lease() {
     return state == State.ACTIVE ? lease : Optional.empty();
   }
--- a/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
+++ b/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
@@ -30,27 +30,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Lease renewal through a peer. A controller that lost the store asks a peer that the store serves
- * to renew its session lease and to read what has changed among the control keys and among the
- * active jobs, where cancellations are recorded; so it keeps its shards. The peer does this after
- * the request was sent: each {@link OwnershipLease.Evidence} counts from when it was requested.
+ * Lease renewal through a peer, by which a controller that lost the store keeps its shards. It asks
+ * a peer that the store serves to renew its session lease and to read the changes of the control
+ * keys and of the active jobs, where cancellations are recorded. The peer does so after the request
+ * was sent, so each piece of {@link OwnershipLease.Evidence} is dated by its request.
  *
- * <p>The request for the active jobs names no lease. A peer of an earlier build finds that lease
- * expired and reports so, which is evidence of nothing.
+ * <p>The request for the active jobs has lease id 0, which no lease has. A peer running an earlier
+ * build reports that lease as expired; such a response is ignored.
  */
 public final class IndirectLeaseRenewal {
   private static final Logger LOG = LoggerFactory.getLogger(IndirectLeaseRenewal.class);
   private static final Duration REQUEST_INTERVAL = Duration.ofSeconds(1);
 
-  /** Longer responses are not sent; the lease of the sender of the request then expires. */
+  /**
+   * Limit on the values in a response. Beyond it the response is sent as incomplete, without the
+   * changes, and the requesting controller's ownership lease expires.
+   */
   private static final int MAX_RESPONSE_CHARACTERS = 1 << 19;
 
   private static final LeaseId NO_LEASE = new LeaseId(0);
   private static final Duration INVALID_RESPONSE_LOG_INTERVAL = Duration.ofMinutes(1);
 
   /**
-   * A request without a response so far; {@code since} is the revision up to which changes are
-   * known.
+   * A request without a response so far.
+   *
+   * @param sinceRevision the revision up to which changes are known
    */
   private record PendingRequest(LeaseId lease, Revision sinceRevision, MonotonicTime sentAt) {
     String prefix() {
@@ -76,14 +80,14 @@
   private Optional<MonotonicTime> invalidResponseLoggedAt = Optional.empty();
 
   /**
-   * What the renewal needs of its controller.
+   * The components that lease renewal uses.
    *
-   * @param storeHealth health of the connection to the store
-   * @param failureDetector which peers the store serves
+   * @param storeHealth health of this controller's connection to the store
+   * @param failureDetector knows which peers the store serves
    * @param session the session to renew
-   * @param view the control keys, updated through {@code control}
-   * @param controlKeys the cached control keys
-   * @param activeJobs the cached records of active jobs
+   * @param view the state read from the control keys, updated through {@code controlKeys}
+   * @param controlKeys cache of the control keys
+   * @param activeJobs cache of the active jobs' records
    */
   public record Context(
       KeyValueStore store,
@@ -95,7 +99,7 @@
       WatchCache activeJobs) {}
 
   /**
-   * Sends nothing before {@link #start}.
+   * Creates an inactive instance; {@link #start} sends the first request.
    *
    * @param sendToPeer sends a message to a peer
    */
@@ -113,7 +117,7 @@
     this.sendToPeer = sendToPeer;
   }
 
-  /** The store was lost: requests renewals from now on until it is back. */
+  /** Called when the store is lost; requests renewals periodically until it is back. */
   public void start() {
     if (!running) {
       running = true;
@@ -136,7 +140,7 @@
     pendingRequests
         .values()
         .removeIf(old -> loop.now().since(old.sentAt).compareTo(REQUEST_INTERVAL) > 0);
-    // In turn: a peer that does not answer costs one attempt.
+    // Round-robin, so that an unresponsive peer costs only one attempt.
     NodeId peer = served.get((int) (attempts % served.size()));
     attempts++;
     requestRenewal(peer, lease.get(), controlKeys.revision());
@@ -149,7 +153,10 @@
     sendToPeer.accept(peer, new LeaseRenewalRequest(id, lease.value(), sinceRevision.value()));
   }
 
-  /** A peer without the store asks for a renewal. Costs three requests at the store, no write. */
+  /**
+   * Handles the request of a peer that lost the store. Both requests of a renewal together cost
+   * three requests to the store and no write.
+   */
   public void onRequest(NodeId peer, LeaseRenewalRequest request) {
     if (storeHealth.state() != StoreHealth.State.CONNECTED) {
       return;
@@ -205,8 +212,8 @@
   }
 
   /**
-   * A peer's response. What it shows counts from when this controller sent the request; a response
-   * to no pending request is out of date and ignored.
+   * Handles a peer's response. What it shows is valid as of when this controller sent the request.
+   * A response that matches no pending request is outdated and ignored.
    */
   public void onResponse(NodeId peer, LeaseRenewalResponse response) {
     PendingRequest request = pendingRequests.remove(response.getId());
@@ -214,13 +221,13 @@
       return;
     }
     if (request.lease.value() != response.getLease()) {
-      onInvalidResponse(peer, "of another lease");
+      onInvalidResponse(peer, "response for another lease");
     } else if (response.getExpired()) {
       if (!request.lease.equals(NO_LEASE)) {
         session.onExpiryReportedByPeer(request.lease);
       }
     } else if (!response.getComplete()) {
-      onInvalidResponse(peer, "too much has changed");
+      onInvalidResponse(peer, "too many changes");
     } else {
       apply(peer, request, response);
     }
@@ -235,7 +242,7 @@
       return;
     }
     if (request.lease.equals(NO_LEASE)) {
-      // The cache notifies the session once it is current.
+      // The cache notifies the session once it has applied the changes.
       activeJobs.offer(changes, request.sentAt);
     } else if (controlKeys.offer(changes, request.sentAt)) {
       session.onRenewedByPeer(request.lease, request.sentAt, ownGrants());
@@ -257,13 +264,14 @@
   private static Changes parse(PendingRequest request, LeaseRenewalResponse response)
       throws MalformedMessageException {
     if (response.getRevision() < request.sinceRevision.value()) {
-      throw new MalformedMessageException("of an earlier revision than asked for");
+      throw new MalformedMessageException("revision older than the requested one");
     }
     List<Change> changes = new ArrayList<>();
     for (KeyChange change : response.getChanges()) {
       if (!change.getKey().startsWith(request.prefix())
           || change.getVersion() > response.getRevision()) {
-        throw new MalformedMessageException(change.getKey() + " does not belong there");
+        throw new MalformedMessageException(
+            change.getKey() + " is outside the requested prefix or revision");
       }
       Optional<JsonNode> value =
           change.getValue().isEmpty()
--- a/src/main/java/org/mulleinshift/membership/LeaderElection.java
+++ b/src/main/java/org/mulleinshift/membership/LeaderElection.java
@@ -19,57 +19,57 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Leader election by compare-and-swap: the controller that creates the leader key, bound to a lease
- * of its own, leads for one term. Each of the leader's writes is conditional on the key being the
- * one that it created.
+ * Leader election by compare-and-swap: the controller that creates the leader key, attached to its
+ * own lease, leads for one term. Every write of the leader is conditional on the leader key still
+ * being the one that it created.
  */
 public final class LeaderElection {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
 
-  /** How long the other controllers wait for the successor that the old leader has chosen. */
+  /** How long the other controllers leave the leader key to the successor chosen by the leader. */
   private static final Duration SUCCESSOR_GRACE = Duration.ofMillis(600);
 
-  /** Range of the random delay that keeps candidates from trying at the same moment. */
+  /** Range of the random delay that keeps candidates from campaigning simultaneously. */
   private static final double MIN_CAMPAIGN_JITTER_MS = 50;
 
   private static final double CAMPAIGN_JITTER_RANGE_MS = 250;
 
-  /** Range of the random delay before another attempt after a lost campaign. */
+  /** Range of the random delay before the next attempt after an unsuccessful campaign. */
   private static final double MIN_RETRY_MS = 300;
 
   private static final double RETRY_RANGE_MS = 400;
 
-  /** The lease is renewed this many times in its lifetime. */
+  /** Number of lease renewals per lease lifetime. */
   private static final int RENEWALS_PER_TTL = 4;
 
-  /** After a renewal without an answer the next one follows sooner. */
+  /** The same after a failed renewal: the next attempt follows sooner. */
   private static final int RETRIES_PER_TTL = 8;
 
-  /** The share of the lease's lifetime, in tenths, during which the leader relies on it. */
+  /** Tenths of the lease's lifetime during which the leader relies on it. */
   private static final int USABLE_TENTHS = 9;
 
   private static final int TENTHS = 10;
 
   /** Role of this controller in the election. */
   public enum State {
-    /** Another controller leads, or nobody does and this one is not ready. */
+    /** Another controller leads, or none does and this one is not campaigning. */
     FOLLOWING,
-    /** The leader key is free and this controller tries to create it. */
+    /** The leader key is free and this controller is trying to create it. */
     CANDIDATE,
     /** This controller created the leader key and has not lost it. */
     LEADING
   }
 
-  /** Notified when a term of this controller starts and ends. */
+  /** Receives the start and the end of each term of this controller. */
   public interface Listener {
     /**
-     * This controller leads now.
+     * Called when this controller has become the leader.
      *
-     * @param term the revision at which the leader key was created
+     * @param term the store revision at which the leader key was created
      */
     void onElected(Revision term);
 
-    /** This controller leads no more; called once for each {@link #onElected}. */
+    /** Called when this controller no longer leads, once for each {@link #onElected}. */
     void onLeadershipLost();
   }
 
@@ -85,14 +85,14 @@
   private MonotonicTime renewedAt;
   private MonotonicTime campaignNotBefore;
 
-  /** The next campaign starts without delay. */
+  /** Whether the next campaign starts without delay. */
   private boolean skipCampaignDelay;
 
   /**
-   * A follower; it campaigns once {@link #observe} shows that the leader key is free.
+   * Creates a follower, which campaigns once {@link #observe} shows that the leader key is free.
    *
-   * @param ttl lifetime of the lease that the leader key is bound to
-   * @param campaignDelay how long a free key is left to another controller
+   * @param ttl lifetime of the lease that the leader key is attached to
+   * @param campaignDelay how long a free leader key is left to another controller
    */
   public LeaderElection(
       EventLoop loop,
@@ -128,7 +128,8 @@
   }
 
   /**
-   * Called whenever the view of the control keys changes.
+   * Called whenever the view of the control keys, or the readiness to lead, may have changed.
+   * Resigns if a newer leader exists, and campaigns if the leader key is free.
    *
    * @param ready whether this controller is able to lead
    */
@@ -140,7 +141,7 @@
       }
     } else if (state == State.FOLLOWING && ready && view.leader().isEmpty()) {
       transitionTo(State.CANDIDATE);
-      // Drawn also by the chosen successor, which does not wait.
+      // A chosen successor draws a random number too, although it does not wait.
       Duration jitter = randomDelay(MIN_CAMPAIGN_JITTER_MS, CAMPAIGN_JITTER_RANGE_MS);
       Duration delay = skipCampaignDelay ? Duration.ZERO : gracePeriod().plus(jitter);
       loop.after(delay, () -> campaign(view));
@@ -148,7 +149,7 @@
     }
   }
 
-  /** How long a free leader key is left to a chosen successor or to the standby. */
+  /** How long a free leader key is left to a chosen successor or the standby. */
   private Duration gracePeriod() {
     Duration untilAllowed =
         campaignNotBefore.isAfter(loop.now()) ? campaignNotBefore.since(loop.now()) : Duration.ZERO;
@@ -190,7 +191,7 @@
             transitionTo(State.LEADING);
             renew(ownLease);
           } else {
-            // The key may have been created although the answer was lost: it goes with this lease.
+            // If the response was lost the key may exist: revoking the lease deletes it.
             store.revokeLease(ownLease, revoked -> {});
             lease = Optional.empty();
             retryLater(view);
@@ -232,9 +233,9 @@
   }
 
   /**
-   * Ends the term of this controller; does nothing if it does not lead.
+   * Ends the term of this controller; does nothing unless it leads.
    *
-   * @param reason for the log
+   * @param reason written to the log
    */
   public void resign(String reason) {
     if (state == State.LEADING) {
@@ -243,10 +244,10 @@
     }
   }
 
-  /** A term, and the lease that its leader key is bound to. */
+  /** A term and the lease that its leader key is attached to. */
   public record TermLease(Revision term, LeaseId lease) {}
 
-  /** The current term and its lease, so that a peer can revoke it; empty unless leading. */
+  /** The current term and its lease, which a successor revokes; empty unless leading. */
   public Optional<TermLease> termLease() {
     return state == State.LEADING
         ? lease.map(ownLease -> new TermLease(term, ownLease))
@@ -254,14 +255,13 @@
   }
 
   /**
-   * This controller is to succeed the leader of a term: revokes that leader's lease, and campaigns
-   * without delay once the leader key is free.
+   * Takes over from a leader that has resigned or was found to have failed: revokes its lease, and
+   * campaigns without delay once the leader key is free.
    *
-   * <p>The leader has resigned, or was found to have failed. Revoking its lease is safe: every
-   * write of its term is conditional on the leader key. A call that comes late revokes nothing: the
-   * lease has expired long before.
+   * <p>Revoking the lease is safe, since every write of that term is conditional on the leader key.
+   * A call that comes late has no effect, because that lease has already expired.
    *
-   * @param ended the term of that leader
+   * @param ended the term to end
    */
   public void takeOver(TermLease ended, ClusterView view) {
     if (state == State.FOLLOWING) {
@@ -271,10 +271,10 @@
   }
 
   /**
-   * Another controller was chosen to succeed a leader that resigned. This one leaves the leader key
-   * to it for a while, and revokes the lease itself if the successor has not done so by then.
+   * Leaves the leader key for a grace period to another controller, which a resigned leader chose
+   * as its successor. Revokes the old lease if the successor has not done so by then.
    *
-   * @param ended the term that its leader resigned from
+   * @param ended the term that the leader resigned from
    */
   public void deferToSuccessor(TermLease ended, ClusterView view) {
     if (state != State.FOLLOWING) {
@@ -294,12 +294,12 @@
     return view.leader().filter(leader -> leader.term().equals(known.term())).isPresent();
   }
 
-  /** Whether this controller leads, as far as it knows. */
+  /** Whether this controller believes that it leads; its lease may have expired. */
   public boolean isLeading() {
     return state == State.LEADING;
   }
 
-  /** Whether, by this controller's own steady clock, no other controller can lead now. */
+  /** Whether, by this controller's monotonic clock, no other controller can lead now. */
   public boolean holdsValidLease() {
     Duration usable = ttl.multipliedBy(USABLE_TENTHS).dividedBy(TENTHS);
     return isLeading() && renewedAt.plus(usable).isAfter(loop.now());
--- a/src/main/java/org/mulleinshift/membership/LeadershipTerm.java
+++ b/src/main/java/org/mulleinshift/membership/LeadershipTerm.java
@@ -1,10 +1,10 @@
 package org.mulleinshift.membership;
 
-/** Whether this controller may act as the leader of one term. */
+/** One term of this controller as the leader. */
 public interface LeadershipTerm {
-  /** The term has loaded its state and has not ended. */
+  /** Whether the term has loaded its state and has not ended. */
   boolean isActive();
 
-  /** By this controller's own clock no other controller can lead now. */
+  /** Whether, by this controller's monotonic clock, no other controller can lead now. */
   boolean hasValidLease();
 }
--- a/src/main/java/org/mulleinshift/membership/OwnerEligibility.java
+++ b/src/main/java/org/mulleinshift/membership/OwnerEligibility.java
@@ -13,23 +13,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides which controllers may own shards. One that is cut off from its workers alone looks
- * healthy to its peers and to the store. Two observations together show that the controller is at
- * fault, not a zone or the machines: it reports itself that its machines' heartbeats have stopped,
- * and either its machines report to other controllers, or all of them have stopped while other
- * controllers reach theirs. It gets no shards until it reaches its workers again and for a
- * probation after that, which is longer each time.
+ * Decides which controllers may own shards. A controller that is cut off from nothing but its
+ * workers looks healthy to its peers and to the store. Two observations together show that the
+ * controller is at fault, rather than a zone or the machines: it reports that its machines'
+ * heartbeats have stopped; and either its machines report to other controllers, or the heartbeats
+ * of all its machines have stopped while other controllers reach theirs. It gets no shards until it
+ * reaches its workers again and has completed a probation, which doubles with each incident.
  */
 public final class OwnerEligibility {
   private static final Logger LOG = LoggerFactory.getLogger(OwnerEligibility.class);
   private static final Duration FIRST_PROBATION = Duration.ofSeconds(5);
 
-  /** An incident after this time counts as the first one again. */
+  /** If no incident occurs for longer than this, the next one counts as the first. */
   private static final Duration INCIDENT_WINDOW = Duration.ofMinutes(3);
 
   private static final int MAX_DOUBLINGS = 4;
 
-  /** The incidents of one controller. */
+  /** The incident history of one controller. */
   private static final class Incidents {
     private int count;
     private boolean unreachable;
@@ -41,19 +41,20 @@
   private final Map<NodeId, Incidents> incidents = new HashMap<>();
 
   /**
-   * All controllers are eligible at first.
+   * Creates an instance in which all controllers are eligible.
    *
-   * @param reachability whether a controller reaches its workers, by its own report
+   * @param reachability whether a controller reaches its workers, as it reports itself
    */
   public OwnerEligibility(Function<NodeId, WorkerReachability.State> reachability) {
     this.reachability = reachability;
   }
 
   /**
-   * The controllers that may not own shards now; all are judged together, before any shard moves.
+   * Updates the state of all live controllers and returns those that may not own shards now. All
+   * are evaluated together, before any shard is granted.
    *
-   * @param suspicionCounts how many machines of each owner reported to another controller lately
-   * @param live the controllers that could own shards
+   * @param suspicionCounts how many machines of each owner recently reported to another controller
+   * @param live the controllers that would otherwise be able to own shards
    */
   public Set<NodeId> updateAndGetIneligible(
       Map<NodeId, Integer> suspicionCounts, Collection<NodeId> live, MonotonicTime now) {
@@ -85,7 +86,7 @@
         onReachableAgain(node, history, now);
       }
     } else if ((allUnreachable && anyReachesWorkers) || (mostUnreachable && suspected)) {
-      // Where no controller reaches its workers, the controller is not at fault.
+      // If no controller reaches its workers, this one is not at fault.
       recordIncident(node, now);
     }
   }
@@ -100,7 +101,9 @@
     LOG.info("owner ineligible, node={} reason=workers unreachable", node);
   }
 
-  /** The controller's own report is evidence of its workers; each probation is longer. */
+  /**
+   * The controller's own report suffices to start the probation, which doubles with each incident.
+   */
   private static void onReachableAgain(NodeId node, Incidents history, MonotonicTime now) {
     Duration probation =
         FIRST_PROBATION.multipliedBy(1L << Math.min(history.count - 1, MAX_DOUBLINGS));
--- a/src/main/java/org/mulleinshift/membership/OwnershipLease.java
+++ b/src/main/java/org/mulleinshift/membership/OwnershipLease.java
@@ -7,24 +7,26 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Until when a shard owner may answer workers, start tasks and let them run, by its own steady
- * clock: one shard lease after the oldest of three moments. Each moment is the one at which a
- * request was sent whose response gave the {@link Evidence}, whoever carried it: what the response
- * shows is true of that moment or a later one. The store can't have expired the session by then, no
- * grant can have been revoked, and every cancellation that was confirmed before was known. A
- * cancellation that was not known is followed by the expiry of this lease and then of the workers'
- * leases within the time allowed for a cancellation (see {@code docs/cancellation.md}).
+ * The time until which a shard owner may answer workers, start tasks and let them run, by its own
+ * monotonic clock. The lease lasts for one shard lease after the oldest of its three pieces of
+ * {@link Evidence}.
+ *
+ * <p>Evidence is dated by when the request was sent, directly or through a peer: what the response
+ * shows was true at that time or later. So at these times the session had not expired, no grant had
+ * been revoked, and every cancellation confirmed until then was known. After a cancellation that is
+ * not known, this lease and then the workers' leases expire within the time allowed for a
+ * cancellation (see {@code docs/cancellation.md}).
  */
 public final class OwnershipLease {
-  /** Kept free for the time between the check and the action. */
+  /** Allows for the time between the validity check and the action. */
   private static final Duration SAFETY_MARGIN = Duration.ofMillis(200);
 
-  /** Bound on the rate by which two steady clocks differ. */
+  /** Upper bound on the relative rate difference of two monotonic clocks. */
   private static final double MAX_CLOCK_DRIFT = 0.001;
 
-  /** What must be known, each as of its own moment. */
+  /** What the owner must know; each piece has its own time. */
   public enum Evidence {
-    /** The store has renewed the session lease. */
+    /** The store renewed the session lease. */
     SESSION_RENEWED,
     /** The shard grants were read from the store. */
     GRANTS_READ,
@@ -36,9 +38,9 @@
   private final Map<Evidence, MonotonicTime> evidenceAsOf = new EnumMap<>(Evidence.class);
 
   /**
-   * A lease without any evidence, and so not valid.
+   * Creates a lease without evidence, which is not valid.
    *
-   * @param lease lifetime of a shard lease
+   * @param lease duration of a shard lease
    */
   OwnershipLease(Duration lease) {
     this.usableFor =
@@ -46,7 +48,7 @@
   }
 
   /**
-   * The only place where the lease is extended.
+   * Records evidence; nothing else extends the lease.
    *
    * @param requestedAt when the request was sent whose response gave the evidence
    */
@@ -54,12 +56,12 @@
     evidenceAsOf.merge(evidence, requestedAt, (known, next) -> next.isAfter(known) ? next : known);
   }
 
-  /** The evidence no longer counts, however fresh it was. */
+  /** Discards the evidence; the lease is invalid until it is confirmed again. */
   void invalidate(Evidence evidence) {
     evidenceAsOf.remove(evidence);
   }
 
-  /** Whether the owner may act at this moment. */
+  /** Whether the owner may act at the given time. */
   boolean isValid(MonotonicTime now) {
     return evidenceAsOf.size() == Evidence.values().length
         && evidenceAsOf.values().stream()
@@ -72,7 +74,7 @@
     return requestedAt != null && now.since(requestedAt).compareTo(maxAge) < 0;
   }
 
-  /** The evidence that expires first, or that is missing, for the log. */
+  /** Describes for the log which evidence is missing or else the oldest. */
   String describeOldest(MonotonicTime now) {
     for (Evidence evidence : Evidence.values()) {
       if (!evidenceAsOf.containsKey(evidence)) {
--- a/src/main/java/org/mulleinshift/membership/PeerFailureDetector.java
+++ b/src/main/java/org/mulleinshift/membership/PeerFailureDetector.java
@@ -18,11 +18,11 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Failure detector for the other controllers: when each peer was last heard, and what each reports
- * of its own connections in its heartbeats.
+ * Failure detector for the other controllers: records when each peer was last heard, and what each
+ * reports about its own connections in its heartbeats.
  */
 public final class PeerFailureDetector {
-  /** A heartbeat older than this shows nothing of the present state of its sender. */
+  /** A heartbeat older than this says nothing about the current state of its sender. */
   public static final Duration HEARTBEAT_TIMEOUT = Duration.ofMillis(2500);
 
   private record ReceivedHeartbeat(Heartbeat heartbeat, MonotonicTime receivedAt) {}
@@ -35,27 +35,28 @@
   private final Map<NodeId, ReceivedHeartbeat> heartbeats =
       new TreeMap<>(Comparator.comparing(NodeId::value));
 
-  /** A detector that has heard no peer yet. */
+  /** Creates a detector that has not heard any peer yet. */
   public PeerFailureDetector(EventLoop loop, NodeId self) {
     this.loop = loop;
     this.self = self;
     this.startedAt = loop.now();
   }
 
-  /** A message arrived from the peer itself. */
+  /** Called when a frame arrives directly from the peer. */
   public void onDirectMessage(NodeId peer) {
     lastHeardAt.put(peer, loop.now());
     lastHeardDirectlyAt.put(peer, loop.now());
   }
 
-  /** A message of the peer arrived by way of another controller. */
+  /** Called when a frame from the peer arrives through another controller. */
   public void onRelayedMessage(NodeId peer) {
     lastHeardAt.put(peer, loop.now());
   }
 
   /**
-   * A controller that can relay a frame to a peer: none if the peer and this controller receive
-   * each other's messages, as far as each reports, or if no controller receives the peer's.
+   * Finds a controller that can relay a frame to the peer. Empty if this controller and the peer
+   * receive each other's messages, as far as known, or if no controller heard by this one has
+   * recently heard the peer.
    */
   public Optional<NodeId> findRelayTo(NodeId peer) {
     boolean notHeard = timeSinceDirectMessage(peer).compareTo(HEARTBEAT_TIMEOUT) >= 0;
@@ -83,18 +84,18 @@
     return loop.now().since(lastHeardDirectlyAt.getOrDefault(peer, startedAt));
   }
 
-  /** A heartbeat of the peer arrived. */
+  /** Called when a heartbeat of the peer arrives. */
   public void onHeartbeat(NodeId peer, Heartbeat heartbeat) {
     heartbeats.put(peer, new ReceivedHeartbeat(heartbeat, loop.now()));
   }
 
-  /** What was not received while this process was paused shows nothing of the others. */
+  /** Called after this process was paused: not hearing peers during the pause is no evidence. */
   public void onProcessPause() {
     lastHeardAt.replaceAll((node, at) -> loop.now());
     lastHeardDirectlyAt.replaceAll((node, at) -> loop.now());
   }
 
-  /** Time since the peer was last heard; since this process started if it never was. */
+  /** Time since the peer was last heard, or since this process started if it never was. */
   public Duration timeSinceLastHeard(NodeId peer) {
     if (peer.equals(self)) {
       return Duration.ZERO;
@@ -102,24 +103,26 @@
     return loop.now().since(lastHeardAt.getOrDefault(peer, startedAt));
   }
 
-  /** The peer's last heartbeat, if it is fresh. */
+  /** The peer's last heartbeat; empty if it is older than {@link #HEARTBEAT_TIMEOUT}. */
   public Optional<Heartbeat> freshHeartbeat(NodeId peer) {
     return Optional.ofNullable(heartbeats.get(peer))
         .filter(known -> loop.now().since(known.receivedAt).compareTo(HEARTBEAT_TIMEOUT) < 0)
         .map(ReceivedHeartbeat::heartbeat);
   }
 
-  /** Whether the sender reaches its workers, by its own report; an unknown state counts as well. */
+  /**
+   * Whether the sender reports that it reaches its workers; an unknown state counts as reachable.
+   */
   public static WorkerReachability.State workerReachability(Heartbeat heartbeat) {
     return WorkerReachability.State.fromWireName(heartbeat.getWorkers());
   }
 
-  /** Whether, by a fresh heartbeat, the store serves the peer. */
+  /** Whether the peer has reported in a fresh heartbeat that it has not lost the store. */
   public boolean isServedByStore(NodeId peer) {
     return freshHeartbeat(peer).filter(heartbeat -> !heartbeat.getStoreLost()).isPresent();
   }
 
-  /** Whether some peer, by its fresh heartbeat, had an answer of the store after the moment. */
+  /** Whether a peer's fresh heartbeat shows that the store answered it after the given time. */
   public boolean anyPeerServedSince(MonotonicTime moment) {
     for (Map.Entry<NodeId, ReceivedHeartbeat> known : heartbeats.entrySet()) {
       ReceivedHeartbeat last = known.getValue();
@@ -132,7 +135,10 @@
     return false;
   }
 
-  /** Peers that the store serves; first those that reach their workers, then the last heard. */
+  /**
+   * Peers that the store serves, ordered by worker reachability and then by how recently they were
+   * heard.
+   */
   public List<NodeId> peersServedByStore() {
     List<NodeId> peers = new ArrayList<>();
     heartbeats.keySet().stream().filter(this::isServedByStore).forEach(peers::add);
@@ -143,7 +149,9 @@
     return peers;
   }
 
-  /** The newest leader by the reports of peers that the store serves. */
+  /**
+   * The leader of the newest term reported by peers that the store serves; its lease is unknown.
+   */
   public Optional<LeaderRecord> leaderReportedByPeers() {
     return heartbeats.keySet().stream()
         .filter(this::isServedByStore)
@@ -159,8 +167,8 @@
   }
 
   /**
-   * When this controller last heard each peer directly, for its own heartbeat: so each learns who
-   * does not receive its messages.
+   * When this controller last heard each peer directly. It is sent in the heartbeats, so that each
+   * peer learns which controllers don't receive its messages.
    */
   public List<PeerLastHeard> peersLastHeard() {
     List<PeerLastHeard> list = new ArrayList<>();
@@ -172,17 +180,20 @@
     return list;
   }
 
-  /** When the peer's last heartbeat arrived. */
+  /** When the peer's last heartbeat arrived; empty if none has. */
   public Optional<MonotonicTime> lastHeartbeatAt(NodeId peer) {
     return Optional.ofNullable(heartbeats.get(peer)).map(ReceivedHeartbeat::receivedAt);
   }
 
-  /** The peer's last heartbeat, however old. */
+  /** The peer's last heartbeat of any age; empty if none has arrived. */
   public Optional<Heartbeat> lastHeartbeat(NodeId peer) {
     return Optional.ofNullable(heartbeats.get(peer)).map(ReceivedHeartbeat::heartbeat);
   }
 
-  /** Time since a peer last heard another controller, by its fresh heartbeat; empty if never. */
+  /**
+   * Time since the peer last heard another controller, by its fresh heartbeat; empty if there is
+   * none or it doesn't list that controller.
+   */
   Optional<Duration> timeSinceHeardBy(NodeId peer, NodeId other) {
     return freshHeartbeat(peer).stream()
         .flatMap(heartbeat -> heartbeat.getLastHeard().stream())
@@ -195,7 +206,10 @@
     return loop.now().since(heartbeats.get(peer).receivedAt);
   }
 
-  /** One line for the log: when each peer and this controller last heard each other. */
+  /**
+   * Describes for the log when each peer and this controller last heard each other, and the state
+   * of the peer's connections.
+   */
   public String describe() {
     StringBuilder line = new StringBuilder();
     for (Map.Entry<NodeId, ReceivedHeartbeat> entry : heartbeats.entrySet()) {
--- a/src/main/java/org/mulleinshift/membership/ShardAssigner.java
+++ b/src/main/java/org/mulleinshift/membership/ShardAssigner.java
@@ -15,50 +15,53 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Decides which controller should own which shard. A shard without a grant goes back to its last
- * owner if that is available again; a shard without a live owner goes to the controller with the
- * lowest load, preferably one in its zone; when loads differ too much, one shard at a time moves.
+ * Decides which controller should own which shard. A shard without a grant returns to its last
+ * owner if that is available. Any other shard without a live owner goes to the controller with the
+ * lowest load, preferably one in its zone. If loads differ too much, shards are moved one at a
+ * time.
  */
 public final class ShardAssigner {
-  /** What another zone than the shard's counts, in machines. */
+  /** Load, in machines, that is added for a controller in another zone than the shard. */
   private static final double OTHER_ZONE_PENALTY = 8;
 
-  /** What a shard counts in addition to its machines. */
+  /** Load of a shard, in machines, in addition to its machines. */
   private static final double LOAD_PER_SHARD = 2;
 
-  /** Load of being the leader, as a share of an even load, and its lower bound. */
+  /** Load of being the leader, as a fraction of the average load of the candidates. */
   private static final double LEADER_LOAD_SHARE = 0.25;
 
+  /** Lower bound on the load of being the leader, in machines. */
   private static final double MIN_LEADER_LOAD = 6;
 
-  /** Makes an owner that acknowledges nothing the last choice for its shard. */
+  /** Makes an owner that does not acknowledge assignments the last choice for its shard. */
   private static final double UNRESPONSIVE_PENALTY = 1e6;
 
   /**
-   * For a shard whose machines left its owner: what it counts that nothing shows that a controller
-   * is reached by machines. One that owns few can't tell for seconds that it is cut off too.
+   * Penalty on a controller that is not known to be reached by machines, for a shard whose machines
+   * have left its owner. A controller with few machines can't tell for seconds that it is cut off.
    */
   private static final double UNKNOWN_REACHABILITY_PENALTY = 1e4;
 
-  /** Loads that differ by less are not evened out. */
+  /** Load differences below this are not balanced. */
   private static final double MIN_LOAD_DIFFERENCE = 16;
 
-  /** A shard is moved only if its load is at most this share of the difference. */
+  /** A shard is moved only if its load is at most this fraction of the load difference. */
   private static final double MAX_MOVED_SHARE = 0.75;
 
   /**
-   * A controller takes part in evening out once it has been a candidate for this long, and a shard
-   * once it has had its owner for as long: its machines may still be on their way there.
+   * Time for which a controller must have been a candidate, and a shard must have had its owner,
+   * before load balancing considers it. Until then the shard's machines may still be switching to
+   * that owner.
    */
   private static final Duration SETTLING_TIME = Duration.ofSeconds(8);
 
   private static final Duration MIN_TIME_BETWEEN_MOVES = Duration.ofSeconds(4);
 
-  /** How long a shard without a grant waits for its last owner. */
+  /** How long a shard without a grant waits for its last owner to return. */
   private static final Duration LAST_OWNER_WAIT = Duration.ofMillis(1500);
 
   /**
-   * A grant to make.
+   * A grant that should be made.
    *
    * @param shard the shard
    * @param owner its next owner
@@ -71,7 +74,7 @@
   private MonotonicTime lastPlannedAt;
 
   /**
-   * The assigner of one term.
+   * Creates the assigner of one term.
    *
    * @param self the leader
    * @param zones the zone of each controller, the leader included
@@ -83,10 +86,11 @@
   }
 
   /**
-   * The grants to make now. An owner that acknowledges nothing is the last choice for its shard.
+   * Returns the grants to make now: for shards that have no live, responsive owner, or else at most
+   * one that balances the load.
    *
-   * @param live controllers that keep the shards that they own
-   * @param candidates those of them whose connections allow them to own further shards
+   * @param live controllers that may keep the shards that they own
+   * @param candidates those of them that may be granted further shards
    * @param unresponsiveAfter time without an acknowledgement after which an owner loses its shard
    */
   public List<PlannedGrant> planGrants(
@@ -104,7 +108,7 @@
     }
     for (AssignableShard shard : shards) {
       boolean hasLiveOwner = shard.owner().filter(live::contains).isPresent();
-      // A shard notes when it is asked that nothing is outstanding: only a live owner counts.
+      // unacknowledgedFor has a side effect, so it is called only for a live owner.
       boolean keepsOwner =
           hasLiveOwner && shard.unacknowledgedFor(now).compareTo(unresponsiveAfter) <= 0;
       if (keepsOwner
@@ -126,8 +130,8 @@
   }
 
   /**
-   * A process that ended may be back in a moment, and its machines report to its address: as long
-   * as that may be, its shards wait for it.
+   * Whether the shard waits for its last owner: that process may be restarting, and the shard's
+   * machines report to its address.
    */
   private static boolean awaitsLastOwner(
       AssignableShard shard, List<NodeId> candidates, MonotonicTime now) {
@@ -158,8 +162,8 @@
   }
 
   /**
-   * Controllers that the shard's machines did not report to after they left their owner, and that
-   * own too few machines to notice soon that they are not reached.
+   * Matches controllers that the shard's machines have not reported to since they left their owner,
+   * and that own too few machines to detect soon that they can't be reached.
    */
   private static Predicate<NodeId> reachabilityUnknown(
       AssignableShard shard, Collection<? extends AssignableShard> shards) {
@@ -176,7 +180,7 @@
             && !WorkerReachability.canDetectHeartbeatLoss(machines.getOrDefault(node, 0));
   }
 
-  /** The move that brings the highest and the lowest load closest to each other. */
+  /** Selects the move that brings the highest and the lowest load closest to each other. */
   private Optional<PlannedGrant> planBalancingMove(
       Collection<? extends AssignableShard> shards, Map<NodeId, Double> loads, MonotonicTime now) {
     loads
--- a/src/main/java/org/mulleinshift/membership/StandbyFailover.java
+++ b/src/main/java/org/mulleinshift/membership/StandbyFailover.java
@@ -15,53 +15,55 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Fast failover: the leader names one controller as its standby, which takes over as soon as
- * neither it nor another controller has heard the leader for a while. Without a standby, or where
- * no other controller agrees, the leader's lease expires by itself.
+ * Fast failover: the leader names one controller as its standby, which takes over once neither it
+ * nor another controller has heard the leader for a timeout. Without a standby, or if no other
+ * controller agrees, failover waits until the leader's lease expires.
  */
 public final class StandbyFailover {
   private static final Logger LOG = LoggerFactory.getLogger(StandbyFailover.class);
+
+  /** Check interval of a standby that does not hear the leader. */
   private static final Duration SUSPECTING_CHECK_INTERVAL = Duration.ofMillis(100);
 
-  /** Of a standby while the leader is heard. */
+  /** Check interval of a standby that hears the leader. */
   private static final Duration STANDBY_CHECK_INTERVAL = Duration.ofMillis(200);
 
-  /** Of a controller that is not the standby. */
+  /** Check interval of a controller that is not the standby. */
   private static final Duration IDLE_CHECK_INTERVAL = Duration.ofMillis(500);
 
-  /** False alarms before this time no longer count. */
+  /** False alarms no longer count once a leader was last deposed longer ago than this. */
   private static final Duration FALSE_ALARM_WINDOW = Duration.ofMinutes(3);
 
   /** How long the other controllers leave a free leader key to a healthy standby. */
   private static final Duration STANDBY_HEAD_START = Duration.ofMillis(600);
 
-  /** Another controller agrees once it has not heard the leader for four fifths of the limit. */
+  /** Another controller agrees if it has not heard the leader for four fifths of the timeout. */
   private static final int AGREEMENT_NUMERATOR = 4;
 
   private static final int AGREEMENT_DENOMINATOR = 5;
 
   private static final int MAX_DOUBLINGS = 10;
 
-  /** States of this controller as the standby. */
+  /** Role of this controller in failover. */
   public enum State {
-    /** Another controller is the standby, or none is. */
+    /** Not the standby, or not healthy enough to act as the standby. */
     NONE,
-    /** This controller is the standby, and the leader is heard. */
+    /** The standby, which hears the leader. */
     STANDBY,
-    /** The leader has not been heard for half the limit: the other controllers are asked. */
+    /** The standby, which has not heard the leader for half the timeout and asks the peers. */
     SUSPECTING,
-    /** The leader's lease is being revoked; this controller campaigns. */
+    /** This controller is revoking the leader's lease and campaigns. */
     DEPOSED
   }
 
   /**
-   * What the failover needs of its controller.
+   * The state and the actions that failover uses.
    *
-   * @param failureDetector when each peer was last heard, and its last heartbeat
-   * @param view the leader as the store last showed it
+   * @param failureDetector knows when each peer was last heard, and its last heartbeat
+   * @param view knows the leader as last read from the store
    * @param healthy whether this controller reaches the store and its workers
-   * @param requestHeartbeats has the peers send a heartbeat at once
-   * @param depose revokes the lease of a term, and campaigns
+   * @param requestHeartbeats asks the peers to send a heartbeat immediately
+   * @param depose revokes the lease of a term and campaigns
    */
   public record Context(
       PeerFailureDetector failureDetector,
@@ -87,10 +89,11 @@
   private Optional<NodeId> lastLeader = Optional.empty();
 
   /**
-   * A controller that is no standby yet.
+   * Creates an instance that is not the standby.
    *
    * @param leaderTimeout time since the leader was last heard after which it may be deposed
-   * @param maxLeaderTimeout the leader's lease, beyond which nothing is gained
+   * @param maxLeaderTimeout upper bound on the timeout: the leader's lease, which then expires
+   *     anyway
    */
   public StandbyFailover(
       EventLoop loop,
@@ -122,11 +125,10 @@
   }
 
   /**
-   * Called by the leader: the controller that it names as its standby, kept as long as that one is
-   * healthy.
+   * Called by the leader; chooses its standby, and keeps the previous one while that is healthy.
    *
    * @param candidates the other controllers, in order of preference
-   * @return the name of the standby, empty if no controller is healthy
+   * @return the name of the standby; empty if no candidate is healthy
    */
   public String chooseStandby(List<NodeId> candidates) {
     List<NodeId> healthy = candidates.stream().filter(this::isHealthy).toList();
@@ -140,7 +142,7 @@
     return standby.map(NodeId::value).orElse("");
   }
 
-  /** Whether the peer, by its fresh heartbeat, reaches the store and its workers. */
+  /** Whether the peer reports in a fresh heartbeat that it reaches the store and its workers. */
   private boolean isHealthy(NodeId peer) {
     return context.failureDetector.isServedByStore(peer)
         && context
@@ -151,12 +153,15 @@
             .isPresent();
   }
 
-  /** The standby that this controller, as the leader, chose last. */
+  /** The standby that this controller last chose as the leader; empty if none. */
   public Optional<NodeId> chosenStandby() {
     return standby;
   }
 
-  /** How long this controller leaves a free leader key to a healthy standby. */
+  /**
+   * How long this controller leaves a free leader key to another one, which is the standby and
+   * served by the store; zero if there is none.
+   */
   public Duration campaignDelay() {
     boolean anotherIsStandby =
         standbyNamedBy(lastLeader())
@@ -179,7 +184,7 @@
   private void check() {
     Duration gap = loop.now().since(lastCheckAt);
     lastCheckAt = loop.now();
-    // A check that runs late shows nothing of the leader: its frames may be queued behind it.
+    // A late check is no evidence against the leader: its frames may be queued behind the check.
     updateState(gap, gap.compareTo(currentInterval.plus(SUSPECTING_CHECK_INTERVAL)) > 0);
     currentInterval = nextInterval();
     loop.after(currentInterval, this::check);
@@ -193,8 +198,8 @@
   }
 
   /**
-   * @param gap time since the last check
-   * @param late whether this check ran so late that received frames may wait behind it
+   * @param gap time since the previous check
+   * @param late whether this check ran so late that received frames may be queued behind it
    */
   private void updateState(Duration gap, boolean late) {
     Optional<LeaderRecord> leader = context.view.leader();
@@ -210,7 +215,7 @@
       if (state != State.NONE) {
         transitionTo(
             State.NONE,
-            leader.isEmpty() ? "no leader" : "not named, or own connections not healthy");
+            leader.isEmpty() ? "no leader" : "not named as standby, or own connections unhealthy");
       }
       return;
     }
@@ -227,7 +232,7 @@
     Duration timeout = timeout();
     if (state == State.DEPOSED) {
       if (leaderUnheardFor.isZero()) {
-        // The request to revoke its lease was lost.
+        // Its lease was not revoked because the request was lost.
         transitionTo(State.STANDBY, leader.node() + " still leads");
       }
       return;
@@ -250,7 +255,7 @@
     }
   }
 
-  /** Whether another controller has not heard the leader either, and none has heard it lately. */
+  /** Whether another controller has not heard the leader either, and none has heard it recently. */
   private boolean peersAgree(NodeId leader, Duration timeout) {
     Duration agreement = timeout.multipliedBy(AGREEMENT_NUMERATOR).dividedBy(AGREEMENT_DENOMINATOR);
     boolean agree = false;
@@ -270,7 +275,10 @@
   private void depose(LeaderRecord leader) {
     transitionTo(
         State.DEPOSED,
-        leader.node() + " not heard for " + leaderUnheardFor.toMillis() + " ms, another agrees");
+        leader.node()
+            + " not heard for "
+            + leaderUnheardFor.toMillis()
+            + " ms, another controller agrees");
     deposedLeader = Optional.of(leader.node());
     deposedSessionLease =
         context
@@ -283,7 +291,10 @@
     context.depose.accept(new LeaderElection.TermLease(leader.term(), leader.lease()));
   }
 
-  /** The same process is heard again: it was alive, and the next alarm takes longer. */
+  /**
+   * Counts a false alarm, which lengthens the timeout, if the process of the deposed leader has
+   * been heard again.
+   */
   private void detectFalseAlarm() {
     boolean alive =
         deposedLeader
@@ -304,7 +315,7 @@
     }
   }
 
-  /** Time since the leader was last heard after which it is deposed; doubles with false alarms. */
+  /** Time without hearing the leader after which it is deposed; doubles with each false alarm. */
   private Duration timeout() {
     Duration longer = leaderTimeout.multipliedBy(1L << Math.min(falseAlarms, MAX_DOUBLINGS));
     return longer.compareTo(maxLeaderTimeout) < 0 ? longer : maxLeaderTimeout;
--- a/src/main/java/org/mulleinshift/membership/StoreHealth.java
+++ b/src/main/java/org/mulleinshift/membership/StoreHealth.java
@@ -9,32 +9,33 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Health of this controller's connection to the store, judged by the responses to its own calls and
- * by what peers report of theirs. A store that answers nobody is an outage, in which nothing is
- * released; only a connection that fails while a peer's works is lost.
+ * Health of this controller's connection to the store, determined from the responses to its calls
+ * and from what peers report about their connections. If the store answers no controller, that is
+ * an outage, during which nothing is released. A connection is lost only if it fails while a peer's
+ * connection works.
  */
 public final class StoreHealth implements KeyValueStore.CallObserver {
   private static final Logger LOG = LoggerFactory.getLogger(StoreHealth.class);
   private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
-  /** Interval while all is well: half as many turns of the loop. */
+  /** Check interval while calls are answered, which halves the number of event loop steps. */
   private static final Duration IDLE_CHECK_INTERVAL = Duration.ofMillis(200);
 
   /**
-   * A peer's last answer counts as later than the start of the failure only beyond this margin: its
-   * age went through two messages.
+   * A peer's last answer counts as later than the start of the failure only if it is later by this
+   * margin. The time of that answer is inexact, since its age went through two messages.
    */
   private static final Duration PEER_ANSWER_MARGIN = Duration.ofMillis(250);
 
-  /** Without a served peer for longer than this, the store may be down for everybody. */
+  /** If no peer has been served for longer than this, the store may be down for all. */
   private static final Duration PEER_TIMEOUT = Duration.ofSeconds(3);
 
-  /** While the connection fails, peers are asked about theirs once in this time. */
+  /** Interval at which peers are asked about their connections while this one fails. */
   private static final Duration PEER_QUERY_INTERVAL = Duration.ofSeconds(1);
 
   private static final Duration FIRST_PROBATION = Duration.ofMillis(500);
 
-  /** A loss after this time counts as the first one again. */
+  /** A loss that occurs later than this after the previous one counts as the first again. */
   private static final Duration LOSS_WINDOW = Duration.ofMinutes(3);
 
   private static final int MAX_DOUBLINGS = 5;
@@ -44,22 +45,23 @@
     /** Calls are answered. */
     CONNECTED,
     /**
-     * Calls have been unanswered or refused for a while: peers are asked about their connections.
+     * Calls have been unanswered or refused for half the loss timeout: peers are asked about their
+     * connections.
      */
     SUSPECTED,
-    /** The same for longer, while a peer is served. */
+    /** Calls have failed for the whole loss timeout while a peer was served. */
     LOST
   }
 
-  /** Connects the health check with the peers and with those who act on its result. */
+  /** Knows the state of the peers' connections, and is notified of changes of this one. */
   public interface Listener {
-    /** The connection is suspect: peers should report now how theirs are. */
+    /** Called when the connection seems to fail: peers should report on theirs immediately. */
     void onSuspected();
 
-    /** Whether some peer was served after that moment. */
+    /** Whether the store answered any peer after the given time. */
     boolean anyPeerServedSince(MonotonicTime moment);
 
-    /** The state has changed. */
+    /** Called after the state has changed. */
     void onStateChanged(State next);
   }
 
@@ -83,11 +85,12 @@
   private Optional<MonotonicTime> onlyPeersServedSince = Optional.empty();
 
   /**
-   * A connection that counts as good until calls fail.
+   * Creates an instance whose connection counts as healthy until calls fail.
    *
-   * @param lostAfter time without an answer after which the connection is lost if a peer is served
-   * @param probeInterval a call is made at least this often
-   * @param probe makes such a call
+   * @param lostAfter loss timeout: time without an answer after which the connection is lost if a
+   *     peer is served
+   * @param probeInterval time without a call after which a probe is sent
+   * @param probe makes a call to the store
    */
   public StoreHealth(
       EventLoop loop,
@@ -138,13 +141,13 @@
   @Override
   public void failed(MonotonicTime sentAt) {
     outstandingCalls--;
-    // A call from before the last answer shows nothing new.
+    // If the store has answered since the call was sent, its failure shows nothing new.
     failing |= !lastAnswerAt.isAfter(sentAt);
   }
 
   private void check() {
     MonotonicTime now = loop.now();
-    // A check that runs late shows nothing of the connection: answers may be queued behind it.
+    // A late check counts as one interval only, since answers may be queued behind it.
     Duration gap = now.since(lastCheckAt);
     lastCheckAt = now;
     gap = gap.compareTo(currentInterval.plus(CHECK_INTERVAL)) > 0 ? CHECK_INTERVAL : gap;
@@ -210,9 +213,9 @@
   }
 
   /**
-   * Records since when peers are served and this controller is not. At the end of an outage the
-   * store answers some controllers a moment before others: that is no loss, and calls made
-   * meanwhile will show it.
+   * Records since when peers have been served while this controller has not. At the end of an
+   * outage the store answers some controllers slightly earlier than others; this is not a loss, as
+   * the probes sent in the meantime will show.
    */
   private void compareWithPeers(MonotonicTime now) {
     MonotonicTime failingSince = now.minus(failingFor);
@@ -224,7 +227,7 @@
     }
   }
 
-  /** How long peers must have been served while this controller was not. */
+  /** How long only peers must have been served before the connection counts as lost. */
   private Duration confirmationTime() {
     return lostAfter.dividedBy(2).minus(CHECK_INTERVAL.multipliedBy(2));
   }
@@ -241,7 +244,7 @@
         State.LOST, "no answer for " + failingFor.toMillis() + " ms while peers are served");
   }
 
-  /** How long calls must be answered after a loss; doubles with each loss shortly after another. */
+  /** How long calls must be answered after a loss; doubles with each repeated loss. */
   private Duration probation() {
     return FIRST_PROBATION.multipliedBy(1L << repeatedLosses);
   }
@@ -251,7 +254,7 @@
     return state;
   }
 
-  /** Time since the store last answered. */
+  /** Time since the store last answered a call of this controller. */
   public Duration timeSinceLastAnswer() {
     return loop.now().since(lastAnswerAt);
   }
--- a/src/main/java/org/mulleinshift/membership/WorkerReachability.java
+++ b/src/main/java/org/mulleinshift/membership/WorkerReachability.java
@@ -15,33 +15,35 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whether this controller is reached by its workers, judged by the heartbeats that were due: their
- * rate, the number of machines and the jitter show for how long a gap can be chance. Once suspected
- * it is trusted again only on positive evidence, a heartbeat or a worker that answers a ping; that
- * its shards went to others, and no heartbeat is due any more, is none.
+ * Determines whether workers reach this controller, from the heartbeats that are due: their
+ * interval, its jitter and the number of machines determine how long a gap can occur by chance.
+ *
+ * <p>Once most or all workers are unreachable, the state recovers only on positive evidence: a
+ * heartbeat, or a worker that answers a ping. That no heartbeats are due any more, because the
+ * shards were granted to other controllers, is not evidence.
  */
 public final class WorkerReachability {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerReachability.class);
 
-  /** The state is checked so often. */
+  /** Interval between checks of the state. */
   public static final Duration CHECK_INTERVAL = Duration.ofMillis(250);
 
   private static final Duration PING_INTERVAL = Duration.ofSeconds(2);
   private static final Duration PING_DEADLINE = Duration.ofMillis(1500);
 
-  /** Without any evidence for this long it is tried again: the machines it knew may be gone. */
+  /** The state recovers after this time even without evidence: the known machines may be gone. */
   private static final Duration SUSPICION_TIMEOUT = Duration.ofSeconds(90);
 
-  /** From this many machines on, most of them missing counts. */
+  /** Minimum number of machines for the state that most of them are unreachable. */
   private static final int MIN_MACHINES_FOR_MOST = 2;
 
-  /** From this many machines on, a gap in the heartbeats of all of them counts. */
+  /** Minimum number of machines for a gap in the heartbeats of all of them to be significant. */
   private static final int MIN_MACHINES_FOR_ALL = 20;
 
-  /** How many of the machines known before are pinged in turn. */
+  /** Maximum number of previously known machines that are pinged in turn. */
   private static final int MAX_PINGED_MACHINES = 8;
 
-  /** This many heartbeats that were due and did not arrive are no chance. */
+  /** Number of consecutive missed heartbeats that is not attributed to chance. */
   private static final int MISSED_HEARTBEATS = 25;
 
   /** With jitter, a heartbeat is due within five quarters of the interval. */
@@ -50,22 +52,22 @@
   private static final long JITTER_DENOMINATOR = 4;
 
   /**
-   * The part of the conclusive gap after which workers are suspected to be unreachable: one in so
-   * many.
+   * Divides the heartbeat loss timeout: after that part of it, workers are suspected to be
+   * unreachable.
    */
   private static final int SUSPICION_DIVISOR = 3;
 
   private static final Duration MIN_HEARTBEAT_LOSS_TIMEOUT = Duration.ofMillis(1500);
 
-  /** States of the connection to the workers, from good to bad. */
+  /** States of the connection to the workers, from best to worst. */
   public enum State {
-    /** Heartbeats arrive, or too few are due to tell. */
+    /** Heartbeats arrive, or too few are due to detect a gap. */
     REACHABLE("WELL"),
-    /** A third of the conclusive gap has passed: this controller is granted no further shards. */
+    /** A third of the heartbeat loss timeout has passed; this controller gets no more shards. */
     SUSPECTED("DOUBTED"),
     /** The heartbeats of most machines have stopped. */
     MOST_UNREACHABLE("MOST_SILENT"),
-    /** No heartbeat arrives, of so many machines that this is no chance. */
+    /** No heartbeats arrived for the whole timeout, from enough machines to rule out chance. */
     ALL_UNREACHABLE("ALL_SILENT");
 
     private final String wireName;
@@ -79,7 +81,7 @@
       return wireName;
     }
 
-    /** The state that a peer frame names; an unknown name counts as well. */
+    /** The state with that name in peer frames; an unknown name counts as reachable. */
     public static State fromWireName(String wireName) {
       for (State state : values()) {
         if (state.wireName.equals(wireName)) {
@@ -91,20 +93,20 @@
   }
 
   /**
-   * What is known of the machines now.
+   * Current numbers of machines.
    *
-   * @param expected machines of the shards that this controller may act for
+   * @param expected machines whose heartbeats are due, in shards that this controller may act for
    * @param unreachable those of them whose heartbeats have stopped
    */
   public record MachineCounts(int expected, int unreachable) {}
 
   /**
-   * What the check needs of its controller.
+   * The components and callbacks that the check uses.
    *
-   * @param workers client for pings
-   * @param machineCounts counts the machines
-   * @param addresses addresses of the machines
-   * @param onChange called when the state has changed
+   * @param workers HTTP client for pings
+   * @param machineCounts supplies the current numbers of machines
+   * @param addresses supplies the addresses of the machines
+   * @param onChange called after the state has changed
    */
   public record Context(
       AsyncHttpClient workers,
@@ -126,7 +128,7 @@
   private List<InetSocketAddress> lastKnownAddresses = List.of();
 
   /**
-   * A connection that counts as good until heartbeats are missing.
+   * Creates an instance whose workers count as reachable until heartbeats are missed.
    *
    * @param heartbeatInterval time between two heartbeats of a machine
    */
@@ -145,13 +147,13 @@
     loop.after(CHECK_INTERVAL, this::check);
   }
 
-  /** A worker's heartbeat arrived, of whatever shard. */
+  /** Called when a worker's heartbeat arrives, whichever shard its machine belongs to. */
   public void onHeartbeat() {
     heartbeatReceived = true;
     reachedSinceSuspected = true;
   }
 
-  /** This process was paused: what could not be received meanwhile is no gap. */
+  /** Called after this process was paused: what was not received meanwhile is not a gap. */
   public void onProcessPause() {
     heartbeatGap = Duration.ZERO;
   }
@@ -160,7 +162,7 @@
     loop.after(CHECK_INTERVAL, this::check);
     Duration gap = loop.now().since(lastCheckAt);
     lastCheckAt = loop.now();
-    // A check that runs late shows nothing: heartbeats may be queued behind it.
+    // A late check is no evidence of a gap: heartbeats may be queued behind it.
     boolean late = gap.compareTo(CHECK_INTERVAL.multipliedBy(2)) > 0;
     heartbeatGap = heartbeatReceived || late ? Duration.ZERO : heartbeatGap.plus(gap);
     heartbeatReceived = false;
@@ -202,8 +204,8 @@
   }
 
   /**
-   * After which gap in the heartbeats of all machines a controller with so many reports it; empty
-   * if it has too few to tell.
+   * Length of a gap in the heartbeats of all machines after which a controller with that many
+   * machines detects it; empty if it has too few.
    */
   public static Optional<Duration> detectionTime(int machines, Duration heartbeatInterval) {
     return canDetectHeartbeatLoss(machines)
@@ -211,12 +213,12 @@
         : Optional.empty();
   }
 
-  /** Whether a controller with so many machines notices a gap in the heartbeats of all of them. */
+  /** Whether a controller with that many machines detects a gap in all their heartbeats. */
   static boolean canDetectHeartbeatLoss(int machines) {
     return machines >= MIN_MACHINES_FOR_ALL;
   }
 
-  /** The time in which {@link #MISSED_HEARTBEATS} heartbeats were due, jitter included. */
+  /** Time in which {@link #MISSED_HEARTBEATS} heartbeats are due, including jitter. */
   private static Duration heartbeatLossTimeout(int machines, Duration heartbeatInterval) {
     Duration expectedTime =
         heartbeatInterval
@@ -246,7 +248,7 @@
     context.onChange().run();
   }
 
-  /** Asks one of the machines known before, in turn, whether it can be reached. */
+  /** Pings one of the previously known machines, in turn. */
   private void ping() {
     lastPingAt = loop.now();
     int machines = Math.min(MAX_PINGED_MACHINES, lastKnownAddresses.size());
@@ -264,7 +266,7 @@
             response -> reachedSinceSuspected |= response.status() == HttpStatus.OK);
   }
 
-  /** The state of the connection. */
+  /** The state of the connection to the workers. */
   public State state() {
     return state;
   }
--- a/src/main/java/org/mulleinshift/membership/package-info.java
+++ b/src/main/java/org/mulleinshift/membership/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which controllers take part: the session lease at the store, leader election and failover,
- * failure detection, lease renewal through a peer, and which controller should own which shard.
+ * Cluster membership: session leases in the store, leader election and failover, failure detection,
+ * lease renewal through a peer, and the assignment of shards to controllers.
  */
 package org.mulleinshift.membership;
--- a/src/test/java/org/mulleinshift/membership/IndirectLeaseRenewalTest.java
+++ b/src/test/java/org/mulleinshift/membership/IndirectLeaseRenewalTest.java
@@ -29,7 +29,7 @@
 import org.mulleinshift.transport.HttpResponse;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** What a peer reports counts from when this controller request, however late the response is. */
+/** Evidence in a peer's response is dated by the request, however late the response arrives. */
 final class IndirectLeaseRenewalTest {
   private static final Duration LEASE = Duration.ofSeconds(10);
   private static final NodeId SELF = new NodeId("node-0");
@@ -131,7 +131,7 @@
                 PEER, new Heartbeat(1L, 0L, false, "WELL", "", 0L, "", false, List.of())));
   }
 
-  /** A store that answers until it is unreachable; watches never answer. */
+  /** Answers calls while the store is reachable; watches are never answered. */
   private void answerStoreCall(
       InetSocketAddress target, HttpRequest request, Consumer<HttpResponse> reply) {
     String path = request.path();
@@ -203,7 +203,8 @@
     loop.runFor(LEASE.toMillis() / 1000.0 - 0.4 - 0.3);
     assertTrue(loop.now().since(requestedBy).compareTo(LEASE) < 0);
     loop.runFor(0.3);
-    assertFalse(session.isValidOwner(SHARD, GRANT), "a lease after the request, not the response");
+    assertFalse(
+        session.isValidOwner(SHARD, GRANT), "the lease starts at the request, not at the response");
   }
 
   @Test
@@ -243,7 +244,9 @@
   void renewalWithoutCancellationsLetsTheOwnershipLeaseExpire() {
     loseStoreAndRequestRenewal();
     LeaseRenewalRequest request = renewThroughPeerFor(12);
-    assertFalse(session.isValidOwner(SHARD, GRANT), "a lease after cancellations were last known");
+    assertFalse(
+        session.isValidOwner(SHARD, GRANT),
+        "expires one lease after cancellations were last known");
     renewal.onResponse(PEER, nothingCancelledResponse(request));
     assertTrue(session.isValidOwner(SHARD, GRANT));
   }
@@ -252,7 +255,7 @@
   void peerOfAnEarlierBuildGivesNoEvidenceOfCancellations() {
     loseStoreAndRequestRenewal();
     LeaseRenewalRequest request = renewThroughPeerFor(12);
-    // It looks for a lease of that id, finds none, and reports it as expired.
+    // Such a peer finds no lease with that id and reports it as expired.
     renewal.onResponse(
         PEER,
         new LeaseRenewalResponse(request.getId(), request.getLease(), true, true, 0L, List.of()));
@@ -261,7 +264,7 @@
         ControllerSession.State.ACTIVE, session.state(), "the session's own lease is still valid");
   }
 
-  /** What makes a response to the request for cancellations unusable. */
+  /** A defect that makes the response to the request for cancellations unusable. */
   private enum Defect {
     INCOMPLETE,
     EARLIER_REVISION,
@@ -289,17 +292,17 @@
   @ParameterizedTest
   @EnumSource(Defect.class)
   void defectiveResponseIsNoEvidence(Defect defect) {
-    // Given a controller that does not know of late which jobs were cancelled
+    // Given a controller whose knowledge of cancelled jobs is out of date
     loseStoreAndRequestRenewal();
     LeaseRenewalRequest request = renewThroughPeerFor(13);
     // When the response is defective
     LeaseRenewalResponse response = defect.responseTo(request);
     renewal.onResponse(PEER, response);
-    // Then it may not act
+    // Then the controller may not act
     assertFalse(session.isValidOwner(SHARD, GRANT), response.toString());
-    // And once a sound response arrives, it may
+    // And it may act once a valid response arrives
     renewal.onResponse(PEER, nothingCancelledResponse(renewThroughPeerFor(1)));
-    assertTrue(session.isValidOwner(SHARD, GRANT), "a sound response is evidence");
+    assertTrue(session.isValidOwner(SHARD, GRANT), "a valid response is evidence");
   }
 
   @Test
--- a/src/test/java/org/mulleinshift/membership/StandbyFailoverTest.java
+++ b/src/test/java/org/mulleinshift/membership/StandbyFailoverTest.java
@@ -17,7 +17,7 @@
 import org.mulleinshift.protocol.peer.PeerLastHeard;
 import org.mulleinshift.store.StoreKeys;
 
-/** When the standby revokes the leader's lease, and when it must not. */
+/** The conditions under which the standby revokes the leader's lease, or must not. */
 final class StandbyFailoverTest {
   private static final NodeId SELF = new NodeId("node-0");
   private static final NodeId LEADER = new NodeId("node-1");
@@ -95,14 +95,14 @@
     assertEquals(List.of(), deposedTerms);
   }
 
-  /** Otherwise a standby whose request to revoke the lease was lost would never act again. */
+  /** A standby whose request to revoke the lease was lost must be able to act again. */
   @Test
   void deposesAgainLaterIfTheLeaderWasAlive() {
     loop.runFor(1.5);
     leaderSendsHeartbeatsFor(3);
     assertEquals(1, deposedTerms.size());
     loop.runFor(1.7);
-    assertEquals(1, deposedTerms.size(), "the second alarm takes twice as long");
+    assertEquals(1, deposedTerms.size(), "the timeout doubles after a false alarm");
     loop.runFor(1);
     assertEquals(2, deposedTerms.size());
   }
--- a/src/test/java/org/mulleinshift/membership/VirtualEventLoop.java
+++ b/src/test/java/org/mulleinshift/membership/VirtualEventLoop.java
@@ -7,7 +7,7 @@
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** An event loop in virtual time: a test runs its steps and moves its clock. */
+/** An event loop in virtual time: a test runs its steps and advances its clock. */
 public final class VirtualEventLoop implements EventLoop {
   private static final double NANOS_PER_SECOND = 1e9;
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -21,7 +21,7 @@
   private long nowNanos;
   private long sequence;
 
-  /** Runs the steps that are due within the next seconds, in the order of their times. */
+  /** Advances the clock by the given time and runs the steps due within it, in order. */
   public void runFor(double seconds) {
     long end = nowNanos + (long) (seconds * NANOS_PER_SECOND);
     while (!steps.isEmpty() && steps.peek().dueNanos <= end) {
