--- a/src/main/java/org/mulleinshift/leader/Leader.java
+++ b/src/main/java/org/mulleinshift/leader/Leader.java
@@ -71,7 +71,7 @@
    * @param estimates shares learned values with the standby
    * @param featureGates which stored forms all controllers read
    * @param failover names the standby
-   * @param failureDetector health of the other controllers
+   * @param peers health of the other controllers
    * @param messenger sends to them
    * @param election holds the leader's lease
    * @param cloud provisions and deletes machines
