--- a/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
+++ b/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
@@ -30,29 +30,33 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Lease renewal through a peer. A controller that lost the store asks a peer that the store serves
- * to renew its session lease and to read what has changed among the control keys and among the
- * active jobs, where cancellations are recorded; so it keeps its shards. The peer does this after
- * the request was sent: each {@link OwnershipLease.Evidence} counts from when it was requested.
+ * Lease renewal through a peer, by which a controller that lost the store keeps its shards. It asks
+ * a peer that the store serves to renew its session lease and to read the changes of the control
+ * keys and of the active jobs, where cancellations are recorded. The peer does so after the request
+ * was sent, so each piece of {@link OwnershipLease.Evidence} is dated by its request.
  *
- * <p>The request for the active jobs names no lease. A peer of an earlier build finds that lease
- * expired and reports so, which is evidence of nothing.
+ * <p>The request for the active jobs has lease id 0, which no lease has. A peer running an earlier
+ * build reports that lease as expired; such a response is ignored.
  */
 public final class IndirectLeaseRenewal {
   private static final Logger LOG = LoggerFactory.getLogger(IndirectLeaseRenewal.class);
   private static final Duration REQUEST_INTERVAL = Duration.ofSeconds(1);
 
-  /** Longer responses are not sent; the lease of the sender of the request then expires. */
-  private static final int MAX_CHARACTERS = 1 << 19;
+  /**
+   * Limit on the values in a response. Beyond it the response is sent as incomplete, without the
+   * changes, and the requesting controller's ownership lease expires.
+   */
+  private static final int MAX_RESPONSE_CHARACTERS = 1 << 19;
 
   private static final LeaseId NO_LEASE = new LeaseId(0);
-  private static final Duration INVALID_LOG_INTERVAL = Duration.ofMinutes(1);
+  private static final Duration INVALID_RESPONSE_LOG_INTERVAL = Duration.ofMinutes(1);
 
   /**
-   * A request without a response so far; {@code since} is the revision up to which changes are
-   * known.
+   * A request without a response so far.
+   *
+   * @param sinceRevision the revision up to which changes are known
    */
-  private record PendingRequest(LeaseId lease, Revision since, MonotonicTime sentAt) {
+  private record PendingRequest(LeaseId lease, Revision sinceRevision, MonotonicTime sentAt) {
     String prefix() {
       return lease.equals(NO_LEASE) ? StoreKeys.ACTIVE_JOBS : StoreKeys.CONTROL;
     }
@@ -62,28 +66,28 @@
   private final NodeId self;
   private final KeyValueStore store;
   private final StoreHealth storeHealth;
-  private final PeerFailureDetector peers;
+  private final PeerFailureDetector failureDetector;
   private final ControllerSession session;
   private final ClusterView view;
-  private final WatchCache control;
-  private final WatchCache jobs;
+  private final WatchCache controlKeys;
+  private final WatchCache activeJobs;
   private final BiConsumer<NodeId, Object> sendToPeer;
-  private final Map<Long, PendingRequest> pending = new HashMap<>();
+  private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
   private long lastRequestId;
   private long attempts;
   private boolean running;
   private long invalidResponses;
-  private Optional<MonotonicTime> invalidLoggedAt = Optional.empty();
+  private Optional<MonotonicTime> invalidResponseLoggedAt = Optional.empty();
 
   /**
-   * What the renewal needs of its controller.
+   * The components that lease renewal uses.
    *
-   * @param storeHealth health of the connection to the store
-   * @param peers which peers the store serves
+   * @param storeHealth health of this controller's connection to the store
+   * @param peers knows which peers the store serves
    * @param session the session to renew
-   * @param view the control keys, updated through {@code control}
-   * @param control the cached control keys
-   * @param jobs the cached records of active jobs
+   * @param view the state read from the control keys, updated through {@code controlKeys}
+   * @param controlKeys cache of the control keys
+   * @param activeJobs cache of the active jobs' records
    */
   public record Context(
       KeyValueStore store,
@@ -91,11 +95,11 @@
       PeerFailureDetector peers,
       ControllerSession session,
       ClusterView view,
-      WatchCache control,
-      WatchCache jobs) {}
+      WatchCache controlKeys,
+      WatchCache activeJobs) {}
 
   /**
-   * Sends nothing before {@link #start}.
+   * Creates an inactive instance; {@link #start} sends the first request.
    *
    * @param sendToPeer sends a message to a peer
    */
@@ -105,15 +109,15 @@
     this.self = self;
     this.store = context.store();
     this.storeHealth = context.storeHealth();
-    this.peers = context.peers();
+    this.failureDetector = context.peers();
     this.session = context.session();
     this.view = context.view();
-    this.control = context.control();
-    this.jobs = context.jobs();
+    this.controlKeys = context.controlKeys();
+    this.activeJobs = context.activeJobs();
     this.sendToPeer = sendToPeer;
   }
 
-  /** The store was lost: requests renewals from now on until it is back. */
+  /** Called when the store is lost; requests renewals periodically until it is back. */
   public void start() {
     if (!running) {
       running = true;
@@ -124,30 +128,35 @@
   private void requestRenewal() {
     if (storeHealth.state() != StoreHealth.State.LOST) {
       running = false;
-      pending.clear();
+      pendingRequests.clear();
       return;
     }
     loop.after(REQUEST_INTERVAL, this::requestRenewal);
-    List<NodeId> served = peers.peersServedByStore();
+    List<NodeId> served = failureDetector.peersServedByStore();
     Optional<LeaseId> lease = session.lease();
     if (lease.isEmpty() || served.isEmpty()) {
       return;
     }
-    pending.values().removeIf(old -> loop.now().since(old.sentAt).compareTo(REQUEST_INTERVAL) > 0);
-    // In turn: a peer that does not answer costs one attempt.
+    pendingRequests
+        .values()
+        .removeIf(old -> loop.now().since(old.sentAt).compareTo(REQUEST_INTERVAL) > 0);
+    // Round-robin, so that an unresponsive peer costs only one attempt.
     NodeId peer = served.get((int) (attempts % served.size()));
     attempts++;
-    requestRenewal(peer, lease.get(), control.revision());
-    requestRenewal(peer, NO_LEASE, jobs.revision());
+    requestRenewal(peer, lease.get(), controlKeys.revision());
+    requestRenewal(peer, NO_LEASE, activeJobs.revision());
   }
 
-  private void requestRenewal(NodeId peer, LeaseId lease, Revision since) {
+  private void requestRenewal(NodeId peer, LeaseId lease, Revision sinceRevision) {
     long id = ++lastRequestId;
-    pending.put(id, new PendingRequest(lease, since, loop.now()));
-    sendToPeer.accept(peer, new LeaseRenewalRequest(id, lease.value(), since.value()));
+    pendingRequests.put(id, new PendingRequest(lease, sinceRevision, loop.now()));
+    sendToPeer.accept(peer, new LeaseRenewalRequest(id, lease.value(), sinceRevision.value()));
   }
 
-  /** A peer without the store asks for a renewal. Costs three requests at the store, no write. */
+  /**
+   * Handles the request of a peer that lost the store. Both requests of a renewal together cost
+   * three requests to the store and no write.
+   */
   public void onRequest(NodeId peer, LeaseRenewalRequest request) {
     if (storeHealth.state() != StoreHealth.State.CONNECTED) {
       return;
@@ -192,7 +201,7 @@
       characters += value.length();
       list.add(new KeyChange(change.key(), value, change.revision().value()));
     }
-    boolean complete = characters <= MAX_CHARACTERS;
+    boolean complete = characters <= MAX_RESPONSE_CHARACTERS;
     return new LeaseRenewalResponse(
         request.getId(),
         request.getLease(),
@@ -203,22 +212,22 @@
   }
 
   /**
-   * A peer's response. What it shows counts from when this controller sent the request; a response
-   * to no pending request is out of date and ignored.
+   * Handles a peer's response. What it shows is valid as of when this controller sent the request.
+   * A response that matches no pending request is outdated and ignored.
    */
   public void onResponse(NodeId peer, LeaseRenewalResponse response) {
-    PendingRequest request = pending.remove(response.getId());
+    PendingRequest request = pendingRequests.remove(response.getId());
     if (request == null) {
       return;
     }
     if (request.lease.value() != response.getLease()) {
-      onInvalidResponse(peer, "of another lease");
+      onInvalidResponse(peer, "response for another lease");
     } else if (response.getExpired()) {
       if (!request.lease.equals(NO_LEASE)) {
         session.onExpiryReportedByPeer(request.lease);
       }
     } else if (!response.getComplete()) {
-      onInvalidResponse(peer, "too much has changed");
+      onInvalidResponse(peer, "too many changes");
     } else {
       apply(peer, request, response);
     }
@@ -233,9 +242,9 @@
       return;
     }
     if (request.lease.equals(NO_LEASE)) {
-      // The cache notifies the session once it is current.
-      jobs.offer(changes, request.sentAt);
-    } else if (control.offer(changes, request.sentAt)) {
+      // The cache notifies the session once it has applied the changes.
+      activeJobs.offer(changes, request.sentAt);
+    } else if (controlKeys.offer(changes, request.sentAt)) {
       session.onRenewedByPeer(request.lease, request.sentAt, ownGrants());
     }
   }
@@ -254,14 +263,15 @@
 
   private static Changes parse(PendingRequest request, LeaseRenewalResponse response)
       throws MalformedMessageException {
-    if (response.getRevision() < request.since.value()) {
-      throw new MalformedMessageException("of an earlier revision than asked for");
+    if (response.getRevision() < request.sinceRevision.value()) {
+      throw new MalformedMessageException("revision older than the requested one");
     }
     List<Change> changes = new ArrayList<>();
     for (KeyChange change : response.getChanges()) {
       if (!change.getKey().startsWith(request.prefix())
           || change.getVersion() > response.getRevision()) {
-        throw new MalformedMessageException(change.getKey() + " does not belong there");
+        throw new MalformedMessageException(
+            change.getKey() + " is outside the requested prefix or revision");
       }
       Optional<JsonNode> value =
           change.getValue().isEmpty()
@@ -275,8 +285,10 @@
   private void onInvalidResponse(NodeId peer, String reason) {
     invalidResponses++;
     MonotonicTime now = loop.now();
-    if (invalidLoggedAt.filter(at -> now.since(at).compareTo(INVALID_LOG_INTERVAL) < 0).isEmpty()) {
-      invalidLoggedAt = Optional.of(now);
+    if (invalidResponseLoggedAt
+        .filter(at -> now.since(at).compareTo(INVALID_RESPONSE_LOG_INTERVAL) < 0)
+        .isEmpty()) {
+      invalidResponseLoggedAt = Optional.of(now);
       LOG.warn(
           "lease renewal response invalid, peer={} reason={} count={}",
           peer,
--- a/src/main/java/org/mulleinshift/membership/OwnershipLease.java
+++ b/src/main/java/org/mulleinshift/membership/OwnershipLease.java
@@ -7,24 +7,26 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Until when a shard owner may answer workers, start tasks and let them run, by its own steady
- * clock: one shard lease after the oldest of three moments. Each moment is the one at which a
- * request was sent whose response gave the {@link Evidence}, whoever carried it: what the response
- * shows is true of that moment or a later one. The store can't have expired the session by then, no
- * grant can have been revoked, and every cancellation that was confirmed before was known. A
- * cancellation that was not known is followed by the expiry of this lease and then of the workers'
- * leases within the time allowed for a cancellation (see {@code docs/cancellation.md}).
+ * The time until which a shard owner may answer workers, start tasks and let them run, by its own
+ * monotonic clock. The lease lasts for one shard lease after the oldest of its three pieces of
+ * {@link Evidence}.
+ *
+ * <p>Evidence is dated by when the request was sent, directly or through a peer: what the response
+ * shows was true at that time or later. So at these times the session had not expired, no grant had
+ * been revoked, and every cancellation confirmed until then was known. After a cancellation that is
+ * not known, this lease and then the workers' leases expire within the time allowed for a
+ * cancellation (see {@code docs/cancellation.md}).
  */
 public final class OwnershipLease {
-  /** Kept free for the time between the check and the action. */
+  /** Allows for the time between the validity check and the action. */
   private static final Duration SAFETY_MARGIN = Duration.ofMillis(200);
 
-  /** Bound on the rate by which two steady clocks differ. */
+  /** Upper bound on the relative rate difference of two monotonic clocks. */
   private static final double MAX_CLOCK_DRIFT = 0.001;
 
-  /** What must be known, each as of its own moment. */
+  /** What the owner must know; each piece has its own time. */
   public enum Evidence {
-    /** The store has renewed the session lease. */
+    /** The store renewed the session lease. */
     SESSION_RENEWED,
     /** The shard grants were read from the store. */
     GRANTS_READ,
@@ -32,53 +34,54 @@
     CANCELLATIONS_KNOWN
   }
 
-  private final Duration usable;
-  private final Map<Evidence, MonotonicTime> asOf = new EnumMap<>(Evidence.class);
+  private final Duration usableFor;
+  private final Map<Evidence, MonotonicTime> evidenceAsOf = new EnumMap<>(Evidence.class);
 
   /**
-   * A lease without any evidence, and so not valid.
+   * Creates a lease without evidence, which is not valid.
    *
-   * @param lease lifetime of a shard lease
+   * @param lease duration of a shard lease
    */
   OwnershipLease(Duration lease) {
-    this.usable =
+    this.usableFor =
         Duration.ofNanos((long) (lease.toNanos() * (1 - MAX_CLOCK_DRIFT))).minus(SAFETY_MARGIN);
   }
 
   /**
-   * The only place where the lease is extended.
+   * Records evidence; nothing else extends the lease.
    *
    * @param requestedAt when the request was sent whose response gave the evidence
    */
   void confirm(Evidence evidence, MonotonicTime requestedAt) {
-    asOf.merge(evidence, requestedAt, (known, next) -> next.isAfter(known) ? next : known);
+    evidenceAsOf.merge(evidence, requestedAt, (known, next) -> next.isAfter(known) ? next : known);
   }
 
-  /** The evidence no longer counts, however fresh it was. */
+  /** Discards the evidence; the lease is invalid until it is confirmed again. */
   void invalidate(Evidence evidence) {
-    asOf.remove(evidence);
+    evidenceAsOf.remove(evidence);
   }
 
-  /** Whether the owner may act at this moment. */
+  /** Whether the owner may act at the given time. */
   boolean isValid(MonotonicTime now) {
-    return asOf.size() == Evidence.values().length
-        && asOf.values().stream().allMatch(requestedAt -> requestedAt.plus(usable).isAfter(now));
+    return evidenceAsOf.size() == Evidence.values().length
+        && evidenceAsOf.values().stream()
+            .allMatch(requestedAt -> requestedAt.plus(usableFor).isAfter(now));
   }
 
   /** Whether the evidence was requested less than {@code maxAge} ago. */
   boolean isFresh(Evidence evidence, MonotonicTime now, Duration maxAge) {
-    MonotonicTime requestedAt = asOf.get(evidence);
+    MonotonicTime requestedAt = evidenceAsOf.get(evidence);
     return requestedAt != null && now.since(requestedAt).compareTo(maxAge) < 0;
   }
 
-  /** The evidence that expires first, or that is missing, for the log. */
+  /** Describes for the log which evidence is missing or else the oldest. */
   String describeOldest(MonotonicTime now) {
     for (Evidence evidence : Evidence.values()) {
-      if (!asOf.containsKey(evidence)) {
+      if (!evidenceAsOf.containsKey(evidence)) {
         return "missing=" + evidence;
       }
     }
-    return asOf.entrySet().stream()
+    return evidenceAsOf.entrySet().stream()
         .min(Comparator.comparing(Map.Entry::getValue))
         .map(
             oldest ->
--- a/src/main/java/org/mulleinshift/membership/ShardAssigner.java
+++ b/src/main/java/org/mulleinshift/membership/ShardAssigner.java
@@ -15,63 +15,66 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Decides which controller should own which shard. A shard without a grant goes back to its last
- * owner if that is available again; a shard without a live owner goes to the controller with the
- * lowest load, preferably one in its zone; when loads differ too much, one shard at a time moves.
+ * Decides which controller should own which shard. A shard without a grant returns to its last
+ * owner if that is available. Any other shard without a live owner goes to the controller with the
+ * lowest load, preferably one in its zone. If loads differ too much, shards are moved one at a
+ * time.
  */
 public final class ShardAssigner {
-  /** What another zone than the shard's counts, in machines. */
+  /** Load, in machines, that is added for a controller in another zone than the shard. */
   private static final double OTHER_ZONE_PENALTY = 8;
 
-  /** What a shard counts in addition to its machines. */
+  /** Load of a shard, in machines, in addition to its machines. */
   private static final double LOAD_PER_SHARD = 2;
 
-  /** Load of being the leader, as a share of an even load, and its lower bound. */
+  /** Load of being the leader, as a fraction of the average load of the candidates. */
   private static final double LEADER_LOAD_SHARE = 0.25;
 
+  /** Lower bound on the load of being the leader, in machines. */
   private static final double MIN_LEADER_LOAD = 6;
 
-  /** Makes an owner that acknowledges nothing the last choice for its shard. */
+  /** Makes an owner that does not acknowledge assignments the last choice for its shard. */
   private static final double UNRESPONSIVE_PENALTY = 1e6;
 
   /**
-   * For a shard whose machines left its owner: what it counts that nothing shows that a controller
-   * is reached by machines. One that owns few can't tell for seconds that it is cut off too.
+   * Penalty on a controller that is not known to be reached by machines, for a shard whose machines
+   * have left its owner. A controller with few machines can't tell for seconds that it is cut off.
    */
-  private static final double UNPROVEN_PENALTY = 1e4;
+  private static final double UNKNOWN_REACHABILITY_PENALTY = 1e4;
 
-  /** Loads that differ by less are not evened out. */
+  /** Load differences below this are not balanced. */
   private static final double MIN_LOAD_DIFFERENCE = 16;
 
-  /** A shard is moved only if its load is at most this share of the difference. */
+  /** A shard is moved only if its load is at most this fraction of the load difference. */
   private static final double MAX_MOVED_SHARE = 0.75;
 
   /**
-   * A controller takes part in evening out once it has been a candidate for this long, and a shard
-   * once it has had its owner for as long: its machines may still be on their way there.
+   * Time for which a controller must have been a candidate, and a shard must have had its owner,
+   * before load balancing considers it. Until then the shard's machines may still be switching to
+   * that owner.
    */
   private static final Duration SETTLING_TIME = Duration.ofSeconds(8);
 
   private static final Duration MIN_TIME_BETWEEN_MOVES = Duration.ofSeconds(4);
 
-  /** How long a shard without a grant waits for its last owner. */
+  /** How long a shard without a grant waits for its last owner to return. */
   private static final Duration LAST_OWNER_WAIT = Duration.ofMillis(1500);
 
   /**
-   * A grant to make.
+   * A grant that should be made.
    *
    * @param shard the shard
    * @param owner its next owner
    */
-  public record Move(AssignableShard shard, NodeId owner) {}
+  public record PlannedGrant(AssignableShard shard, NodeId owner) {}
 
   private final NodeId self;
   private final Map<NodeId, ZoneId> zones;
   private final Map<NodeId, MonotonicTime> candidateSince = new HashMap<>();
-  private MonotonicTime movedAt;
+  private MonotonicTime lastPlannedAt;
 
   /**
-   * The assigner of one term.
+   * Creates the assigner of one term.
    *
    * @param self the leader
    * @param zones the zone of each controller, the leader included
@@ -79,17 +82,18 @@
   public ShardAssigner(NodeId self, Map<NodeId, ZoneId> zones, MonotonicTime now) {
     this.self = self;
     this.zones = zones;
-    this.movedAt = now;
+    this.lastPlannedAt = now;
   }
 
   /**
-   * The grants to make now. An owner that acknowledges nothing is the last choice for its shard.
+   * Returns the grants to make now: for shards that have no live, responsive owner, or else at most
+   * one that balances the load.
    *
-   * @param live controllers that keep the shards that they own
-   * @param candidates those of them whose connections allow them to own further shards
+   * @param live controllers that may keep the shards that they own
+   * @param candidates those of them that may be granted further shards
    * @param unresponsiveAfter time without an acknowledgement after which an owner loses its shard
    */
-  public List<Move> moves(
+  public List<PlannedGrant> planGrants(
       Collection<? extends AssignableShard> shards,
       List<NodeId> live,
       List<NodeId> candidates,
@@ -98,13 +102,13 @@
     candidateSince.keySet().retainAll(candidates);
     candidates.forEach(node -> candidateSince.putIfAbsent(node, now));
     Map<NodeId, Double> loads = loads(shards, candidates);
-    List<Move> moves = new ArrayList<>();
+    List<PlannedGrant> planned = new ArrayList<>();
     if (candidates.isEmpty()) {
-      return moves;
+      return planned;
     }
     for (AssignableShard shard : shards) {
       boolean hasLiveOwner = shard.owner().filter(live::contains).isPresent();
-      // A shard notes when it is asked that nothing is outstanding: only a live owner counts.
+      // unacknowledgedFor has a side effect, so it is called only for a live owner.
       boolean keepsOwner =
           hasLiveOwner && shard.unacknowledgedFor(now).compareTo(unresponsiveAfter) <= 0;
       if (keepsOwner
@@ -112,22 +116,22 @@
           || awaitsLastOwner(shard, candidates, now)) {
         continue;
       }
-      NodeId owner = nextOwner(shard, shards, candidates, loads);
+      NodeId owner = selectOwner(shard, shards, candidates, loads);
       loads.merge(owner, load(shard), Double::sum);
-      moves.add(new Move(shard, owner));
+      planned.add(new PlannedGrant(shard, owner));
     }
-    if (moves.isEmpty() && now.since(movedAt).compareTo(MIN_TIME_BETWEEN_MOVES) >= 0) {
-      balancingMove(shards, loads, now).ifPresent(moves::add);
+    if (planned.isEmpty() && now.since(lastPlannedAt).compareTo(MIN_TIME_BETWEEN_MOVES) >= 0) {
+      planBalancingMove(shards, loads, now).ifPresent(planned::add);
     }
-    if (!moves.isEmpty()) {
-      movedAt = now;
+    if (!planned.isEmpty()) {
+      lastPlannedAt = now;
     }
-    return moves;
+    return planned;
   }
 
   /**
-   * A process that ended may be back in a moment, and its machines report to its address: as long
-   * as that may be, its shards wait for it.
+   * Whether the shard waits for its last owner: that process may be restarting, and the shard's
+   * machines report to its address.
    */
   private static boolean awaitsLastOwner(
       AssignableShard shard, List<NodeId> candidates, MonotonicTime now) {
@@ -136,7 +140,7 @@
         && shard.unownedFor(now).compareTo(LAST_OWNER_WAIT) < 0;
   }
 
-  private NodeId nextOwner(
+  private NodeId selectOwner(
       AssignableShard shard,
       Collection<? extends AssignableShard> shards,
       List<NodeId> candidates,
@@ -145,25 +149,25 @@
     if (shard.owner().isEmpty() && lastOwner.isPresent()) {
       return lastOwner.get();
     }
-    Predicate<NodeId> unproven = unproven(shard, shards);
+    Predicate<NodeId> reachabilityUnknown = reachabilityUnknown(shard, shards);
     return candidates.stream()
         .min(
             Comparator.comparingDouble(
                 node ->
                     loads.get(node)
-                        + distance(node, shard)
-                        + (unproven.test(node) ? UNPROVEN_PENALTY : 0)
+                        + zonePenalty(node, shard)
+                        + (reachabilityUnknown.test(node) ? UNKNOWN_REACHABILITY_PENALTY : 0)
                         + (shard.owner().equals(Optional.of(node)) ? UNRESPONSIVE_PENALTY : 0)))
         .orElseThrow();
   }
 
   /**
-   * Controllers that the shard's machines did not report to after they left their owner, and that
-   * own too few machines to notice soon that they are not reached.
+   * Matches controllers that the shard's machines have not reported to since they left their owner,
+   * and that own too few machines to detect soon that they can't be reached.
    */
-  private static Predicate<NodeId> unproven(
+  private static Predicate<NodeId> reachabilityUnknown(
       AssignableShard shard, Collection<? extends AssignableShard> shards) {
-    Set<NodeId> reached = shard.reachedLately();
+    Set<NodeId> reached = shard.recentlyContactedControllers();
     if (reached.isEmpty()) {
       return node -> false;
     }
@@ -172,11 +176,12 @@
       other.owner().ifPresent(node -> machines.merge(node, other.machineCount(), Integer::sum));
     }
     return node ->
-        !reached.contains(node) && !WorkerReachability.noticesGaps(machines.getOrDefault(node, 0));
+        !reached.contains(node)
+            && !WorkerReachability.canDetectHeartbeatLoss(machines.getOrDefault(node, 0));
   }
 
-  /** The move that brings the highest and the lowest load closest to each other. */
-  private Optional<Move> balancingMove(
+  /** Selects the move that brings the highest and the lowest load closest to each other. */
+  private Optional<PlannedGrant> planBalancingMove(
       Collection<? extends AssignableShard> shards, Map<NodeId, Double> loads, MonotonicTime now) {
     loads
         .keySet()
@@ -198,7 +203,7 @@
             shard ->
                 difference >= MIN_LOAD_DIFFERENCE && load(shard) <= difference * MAX_MOVED_SHARE)
         .min(Comparator.comparingDouble(shard -> Math.abs(difference - 2 * load(shard))))
-        .map(shard -> new Move(shard, lowest));
+        .map(shard -> new PlannedGrant(shard, lowest));
   }
 
   private Map<NodeId, Double> loads(
@@ -222,7 +227,7 @@
     return LOAD_PER_SHARD + shard.machineCount();
   }
 
-  private double distance(NodeId node, AssignableShard shard) {
+  private double zonePenalty(NodeId node, AssignableShard shard) {
     return shard.zone().equals(zones.get(node)) ? 0 : OTHER_ZONE_PENALTY;
   }
 }
--- a/src/main/java/org/mulleinshift/membership/StandbyFailover.java
+++ b/src/main/java/org/mulleinshift/membership/StandbyFailover.java
@@ -15,59 +15,61 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Fast failover: the leader names one controller as its standby, which takes over as soon as
- * neither it nor another controller has heard the leader for a while. Without a standby, or where
- * no other controller agrees, the leader's lease expires by itself.
+ * Fast failover: the leader names one controller as its standby, which takes over once neither it
+ * nor another controller has heard the leader for a timeout. Without a standby, or if no other
+ * controller agrees, failover waits until the leader's lease expires.
  */
 public final class StandbyFailover {
   private static final Logger LOG = LoggerFactory.getLogger(StandbyFailover.class);
+
+  /** Check interval of a standby that does not hear the leader. */
   private static final Duration SUSPECTING_CHECK_INTERVAL = Duration.ofMillis(100);
 
-  /** Of a standby while the leader is heard. */
+  /** Check interval of a standby that hears the leader. */
   private static final Duration STANDBY_CHECK_INTERVAL = Duration.ofMillis(200);
 
-  /** Of a controller that is not the standby. */
+  /** Check interval of a controller that is not the standby. */
   private static final Duration IDLE_CHECK_INTERVAL = Duration.ofMillis(500);
 
-  /** False alarms before this time no longer count. */
-  private static final Duration FALSE_ALARM_MEMORY = Duration.ofMinutes(3);
+  /** False alarms no longer count once a leader was last deposed longer ago than this. */
+  private static final Duration FALSE_ALARM_WINDOW = Duration.ofMinutes(3);
 
   /** How long the other controllers leave a free leader key to a healthy standby. */
   private static final Duration STANDBY_HEAD_START = Duration.ofMillis(600);
 
-  /** Another controller agrees once it has not heard the leader for four fifths of the limit. */
+  /** Another controller agrees if it has not heard the leader for four fifths of the timeout. */
   private static final int AGREEMENT_NUMERATOR = 4;
 
   private static final int AGREEMENT_DENOMINATOR = 5;
 
   private static final int MAX_DOUBLINGS = 10;
 
-  /** States of this controller as the standby. */
+  /** Role of this controller in failover. */
   public enum State {
-    /** Another controller is the standby, or none is. */
+    /** Not the standby, or not healthy enough to act as the standby. */
     NONE,
-    /** This controller is the standby, and the leader is heard. */
+    /** The standby, which hears the leader. */
     STANDBY,
-    /** The leader has not been heard for half the limit: the other controllers are asked. */
+    /** The standby, which has not heard the leader for half the timeout and asks the peers. */
     SUSPECTING,
-    /** The leader's lease is being revoked; this controller campaigns. */
+    /** This controller is revoking the leader's lease and campaigns. */
     DEPOSED
   }
 
   /**
-   * What the failover needs of its controller.
+   * The state and the actions that failover uses.
    *
-   * @param peers when each peer was last heard, and its last heartbeat
-   * @param view the leader as the store last showed it
+   * @param peers knows when each peer was last heard, and its last heartbeat
+   * @param view knows the leader as last read from the store
    * @param healthy whether this controller reaches the store and its workers
-   * @param askPeers has the peers send a heartbeat at once
-   * @param depose revokes the lease of a term, and campaigns
+   * @param requestHeartbeats asks the peers to send a heartbeat immediately
+   * @param depose revokes the lease of a term and campaigns
    */
   public record Context(
       PeerFailureDetector peers,
       ClusterView view,
       BooleanSupplier healthy,
-      Runnable askPeers,
+      Runnable requestHeartbeats,
       Consumer<LeaderElection.TermLease> depose) {}
 
   private final EventLoop loop;
@@ -76,21 +78,22 @@
   private final Duration maxLeaderTimeout;
   private final Context context;
   private State state = State.NONE;
-  private Duration leaderSilence = Duration.ZERO;
-  private MonotonicTime checkedAt;
+  private Duration leaderUnheardFor = Duration.ZERO;
+  private MonotonicTime lastCheckAt;
   private Duration currentInterval = SUSPECTING_CHECK_INTERVAL;
   private MonotonicTime deposedAt;
   private Optional<NodeId> deposedLeader = Optional.empty();
-  private long deposedSession;
+  private long deposedSessionLease;
   private int falseAlarms;
   private Optional<NodeId> standby = Optional.empty();
   private Optional<NodeId> lastLeader = Optional.empty();
 
   /**
-   * A controller that is no standby yet.
+   * Creates an instance that is not the standby.
    *
    * @param leaderTimeout time since the leader was last heard after which it may be deposed
-   * @param maxLeaderTimeout the leader's lease, beyond which nothing is gained
+   * @param maxLeaderTimeout upper bound on the timeout: the leader's lease, which then expires
+   *     anyway
    */
   public StandbyFailover(
       EventLoop loop,
@@ -103,13 +106,13 @@
     this.leaderTimeout = leaderTimeout;
     this.maxLeaderTimeout = maxLeaderTimeout;
     this.context = context;
-    this.checkedAt = loop.now();
-    this.deposedAt = checkedAt.minus(FALSE_ALARM_MEMORY);
+    this.lastCheckAt = loop.now();
+    this.deposedAt = lastCheckAt.minus(FALSE_ALARM_WINDOW);
   }
 
   /** Starts the periodic check. */
   public void start() {
-    checkedAt = loop.now();
+    lastCheckAt = loop.now();
     loop.after(SUSPECTING_CHECK_INTERVAL, this::check);
   }
 
@@ -122,14 +125,13 @@
   }
 
   /**
-   * Called by the leader: the controller that it names as its standby, kept as long as that one is
-   * healthy.
+   * Called by the leader; chooses its standby, and keeps the previous one while that is healthy.
    *
-   * @param otherZoneFirst the other controllers, in order of preference
-   * @return the name of the standby, empty if no controller is healthy
+   * @param candidates the other controllers, in order of preference
+   * @return the name of the standby; empty if no candidate is healthy
    */
-  public String chooseStandby(List<NodeId> otherZoneFirst) {
-    List<NodeId> healthy = otherZoneFirst.stream().filter(this::isHealthy).toList();
+  public String chooseStandby(List<NodeId> candidates) {
+    List<NodeId> healthy = candidates.stream().filter(this::isHealthy).toList();
     if (standby.filter(healthy::contains).isEmpty()) {
       Optional<NodeId> previous = standby;
       standby = healthy.stream().findFirst();
@@ -140,7 +142,7 @@
     return standby.map(NodeId::value).orElse("");
   }
 
-  /** Whether the peer, by its fresh heartbeat, reaches the store and its workers. */
+  /** Whether the peer reports in a fresh heartbeat that it reaches the store and its workers. */
   private boolean isHealthy(NodeId peer) {
     return context.peers.isServedByStore(peer)
         && context
@@ -151,12 +153,15 @@
             .isPresent();
   }
 
-  /** The standby that this controller, as the leader, chose last. */
+  /** The standby that this controller last chose as the leader; empty if none. */
   public Optional<NodeId> chosenStandby() {
     return standby;
   }
 
-  /** How long this controller leaves a free leader key to a healthy standby. */
+  /**
+   * How long this controller leaves a free leader key to another one, which is the standby and
+   * served by the store; zero if there is none.
+   */
   public Duration campaignDelay() {
     boolean anotherIsStandby =
         standbyNamedBy(lastLeader())
@@ -177,9 +182,9 @@
   }
 
   private void check() {
-    Duration gap = loop.now().since(checkedAt);
-    checkedAt = loop.now();
-    // A check that runs late shows nothing of the leader: its frames may be queued behind it.
+    Duration gap = loop.now().since(lastCheckAt);
+    lastCheckAt = loop.now();
+    // A late check is no evidence against the leader: its frames may be queued behind the check.
     updateState(gap, gap.compareTo(currentInterval.plus(SUSPECTING_CHECK_INTERVAL)) > 0);
     currentInterval = nextInterval();
     loop.after(currentInterval, this::check);
@@ -189,28 +194,28 @@
     if (state == State.NONE) {
       return IDLE_CHECK_INTERVAL;
     }
-    return leaderSilence.isZero() ? STANDBY_CHECK_INTERVAL : SUSPECTING_CHECK_INTERVAL;
+    return leaderUnheardFor.isZero() ? STANDBY_CHECK_INTERVAL : SUSPECTING_CHECK_INTERVAL;
   }
 
   /**
-   * @param gap time since the last check
-   * @param late whether this check ran so late that received frames may wait behind it
+   * @param gap time since the previous check
+   * @param late whether this check ran so late that received frames may be queued behind it
    */
   private void updateState(Duration gap, boolean late) {
     Optional<LeaderRecord> leader = context.view.leader();
     lastLeader();
-    recordFalseAlarm();
+    detectFalseAlarm();
     boolean isStandby =
         leader.isPresent()
             && !leader.get().node().equals(self)
             && standbyNamedBy(leader.map(LeaderRecord::node)).equals(Optional.of(self.value()))
             && context.healthy.getAsBoolean();
     if (!isStandby) {
-      leaderSilence = Duration.ZERO;
+      leaderUnheardFor = Duration.ZERO;
       if (state != State.NONE) {
         transitionTo(
             State.NONE,
-            leader.isEmpty() ? "no leader" : "not named, or own connections not healthy");
+            leader.isEmpty() ? "no leader" : "not named as standby, or own connections unhealthy");
       }
       return;
     }
@@ -218,47 +223,47 @@
       transitionTo(State.STANDBY, "named by " + leader.get().node());
     }
     boolean heard = context.peers.timeSinceLastHeard(leader.get().node()).compareTo(gap) <= 0;
-    leaderSilence = heard || late ? Duration.ZERO : leaderSilence.plus(gap);
+    leaderUnheardFor = heard || late ? Duration.ZERO : leaderUnheardFor.plus(gap);
     watchLeader(leader.get());
   }
 
   private void watchLeader(LeaderRecord leader) {
-    Duration limit = limit();
+    Duration timeout = timeout();
     if (state == State.DEPOSED) {
-      if (leaderSilence.isZero()) {
-        // The request to revoke its lease was lost.
+      if (leaderUnheardFor.isZero()) {
+        // Its lease was not revoked because the request was lost.
         transitionTo(State.STANDBY, leader.node() + " still leads");
       }
       return;
     }
-    if (leaderSilence.compareTo(limit.dividedBy(2)) < 0) {
+    if (leaderUnheardFor.compareTo(timeout.dividedBy(2)) < 0) {
       transitionTo(State.STANDBY, "leader heard");
       return;
     }
     if (state == State.STANDBY) {
       transitionTo(State.SUSPECTING, "leader not heard");
-      context.askPeers.run();
+      context.requestHeartbeats.run();
       return;
     }
-    if (leaderSilence.compareTo(limit) >= 0) {
-      if (peersAgree(leader.node(), limit)) {
+    if (leaderUnheardFor.compareTo(timeout) >= 0) {
+      if (peersAgree(leader.node(), timeout)) {
         depose(leader);
       } else {
-        context.askPeers.run();
+        context.requestHeartbeats.run();
       }
     }
   }
 
-  /** Whether another controller has not heard the leader either, and none has heard it lately. */
-  private boolean peersAgree(NodeId leader, Duration limit) {
-    Duration agreement = limit.multipliedBy(AGREEMENT_NUMERATOR).dividedBy(AGREEMENT_DENOMINATOR);
+  /** Whether another controller has not heard the leader either, and none has heard it recently. */
+  private boolean peersAgree(NodeId leader, Duration timeout) {
+    Duration agreement = timeout.multipliedBy(AGREEMENT_NUMERATOR).dividedBy(AGREEMENT_DENOMINATOR);
     boolean agree = false;
     for (NodeId peer : context.peers.peersServedByStore()) {
       if (peer.equals(leader)) {
         continue;
       }
       Optional<Duration> sinceHeard = context.peers.timeSinceHeardBy(peer, leader);
-      if (sinceHeard.filter(since -> since.compareTo(limit.dividedBy(2)) < 0).isPresent()) {
+      if (sinceHeard.filter(since -> since.compareTo(timeout.dividedBy(2)) < 0).isPresent()) {
         return false;
       }
       agree |= sinceHeard.isEmpty() || sinceHeard.get().compareTo(agreement) >= 0;
@@ -269,17 +274,23 @@
   private void depose(LeaderRecord leader) {
     transitionTo(
         State.DEPOSED,
-        leader.node() + " not heard for " + leaderSilence.toMillis() + " ms, another agrees");
+        leader.node()
+            + " not heard for "
+            + leaderUnheardFor.toMillis()
+            + " ms, another controller agrees");
     deposedLeader = Optional.of(leader.node());
-    deposedSession =
+    deposedSessionLease =
         context.peers.lastHeartbeat(leader.node()).map(Heartbeat::getSessionLease).orElse(0L);
-    falseAlarms = loop.now().since(deposedAt).compareTo(FALSE_ALARM_MEMORY) > 0 ? 0 : falseAlarms;
+    falseAlarms = loop.now().since(deposedAt).compareTo(FALSE_ALARM_WINDOW) > 0 ? 0 : falseAlarms;
     deposedAt = loop.now();
     context.depose.accept(new LeaderElection.TermLease(leader.term(), leader.lease()));
   }
 
-  /** The same process is heard again: it was alive, and the next alarm takes longer. */
-  private void recordFalseAlarm() {
+  /**
+   * Counts a false alarm, which lengthens the timeout, if the process of the deposed leader has
+   * been heard again.
+   */
+  private void detectFalseAlarm() {
     boolean alive =
         deposedLeader
             .filter(
@@ -287,7 +298,7 @@
                     context.peers.timeSinceLastHeard(node).compareTo(loop.now().since(deposedAt))
                         < 0)
             .flatMap(context.peers::lastHeartbeat)
-            .filter(heartbeat -> heartbeat.getSessionLease() == deposedSession)
+            .filter(heartbeat -> heartbeat.getSessionLease() == deposedSessionLease)
             .isPresent();
     if (alive) {
       LOG.info("deposed leader was alive, node={}", deposedLeader.get());
@@ -296,8 +307,8 @@
     }
   }
 
-  /** Time since the leader was last heard after which it is deposed; doubles with false alarms. */
-  private Duration limit() {
+  /** Time without hearing the leader after which it is deposed; doubles with each false alarm. */
+  private Duration timeout() {
     Duration longer = leaderTimeout.multipliedBy(1L << Math.min(falseAlarms, MAX_DOUBLINGS));
     return longer.compareTo(maxLeaderTimeout) < 0 ? longer : maxLeaderTimeout;
   }
--- a/src/main/java/org/mulleinshift/sharding/OwnedShards.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedShards.java
@@ -98,7 +98,7 @@
   private void tick() {
     loop.after(TICK_INTERVAL, this::tick);
     if (!owners.isEmpty()) {
-      session.logOwnershipChange();
+      session.logLeaseValidityChange();
     }
     owners.values().forEach(ShardOwner::tick);
   }
@@ -107,7 +107,7 @@
    * Counts the machines that should send heartbeats here. Leaves out shards that this node may no
    * longer act for: their machines may have moved to other controllers.
    */
-  private WorkerReachability.Count countMachines() {
+  private WorkerReachability.MachineCounts countMachines() {
     int expected = 0;
     int unreachable = 0;
     for (ShardOwner owner : owners.values()) {
@@ -116,7 +116,7 @@
         unreachable += owner.unreachableMachines();
       }
     }
-    return new WorkerReachability.Count(expected, unreachable);
+    return new WorkerReachability.MachineCounts(expected, unreachable);
   }
 
   private List<InetSocketAddress> workerAddresses() {
--- a/src/main/java/org/mulleinshift/sharding/ShardGrants.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardGrants.java
@@ -80,8 +80,8 @@
     List<ShardView> assignable = new ArrayList<>(shards.all());
     assignable.removeIf(shard -> view.unreadableGrants().contains(shard.id()));
     Duration unacknowledgedLimit = peerTimeout.multipliedBy(2);
-    for (ShardAssigner.Move move :
-        assigner.moves(assignable, owners, candidates, unacknowledgedLimit, loop.now())) {
+    for (ShardAssigner.PlannedGrant move :
+        assigner.planGrants(assignable, owners, candidates, unacknowledgedLimit, loop.now())) {
       grant(shards.find(move.shard().id()).orElseThrow(), move.owner());
     }
   }
@@ -94,7 +94,8 @@
   private List<NodeId> eligibleOwners() {
     List<NodeId> live = new ArrayList<>(view.nodes().keySet());
     live.removeIf(node -> peers.timeSinceLastHeard(node).compareTo(peerTimeout) > 0);
-    Set<NodeId> ineligible = eligibility.ineligible(suspicionsByOwner(), live, loop.now());
+    Set<NodeId> ineligible =
+        eligibility.updateAndGetIneligible(suspicionsByOwner(), live, loop.now());
     if (!ineligible.containsAll(live)) {
       live.removeAll(ineligible);
     }
