--- a/src/main/java/org/mulleinshift/autoscaling/CapacityPlanner.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CapacityPlanner.java
@@ -92,7 +92,7 @@
     Optional<MachineStatus> status = shard.statusOf(id);
     if (known.isEmpty()
         || state.machines().isCordoned(id)
-        || status.filter(OwnedMachine::occupied).isPresent()
+        || status.filter(OwnedMachine::hasUnreadableTasks).isPresent()
         || status.filter(MachineStatus::getInterrupted).isPresent()) {
       return;
     }
--- a/src/main/java/org/mulleinshift/sharding/AssignmentReceiver.java
+++ b/src/main/java/org/mulleinshift/sharding/AssignmentReceiver.java
@@ -72,11 +72,11 @@
 
   private boolean isApplicable(ShardAssignment assignment) {
     long term = assignment.getLeaderTerm();
-    long known = term == seenTerm ? seenVersion : 0;
+    long knownVersion = term == seenTerm ? seenVersion : 0;
     return assignment.getGrant() == grant.value()
         && term >= seenTerm
-        && assignment.getBase() <= known
-        && assignment.getVersion() > known;
+        && assignment.getBase() <= knownVersion
+        && assignment.getVersion() > knownVersion;
   }
 
   /** Takes over the assigned tasks, and returns their ids. */
--- a/src/main/java/org/mulleinshift/sharding/CommandPlanner.java
+++ b/src/main/java/org/mulleinshift/sharding/CommandPlanner.java
@@ -11,7 +11,7 @@
 /** Lists the commands that a machine's worker still has to carry out. */
 final class CommandPlanner {
   /** The rest comes with the next heartbeat; a machine may know thousands of ended tasks. */
-  private static final int MAX_COMMANDS = 200;
+  private static final int MAX_COMMANDS_PER_MESSAGE = 200;
 
   private static final int MILLIS_PER_SECOND = 1000;
 
@@ -46,13 +46,13 @@
     }
     for (OwnedTask task : machine.tasks()) {
       if (task.stopRequested()) {
-        stops.add(new WorkerCommand.Stop(task.task(), task.attempt(), gracePeriodOf(task)));
+        stops.add(new WorkerCommand.Stop(task.id(), task.attempt(), gracePeriodOf(task)));
       } else if (task.phase() == TaskPhase.STARTING) {
-        others.add(new WorkerCommand.Run(task.task(), task.attempt()));
+        others.add(new WorkerCommand.Run(task.id(), task.attempt()));
       }
     }
     stops.addAll(others);
-    return stops.subList(0, Math.min(MAX_COMMANDS, stops.size()));
+    return stops.subList(0, Math.min(MAX_COMMANDS_PER_MESSAGE, stops.size()));
   }
 
   /**
@@ -65,7 +65,7 @@
 
   private Duration gracePeriodOf(OwnedTask task) {
     // Nobody has any use for the progress of a cancelled job.
-    return cancelled.test(task.task().job())
+    return cancelled.test(task.id().job())
         ? Duration.ZERO
         : Duration.ofMillis((long) (task.saveSeconds() * MILLIS_PER_SECOND));
   }
--- a/src/main/java/org/mulleinshift/sharding/DirectCommandSender.java
+++ b/src/main/java/org/mulleinshift/sharding/DirectCommandSender.java
@@ -23,7 +23,7 @@
   private static final Duration COMMAND_DEADLINE = Duration.ofMillis(1200);
 
   private final EventLoop loop;
-  private final AsyncHttpClient workers;
+  private final AsyncHttpClient httpClient;
   private final ShardState state;
   private final CommandPlanner planner;
   private final LivenessMonitor liveness;
@@ -41,7 +41,7 @@
       LivenessMonitor liveness,
       BiConsumer<OwnedMachine, WorkerHeartbeat> onReport) {
     this.loop = context.loop();
-    this.workers = context.workers();
+    this.httpClient = context.workers();
     this.state = state;
     this.planner = planner;
     this.liveness = liveness;
@@ -70,8 +70,9 @@
   private void send(OwnedMachine machine, InetSocketAddress address, List<WorkerCommand> commands) {
     machine.markDirectCommandSent();
     String body =
-        WorkerCodec.writeCommands(machine.token(), machine.lastHeartbeat().epoch(), commands);
-    workers.call(
+        WorkerCodec.writeCommands(
+            machine.token(), machine.lastHeartbeatVersion().epoch(), commands);
+    httpClient.call(
         address,
         HttpRequest.post(WorkerCodec.COMMANDS_PATH, body, COMMAND_DEADLINE),
         reply -> onReply(machine, reply));
--- a/src/main/java/org/mulleinshift/sharding/HeartbeatReconciler.java
+++ b/src/main/java/org/mulleinshift/sharding/HeartbeatReconciler.java
@@ -36,21 +36,21 @@
 
   /** Applies a heartbeat, or the report in a worker's answer, unless a newer one was applied. */
   void apply(OwnedMachine machine, WorkerHeartbeat heartbeat) {
-    if (!heartbeat.version().isAfter(machine.lastHeartbeat())) {
+    if (!heartbeat.version().isAfter(machine.lastHeartbeatVersion())) {
       return;
     }
-    if (machine.isUnchanged(heartbeat)) {
+    if (machine.isUnchangedBy(heartbeat)) {
       machine.onHeartbeat(heartbeat, loop.now());
       return;
     }
     boolean newEpoch = isNewEpoch(machine, heartbeat);
     recordHeartbeat(machine, heartbeat);
-    boolean knowsToken = machine.isTokenKnownBy(heartbeat);
-    state.transition(machine, knowsToken ? MachinePhase.CONFIRMED : MachinePhase.REPORTING);
-    Set<TaskId> listed = applyTasks(machine, heartbeat);
+    boolean tokenAcknowledged = machine.isTokenAcknowledgedBy(heartbeat);
+    state.transition(machine, tokenAcknowledged ? MachinePhase.CONFIRMED : MachinePhase.REPORTING);
+    Set<TaskId> reportedAssigned = applyTasks(machine, heartbeat);
     for (OwnedTask task : machine.tasks()) {
-      if (!listed.contains(task.task())) {
-        onTaskMissing(machine, task, newEpoch, knowsToken);
+      if (!reportedAssigned.contains(task.id())) {
+        onTaskMissing(machine, task, newEpoch, tokenAcknowledged);
       }
     }
     machine.markApplied(heartbeat);
@@ -59,8 +59,8 @@
   /** Whether the worker began a new epoch: nothing of the one before runs any more. */
   private boolean isNewEpoch(OwnedMachine machine, WorkerHeartbeat heartbeat) {
     long epoch = heartbeat.version().epoch();
-    boolean newEpoch = epoch > machine.lastHeartbeat().epoch();
-    if (newEpoch && machine.lastHeartbeat().epoch() > 0) {
+    boolean newEpoch = epoch > machine.lastHeartbeatVersion().epoch();
+    if (newEpoch && machine.lastHeartbeatVersion().epoch() > 0) {
       LOG.info("worker epoch began, machine={} epoch={}", machine.id(), epoch);
       // It was answered and ended its epoch all the same: the answers may not reach it.
       machine.raiseToken(loop.now());
@@ -69,30 +69,30 @@
   }
 
   private void recordHeartbeat(OwnedMachine machine, WorkerHeartbeat heartbeat) {
-    boolean interrupted = machine.interrupted();
+    boolean interrupted = machine.hasInterruptionNotice();
     machine.onHeartbeat(heartbeat, loop.now());
-    if (interrupted != machine.interrupted()) {
+    if (interrupted != machine.hasInterruptionNotice()) {
       state.markChanged(machine.id());
     }
   }
 
   /** Takes over the reported tasks, and returns those that are assigned here. */
   private Set<TaskId> applyTasks(OwnedMachine machine, WorkerHeartbeat heartbeat) {
-    Set<TaskId> listed = new HashSet<>();
+    Set<TaskId> reportedAssigned = new HashSet<>();
     List<WorkerHeartbeat.ReportedTask> unassigned = new ArrayList<>();
     for (WorkerHeartbeat.ReportedTask entry : heartbeat.tasks()) {
       if (applyIfAssigned(machine, entry)) {
-        listed.add(entry.task());
+        reportedAssigned.add(entry.task());
       } else {
         unassigned.add(entry);
       }
     }
     setUnassigned(machine, unassigned);
-    return listed;
+    return reportedAssigned;
   }
 
   /** Takes over the tasks that machines reported before the leader's set arrived. */
-  void adoptUnassignedTasks() {
+  void reconcileUnassignedTasks() {
     for (OwnedMachine machine : state.machines()) {
       List<WorkerHeartbeat.ReportedTask> remaining = new ArrayList<>();
       for (WorkerHeartbeat.ReportedTask entry : machine.unassignedTasks()) {
@@ -106,7 +106,7 @@
 
   private void setUnassigned(OwnedMachine machine, List<WorkerHeartbeat.ReportedTask> entries) {
     machine.unassignedTasks(entries);
-    state.updateOccupied(machine, assignments.unreadableJobs());
+    state.updateUnreadableTasks(machine, assignments.unreadableJobs());
   }
 
   private boolean applyIfAssigned(OwnedMachine machine, WorkerHeartbeat.ReportedTask entry) {
@@ -117,12 +117,12 @@
 
   private void onTaskReported(
       OwnedMachine machine, OwnedTask task, WorkerHeartbeat.ReportedTask entry) {
-    boolean elsewhere = task.bound() && !task.boundTo(machine.id());
+    boolean boundElsewhere = task.isBound() && !task.isBoundTo(machine.id());
     boolean confirmed = machine.phase() == MachinePhase.CONFIRMED;
-    if (elsewhere && (task.placementConfirmed() || !confirmed)) {
+    if (boundElsewhere && (task.placementConfirmed() || !confirmed)) {
       LOG.error(
           "task reported by two machines, task={} machine={} other={}",
-          task.task(),
+          task.id(),
           task.machine().map(Object::toString).orElse(""),
           machine.id());
       return;
@@ -131,7 +131,7 @@
     if (phase == TaskPhase.RUNNING) {
       recordImage(machine, task);
     }
-    if (task.phase() != phase || elsewhere) {
+    if (task.phase() != phase || boundElsewhere) {
       state.bind(task, phase, machine.id());
     }
     if (confirmed) {
@@ -141,17 +141,17 @@
 
   private void recordImage(OwnedMachine machine, OwnedTask task) {
     double cacheGb = catalog.type(machine.record().type()).map(MachineType::cacheGb).orElse(0.0);
-    if (machine.addImage(task.request().image(), task.request().imageGb(), cacheGb)) {
+    if (machine.recordImageUse(task.request().image(), task.request().imageGb(), cacheGb)) {
       state.markChanged(machine.id());
     }
   }
 
   /** A task that should be on the machine, but is not in its newest heartbeat. */
   private void onTaskMissing(
-      OwnedMachine machine, OwnedTask task, boolean newEpoch, boolean knowsToken) {
+      OwnedMachine machine, OwnedTask task, boolean newEpoch, boolean tokenAcknowledged) {
     if (task.phase() != TaskPhase.STARTING || newEpoch) {
-      state.finishAbsent(task);
-    } else if (task.stopRequested() && knowsToken && !machine.directCommandInFlight()) {
+      state.markAbsent(task);
+    } else if (task.stopRequested() && tokenAcknowledged && !machine.directCommandInFlight()) {
       // Never started, and no command under an older token can start it any more.
       state.finish(task, TaskPhase.STOPPED);
     } else {
--- a/src/main/java/org/mulleinshift/sharding/HeartbeatRouter.java
+++ b/src/main/java/org/mulleinshift/sharding/HeartbeatRouter.java
@@ -66,7 +66,7 @@
     this.prober = new WorkerProber(context.workers());
     this.suspicions = new SuspicionReporter(loop, view, toLeader);
     this.owners =
-        new OwnerResponsiveness(view, peers.health(), context.timing().heartbeatInterval());
+        new OwnerResponsiveness(view, peers.health(), context.workerTiming().heartbeatInterval());
     this.held = new HeldHeartbeats(loop, this::settle, this::holdLimit, this::sendOn);
   }
 
--- a/src/main/java/org/mulleinshift/sharding/ImageCache.java
+++ b/src/main/java/org/mulleinshift/sharding/ImageCache.java
@@ -15,7 +15,7 @@
    *
    * @return whether the set of images changed
    */
-  boolean use(String image, double sizeGb, double capacityGb) {
+  boolean recordUse(String image, double sizeGb, double capacityGb) {
     boolean changed = sizes.remove(image) == null;
     sizes.put(image, sizeGb);
     double total = sizes.values().stream().mapToDouble(Double::doubleValue).sum();
--- a/src/main/java/org/mulleinshift/sharding/LivenessMonitor.java
+++ b/src/main/java/org/mulleinshift/sharding/LivenessMonitor.java
@@ -58,10 +58,10 @@
   void tick() {
     MonotonicTime now = loop.now();
     for (OwnedMachine machine : state.machines()) {
-      if (justAnswered(machine, now)) {
+      if (hasRecentResponse(machine, now)) {
         continue;
       }
-      boolean mayHaveTasks = machine.record().up() || machine.answeredAt().isPresent();
+      boolean mayHaveTasks = machine.record().up() || machine.lastResponseAt().isPresent();
       if (mayHaveTasks
           && machine.phase() != MachinePhase.EXPIRED
           && now.isAfter(workerLeaseExpiry(machine))) {
@@ -75,16 +75,16 @@
     LOG.info("worker lease expired, machine={}", machine.id());
     state.transition(machine, MachinePhase.EXPIRED);
     machine.unassignedTasks(List.of());
-    state.updateOccupied(machine, assignments.unreadableJobs());
-    state.finishAllOn(machine);
+    state.updateUnreadableTasks(machine, assignments.unreadableJobs());
+    state.markAllAbsent(machine);
   }
 
   /** Most machines, most of the time: neither silent nor near the end of any lease. */
-  private boolean justAnswered(OwnedMachine machine, MonotonicTime now) {
+  private boolean hasRecentResponse(OwnedMachine machine, MonotonicTime now) {
     return machine.liveness() == MachineLiveness.ALIVE
         && machine.phase() == MachinePhase.CONFIRMED
-        && machine.answeredAt().isPresent()
-        && now.since(machine.answeredAt().get()).compareTo(timing.heartbeatInterval()) < 0;
+        && machine.lastResponseAt().isPresent()
+        && now.since(machine.lastResponseAt().get()).compareTo(timing.heartbeatInterval()) < 0;
   }
 
   /**
@@ -92,13 +92,14 @@
    * shard's earlier owner may have answered it, for as long as a shard lease lasts.
    */
   private MonotonicTime workerLeaseExpiry(OwnedMachine machine) {
-    MonotonicTime lastAnswer = machine.answeredAt().orElse(startedAt);
+    MonotonicTime lastResponse = machine.lastResponseAt().orElse(startedAt);
     if (machine.phase() != MachinePhase.CONFIRMED) {
-      MonotonicTime earlierOwner = startedAt.plus(shardLease);
-      lastAnswer = earlierOwner.isAfter(lastAnswer) ? earlierOwner : lastAnswer;
+      MonotonicTime earlierOwnerLeaseEnd = startedAt.plus(shardLease);
+      lastResponse =
+          earlierOwnerLeaseEnd.isAfter(lastResponse) ? earlierOwnerLeaseEnd : lastResponse;
     }
     Duration lease = timing.lease();
-    return lastAnswer.plus(lease).plus(lease.dividedBy(CLOCK_DRIFT_DIVISOR)).plus(EXPIRY_MARGIN);
+    return lastResponse.plus(lease).plus(lease.dividedBy(CLOCK_DRIFT_DIVISOR)).plus(EXPIRY_MARGIN);
   }
 
   /**
@@ -109,34 +110,35 @@
   }
 
   /** How many machines should be heard by now. */
-  int expectedMachines() {
-    return (int) expected().count();
+  int expectedMachineCount() {
+    return (int) expectedMachines().count();
   }
 
   /** How many of those are not heard. */
-  int unreachableMachines() {
-    return (int) expected().filter(m -> m.liveness() != MachineLiveness.ALIVE).count();
+  int unreachableMachineCount() {
+    return (int) expectedMachines().filter(m -> m.liveness() != MachineLiveness.ALIVE).count();
   }
 
   /** Machines that should be heard by now: none that may still be looking for this node. */
-  private Stream<OwnedMachine> expected() {
+  private Stream<OwnedMachine> expectedMachines() {
     Duration owned = loop.now().since(startedAt);
     boolean settled = owned.compareTo(timing.lease()) > 0 && owned.compareTo(shardLease) > 0;
     return state.machines().stream()
-        .filter(m -> m.record().up() && (settled || m.reachedAt().isPresent()));
+        .filter(m -> m.record().up() && (settled || m.heartbeatReceivedAt().isPresent()));
   }
 
   /** Whether the machine is alive now, by what was heard of it and what it heard. */
   MachineLiveness livenessOf(OwnedMachine machine, MonotonicTime now) {
-    MonotonicTime lastHeard = machine.reachedAt().orElse(startedAt);
+    MonotonicTime lastHeard = machine.heartbeatReceivedAt().orElse(startedAt);
     Duration silence = now.since(listeningSince.isAfter(lastHeard) ? listeningSince : lastHeard);
-    Duration awaitingEcho = machine.awaitingEchoSince().map(now::since).orElse(Duration.ZERO);
+    Duration unacknowledged =
+        machine.tokenUnacknowledgedSince().map(now::since).orElse(Duration.ZERO);
     if (silence.compareTo(lostAfter(machine)) > 0
-        || awaitingEcho.compareTo(timing.lease().multipliedBy(2)) > 0) {
+        || unacknowledged.compareTo(timing.lease().multipliedBy(2)) > 0) {
       return MachineLiveness.LOST;
     }
     boolean suspected =
-        silence.compareTo(suspectedAfter()) >= 0 || machine.awaitingEchoSince().isPresent();
+        silence.compareTo(suspectedAfter()) >= 0 || machine.tokenUnacknowledgedSince().isPresent();
     return suspected ? MachineLiveness.SUSPECTED : MachineLiveness.ALIVE;
   }
 
@@ -151,7 +153,7 @@
 
   private Duration lostAfter(OwnedMachine machine) {
     Duration lost = timing.lease().plus(LOST_MARGIN);
-    if (machine.reachedAt().isPresent()) {
+    if (machine.heartbeatReceivedAt().isPresent()) {
       return lost;
     }
     // The shard's earlier owner may answer it for a shard lease; then it must find this node.
--- a/src/main/java/org/mulleinshift/sharding/MachineToken.java
+++ b/src/main/java/org/mulleinshift/sharding/MachineToken.java
@@ -14,7 +14,7 @@
   private static final int LOCAL_BITS = 20;
 
   private FencingToken value;
-  private Optional<MonotonicTime> awaitingEchoSince = Optional.empty();
+  private Optional<MonotonicTime> unacknowledgedSince = Optional.empty();
 
   /** The first token of a grant. */
   MachineToken(Revision grant) {
@@ -42,7 +42,7 @@
    */
   void raise(MonotonicTime now) {
     value = new FencingToken(value.value() + 1);
-    awaitingEchoSince = Optional.of(awaitingEchoSince.orElse(now));
+    unacknowledgedSince = Optional.of(unacknowledgedSince.orElse(now));
   }
 
   /** The worker knows a higher token of the same grant: never fall behind it. */
@@ -54,18 +54,18 @@
 
   /** The highest token that the worker has received, as it reports. */
   void onReported(FencingToken highest) {
-    if (isKnownBy(highest)) {
-      awaitingEchoSince = Optional.empty();
+    if (isAcknowledgedBy(highest)) {
+      unacknowledgedSince = Optional.empty();
     }
   }
 
   /** Whether a worker whose highest token is this one has received the current token. */
-  boolean isKnownBy(FencingToken highest) {
+  boolean isAcknowledgedBy(FencingToken highest) {
     return highest.compareTo(value) >= 0;
   }
 
   /** Since when it is unknown whether the worker receives anything; empty if it does. */
-  Optional<MonotonicTime> awaitingEchoSince() {
-    return awaitingEchoSince;
+  Optional<MonotonicTime> unacknowledgedSince() {
+    return unacknowledgedSince;
   }
 }
--- a/src/main/java/org/mulleinshift/sharding/OwnedMachine.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedMachine.java
@@ -22,7 +22,7 @@
 /** A machine of an owned shard, as its owner knows it. */
 public final class OwnedMachine {
   /** A worker takes no answer later than 4 s after its heartbeat; and more for drift. */
-  private static final Duration ANSWER_AWAITED = Duration.ofMillis(4500);
+  private static final Duration RESPONSE_WAIT = Duration.ofMillis(4500);
 
   /** Reported in place of a phase: tasks run on it that this build must leave alone. */
   private static final String OCCUPIED = "OCCUPIED";
@@ -34,21 +34,21 @@
   private MachineRecord record;
   private MachinePhase phase = MachinePhase.UNSEEN;
   private MachineLiveness liveness = MachineLiveness.ALIVE;
-  private HeartbeatVersion lastHeartbeat = HeartbeatVersion.NEVER;
-  private MonotonicTime lastHeartbeatAt;
+  private HeartbeatVersion lastHeartbeatVersion = HeartbeatVersion.NEVER;
+  private MonotonicTime newestHeartbeatAt;
   private String address = "";
-  private Optional<MonotonicTime> answeredAt = Optional.empty();
-  private Optional<MonotonicTime> reachedAt = Optional.empty();
+  private Optional<MonotonicTime> lastResponseAt = Optional.empty();
+  private Optional<MonotonicTime> heartbeatReceivedAt = Optional.empty();
   private Optional<Duration> interruptionNotice = Optional.empty();
   private List<WorkerHeartbeat.ReportedTask> unassignedTasks = new ArrayList<>();
-  private boolean occupied;
-  private Resources used = Resources.ZERO;
+  private boolean hasUnreadableTasks;
+  private Resources usedResources = Resources.ZERO;
 
   /** Counts changes of the tasks bound to it. */
-  private long bindings;
+  private long bindingChanges;
 
   private List<WorkerHeartbeat.ReportedTask> appliedEntries = List.of();
-  private long appliedBindings = -1;
+  private long appliedBindingChanges = -1;
   private boolean directCommandInFlight;
   private boolean commandsPending;
 
@@ -59,7 +59,7 @@
    * @param grant under which this node owns its shard
    */
   OwnedMachine(MachineId id, MachineRecord record, Revision grant, MonotonicTime now) {
-    this.lastHeartbeatAt = now;
+    this.newestHeartbeatAt = now;
     this.id = id;
     this.record = record;
     this.token = new MachineToken(grant);
@@ -81,13 +81,13 @@
   }
 
   /** Since when it has shown no sign that it receives from this node; empty if it has. */
-  Optional<MonotonicTime> awaitingEchoSince() {
-    return token.awaitingEchoSince();
+  Optional<MonotonicTime> tokenUnacknowledgedSince() {
+    return token.unacknowledgedSince();
   }
 
   /** Whether the worker that sent the heartbeat has received the current token. */
-  boolean isTokenKnownBy(WorkerHeartbeat heartbeat) {
-    return token.isKnownBy(heartbeat.highestToken());
+  boolean isTokenAcknowledgedBy(WorkerHeartbeat heartbeat) {
+    return token.isAcknowledgedBy(heartbeat.highestToken());
   }
 
   /**
@@ -96,14 +96,14 @@
    * to it renews nothing.
    */
   boolean isDelayedDuplicate(WorkerHeartbeat heartbeat, MonotonicTime now) {
-    return !heartbeat.version().isAfter(lastHeartbeat)
-        && now.since(lastHeartbeatAt).compareTo(ANSWER_AWAITED) > 0;
+    return !heartbeat.version().isAfter(lastHeartbeatVersion)
+        && now.since(newestHeartbeatAt).compareTo(RESPONSE_WAIT) > 0;
   }
 
   /** Notes what a newer heartbeat tells of the machine itself. */
   void onHeartbeat(WorkerHeartbeat heartbeat, MonotonicTime now) {
-    lastHeartbeat = heartbeat.version();
-    lastHeartbeatAt = now;
+    lastHeartbeatVersion = heartbeat.version();
+    newestHeartbeatAt = now;
     address = heartbeat.address();
     interruptionNotice = heartbeat.interruptionNotice();
     token.onReported(heartbeat.highestToken());
@@ -112,47 +112,47 @@
   /** All that the heartbeat reports was taken over. */
   void markApplied(WorkerHeartbeat heartbeat) {
     appliedEntries = heartbeat.tasks();
-    appliedBindings = bindings;
+    appliedBindingChanges = bindingChanges;
   }
 
   /**
    * Whether the heartbeat reports what the last one did, of a machine that is as it should be: then
    * nothing follows from it but that the machine is there. Most heartbeats are such.
    */
-  boolean isUnchanged(WorkerHeartbeat heartbeat) {
+  boolean isUnchangedBy(WorkerHeartbeat heartbeat) {
     return isSettled()
-        && heartbeat.version().epoch() == lastHeartbeat.epoch()
+        && heartbeat.version().epoch() == lastHeartbeatVersion.epoch()
         && heartbeat.interruptionNotice().isPresent() == interruptionNotice.isPresent()
-        && isTokenKnownBy(heartbeat)
+        && isTokenAcknowledgedBy(heartbeat)
         && heartbeat.tasks().size() == tasks.size()
         && heartbeat.tasks().equals(appliedEntries);
   }
 
   private boolean isSettled() {
-    return bindings == appliedBindings
+    return bindingChanges == appliedBindingChanges
         && phase == MachinePhase.CONFIRMED
-        && awaitingEchoSince().isEmpty()
+        && tokenUnacknowledgedSince().isEmpty()
         && unassignedTasks.isEmpty();
   }
 
   /** A heartbeat came, whether or not this node may answer it. */
-  void markReached(MonotonicTime now) {
-    reachedAt = Optional.of(now);
+  void markHeartbeatReceived(MonotonicTime now) {
+    heartbeatReceivedAt = Optional.of(now);
   }
 
   /** When a heartbeat last came. */
-  Optional<MonotonicTime> reachedAt() {
-    return reachedAt;
+  Optional<MonotonicTime> heartbeatReceivedAt() {
+    return heartbeatReceivedAt;
   }
 
   /** A heartbeat is answered, which renews the worker's lease. */
-  void markAnswered(MonotonicTime now) {
-    answeredAt = Optional.of(now);
+  void markResponded(MonotonicTime now) {
+    lastResponseAt = Optional.of(now);
   }
 
   /** When a heartbeat was last answered. */
-  Optional<MonotonicTime> answeredAt() {
-    return answeredAt;
+  Optional<MonotonicTime> lastResponseAt() {
+    return lastResponseAt;
   }
 
   /**
@@ -160,8 +160,8 @@
    *
    * @return whether the set of images changed
    */
-  boolean addImage(String image, double sizeGb, double cacheGb) {
-    return imageCache.use(image, sizeGb, cacheGb);
+  boolean recordImageUse(String image, double sizeGb, double cacheGb) {
+    return imageCache.recordUse(image, sizeGb, cacheGb);
   }
 
   /** The images that its cache holds. */
@@ -170,23 +170,24 @@
   }
 
   /** Takes over the machine's record as stored now. */
-  void update(MachineRecord next) {
+  void updateRecord(MachineRecord next) {
     record = next;
   }
 
   /** The task is, or possibly is, on it. */
   void bind(OwnedTask task) {
-    bindings++;
-    if (tasks.put(task.task(), task) == null) {
-      used = used.plus(task.request().perTask());
+    bindingChanges++;
+    if (tasks.put(task.id(), task) == null) {
+      usedResources = usedResources.plus(task.request().perTask());
     }
   }
 
   /** The task is no longer on it. */
-  void release(OwnedTask task) {
-    bindings++;
-    if (tasks.remove(task.task(), task)) {
-      used = tasks.isEmpty() ? Resources.ZERO : used.minus(task.request().perTask());
+  void unbind(OwnedTask task) {
+    bindingChanges++;
+    if (tasks.remove(task.id(), task)) {
+      usedResources =
+          tasks.isEmpty() ? Resources.ZERO : usedResources.minus(task.request().perTask());
     }
   }
 
@@ -196,8 +197,8 @@
   }
 
   /** What those tasks use of it. */
-  Resources used() {
-    return used;
+  Resources usedResources() {
+    return usedResources;
   }
 
   /**
@@ -232,8 +233,8 @@
     return token.value();
   }
 
-  HeartbeatVersion lastHeartbeat() {
-    return lastHeartbeat;
+  HeartbeatVersion lastHeartbeatVersion() {
+    return lastHeartbeatVersion;
   }
 
   /** Where its worker takes direct commands; empty before the first heartbeat. */
@@ -242,7 +243,7 @@
   }
 
   /** The cloud takes it away soon. */
-  boolean interrupted() {
+  boolean hasInterruptionNotice() {
     return interruptionNotice.isPresent();
   }
 
@@ -261,23 +262,23 @@
    *
    * @return whether that differs from before
    */
-  boolean updateOccupied(Set<JobId> unreadableJobs) {
-    boolean before = occupied;
-    occupied =
+  boolean updateUnreadableTasks(Set<JobId> unreadableJobs) {
+    boolean before = hasUnreadableTasks;
+    hasUnreadableTasks =
         unassignedTasks.stream()
             .filter(entry -> entry.state() != WorkerHeartbeat.State.EXITED)
             .anyMatch(entry -> unreadableJobs.contains(entry.task().job()));
-    return before != occupied;
+    return before != hasUnreadableTasks;
   }
 
   /** Whether such tasks run on it, as its owner reported. */
-  public static boolean occupied(MachineStatus status) {
+  public static boolean hasUnreadableTasks(MachineStatus status) {
     return status.getPhase().equals(OCCUPIED);
   }
 
   /** What is reported to the leader as the machine's phase. */
   String reportedPhase() {
-    return occupied ? OCCUPIED : phase().wireName();
+    return hasUnreadableTasks ? OCCUPIED : phase().wireName();
   }
 
   /** Whether a direct message was sent that is not answered yet and may still arrive in time. */
--- a/src/main/java/org/mulleinshift/sharding/OwnedShards.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedShards.java
@@ -80,7 +80,7 @@
     this.reachability =
         new WorkerReachability(
             loop,
-            context.timing().heartbeatInterval(),
+            context.workerTiming().heartbeatInterval(),
             new WorkerReachability.Context(
                 context.workers(), this::count, this::addresses, peers.onReachabilityChange()));
   }
@@ -109,15 +109,15 @@
     int unreachable = 0;
     for (ShardOwner owner : owned.values()) {
       if (owner.mayAct()) {
-        expected += owner.expectedMachines();
-        unreachable += owner.unreachableMachines();
+        expected += owner.expectedMachineCount();
+        unreachable += owner.unreachableMachineCount();
       }
     }
     return new WorkerReachability.Count(expected, unreachable);
   }
 
   private List<InetSocketAddress> addresses() {
-    return owned.values().stream().flatMap(owner -> owner.addresses().stream()).toList();
+    return owned.values().stream().flatMap(owner -> owner.workerAddresses().stream()).toList();
   }
 
   /** Whether this controller is reached by its workers. */
--- a/src/main/java/org/mulleinshift/sharding/OwnedTask.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedTask.java
@@ -9,17 +9,17 @@
 
 /** A task that the leader assigned to a shard, at the shard's owner. */
 final class OwnedTask {
-  private final TaskId task;
+  private final TaskId id;
   private final Attempt attempt;
   private final ResourceRequest request;
   private final double saveSeconds;
   private final int rank;
-  private final boolean fresh;
+  private final boolean assignedUnderCurrentGrant;
   private final MonotonicTime receivedAt;
   private TaskPhase phase = TaskPhase.NEW;
   private Optional<MachineId> machine = Optional.empty();
   private Optional<MonotonicTime> runningSince = Optional.empty();
-  private long ranMillis;
+  private long runTimeMillis;
   private boolean stopRequested;
 
   /** Whether it is known to have been on its machine under the shard's current grant. */
@@ -30,37 +30,37 @@
    *
    * @param saveSeconds how long it may take to save its progress when it is stopped
    * @param rank its job's place in the order of urgency
-   * @param fresh whether it was assigned under the shard's current grant
+   * @param assignedUnderCurrentGrant whether it was assigned under the shard's current grant
    * @param receivedAt when the leader's message about it came
    */
   OwnedTask(
-      TaskId task,
+      TaskId id,
       Attempt attempt,
       ResourceRequest request,
       double saveSeconds,
       int rank,
-      boolean fresh,
+      boolean assignedUnderCurrentGrant,
       MonotonicTime receivedAt) {
-    this.task = task;
+    this.id = id;
     this.attempt = attempt;
     this.request = request;
     this.saveSeconds = saveSeconds;
     this.rank = rank;
-    this.fresh = fresh;
+    this.assignedUnderCurrentGrant = assignedUnderCurrentGrant;
     this.receivedAt = receivedAt;
   }
 
   /**
    * The only place where the phase changes; a final phase stays.
    *
-   * @param where the machine, if that changes or becomes known
+   * @param machineId the machine, if that changes or becomes known
    */
-  void transitionTo(TaskPhase next, Optional<MachineId> where, MonotonicTime now) {
+  void transitionTo(TaskPhase next, Optional<MachineId> machineId, MonotonicTime now) {
     if (phase.isFinal()) {
       return;
     }
-    if (where.isPresent()) {
-      machine = where;
+    if (machineId.isPresent()) {
+      machine = machineId;
     }
     if (next == TaskPhase.NEW) {
       runningSince = Optional.empty();
@@ -69,24 +69,24 @@
       runningSince = Optional.of(now);
     }
     if (next.isFinal()) {
-      ranMillis = runningSince.map(since -> now.since(since).toMillis()).orElse(0L);
+      runTimeMillis = runningSince.map(since -> now.since(since).toMillis()).orElse(0L);
     }
     phase = next;
   }
 
   /** On a machine, or possibly so. */
-  boolean bound() {
+  boolean isBound() {
     return machine.isPresent() && phase != TaskPhase.NEW && !phase.isFinal();
   }
 
   /** On that machine, or possibly so. */
-  boolean boundTo(MachineId where) {
-    return bound() && machine.get().equals(where);
+  boolean isBoundTo(MachineId machineId) {
+    return isBound() && machine.get().equals(machineId);
   }
 
   /** The machine on which it is, or possibly is. */
   Optional<MachineId> boundMachine() {
-    return bound() ? machine : Optional.empty();
+    return isBound() ? machine : Optional.empty();
   }
 
   /**
@@ -100,7 +100,7 @@
 
   /** Whether its absence from its machine shows that it is on none. */
   boolean placementConfirmed() {
-    return placementConfirmed || fresh;
+    return placementConfirmed || assignedUnderCurrentGrant;
   }
 
   /** It is to stop, or not to start. */
@@ -112,8 +112,8 @@
     return stopRequested;
   }
 
-  TaskId task() {
-    return task;
+  TaskId id() {
+    return id;
   }
 
   Attempt attempt() {
@@ -133,8 +133,8 @@
   }
 
   /** Assigned under this very grant: no earlier owner can have placed it. */
-  boolean fresh() {
-    return fresh;
+  boolean assignedUnderCurrentGrant() {
+    return assignedUnderCurrentGrant;
   }
 
   /** When the leader's message about it came. */
@@ -152,9 +152,9 @@
   }
 
   /** For how long it has run, or ran until it ended. */
-  long ranMillis(MonotonicTime now) {
+  long runTimeMillis(MonotonicTime now) {
     if (phase.isFinal()) {
-      return ranMillis;
+      return runTimeMillis;
     }
     return runningSince.map(since -> now.since(since).toMillis()).orElse(0L);
   }
--- a/src/main/java/org/mulleinshift/sharding/ShardOwner.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardOwner.java
@@ -31,7 +31,7 @@
    * @param loop owns all state of the shard
    * @param workers sends direct commands
    * @param catalog machine types
-   * @param timing of workers
+   * @param workerTiming of workers
    * @param shardLease for how long an earlier owner may still act
    * @param cancelled whether a job is known to be cancelled
    * @param onStatusChange run when the leader should receive a status soon
@@ -40,7 +40,7 @@
       EventLoop loop,
       AsyncHttpClient workers,
       MachineTypeCatalog catalog,
-      PlatformSettings.WorkerTiming timing,
+      PlatformSettings.WorkerTiming workerTiming,
       Duration shardLease,
       Predicate<JobId> cancelled,
       Runnable onStatusChange) {}
@@ -54,7 +54,7 @@
   private final HeartbeatReconciler reconciler;
   private final LivenessMonitor liveness;
   private final TaskPlacer placer;
-  private final CommandPlanner commands;
+  private final CommandPlanner commandPlanner;
   private final DirectCommandSender directCommands;
 
   /**
@@ -72,11 +72,11 @@
     this.assignments = new AssignmentReceiver(loop, grant, context.cancelled(), state);
     this.reconciler = new HeartbeatReconciler(loop, context.catalog(), state, assignments);
     this.liveness =
-        new LivenessMonitor(loop, context.timing(), context.shardLease(), state, assignments);
+        new LivenessMonitor(loop, context.workerTiming(), context.shardLease(), state, assignments);
     this.placer = new TaskPlacer(context, id, state, assignments, liveness);
-    this.commands = new CommandPlanner(context.cancelled(), assignments);
+    this.commandPlanner = new CommandPlanner(context.cancelled(), assignments);
     this.directCommands =
-        new DirectCommandSender(context, state, commands, liveness, this::onDirectReport);
+        new DirectCommandSender(context, state, commandPlanner, liveness, this::onDirectReport);
   }
 
   Revision grant() {
@@ -90,7 +90,7 @@
 
   /** The shard's machines as stored. */
   void onRecord(ShardRecord record) {
-    if (state.apply(record)) {
+    if (state.applyRecord(record)) {
       placeAndSend();
     }
   }
@@ -98,7 +98,7 @@
   /** What the leader changed in the shard's assignments. */
   void onAssignment(ShardAssignment assignment) {
     if (assignments.apply(assignment)) {
-      reconciler.adoptUnassignedTasks();
+      reconciler.reconcileUnassignedTasks();
       context.onStatusChange().run();
       placeAndSend();
     }
@@ -112,7 +112,7 @@
   /** A job was cancelled: its tasks stop without waiting for the leader. */
   void onCancelled(JobId job) {
     for (OwnedTask task : state.tasks()) {
-      if (task.task().job().equals(job)) {
+      if (task.id().job().equals(job)) {
         state.requestStop(task);
       }
     }
@@ -121,16 +121,16 @@
 
   /** The answer to a heartbeat, or none if this node must not give one. */
   Optional<String> onHeartbeat(WorkerHeartbeat heartbeat) {
-    return state.machine(heartbeat.machine()).flatMap(machine -> answer(machine, heartbeat));
+    return state.machine(heartbeat.machine()).flatMap(machine -> respondTo(machine, heartbeat));
   }
 
-  private Optional<String> answer(OwnedMachine machine, WorkerHeartbeat heartbeat) {
+  private Optional<String> respondTo(OwnedMachine machine, WorkerHeartbeat heartbeat) {
     if (machine.isDelayedDuplicate(heartbeat, loop.now())) {
       return Optional.empty();
     }
     // A heartbeat that may not be answered still shows that its worker is there and reaches this
     // node.
-    machine.markReached(loop.now());
+    machine.markHeartbeatReceived(loop.now());
     if (!mayAct()) {
       return Optional.empty();
     }
@@ -142,12 +142,12 @@
       machine.adoptToken(heartbeat.highestToken());
     }
     reconciler.apply(machine, heartbeat);
-    machine.markAnswered(loop.now());
-    place();
+    machine.markResponded(loop.now());
+    placeTasks();
     String body =
-        WorkerCodec.writeHeartbeatResponse(machine.token(), commands.commandsFor(machine));
+        WorkerCodec.writeHeartbeatResponse(machine.token(), commandPlanner.commandsFor(machine));
     machine.clearCommandsPending();
-    sendDirect();
+    sendDirectCommands();
     return Optional.of(body);
   }
 
@@ -172,17 +172,17 @@
   }
 
   /** How many machines should be heard by now. */
-  int expectedMachines() {
-    return liveness.expectedMachines();
+  int expectedMachineCount() {
+    return liveness.expectedMachineCount();
   }
 
   /** How many of those are not heard. */
-  int unreachableMachines() {
-    return liveness.unreachableMachines();
+  int unreachableMachineCount() {
+    return liveness.unreachableMachineCount();
   }
 
   /** Where the machines that have reported take direct commands. */
-  List<InetSocketAddress> addresses() {
+  List<InetSocketAddress> workerAddresses() {
     return state.machines().stream()
         .flatMap(machine -> WorkerAddress.parse(machine.address()).stream())
         .toList();
@@ -193,17 +193,17 @@
   }
 
   private void placeAndSend() {
-    place();
-    sendDirect();
+    placeTasks();
+    sendDirectCommands();
   }
 
-  private void place() {
-    if (!state.unplaced().isEmpty() && mayAct()) {
-      placer.place();
+  private void placeTasks() {
+    if (!state.unplacedTasks().isEmpty() && mayAct()) {
+      placer.placeTasks();
     }
   }
 
-  private void sendDirect() {
+  private void sendDirectCommands() {
     if (mayAct()) {
       directCommands.sendPending();
     }
--- a/src/main/java/org/mulleinshift/sharding/ShardState.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardState.java
@@ -29,9 +29,9 @@
   private final Runnable onStatusChange;
   private final Map<MachineId, OwnedMachine> machines = new TreeMap<>();
   private final Map<TaskId, OwnedTask> tasks = new LinkedHashMap<>();
-  private final Set<OwnedTask> unplaced = new LinkedHashSet<>();
+  private final Set<OwnedTask> unplacedTasks = new LinkedHashSet<>();
   private final ShardStatusReporter statusReporter;
-  private Revision seenRecord = new Revision(0);
+  private Revision appliedRevision = new Revision(0);
 
   /**
    * A shard without machines or tasks.
@@ -70,8 +70,8 @@
   }
 
   /** Tasks that no machine was chosen for yet. */
-  Set<OwnedTask> unplaced() {
-    return unplaced;
+  Set<OwnedTask> unplacedTasks() {
+    return unplacedTasks;
   }
 
   /**
@@ -80,37 +80,37 @@
    *
    * @return whether the record differs from the last one
    */
-  boolean apply(ShardRecord record) {
-    if (record.revision().equals(seenRecord)) {
+  boolean applyRecord(ShardRecord record) {
+    if (record.revision().equals(appliedRevision)) {
       return false;
     }
-    seenRecord = record.revision();
+    appliedRevision = record.revision();
     for (Map.Entry<MachineId, MachineRecord> entry : record.machines().entrySet()) {
       machines
           .computeIfAbsent(
               entry.getKey(), key -> new OwnedMachine(key, entry.getValue(), grant, loop.now()))
-          .update(entry.getValue());
+          .updateRecord(entry.getValue());
       markChanged(entry.getKey());
     }
     List<MachineId> deleted = new ArrayList<>(machines.keySet());
     deleted.removeAll(record.machines().keySet());
     for (MachineId machine : deleted) {
-      finishAllOn(machines.remove(machine));
+      markAllAbsent(machines.remove(machine));
     }
     return true;
   }
 
   /** Adds a task that was just assigned; it replaces an earlier attempt. */
   void add(OwnedTask task) {
-    Optional.ofNullable(tasks.get(task.task())).ifPresent(this::detach);
-    tasks.put(task.task(), task);
-    unplaced.add(task);
-    statusReporter.markChanged(task.task());
+    Optional.ofNullable(tasks.get(task.id())).ifPresent(this::unbind);
+    tasks.put(task.id(), task);
+    unplacedTasks.add(task);
+    statusReporter.markChanged(task.id());
   }
 
   /** The task is no longer assigned to this shard. */
   void remove(TaskId id) {
-    Optional.ofNullable(tasks.remove(id)).ifPresent(this::detach);
+    Optional.ofNullable(tasks.remove(id)).ifPresent(this::unbind);
   }
 
   /** Removes all tasks but these. */
@@ -120,9 +120,9 @@
     others.forEach(this::remove);
   }
 
-  private void detach(OwnedTask task) {
-    machineOf(task).ifPresent(machine -> machine.release(task));
-    unplaced.remove(task);
+  private void unbind(OwnedTask task) {
+    machineOf(task).ifPresent(machine -> machine.unbind(task));
+    unplacedTasks.remove(task);
   }
 
   private Optional<OwnedMachine> machineOf(OwnedTask task) {
@@ -131,45 +131,45 @@
 
   /** The task is on the machine, or possibly is, in that phase. */
   void bind(OwnedTask task, TaskPhase phase, MachineId machine) {
-    transition(task, phase, Optional.of(machine));
+    transitionTask(task, phase, Optional.of(machine));
   }
 
   /** The task has ended, wherever it was. */
   void finish(OwnedTask task, TaskPhase finalPhase) {
-    transition(task, finalPhase, Optional.empty());
+    transitionTask(task, finalPhase, Optional.empty());
   }
 
   /**
    * The task is provably absent from its machine. If it was never confirmed to be there it may be
    * on another one: it waits until all are accounted for, as at the beginning of the grant.
    */
-  void finishAbsent(OwnedTask task) {
+  void markAbsent(OwnedTask task) {
     if (task.placementConfirmed()) {
       finish(task, task.stopRequested() ? TaskPhase.STOPPED : TaskPhase.LOST);
     } else {
-      transition(task, TaskPhase.NEW, Optional.empty());
-      unplaced.add(task);
+      transitionTask(task, TaskPhase.NEW, Optional.empty());
+      unplacedTasks.add(task);
     }
   }
 
   /** Nothing can run on the machine any more. */
-  void finishAllOn(OwnedMachine machine) {
-    machine.tasks().forEach(this::finishAbsent);
+  void markAllAbsent(OwnedMachine machine) {
+    machine.tasks().forEach(this::markAbsent);
   }
 
   /** All changes of a task's phase pass here, so that what is indexed by it stays in step. */
-  private void transition(OwnedTask task, TaskPhase next, Optional<MachineId> machine) {
+  private void transitionTask(OwnedTask task, TaskPhase next, Optional<MachineId> machine) {
     Optional<OwnedMachine> before = machineOf(task);
     task.transitionTo(next, machine, loop.now());
     Optional<OwnedMachine> after = machineOf(task);
     before
         .filter(previous -> after.isEmpty() || after.get() != previous)
-        .ifPresent(previous -> previous.release(task));
+        .ifPresent(previous -> previous.unbind(task));
     after.ifPresent(current -> current.bind(task));
     if (task.phase() != TaskPhase.NEW) {
-      unplaced.remove(task);
+      unplacedTasks.remove(task);
     }
-    statusReporter.markChanged(task.task());
+    statusReporter.markChanged(task.id());
     onStatusChange.run();
   }
 
@@ -203,8 +203,8 @@
   }
 
   /** Notes whether tasks run on the machine that this build must leave alone. */
-  void updateOccupied(OwnedMachine machine, Set<JobId> unreadableJobs) {
-    if (machine.updateOccupied(unreadableJobs)) {
+  void updateUnreadableTasks(OwnedMachine machine, Set<JobId> unreadableJobs) {
+    if (machine.updateUnreadableTasks(unreadableJobs)) {
       markChanged(machine.id());
     }
   }
--- a/src/main/java/org/mulleinshift/sharding/ShardStatusReporter.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardStatusReporter.java
@@ -17,7 +17,7 @@
 /** Writes the statuses of an owned shard: each holds what has changed since another one. */
 final class ShardStatusReporter {
   private final EventLoop loop;
-  private final ShardId id;
+  private final ShardId shard;
   private final Revision grant;
   private final Map<MachineId, OwnedMachine> machines;
   private final Map<TaskId, OwnedTask> tasks;
@@ -46,13 +46,13 @@
    */
   ShardStatusReporter(
       EventLoop loop,
-      ShardId id,
+      ShardId shard,
       Revision grant,
       Map<MachineId, OwnedMachine> machines,
       Map<TaskId, OwnedTask> tasks,
       Runnable onStatusChange) {
     this.loop = loop;
-    this.id = id;
+    this.shard = shard;
     this.grant = grant;
     this.machines = machines;
     this.tasks = tasks;
@@ -123,7 +123,7 @@
     List<TaskStatus> taskStatuses = taskStatusesSince(base);
     sequence++;
     return new ShardStatus(
-        id.value(),
+        shard.value(),
         grant.value(),
         base,
         sequence,
@@ -147,7 +147,7 @@
         machine.id().value(),
         machine.reportedPhase(),
         machine.liveness().wireName(),
-        machine.interrupted(),
+        machine.hasInterruptionNotice(),
         new ArrayList<>(machine.images()));
   }
 
@@ -162,11 +162,11 @@
 
   private TaskStatus statusOf(OwnedTask task) {
     return new TaskStatus(
-        task.task().job().value(),
-        task.task().index(),
+        task.id().job().value(),
+        task.id().index(),
         task.attempt().value(),
         task.phase().wireName(),
         task.machine().map(MachineId::value).orElse(""),
-        task.ranMillis(loop.now()));
+        task.runTimeMillis(loop.now()));
   }
 }
--- a/src/main/java/org/mulleinshift/sharding/TaskPlacer.java
+++ b/src/main/java/org/mulleinshift/sharding/TaskPlacer.java
@@ -55,7 +55,7 @@
   }
 
   /** Places what can be placed; to be called only by an owner that may act. */
-  void place() {
+  void placeTasks() {
     List<OwnedTask> candidates = candidates();
     Set<TaskId> reportedUnassigned = reportedUnassigned();
     List<MachineCapacity> capacities =
@@ -63,10 +63,10 @@
     UnschedulableRequests unschedulable = new UnschedulableRequests();
     MonotonicTime now = loop.now();
     for (OwnedTask task : candidates) {
-      if (task.stopRequested() || cancelled.test(task.task().job())) {
+      if (task.stopRequested() || cancelled.test(task.id().job())) {
         state.finish(task, TaskPhase.STOPPED);
-      } else if (!reportedUnassigned.contains(task.task())
-          && !placed(task, capacities, unschedulable)
+      } else if (!reportedUnassigned.contains(task.id())
+          && !tryPlace(task, capacities, unschedulable)
           && now.isAfter(task.receivedAt().plus(PLACEMENT_TIMEOUT))) {
         state.finish(task, TaskPhase.REJECTED);
       }
@@ -76,9 +76,9 @@
   /** Tasks that are certainly on no machine, the most urgent first. */
   private List<OwnedTask> candidates() {
     List<OwnedTask> candidates = new ArrayList<>();
-    boolean accounted = allMachinesAccountedFor();
-    for (OwnedTask task : state.unplaced()) {
-      if (task.fresh() || accounted) {
+    boolean allAccountedFor = allMachinesAccountedFor();
+    for (OwnedTask task : state.unplacedTasks()) {
+      if (task.assignedUnderCurrentGrant() || allAccountedFor) {
         candidates.add(task);
       }
     }
@@ -105,7 +105,7 @@
     return reported;
   }
 
-  private boolean placed(
+  private boolean tryPlace(
       OwnedTask task, List<MachineCapacity> capacities, UnschedulableRequests unschedulable) {
     Optional<MachineCapacity> best =
         unschedulable.covers(task.request())
@@ -131,7 +131,7 @@
       if (type.isEmpty()) {
         continue;
       }
-      Resources available = type.get().size().minus(machine.used());
+      Resources available = type.get().size().minus(machine.usedResources());
       if (minimum.fitsInto(available) && isUsable(machine, now)) {
         capacities.add(capacityOf(machine, type.get(), available));
       }
@@ -150,7 +150,7 @@
     return machine.phase() == MachinePhase.CONFIRMED
         && machine.record().up()
         && !assignments.isCordoned(machine.id())
-        && !machine.interrupted()
+        && !machine.hasInterruptionNotice()
         && liveness.livenessOf(machine, now) == MachineLiveness.ALIVE
         && machine.unassignedTasks().stream()
             .allMatch(entry -> entry.state() == WorkerHeartbeat.State.EXITED);
--- a/src/test/java/org/mulleinshift/sharding/CommandsInFlightTest.java
+++ b/src/test/java/org/mulleinshift/sharding/CommandsInFlightTest.java
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void stopOfTaskThatAnAnswerMayStillStartGoesUnderHigherToken() throws MalformedMessageException {
+  void stopOfTaskThatAResponseMayStillStartUsesHigherToken() throws MalformedMessageException {
     // Given a task started by a direct command, and one started by the answer to a heartbeat.
     fixture.confirm(MACHINE);
     fixture.assign(1, 0, Origin.FRESH);
@@ -30,10 +30,10 @@
     fixture.assign(2, 1, Origin.FRESH);
     assertEquals(
         1, fixture.directMessages().size(), "the second waits while that one is in flight");
-    String fetching = ShardOwnerFixture.entry("run-1/0", "fetching");
-    String answer = fixture.answerTo(MACHINE, 3, TOKEN, fetching).orElseThrow();
+    String fetching = ShardOwnerFixture.reportedTask("run-1/0", "fetching");
+    String response = fixture.sendHeartbeat(MACHINE, 3, TOKEN, fetching).orElseThrow();
     assertTrue(
-        answer.contains("run-1/1"), "and is started by the answer to a heartbeat: " + answer);
+        response.contains("run-1/1"), "and is started by the answer to a heartbeat: " + response);
 
     // When the job is cancelled, and the direct command is carried out before the answer to the
     // heartbeat arrives: the worker doesn't know the second task yet.
@@ -47,6 +47,6 @@
     // Then
     String stop = fixture.lastDirectMessage().body();
     assertTrue(stop.contains("halt") && stop.contains("run-1/1"), stop);
-    assertTrue(token(stop) > token(answer), "the worker must drop the answer: " + stop);
+    assertTrue(token(stop) > token(response), "the worker must drop the answer: " + stop);
   }
 }
--- a/src/test/java/org/mulleinshift/sharding/ImageCacheTest.java
+++ b/src/test/java/org/mulleinshift/sharding/ImageCacheTest.java
@@ -15,27 +15,27 @@
 
   @Test
   void imageUsedLongestAgoIsEvictedWhenTheCacheIsFull() {
-    cache.use("first", 4, CAPACITY_GB);
-    cache.use("second", 4, CAPACITY_GB);
-    cache.use("first", 4, CAPACITY_GB);
+    cache.recordUse("first", 4, CAPACITY_GB);
+    cache.recordUse("second", 4, CAPACITY_GB);
+    cache.recordUse("first", 4, CAPACITY_GB);
 
-    assertTrue(cache.use("third", 4, CAPACITY_GB), "the set of images has changed");
+    assertTrue(cache.recordUse("third", 4, CAPACITY_GB), "the set of images has changed");
     assertEquals(List.of("first", "third"), List.copyOf(cache.images()), "second is the oldest");
   }
 
   @Test
   void imageLargerThanTheCacheStaysAlone() {
-    cache.use("small", 1, CAPACITY_GB);
+    cache.recordUse("small", 1, CAPACITY_GB);
 
-    cache.use("large", 20, CAPACITY_GB);
+    cache.recordUse("large", 20, CAPACITY_GB);
 
     assertEquals(List.of("large"), List.copyOf(cache.images()), "a task runs from it");
   }
 
   @Test
   void repeatedUseChangesNothing() {
-    cache.use("only", 4, CAPACITY_GB);
+    cache.recordUse("only", 4, CAPACITY_GB);
 
-    assertFalse(cache.use("only", 4, CAPACITY_GB), "the set of images is the same");
+    assertFalse(cache.recordUse("only", 4, CAPACITY_GB), "the set of images is the same");
   }
 }
--- a/src/test/java/org/mulleinshift/sharding/InheritedTasksTest.java
+++ b/src/test/java/org/mulleinshift/sharding/InheritedTasksTest.java
@@ -24,14 +24,14 @@
 final class InheritedTasksTest {
   private static final String OTHER_MACHINE = "i-000002";
   private static final long EARLIER_TOKEN = TOKEN - (1L << 20);
-  private static final String RUNNING = ShardOwnerFixture.entry("run-1/0", "running");
+  private static final String RUNNING = ShardOwnerFixture.reportedTask("run-1/0", "running");
 
   private final ShardOwnerFixture fixture = new ShardOwnerFixture(MACHINE, OTHER_MACHINE);
 
   @BeforeEach
-  void inheritATaskAndHearALateCopy() throws MalformedMessageException {
+  void assignInheritedTaskAndReceiveDelayedHeartbeat() throws MalformedMessageException {
     fixture.assign(1, 0, Origin.INHERITED);
-    fixture.answerTo(MACHINE, 10, EARLIER_TOKEN, RUNNING);
+    fixture.sendHeartbeat(MACHINE, 10, EARLIER_TOKEN, RUNNING);
   }
 
   private String phase() {
@@ -43,36 +43,36 @@
   }
 
   @Test
-  void aTaskThatACopyListedIsNotLostBeforeAllMachinesAreAccountedFor()
+  void taskInDelayedHeartbeatIsNotLostBeforeAllMachinesAreAccountedFor()
       throws MalformedMessageException {
-    fixture.answerTo(MACHINE, 20, EARLIER_TOKEN, "");
-    fixture.answerTo(MACHINE, 21, TOKEN, "");
+    fixture.sendHeartbeat(MACHINE, 20, EARLIER_TOKEN, "");
+    fixture.sendHeartbeat(MACHINE, 21, TOKEN, "");
     assertEquals(TaskPhase.NEW.wireName(), phase());
     fixture.confirm(OTHER_MACHINE);
     assertEquals(TaskPhase.STARTING.wireName(), phase(), "it is on no machine");
   }
 
   @Test
-  void aTaskThatACopyListedIsFoundWhereItRuns() throws MalformedMessageException {
-    fixture.answerTo(OTHER_MACHINE, 1, TOKEN, RUNNING);
-    fixture.answerTo(MACHINE, 20, TOKEN, "");
+  void taskInDelayedHeartbeatIsFoundWhereItRuns() throws MalformedMessageException {
+    fixture.sendHeartbeat(OTHER_MACHINE, 1, TOKEN, RUNNING);
+    fixture.sendHeartbeat(MACHINE, 20, TOKEN, "");
     assertEquals(TaskPhase.RUNNING.wireName(), phase());
   }
 
   @Test
-  void aTaskThatAMachineListedUnderTheTokenIsLostOnceItIsMissing()
-      throws MalformedMessageException {
-    fixture.answerTo(MACHINE, 20, TOKEN, RUNNING);
-    fixture.answerTo(MACHINE, 21, TOKEN, "");
+  void taskReportedUnderCurrentTokenIsLostOnceMissing() throws MalformedMessageException {
+    fixture.sendHeartbeat(MACHINE, 20, TOKEN, RUNNING);
+    fixture.sendHeartbeat(MACHINE, 21, TOKEN, "");
     assertEquals(TaskPhase.LOST.wireName(), phase());
   }
 
   @Test
-  void aTaskThatACopyListedIsNotLostWithTheLeaseOfThatMachine() throws MalformedMessageException {
+  void taskInDelayedHeartbeatIsNotLostWhenThatMachinesLeaseExpires()
+      throws MalformedMessageException {
     fixture.runFor(Duration.ofSeconds(5));
-    fixture.answerTo(OTHER_MACHINE, 1, EARLIER_TOKEN, "");
+    fixture.sendHeartbeat(OTHER_MACHINE, 1, EARLIER_TOKEN, "");
     fixture.runFor(Duration.ofSeconds(22));
-    fixture.answerTo(OTHER_MACHINE, 2, EARLIER_TOKEN, "");
+    fixture.sendHeartbeat(OTHER_MACHINE, 2, EARLIER_TOKEN, "");
     fixture.owner().tick();
     assertEquals(List.of(), fixture.directMessages());
     assertEquals(TaskPhase.NEW.wireName(), phase());
--- a/src/test/java/org/mulleinshift/sharding/MachineTokenTest.java
+++ b/src/test/java/org/mulleinshift/sharding/MachineTokenTest.java
@@ -42,15 +42,15 @@
   }
 
   @Test
-  void echoIsAwaitedSinceTheFirstRaiseUntilTheNewestTokenIsReported() {
+  void tokenIsUnacknowledgedFromFirstRaiseUntilNewestIsReported() {
     token.raise(NOW);
     FencingToken first = token.value();
     token.raise(LATER);
 
-    assertEquals(Optional.of(NOW), token.awaitingEchoSince(), "since the first raise");
+    assertEquals(Optional.of(NOW), token.unacknowledgedSince(), "since the first raise");
     token.onReported(first);
-    assertFalse(token.awaitingEchoSince().isEmpty(), "the newest token was not received");
+    assertFalse(token.unacknowledgedSince().isEmpty(), "the newest token was not received");
     token.onReported(token.value());
-    assertTrue(token.awaitingEchoSince().isEmpty(), "the newest token was received");
+    assertTrue(token.unacknowledgedSince().isEmpty(), "the newest token was received");
   }
 }
--- a/src/test/java/org/mulleinshift/sharding/PeerPhaseGoldenTest.java
+++ b/src/test/java/org/mulleinshift/sharding/PeerPhaseGoldenTest.java
@@ -59,7 +59,7 @@
             WorkerHeartbeat.State.RUNNING,
             WorkerHeartbeat.Cause.NONE);
     machine.unassignedTasks(List.of(unassignedTask));
-    machine.updateOccupied(Set.of(job));
+    machine.updateUnreadableTasks(Set.of(job));
     return machine;
   }
 
@@ -122,7 +122,7 @@
   }
 
   @Test
-  void unknownReachabilityCountsAsWell() {
+  void unknownReachabilityCountsAsReachable() {
     assertEquals(
         WorkerReachability.State.REACHABLE,
         PeerFailureDetector.workerReachability(heartbeat("PARKED")),
@@ -133,9 +133,11 @@
   void onlyTheLastMachineIsReadAsOccupied() throws MalformedMessageException {
     List<MachineStatus> machines = goldenStatus().getMachines();
     int last = machines.size() - 1;
-    assertTrue(OwnedMachine.occupied(machines.get(last)), "the last one was written as occupied");
+    assertTrue(
+        OwnedMachine.hasUnreadableTasks(machines.get(last)),
+        "the last one was written as occupied");
     assertFalse(
-        machines.subList(0, last).stream().anyMatch(OwnedMachine::occupied),
+        machines.subList(0, last).stream().anyMatch(OwnedMachine::hasUnreadableTasks),
         "all others name a phase");
   }
 }
--- a/src/test/java/org/mulleinshift/sharding/ShardOwnerFixture.java
+++ b/src/test/java/org/mulleinshift/sharding/ShardOwnerFixture.java
@@ -117,12 +117,12 @@
   }
 
   /** The heartbeat of a worker, as it is on the wire. */
-  static String heartbeat(String machine, int tick, long token, String tasks) {
+  static String heartbeat(String machine, int sequence, long token, String tasks) {
     return "{\"host\":\""
         + machine
         + "\",\"addr\":\"10.1.0.1:9000\",\"build\":\"small\",\"yard\":\"a\","
         + "\"loaner\":false,\"shift\":1,\"tick\":"
-        + tick
+        + sequence
         + ",\"baton\":"
         + token
         + ",\"pieces\":["
@@ -131,20 +131,21 @@
   }
 
   /** A task in a heartbeat, as it is on the wire. */
-  static String entry(String task, String phase) {
+  static String reportedTask(String task, String phase) {
     return "{\"piece\":\"" + task + "\",\"try\":1,\"phase\":\"" + phase + "\"}";
   }
 
   /** The owner's answer to a heartbeat; empty if it gives none. */
-  Optional<String> answerTo(String machine, int tick, long token, String tasks)
+  Optional<String> sendHeartbeat(String machine, int sequence, long token, String tasks)
       throws MalformedMessageException {
-    return owner.onHeartbeat(WorkerCodec.parseHeartbeat(heartbeat(machine, tick, token, tasks)));
+    return owner.onHeartbeat(
+        WorkerCodec.parseHeartbeat(heartbeat(machine, sequence, token, tasks)));
   }
 
   /** Two heartbeats, of which the second shows that the worker has received the token. */
   void confirm(String machine) throws MalformedMessageException {
-    answerTo(machine, 1, 0, "");
-    answerTo(machine, 2, TOKEN, "");
+    sendHeartbeat(machine, 1, 0, "");
+    sendHeartbeat(machine, 2, TOKEN, "");
   }
 
   /** The leader assigns a task of the job, in a message that builds on the version before. */
@@ -157,7 +158,7 @@
   }
 
   /** The leader no longer assigns the task: its completion is stored. */
-  void retract(long version, int index) {
+  void unassign(long version, int index) {
     send(version, List.of(), List.of(new RemovedTask(JOB.value(), index)));
   }
 
--- a/src/test/java/org/mulleinshift/sharding/ShardOwnerTest.java
+++ b/src/test/java/org/mulleinshift/sharding/ShardOwnerTest.java
@@ -26,7 +26,7 @@
     ShardOwnerFixture fixture = new ShardOwnerFixture(MACHINE);
     long laterToken = MachineToken.first(new Revision(8)).value();
 
-    Optional<String> answer = fixture.answerTo(MACHINE, 1, laterToken, "");
+    Optional<String> answer = fixture.sendHeartbeat(MACHINE, 1, laterToken, "");
 
     assertTrue(answer.isEmpty(), "the worker would drop a 200 with a lower token: " + answer);
   }
@@ -62,14 +62,14 @@
     // Given
     ShardOwnerFixture fixture = new ShardOwnerFixture(MACHINE);
     fixture.confirm(MACHINE);
-    String exited = ShardOwnerFixture.entry("run-1/0", "exited");
+    String exited = ShardOwnerFixture.reportedTask("run-1/0", "exited");
 
     // When
-    String beforeAssignment = fixture.answerTo(MACHINE, 3, TOKEN, exited).orElseThrow();
+    String beforeAssignment = fixture.sendHeartbeat(MACHINE, 3, TOKEN, exited).orElseThrow();
     fixture.assign(1, 0, Origin.INHERITED);
-    String whileAssigned = fixture.answerTo(MACHINE, 4, TOKEN, exited).orElseThrow();
-    fixture.retract(2, 0);
-    String afterRetraction = fixture.answerTo(MACHINE, 5, TOKEN, exited).orElseThrow();
+    String whileAssigned = fixture.sendHeartbeat(MACHINE, 4, TOKEN, exited).orElseThrow();
+    fixture.unassign(2, 0);
+    String afterRetraction = fixture.sendHeartbeat(MACHINE, 5, TOKEN, exited).orElseThrow();
 
     // Then
     assertFalse(
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void haltsComeBeforeOtherCommands() throws MalformedMessageException {
+  void stopCommandsComeFirst() throws MalformedMessageException {
     // Given
     ShardOwnerFixture fixture = new ShardOwnerFixture(MACHINE);
     fixture.confirm(MACHINE);
@@ -88,10 +88,10 @@
 
     // When a worker reports an ended and a running attempt, neither of them assigned.
     String tasks =
-        ShardOwnerFixture.entry("run-2/0", "exited")
+        ShardOwnerFixture.reportedTask("run-2/0", "exited")
             + ","
-            + ShardOwnerFixture.entry("run-3/0", "running");
-    String answer = fixture.answerTo(MACHINE, 3, TOKEN, tasks).orElseThrow();
+            + ShardOwnerFixture.reportedTask("run-3/0", "running");
+    String answer = fixture.sendHeartbeat(MACHINE, 3, TOKEN, tasks).orElseThrow();
 
     // Then
     int halt = answer.indexOf("halt");
