--- a/src/main/java/org/mulleinshift/sharding/AssignmentReceiver.java
+++ b/src/main/java/org/mulleinshift/sharding/AssignmentReceiver.java
@@ -16,7 +16,7 @@
 import org.mulleinshift.protocol.peer.ShardStatusAck;
 import org.mulleinshift.transport.EventLoop;
 
-/** Applies the assignments that the leader sends to an owner, and remembers what else they say. */
+/** Applies the leader's assignment messages to the shard, and keeps the other data in them. */
 final class AssignmentReceiver {
   private final EventLoop loop;
   private final Revision grant;
@@ -28,10 +28,10 @@
   private long seenVersion;
 
   /**
-   * A receiver that knows no assignment yet.
+   * Creates a receiver that has received no assignment yet.
    *
-   * @param grant under which this node owns the shard
-   * @param cancelled whether a job is known to be cancelled
+   * @param grant the grant under which this node owns the shard
+   * @param cancelled tells whether a job is known to be cancelled
    */
   AssignmentReceiver(EventLoop loop, Revision grant, Predicate<JobId> cancelled, ShardState state) {
     this.loop = loop;
@@ -41,9 +41,10 @@
   }
 
   /**
-   * Applies what the leader changed in its set. A message of an earlier term or grant is out of
-   * date; one that builds on a version that never came is left out, the leader sends from the known
-   * one again.
+   * Applies the leader's changes to the shard's assignments. A message of an earlier term, of
+   * another grant or of a version already received is ignored as out of date. So is one whose base
+   * version was never received; the leader then sends the changes since the last acknowledged
+   * version.
    *
    * @return whether the message was applied
    */
@@ -52,7 +53,7 @@
       return false;
     }
     if (assignment.getLeaderTerm() != seenTerm) {
-      // A new leader knows nothing of this shard yet.
+      // A new leader has no status of this shard yet.
       state.statusReporter().resetForNewLeader();
     }
     seenTerm = assignment.getLeaderTerm();
@@ -79,7 +80,7 @@
         && assignment.getVersion() > knownVersion;
   }
 
-  /** Takes over the assigned tasks, and returns their ids. */
+  /** Adds or updates the assigned tasks, and returns their ids. */
   private Set<TaskId> applyJobs(ShardAssignment assignment) {
     Set<TaskId> assigned = new HashSet<>();
     unreadableJobs.clear();
@@ -117,38 +118,41 @@
                   state.add(added);
                   return added;
                 });
-    // The leader may not know yet of a cancellation that this node knows of.
+    // This node may have learned of a cancellation before the leader did.
     if (item.getStop() || cancelled.test(id.job())) {
       state.requestStop(task);
     }
   }
 
-  /** The leader acknowledged the shard's status up to here. */
+  /** Handles the leader's acknowledgement of the shard's status up to a sequence number. */
   void onStatusAck(ShardStatusAck ack) {
     if (ack.getGrant() == grant.value() && ack.getLeaderTerm() >= seenTerm) {
       state.statusReporter().onAck(ack.getSequence());
     }
   }
 
-  /** Jobs that the leader can't read: what runs of them is left alone. */
+  /** Jobs that the leader can't read; their running tasks are left alone. */
   Set<JobId> unreadableJobs() {
     return unreadableJobs;
   }
 
-  /** Whether the machine must take no new task. */
+  /** Whether the machine must not be given new tasks. */
   boolean isCordoned(MachineId machine) {
     return cordoned.contains(machine);
   }
 
   /**
-   * Whether it is known which tasks of the job belong here. Without the leader's set it is not; of
-   * jobs that the leader can't read it never is.
+   * Whether this node knows which of the job's tasks are assigned to the shard. It does not before
+   * the leader's first message, and never does for a job that the leader can't read.
    */
   boolean isAuthoritativeFor(JobId job) {
     return seenTerm > 0 && !unreadableJobs.contains(job);
   }
 
-  /** Whether an unassigned task must stop. A cancelled job's must, whoever leads. */
+  /**
+   * Whether the job's tasks that are not assigned to the shard must stop. Those of a cancelled job
+   * must, even without a message from the leader.
+   */
   boolean mustStopUnassigned(JobId job) {
     return isAuthoritativeFor(job) || cancelled.test(job);
   }
--- a/src/main/java/org/mulleinshift/sharding/CommandPlanner.java
+++ b/src/main/java/org/mulleinshift/sharding/CommandPlanner.java
@@ -8,9 +8,12 @@
 import org.mulleinshift.protocol.WorkerCommand;
 import org.mulleinshift.protocol.WorkerHeartbeat;
 
-/** Lists the commands that a machine's worker still has to carry out. */
+/** Determines the commands that a machine's worker has yet to carry out. */
 final class CommandPlanner {
-  /** The rest comes with the next heartbeat; a machine may know thousands of ended tasks. */
+  /**
+   * A worker may list thousands of exited tasks to forget; commands beyond the limit follow in the
+   * response to its next heartbeat.
+   */
   private static final int MAX_COMMANDS_PER_MESSAGE = 200;
 
   private static final int MILLIS_PER_SECOND = 1000;
@@ -19,9 +22,9 @@
   private final AssignmentReceiver assignments;
 
   /**
-   * A planner for one shard under one grant.
+   * Creates a planner for one shard under one grant.
    *
-   * @param cancelled whether a job is known to be cancelled
+   * @param cancelled tells whether a job is known to be cancelled
    */
   CommandPlanner(Predicate<JobId> cancelled, AssignmentReceiver assignments) {
     this.cancelled = cancelled;
@@ -29,9 +32,9 @@
   }
 
   /**
-   * Everything the machine still has to do, in one go: every command can be repeated. What must
-   * stop comes first: an answer that reaches the worker then never keeps it alive without telling
-   * it so.
+   * Returns all commands that the machine's worker has yet to carry out, up to the limit; commands
+   * are idempotent, so each message repeats them. Stop commands come first, so that a response that
+   * renews the worker's lease also tells it what to stop.
    */
   List<WorkerCommand> commandsFor(OwnedMachine machine) {
     List<WorkerCommand> stops = new ArrayList<>();
@@ -56,15 +59,16 @@
   }
 
   /**
-   * The leader no longer assigns the attempt, so its completion is stored. A command that is still
-   * on its way would start a forgotten attempt again.
+   * Whether the worker may forget an exited attempt. Once the leader no longer assigns the attempt,
+   * its completion is stored. While a direct command is in flight the worker must not forget it:
+   * the command could start it again.
    */
   private boolean mayForget(OwnedMachine machine, WorkerHeartbeat.ReportedTask exited) {
     return assignments.isAuthoritativeFor(exited.task().job()) && !machine.directCommandInFlight();
   }
 
   private Duration gracePeriodOf(OwnedTask task) {
-    // Nobody has any use for the progress of a cancelled job.
+    // The progress of a cancelled job is not needed.
     return cancelled.test(task.id().job())
         ? Duration.ZERO
         : Duration.ofMillis((long) (task.saveSeconds() * MILLIS_PER_SECOND));
--- a/src/main/java/org/mulleinshift/sharding/DirectCommandSender.java
+++ b/src/main/java/org/mulleinshift/sharding/DirectCommandSender.java
@@ -17,7 +17,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends workers the commands that need not wait for their next heartbeat. */
+/** Sends commands directly to workers, without waiting for their next heartbeat. */
 final class DirectCommandSender {
   private static final Logger LOG = LoggerFactory.getLogger(DirectCommandSender.class);
   private static final Duration COMMAND_DEADLINE = Duration.ofMillis(1200);
@@ -30,9 +30,9 @@
   private final BiConsumer<OwnedMachine, WorkerHeartbeat> onReport;
 
   /**
-   * A sender for one shard under one grant.
+   * Creates a sender for one shard under one grant.
    *
-   * @param onReport takes the report in a worker's answer
+   * @param onReport receives the report in a worker's response
    */
   DirectCommandSender(
       ShardOwner.Context context,
@@ -49,8 +49,8 @@
   }
 
   /**
-   * Sends each confirmed machine what is pending, one message at a time; to be called only by an
-   * owner that may act.
+   * Sends the pending commands to each confirmed machine that has no direct message in flight. Only
+   * an owner that may act may call this.
    */
   void sendPending() {
     for (OwnedMachine machine : state.machines()) {
@@ -91,13 +91,13 @@
         LOG.warn("malformed answer, machine={} error={}", machine.id(), e.getMessage());
       }
     }
-    // The commands may be carried out minutes later; under a higher token they no longer can. The
-    // answer to the next heartbeat repeats what still holds.
+    // A worker may still receive the commands minutes later. The higher token makes it drop them;
+    // the response to its next heartbeat repeats those that still apply.
     machine.raiseToken(loop.now());
     state.updateLiveness(machine, liveness.livenessOf(machine, loop.now()));
   }
 
-  /** Whether the machine was not deleted, or deleted and added again, in the meantime. */
+  /** Whether this is still the shard's machine: not deleted, nor deleted and added again. */
   private boolean isCurrent(OwnedMachine machine) {
     return state.machine(machine.id()).filter(current -> current == machine).isPresent();
   }
--- a/src/main/java/org/mulleinshift/sharding/HeartbeatReconciler.java
+++ b/src/main/java/org/mulleinshift/sharding/HeartbeatReconciler.java
@@ -13,7 +13,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reconciles what workers report with the tasks that are assigned to the shard. */
+/** Reconciles the tasks that workers report with the tasks that are assigned to the shard. */
 final class HeartbeatReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
 
@@ -22,7 +22,7 @@
   private final ShardState state;
   private final AssignmentReceiver assignments;
 
-  /** A reconciler for one shard under one grant. */
+  /** Creates a reconciler for one shard under one grant. */
   HeartbeatReconciler(
       EventLoop loop,
       MachineTypeCatalog catalog,
@@ -34,7 +34,10 @@
     this.assignments = assignments;
   }
 
-  /** Applies a heartbeat, or the report in a worker's answer, unless a newer one was applied. */
+  /**
+   * Applies a heartbeat, or the report in a worker's response to a direct message, if it is newer
+   * than the last one applied.
+   */
   void apply(OwnedMachine machine, WorkerHeartbeat heartbeat) {
     if (!heartbeat.version().isAfter(machine.lastHeartbeatVersion())) {
       return;
@@ -56,13 +59,13 @@
     machine.markApplied(heartbeat);
   }
 
-  /** Whether the worker began a new epoch: nothing of the one before runs any more. */
+  /** Whether the worker began a new epoch: no task of the previous one runs any more. */
   private boolean isNewEpoch(OwnedMachine machine, WorkerHeartbeat heartbeat) {
     long epoch = heartbeat.version().epoch();
     boolean newEpoch = epoch > machine.lastHeartbeatVersion().epoch();
     if (newEpoch && machine.lastHeartbeatVersion().epoch() > 0) {
       LOG.info("worker epoch began, machine={} epoch={}", machine.id(), epoch);
-      // It was answered and ended its epoch all the same: the answers may not reach it.
+      // Its lease expired although this node responds to it, so it may not receive the responses.
       machine.raiseToken(loop.now());
     }
     return newEpoch;
@@ -76,7 +79,7 @@
     }
   }
 
-  /** Takes over the reported tasks, and returns those that are assigned here. */
+  /** Applies the reported tasks, and returns those that are assigned to the shard. */
   private Set<TaskId> applyTasks(OwnedMachine machine, WorkerHeartbeat heartbeat) {
     Set<TaskId> reportedAssigned = new HashSet<>();
     List<WorkerHeartbeat.ReportedTask> unassigned = new ArrayList<>();
@@ -91,7 +94,7 @@
     return reportedAssigned;
   }
 
-  /** Takes over the tasks that machines reported before the leader's set arrived. */
+  /** Applies the tasks that machines reported before the leader's assignment of them arrived. */
   void reconcileUnassignedTasks() {
     for (OwnedMachine machine : state.machines()) {
       List<WorkerHeartbeat.ReportedTask> remaining = new ArrayList<>();
@@ -146,13 +149,13 @@
     }
   }
 
-  /** A task that should be on the machine, but is not in its newest heartbeat. */
+  /** Handles a task that is bound to the machine, but missing from its newest heartbeat. */
   private void onTaskMissing(
       OwnedMachine machine, OwnedTask task, boolean newEpoch, boolean tokenAcknowledged) {
     if (task.phase() != TaskPhase.STARTING || newEpoch) {
       state.markAbsent(task);
     } else if (task.stopRequested() && tokenAcknowledged && !machine.directCommandInFlight()) {
-      // Never started, and no command under an older token can start it any more.
+      // It never started, and the worker drops any command to start it under an older token.
       state.finish(task, TaskPhase.STOPPED);
     } else {
       machine.markCommandsPending();
--- a/src/main/java/org/mulleinshift/sharding/ImageCache.java
+++ b/src/main/java/org/mulleinshift/sharding/ImageCache.java
@@ -5,13 +5,17 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The images that a machine's cache holds, as far as its owner can tell from its tasks. */
+/**
+ * The images in a machine's cache, estimated by the shard's owner from the tasks that ran there.
+ * The least recently used images are assumed to be evicted first.
+ */
 final class ImageCache {
-  /** Sizes in GB, the image used longest ago first. */
+  /** Sizes in GB, least recently used image first. */
   private final Map<String, Double> sizes = new LinkedHashMap<>();
 
   /**
-   * A task runs from the image, so the machine has it; those used longest ago no longer fit.
+   * Records that a task runs from the image, which is therefore cached, and evicts the least
+   * recently used other images until all fit the capacity.
    *
    * @return whether the set of images changed
    */
@@ -28,7 +32,7 @@
     return changed;
   }
 
-  /** The images, the one used longest ago first. */
+  /** The cached images, least recently used first. */
   Set<String> images() {
     return sizes.keySet();
   }
--- a/src/main/java/org/mulleinshift/sharding/LivenessMonitor.java
+++ b/src/main/java/org/mulleinshift/sharding/LivenessMonitor.java
@@ -10,19 +10,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells from the heartbeats that came, and those that did not, which machines of a shard are alive
- * and on which nothing can run any more.
+ * Determines from the heartbeats received and missed which machines of a shard are alive, and on
+ * which ones no task can run any more because the worker's lease has expired.
  */
 final class LivenessMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(LivenessMonitor.class);
 
-  /** Clocks may run apart by this fraction of a worker's lease. */
+  /** Allowance for clock drift: the worker's lease divided by this number. */
   private static final int CLOCK_DRIFT_DIVISOR = 500;
 
   private static final Duration EXPIRY_MARGIN = Duration.ofMillis(500);
   private static final Duration LOST_MARGIN = Duration.ofSeconds(1);
 
-  /** A machine is suspected after two and a half report intervals. */
+  /** A machine is suspected after a silence of 2.5 heartbeat intervals, counted in halves. */
   private static final int SUSPECTED_AFTER_HALF_INTERVALS = 5;
 
   private final EventLoop loop;
@@ -34,10 +34,10 @@
   private MonotonicTime listeningSince;
 
   /**
-   * A monitor that starts with the grant.
+   * Creates a monitor; to be called when the shard is granted.
    *
-   * @param timing of workers
-   * @param shardLease for how long an earlier owner may still act
+   * @param timing the times that workers keep
+   * @param shardLease time for which an earlier owner may still act after the grant
    */
   LivenessMonitor(
       EventLoop loop,
@@ -54,7 +54,7 @@
     this.listeningSince = startedAt;
   }
 
-  /** Checks all machines; to be called only by an owner that may act. */
+  /** Checks all machines. Only an owner that may act may call this. */
   void tick() {
     MonotonicTime now = loop.now();
     for (OwnedMachine machine : state.machines()) {
@@ -79,7 +79,10 @@
     state.markAllAbsent(machine);
   }
 
-  /** Most machines, most of the time: neither silent nor near the end of any lease. */
+  /**
+   * Whether the machine needs no check: alive, confirmed and responded to within the last heartbeat
+   * interval. This is the common case.
+   */
   private boolean hasRecentResponse(OwnedMachine machine, MonotonicTime now) {
     return machine.liveness() == MachineLiveness.ALIVE
         && machine.phase() == MachinePhase.CONFIRMED
@@ -88,8 +91,9 @@
   }
 
   /**
-   * When the worker has surely ended its epoch. Until it has shown that it knows our token, the
-   * shard's earlier owner may have answered it, for as long as a shard lease lasts.
+   * The time by which the worker's lease has certainly expired. Until the worker has acknowledged a
+   * token of this grant, the shard's earlier owner may have answered it, for up to one shard lease
+   * after the grant.
    */
   private MonotonicTime workerLeaseExpiry(OwnedMachine machine) {
     MonotonicTime lastResponse = machine.lastResponseAt().orElse(startedAt);
@@ -103,23 +107,27 @@
   }
 
   /**
-   * Heartbeats sent while this process was paused were not received: their senders were not silent.
+   * Restarts the measurement of silence: heartbeats sent while this process was paused were not
+   * received, so their senders were not silent.
    */
   void onProcessPause() {
     listeningSince = loop.now();
   }
 
-  /** How many machines should be heard by now. */
+  /** The number of machines whose heartbeats should be arriving. */
   int expectedMachineCount() {
     return (int) expectedMachines().count();
   }
 
-  /** How many of those are not heard. */
+  /** The number of those that are not alive. */
   int unreachableMachineCount() {
     return (int) expectedMachines().filter(m -> m.liveness() != MachineLiveness.ALIVE).count();
   }
 
-  /** Machines that should be heard by now: none that may still be looking for this node. */
+  /**
+   * Machines whose heartbeats should be arriving. A machine that has sent none counts only once a
+   * worker lease and a shard lease have passed; until then it may still be looking for this node.
+   */
   private Stream<OwnedMachine> expectedMachines() {
     Duration owned = loop.now().since(startedAt);
     boolean settled = owned.compareTo(timing.lease()) > 0 && owned.compareTo(shardLease) > 0;
@@ -127,7 +135,10 @@
         .filter(m -> m.record().up() && (settled || m.heartbeatReceivedAt().isPresent()));
   }
 
-  /** Whether the machine is alive now, by what was heard of it and what it heard. */
+  /**
+   * Determines a machine's liveness from the time since its last heartbeat and the time for which a
+   * token has been unacknowledged.
+   */
   MachineLiveness livenessOf(OwnedMachine machine, MonotonicTime now) {
     MonotonicTime lastHeard = machine.heartbeatReceivedAt().orElse(startedAt);
     Duration silence = now.since(listeningSince.isAfter(lastHeard) ? listeningSince : lastHeard);
@@ -146,7 +157,7 @@
     return suspectedAfter(timing.heartbeatInterval());
   }
 
-  /** After which silence a machine is suspected. */
+  /** The silence after which a machine is suspected. */
   static Duration suspectedAfter(Duration heartbeatInterval) {
     return heartbeatInterval.multipliedBy(SUSPECTED_AFTER_HALF_INTERVALS).dividedBy(2);
   }
@@ -156,8 +167,9 @@
     if (machine.heartbeatReceivedAt().isPresent()) {
       return lost;
     }
-    // The shard's earlier owner may answer it for a shard lease; then it must find this node.
-    // No longer than that: an unreachable zone's machines are replaced during the outage.
+    // The shard's earlier owner may answer the machine for one shard lease, then the machine must
+    // find this node. The limit is no longer than that, so that the machines of an unreachable
+    // zone are replaced during the outage.
     Duration answeredElsewhere = shardLease.plus(suspectedAfter());
     return answeredElsewhere.compareTo(lost) > 0 ? answeredElsewhere : lost;
   }
--- a/src/main/java/org/mulleinshift/sharding/MachineLiveness.java
+++ b/src/main/java/org/mulleinshift/sharding/MachineLiveness.java
@@ -1,12 +1,15 @@
 package org.mulleinshift.sharding;
 
-/** For how long a machine has not been heard, as far as it matters to the leader. */
+/** Whether a machine is alive, as its owner reports it to the leader. */
 public enum MachineLiveness {
-  /** It reports, and receives the answers. */
+  /** It sends heartbeats and receives the responses. */
   ALIVE("HEARD"),
-  /** Heartbeats are missing, or it may not receive answers: it takes nothing new. */
+  /** Heartbeats are missing, or it may not receive responses; it is given no new tasks. */
   SUSPECTED("QUIET"),
-  /** Not heard for longer than its lease. */
+  /**
+   * No heartbeat arrived for longer than its lease, or it has not acknowledged a token for longer
+   * than two leases.
+   */
   LOST("GONE");
 
   private final String wireName;
@@ -15,7 +18,7 @@
     this.wireName = wireName;
   }
 
-  /** How peer frames name it. */
+  /** The name of the liveness in peer frames. */
   public String wireName() {
     return wireName;
   }
--- a/src/main/java/org/mulleinshift/sharding/MachinePhase.java
+++ b/src/main/java/org/mulleinshift/sharding/MachinePhase.java
@@ -1,14 +1,14 @@
 package org.mulleinshift.sharding;
 
-/** What an owner knows of a machine of its shard. */
+/** What an owner knows about the tasks on a machine of its shard. */
 public enum MachinePhase {
-  /** No heartbeat under this grant yet. */
+  /** No heartbeat has been received under this grant. */
   UNSEEN("UNSEEN"),
-  /** It reports, but has not yet shown that it has received the token. */
+  /** It sends heartbeats, but has not yet acknowledged the owner's token. */
   REPORTING("HEARD"),
-  /** It has received the token: what it reports is all that is on it. */
+  /** It has acknowledged the owner's token, so its heartbeats list every task on it. */
   CONFIRMED("CONFIRMED"),
-  /** Its worker lease has certainly expired: nothing runs on it. */
+  /** Its worker's lease has certainly expired, so no task runs on it. */
   EXPIRED("SILENT");
 
   private final String wireName;
@@ -17,7 +17,7 @@
     this.wireName = wireName;
   }
 
-  /** How peer frames name it. */
+  /** The name of the phase in peer frames. */
   public String wireName() {
     return wireName;
   }
--- a/src/main/java/org/mulleinshift/sharding/MachineToken.java
+++ b/src/main/java/org/mulleinshift/sharding/MachineToken.java
@@ -6,27 +6,28 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * The fencing token under which an owner commands one machine. It rises with every grant, and
- * within a grant whenever commands were sent that may not have arrived.
+ * The fencing token under which an owner commands one machine. Each grant has a higher token than
+ * the one before; within a grant the token is raised whenever commands that were sent may not have
+ * arrived.
  */
 final class MachineToken {
-  /** Low bits of a token, for raising it on one machine without a new grant. */
+  /** Low-order bits that count raises on one machine; the bits above them hold the grant. */
   private static final int LOCAL_BITS = 20;
 
   private FencingToken value;
   private Optional<MonotonicTime> unacknowledgedSince = Optional.empty();
 
-  /** The first token of a grant. */
+  /** Creates the first token of a grant. */
   MachineToken(Revision grant) {
     this.value = first(grant);
   }
 
-  /** Rises with every grant, since the store's revisions do. */
+  /** The first token of a grant. It rises with every grant because the store's revisions do. */
   static FencingToken first(Revision grant) {
     return new FencingToken(grant.value() << LOCAL_BITS);
   }
 
-  /** Whether the token is of that grant. */
+  /** Whether the token was issued under that grant. */
   static boolean belongsTo(FencingToken token, Revision grant) {
     return token.value() >> LOCAL_BITS == grant.value();
   }
@@ -36,35 +37,38 @@
   }
 
   /**
-   * Commands were not answered: from now on whatever was sent under the old token is dropped by a
-   * worker that has received the new one. Until it shows that it has, nobody knows whether it
-   * receives anything, whatever it reports.
+   * Raises the token: a worker that has received the new one drops all commands sent under the old
+   * one. Until the worker acknowledges the new token, it is unknown whether it receives anything
+   * from this node, even if its heartbeats arrive.
    */
   void raise(MonotonicTime now) {
     value = new FencingToken(value.value() + 1);
     unacknowledgedSince = Optional.of(unacknowledgedSince.orElse(now));
   }
 
-  /** The worker knows a higher token of the same grant: never fall behind it. */
+  /** Adopts a higher token of the same grant that the worker reports; a lower one is ignored. */
   void adopt(FencingToken reported) {
     if (reported.compareTo(value) > 0) {
       value = reported;
     }
   }
 
-  /** The highest token that the worker has received, as it reports. */
+  /** Handles the worker's report of the highest token that it has received. */
   void onReported(FencingToken highest) {
     if (isAcknowledgedBy(highest)) {
       unacknowledgedSince = Optional.empty();
     }
   }
 
-  /** Whether a worker whose highest token is this one has received the current token. */
+  /** Whether a worker that reports this highest token has received the current one. */
   boolean isAcknowledgedBy(FencingToken highest) {
     return highest.compareTo(value) >= 0;
   }
 
-  /** Since when it is unknown whether the worker receives anything; empty if it does. */
+  /**
+   * Since when a raised token has been unacknowledged, so that it is unknown whether the worker
+   * receives anything; empty if there is none.
+   */
   Optional<MonotonicTime> unacknowledgedSince() {
     return unacknowledgedSince;
   }
--- a/src/main/java/org/mulleinshift/sharding/OwnedMachine.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedMachine.java
@@ -19,12 +19,12 @@
 import org.mulleinshift.protocol.peer.MachineStatus;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** A machine of an owned shard, as its owner knows it. */
+/** The state of a machine of an owned shard, as tracked by the shard's owner. */
 public final class OwnedMachine {
-  /** A worker takes no answer later than 4 s after its heartbeat; and more for drift. */
+  /** A worker accepts no response later than 4 s after its heartbeat; 0.5 s allows for drift. */
   private static final Duration RESPONSE_WAIT = Duration.ofMillis(4500);
 
-  /** Reported in place of a phase: tasks run on it that this build must leave alone. */
+  /** Reported in place of the phase: tasks of unreadable jobs run on it and are left alone. */
   private static final String OCCUPIED = "OCCUPIED";
 
   private final MachineId id;
@@ -44,7 +44,7 @@
   private boolean hasUnreadableTasks;
   private Resources usedResources = Resources.ZERO;
 
-  /** Counts changes of the tasks bound to it. */
+  /** Number of changes to the tasks bound to the machine. */
   private long bindingChanges;
 
   private List<WorkerHeartbeat.ReportedTask> appliedEntries = List.of();
@@ -53,10 +53,10 @@
   private boolean commandsPending;
 
   /**
-   * A machine of which nothing was heard under this grant.
+   * Creates a machine that has sent no heartbeat under this grant.
    *
-   * @param record of the machine, as stored
-   * @param grant under which this node owns its shard
+   * @param record the machine's stored record
+   * @param grant the grant under which this node owns the machine's shard
    */
   OwnedMachine(MachineId id, MachineRecord record, Revision grant, MonotonicTime now) {
     this.newestHeartbeatAt = now;
@@ -65,22 +65,22 @@
     this.token = new MachineToken(grant);
   }
 
-  /** The only place where the phase changes. */
+  /** Sets the phase; no other code changes it. */
   void transitionTo(MachinePhase next) {
     phase = next;
   }
 
-  /** Commands under the old token may not have arrived, and must not count any more. */
+  /** Raises the token, so that the worker drops commands under the old one that arrive late. */
   void raiseToken(MonotonicTime now) {
     token.raise(now);
   }
 
-  /** The worker knows a higher token of the same grant. */
+  /** Adopts a higher token of the same grant that the worker reports. */
   void adoptToken(FencingToken reported) {
     token.adopt(reported);
   }
 
-  /** Since when it has shown no sign that it receives from this node; empty if it has. */
+  /** Since when a raised token has been unacknowledged; empty if there is none. */
   Optional<MonotonicTime> tokenUnacknowledgedSince() {
     return token.unacknowledgedSince();
   }
@@ -91,16 +91,16 @@
   }
 
   /**
-   * Whether this is surely a copy that came late: what was sent after it was heard so long ago that
-   * its worker waits for no answer to it any more. Such a one shows no sign of life, and an answer
-   * to it renews nothing.
+   * Whether the heartbeat is certainly a delayed copy: one at least as new was received so long ago
+   * that the worker no longer waits for a response to this one. A delayed copy does not show that
+   * the worker is alive, and a response to it renews no lease.
    */
   boolean isDelayedDuplicate(WorkerHeartbeat heartbeat, MonotonicTime now) {
     return !heartbeat.version().isAfter(lastHeartbeatVersion)
         && now.since(newestHeartbeatAt).compareTo(RESPONSE_WAIT) > 0;
   }
 
-  /** Notes what a newer heartbeat tells of the machine itself. */
+  /** Records what a newer heartbeat reports about the machine itself, not about its tasks. */
   void onHeartbeat(WorkerHeartbeat heartbeat, MonotonicTime now) {
     lastHeartbeatVersion = heartbeat.version();
     newestHeartbeatAt = now;
@@ -109,15 +109,16 @@
     token.onReported(heartbeat.highestToken());
   }
 
-  /** All that the heartbeat reports was taken over. */
+  /** Records that all tasks in the heartbeat have been applied. */
   void markApplied(WorkerHeartbeat heartbeat) {
     appliedEntries = heartbeat.tasks();
     appliedBindingChanges = bindingChanges;
   }
 
   /**
-   * Whether the heartbeat reports what the last one did, of a machine that is as it should be: then
-   * nothing follows from it but that the machine is there. Most heartbeats are such.
+   * Whether the heartbeat reports the same as the last one that was applied, from a machine with
+   * nothing left to reconcile. It then shows only that the machine is alive. Most heartbeats are
+   * like this.
    */
   boolean isUnchangedBy(WorkerHeartbeat heartbeat) {
     return isSettled()
@@ -135,28 +136,28 @@
         && unassignedTasks.isEmpty();
   }
 
-  /** A heartbeat came, whether or not this node may answer it. */
+  /** Records the arrival of a heartbeat, whether or not this node may respond to it. */
   void markHeartbeatReceived(MonotonicTime now) {
     heartbeatReceivedAt = Optional.of(now);
   }
 
-  /** When a heartbeat last came. */
+  /** When the last heartbeat was received; empty if none was. */
   Optional<MonotonicTime> heartbeatReceivedAt() {
     return heartbeatReceivedAt;
   }
 
-  /** A heartbeat is answered, which renews the worker's lease. */
+  /** Records the response to a heartbeat, which renews the worker's lease. */
   void markResponded(MonotonicTime now) {
     lastResponseAt = Optional.of(now);
   }
 
-  /** When a heartbeat was last answered. */
+  /** When a heartbeat was last responded to; empty if none was. */
   Optional<MonotonicTime> lastResponseAt() {
     return lastResponseAt;
   }
 
   /**
-   * A task runs from the image, so the machine has it.
+   * Records that a task runs from the image, which is therefore in the machine's cache.
    *
    * @return whether the set of images changed
    */
@@ -164,17 +165,17 @@
     return imageCache.recordUse(image, sizeGb, cacheGb);
   }
 
-  /** The images that its cache holds. */
+  /** The images estimated to be in the machine's cache, least recently used first. */
   Set<String> images() {
     return imageCache.images();
   }
 
-  /** Takes over the machine's record as stored now. */
+  /** Replaces the machine's record by a newer stored one. */
   void updateRecord(MachineRecord next) {
     record = next;
   }
 
-  /** The task is, or possibly is, on it. */
+  /** Adds a task that is, or may be, on the machine. */
   void bind(OwnedTask task) {
     bindingChanges++;
     if (tasks.put(task.id(), task) == null) {
@@ -182,7 +183,7 @@
     }
   }
 
-  /** The task is no longer on it. */
+  /** Removes a task that is no longer on the machine. */
   void unbind(OwnedTask task) {
     bindingChanges++;
     if (tasks.remove(task.id(), task)) {
@@ -191,20 +192,20 @@
     }
   }
 
-  /** The tasks that are, or possibly are, on it. */
+  /** A copy of the list of tasks that are, or may be, on the machine. */
   List<OwnedTask> tasks() {
     return new ArrayList<>(tasks.values());
   }
 
-  /** What those tasks use of it. */
+  /** The resources that those tasks use. */
   Resources usedResources() {
     return usedResources;
   }
 
   /**
-   * Notes how long it has not been heard.
+   * Sets the liveness.
    *
-   * @return whether that differs from before
+   * @return whether it changed
    */
   boolean updateLiveness(MachineLiveness next) {
     boolean changed = liveness != next;
@@ -212,7 +213,7 @@
     return changed;
   }
 
-  /** For how long it has not been heard, as last noted. */
+  /** The liveness as last set. */
   MachineLiveness liveness() {
     return liveness;
   }
@@ -237,30 +238,30 @@
     return lastHeartbeatVersion;
   }
 
-  /** Where its worker takes direct commands; empty before the first heartbeat. */
+  /** The address at which its worker accepts commands; empty before the first heartbeat. */
   String address() {
     return address;
   }
 
-  /** The cloud takes it away soon. */
+  /** Whether the cloud has announced that it will take the machine away. */
   boolean hasInterruptionNotice() {
     return interruptionNotice.isPresent();
   }
 
-  /** What its last heartbeat reports of attempts that are not assigned here. */
+  /** The attempts in its last heartbeat that are not assigned to the shard. */
   List<WorkerHeartbeat.ReportedTask> unassignedTasks() {
     return unassignedTasks;
   }
 
-  /** Replaces what is known of unassigned attempts on it. */
+  /** Replaces the list of attempts on it that are not assigned to the shard. */
   void unassignedTasks(List<WorkerHeartbeat.ReportedTask> reported) {
     unassignedTasks = reported;
   }
 
   /**
-   * Notes whether tasks run on it that are not this build's to judge; then it takes no others.
+   * Updates whether unassigned tasks of unreadable jobs run on it; it is then given no other tasks.
    *
-   * @return whether that differs from before
+   * @return whether that changed
    */
   boolean updateUnreadableTasks(Set<JobId> unreadableJobs) {
     boolean before = hasUnreadableTasks;
@@ -271,42 +272,42 @@
     return before != hasUnreadableTasks;
   }
 
-  /** Whether such tasks run on it, as its owner reported. */
+  /** Whether tasks of unreadable jobs run on the machine, as its owner reported. */
   public static boolean hasUnreadableTasks(MachineStatus status) {
     return status.getPhase().equals(OCCUPIED);
   }
 
-  /** What is reported to the leader as the machine's phase. */
+  /** The phase that is reported to the leader. */
   String reportedPhase() {
     return hasUnreadableTasks ? OCCUPIED : phase().wireName();
   }
 
-  /** Whether a direct message was sent that is not answered yet and may still arrive in time. */
+  /** Whether a direct message was sent whose response or deadline is still awaited. */
   boolean directCommandInFlight() {
     return directCommandInFlight;
   }
 
-  /** A direct message is sent; no other one is until it has ended. */
+  /** Records that a direct message is sent; the next one waits until this has ended. */
   void markDirectCommandSent() {
     directCommandInFlight = true;
   }
 
-  /** The direct message was answered, or its deadline has passed. */
+  /** Records that the direct message was responded to, or that its deadline has passed. */
   void markDirectCommandEnded() {
     directCommandInFlight = false;
   }
 
-  /** Whether there may be commands that were not sent yet. */
+  /** Whether there may be commands that have not been sent. */
   boolean commandsPending() {
     return commandsPending;
   }
 
-  /** There may be commands that were not sent yet. */
+  /** Records that there may be commands that have not been sent. */
   void markCommandsPending() {
     commandsPending = true;
   }
 
-  /** All commands that are known now are being sent. */
+  /** Records that all commands known so far are being sent. */
   void clearCommandsPending() {
     commandsPending = false;
   }
--- a/src/main/java/org/mulleinshift/sharding/OwnedTask.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedTask.java
@@ -7,7 +7,7 @@
 import org.mulleinshift.protocol.TaskId;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** A task that the leader assigned to a shard, at the shard's owner. */
+/** The state of a task that is assigned to a shard, as tracked by the shard's owner. */
 final class OwnedTask {
   private final TaskId id;
   private final Attempt attempt;
@@ -22,16 +22,16 @@
   private long runTimeMillis;
   private boolean stopRequested;
 
-  /** Whether it is known to have been on its machine under the shard's current grant. */
+  /** Whether it is known to have been on its machine under the current grant. */
   private boolean placementConfirmed;
 
   /**
-   * A task that is on no machine yet.
+   * Creates a task that has not been placed.
    *
-   * @param saveSeconds how long it may take to save its progress when it is stopped
-   * @param rank its job's place in the order of urgency
+   * @param saveSeconds time that it may take to save its progress when it is stopped
+   * @param rank its job's position in the order of urgency; the lowest is the most urgent
    * @param assignedUnderCurrentGrant whether it was assigned under the shard's current grant
-   * @param receivedAt when the leader's message about it came
+   * @param receivedAt when the leader's message that assigns it was received
    */
   OwnedTask(
       TaskId id,
@@ -51,9 +51,9 @@
   }
 
   /**
-   * The only place where the phase changes; a final phase stays.
+   * Sets the phase, which no other code changes; a final phase stays.
    *
-   * @param machineId the machine, if that changes or becomes known
+   * @param machineId the machine, if it changes or becomes known
    */
   void transitionTo(TaskPhase next, Optional<MachineId> machineId, MonotonicTime now) {
     if (phase.isFinal()) {
@@ -74,36 +74,36 @@
     phase = next;
   }
 
-  /** On a machine, or possibly so. */
+  /** Whether it is, or may be, on a machine. */
   boolean isBound() {
     return machine.isPresent() && phase != TaskPhase.NEW && !phase.isFinal();
   }
 
-  /** On that machine, or possibly so. */
+  /** Whether it is, or may be, on that machine. */
   boolean isBoundTo(MachineId machineId) {
     return isBound() && machine.get().equals(machineId);
   }
 
-  /** The machine on which it is, or possibly is. */
+  /** The machine on which it is or may be. */
   Optional<MachineId> boundMachine() {
     return isBound() ? machine : Optional.empty();
   }
 
   /**
-   * It was on its machine under the current grant: placed by this owner, or listed by a worker that
-   * has received the grant's token. What a worker listed before that may be out of date, and the
-   * task may have been started elsewhere since.
+   * Records that it was on its machine under the current grant: this owner placed it there, or a
+   * worker that has received the grant's token listed it. Earlier listings may be out of date, and
+   * the task may have been started on another machine since.
    */
   void confirmPlacement() {
     placementConfirmed = true;
   }
 
-  /** Whether its absence from its machine shows that it is on none. */
+  /** Whether its absence from its machine proves that it is on no machine. */
   boolean placementConfirmed() {
     return placementConfirmed || assignedUnderCurrentGrant;
   }
 
-  /** It is to stop, or not to start. */
+  /** Records that it must stop, or must not be started. */
   void requestStop() {
     stopRequested = true;
   }
@@ -132,12 +132,12 @@
     return rank;
   }
 
-  /** Assigned under this very grant: no earlier owner can have placed it. */
+  /** Whether it was assigned under the current grant, so no earlier owner can have placed it. */
   boolean assignedUnderCurrentGrant() {
     return assignedUnderCurrentGrant;
   }
 
-  /** When the leader's message about it came. */
+  /** When the leader's message that assigns it was received. */
   MonotonicTime receivedAt() {
     return receivedAt;
   }
@@ -146,12 +146,12 @@
     return phase;
   }
 
-  /** The machine on which it is, possibly is, or last was. */
+  /** The machine on which it is, may be or last was. */
   Optional<MachineId> machine() {
     return machine;
   }
 
-  /** For how long it has run, or ran until it ended. */
+  /** The time for which it has run, up to its end; 0 if it was never seen running. */
   long runTimeMillis(MonotonicTime now) {
     if (phase.isFinal()) {
       return runTimeMillis;
--- a/src/main/java/org/mulleinshift/sharding/ShardOwner.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardOwner.java
@@ -20,20 +20,20 @@
 import org.mulleinshift.transport.EventLoop;
 
 /**
- * A shard under one grant: answers its machines' heartbeats, places the tasks assigned to it, and
- * reports to the leader what became of them. A task counts as absent from a machine only once that
- * is certain.
+ * Owns a shard under one grant: responds to the heartbeats of its machines, places the tasks
+ * assigned to it and reports their status to the leader. A task is treated as absent from a machine
+ * only once that is certain.
  */
 public final class ShardOwner {
   /**
-   * What an owner uses of its node.
+   * What an owner needs of its node.
    *
-   * @param loop owns all state of the shard
-   * @param workers sends direct commands
-   * @param catalog machine types
-   * @param workerTiming of workers
-   * @param shardLease for how long an earlier owner may still act
-   * @param cancelled whether a job is known to be cancelled
+   * @param loop the event loop that all state of the shard is confined to
+   * @param workers client for direct commands
+   * @param catalog the machine types
+   * @param workerTiming the times that workers keep
+   * @param shardLease time for which an earlier owner may still act after a grant
+   * @param cancelled tells whether a job is known to be cancelled
    * @param onStatusChange run when the leader should receive a status soon
    */
   public record Context(
@@ -58,10 +58,10 @@
   private final DirectCommandSender directCommands;
 
   /**
-   * An owner that knows neither machines nor tasks yet.
+   * Creates an owner without machines and tasks.
    *
-   * @param grant under which this node owns the shard
-   * @param mayAct whether the node's lease and the grant are valid now
+   * @param grant the grant under which this node owns the shard
+   * @param mayAct tells whether the node's lease and the grant are valid now
    */
   ShardOwner(Context context, ShardId id, Revision grant, BooleanSupplier mayAct) {
     this.context = context;
@@ -88,14 +88,14 @@
     return mayAct.getAsBoolean();
   }
 
-  /** The shard's machines as stored. */
+  /** Applies the shard's stored record. */
   void onRecord(ShardRecord record) {
     if (state.applyRecord(record)) {
       placeAndSend();
     }
   }
 
-  /** What the leader changed in the shard's assignments. */
+  /** Applies the leader's changes to the shard's assignments. */
   void onAssignment(ShardAssignment assignment) {
     if (assignments.apply(assignment)) {
       reconciler.reconcileUnassignedTasks();
@@ -104,12 +104,12 @@
     }
   }
 
-  /** The leader acknowledged the shard's status up to here. */
+  /** Handles the leader's acknowledgement of the shard's status up to a sequence number. */
   void onStatusAck(ShardStatusAck ack) {
     assignments.onStatusAck(ack);
   }
 
-  /** A job was cancelled: its tasks stop without waiting for the leader. */
+  /** Stops the tasks of a cancelled job without waiting for the leader. */
   void onCancelled(JobId job) {
     for (OwnedTask task : state.tasks()) {
       if (task.id().job().equals(job)) {
@@ -119,7 +119,11 @@
     placeAndSend();
   }
 
-  /** The answer to a heartbeat, or none if this node must not give one. */
+  /**
+   * Handles a heartbeat.
+   *
+   * @return the body of the response; empty if this node must not respond
+   */
   Optional<String> onHeartbeat(WorkerHeartbeat heartbeat) {
     return state.machine(heartbeat.machine()).flatMap(machine -> respondTo(machine, heartbeat));
   }
@@ -128,15 +132,15 @@
     if (machine.isDelayedDuplicate(heartbeat, loop.now())) {
       return Optional.empty();
     }
-    // A heartbeat that may not be answered still shows that its worker is there and reaches this
-    // node.
+    // Even without a response, the heartbeat shows that its worker is alive and reaches this node.
     machine.markHeartbeatReceived(loop.now());
     if (!mayAct()) {
       return Optional.empty();
     }
     if (heartbeat.highestToken().compareTo(machine.token()) > 0) {
       if (!MachineToken.belongsTo(heartbeat.highestToken(), grant)) {
-        // A 200 with a lower token would be dropped and keep the worker here without a lease.
+        // The worker would drop a 200 with a lower token, yet stay with this node without its lease
+        // being renewed.
         return Optional.empty();
       }
       machine.adoptToken(heartbeat.highestToken());
@@ -156,32 +160,32 @@
     placeAndSend();
   }
 
-  /** Called a few times a second. */
+  /** Checks the machines and sends what is due; called a few times a second. */
   void tick() {
     if (!mayAct()) {
-      // Who may not answer hears nothing that counts: the machines may have gone to others.
+      // While this node may not respond, silence proves nothing: workers may have moved to others.
       return;
     }
     liveness.tick();
     placeAndSend();
   }
 
-  /** The process was paused until now, and received nothing meanwhile. */
+  /** Handles the end of a pause of this process, during which it received nothing. */
   void onProcessPause() {
     liveness.onProcessPause();
   }
 
-  /** How many machines should be heard by now. */
+  /** The number of machines whose heartbeats should be arriving. */
   int expectedMachineCount() {
     return liveness.expectedMachineCount();
   }
 
-  /** How many of those are not heard. */
+  /** The number of those that are not alive. */
   int unreachableMachineCount() {
     return liveness.unreachableMachineCount();
   }
 
-  /** Where the machines that have reported take direct commands. */
+  /** The addresses at which the machines that have reported a valid one accept direct commands. */
   List<InetSocketAddress> workerAddresses() {
     return state.machines().stream()
         .flatMap(machine -> WorkerAddress.parse(machine.address()).stream())
--- a/src/main/java/org/mulleinshift/sharding/ShardState.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardState.java
@@ -20,8 +20,9 @@
 import org.mulleinshift.transport.EventLoop;
 
 /**
- * The machines of an owned shard and the tasks assigned to it. Every change passes here, so that
- * the tasks of each machine, the unplaced tasks and the status for the leader stay in step.
+ * The machines of an owned shard and the tasks assigned to it. All changes are made through this
+ * class, which keeps the tasks of each machine, the unplaced tasks and the status for the leader
+ * consistent.
  */
 final class ShardState {
   private final EventLoop loop;
@@ -34,10 +35,10 @@
   private Revision appliedRevision = new Revision(0);
 
   /**
-   * A shard without machines or tasks.
+   * Creates a shard without machines and tasks.
    *
-   * @param grant under which this node owns the shard
-   * @param onStatusChange run when the leader should receive a status soon
+   * @param grant the grant under which this node owns the shard
+   * @param onStatusChange called when the leader should receive a status soon
    */
   ShardState(EventLoop loop, ShardId id, Revision grant, Runnable onStatusChange) {
     this.loop = loop;
@@ -50,7 +51,7 @@
     return statusReporter;
   }
 
-  /** All machines, in the order of their ids. */
+  /** All machines, ordered by id. */
   Collection<OwnedMachine> machines() {
     return machines.values();
   }
@@ -64,21 +65,21 @@
     return tasks.values();
   }
 
-  /** The task, if this very attempt is assigned here. */
+  /** The task, if this attempt of it is assigned to the shard. */
   Optional<OwnedTask> task(TaskId id, Attempt attempt) {
     return Optional.ofNullable(tasks.get(id)).filter(task -> task.attempt().equals(attempt));
   }
 
-  /** Tasks that no machine was chosen for yet. */
+  /** Tasks for which no machine has been chosen. */
   Set<OwnedTask> unplacedTasks() {
     return unplacedTasks;
   }
 
   /**
-   * Applies the shard's machines as stored. A machine that is no longer there was deleted for
-   * certain.
+   * Applies the shard's stored record. A machine that is no longer in it has certainly been
+   * deleted.
    *
-   * @return whether the record differs from the last one
+   * @return whether the record has another revision than the last one
    */
   boolean applyRecord(ShardRecord record) {
     if (record.revision().equals(appliedRevision)) {
@@ -100,7 +101,7 @@
     return true;
   }
 
-  /** Adds a task that was just assigned; it replaces an earlier attempt. */
+  /** Adds a newly assigned task, which replaces any earlier attempt. */
   void add(OwnedTask task) {
     Optional.ofNullable(tasks.get(task.id())).ifPresent(this::unbind);
     tasks.put(task.id(), task);
@@ -108,12 +109,12 @@
     statusReporter.markChanged(task.id());
   }
 
-  /** The task is no longer assigned to this shard. */
+  /** Removes a task that is no longer assigned to the shard. */
   void remove(TaskId id) {
     Optional.ofNullable(tasks.remove(id)).ifPresent(this::unbind);
   }
 
-  /** Removes all tasks but these. */
+  /** Removes all tasks except these. */
   void retainOnly(Set<TaskId> assigned) {
     List<TaskId> others = new ArrayList<>(tasks.keySet());
     others.removeIf(assigned::contains);
@@ -129,19 +130,20 @@
     return task.boundMachine().map(machines::get);
   }
 
-  /** The task is on the machine, or possibly is, in that phase. */
+  /** Records that the task is, or may be, on the machine and in that phase. */
   void bind(OwnedTask task, TaskPhase phase, MachineId machine) {
     transitionTask(task, phase, Optional.of(machine));
   }
 
-  /** The task has ended, wherever it was. */
+  /** Records that the task has ended, wherever it was. */
   void finish(OwnedTask task, TaskPhase finalPhase) {
     transitionTask(task, finalPhase, Optional.empty());
   }
 
   /**
-   * The task is provably absent from its machine. If it was never confirmed to be there it may be
-   * on another one: it waits until all are accounted for, as at the beginning of the grant.
+   * Records that the task is provably absent from its machine. It has ended if it was confirmed to
+   * be there. Otherwise it may be on another machine, and waits until all machines are accounted
+   * for, as at the beginning of the grant.
    */
   void markAbsent(OwnedTask task) {
     if (task.placementConfirmed()) {
@@ -152,12 +154,12 @@
     }
   }
 
-  /** Nothing can run on the machine any more. */
+  /** Records that none of the machine's tasks can run there any more. */
   void markAllAbsent(OwnedMachine machine) {
     machine.tasks().forEach(this::markAbsent);
   }
 
-  /** All changes of a task's phase pass here, so that what is indexed by it stays in step. */
+  /** Changes a task's phase and updates all indexes that depend on it. */
   private void transitionTask(OwnedTask task, TaskPhase next, Optional<MachineId> machine) {
     Optional<OwnedMachine> before = machineOf(task);
     task.transitionTo(next, machine, loop.now());
@@ -173,7 +175,7 @@
     onStatusChange.run();
   }
 
-  /** The task is to stop, by the leader's or a user's request. */
+  /** Marks the task to be stopped, as the leader or a user requests. */
   void requestStop(OwnedTask task) {
     if (task.stopRequested()) {
       return;
@@ -184,14 +186,14 @@
       return;
     }
     if (task.phase() == TaskPhase.STARTING) {
-      // The command to start it may be on its way in an answer to a heartbeat, and the command to
-      // stop it may arrive first: under a higher token the worker drops the other.
+      // The command to start it may be in flight in the response to a heartbeat, and the command to
+      // stop it may arrive first. The higher token makes the worker drop the start command then.
       machine.raiseToken(loop.now());
     }
     machine.markCommandsPending();
   }
 
-  /** Advances the machine's phase; a confirmed machine does not go back to reporting. */
+  /** Changes the machine's phase; a confirmed machine does not return to reporting. */
   void transition(OwnedMachine machine, MachinePhase next) {
     if (machine.phase() == MachinePhase.CONFIRMED && next == MachinePhase.REPORTING) {
       return;
@@ -202,21 +204,21 @@
     }
   }
 
-  /** Notes whether tasks run on the machine that this build must leave alone. */
+  /** Updates whether tasks of unreadable jobs run on the machine. */
   void updateUnreadableTasks(OwnedMachine machine, Set<JobId> unreadableJobs) {
     if (machine.updateUnreadableTasks(unreadableJobs)) {
       markChanged(machine.id());
     }
   }
 
-  /** Notes how long the machine has not been heard, as far as it matters to the leader. */
+  /** Sets the machine's liveness. */
   void updateLiveness(OwnedMachine machine, MachineLiveness liveness) {
     if (machine.updateLiveness(liveness)) {
       markChanged(machine.id());
     }
   }
 
-  /** The machine's status has changed for the leader. */
+  /** Records that the machine's status for the leader has changed. */
   void markChanged(MachineId machine) {
     statusReporter.markChanged(machine);
     onStatusChange.run();
--- a/src/main/java/org/mulleinshift/sharding/ShardStatusReporter.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardStatusReporter.java
@@ -14,7 +14,7 @@
 import org.mulleinshift.protocol.peer.TaskStatus;
 import org.mulleinshift.transport.EventLoop;
 
-/** Writes the statuses of an owned shard: each holds what has changed since another one. */
+/** Builds the status messages of an owned shard: each holds the changes since an earlier one. */
 final class ShardStatusReporter {
   private final EventLoop loop;
   private final ShardId shard;
@@ -29,20 +29,20 @@
   private long sequence;
   private long acknowledgedSequence;
 
-  /** The sequence number of the last periodic status, or of the last before a resend. */
+  /** Sequence number of the last periodic status, or of the last status before a resend. */
   private long periodicSequence;
 
   private long sentAssignmentVersion;
 
-  /** The leader does not know what it was sent: the next status is built on what it does know. */
+  /** The leader lacks a status that was sent: the next one is based on the one it acknowledged. */
   private boolean resend;
 
   /**
-   * A reporter for one shard under one grant.
+   * Creates a reporter for one shard under one grant.
    *
-   * @param machines of the shard, as of now at any time
-   * @param tasks assigned to it, as of now at any time
-   * @param onStatusChange run when the leader should receive a status soon
+   * @param machines live view of the shard's machines
+   * @param tasks live view of the tasks assigned to the shard
+   * @param onStatusChange called when the leader should receive a status soon
    */
   ShardStatusReporter(
       EventLoop loop,
@@ -59,33 +59,33 @@
     this.onStatusChange = onStatusChange;
   }
 
-  /** The next status holds the task. */
+  /** Includes the task in the next status. */
   void markChanged(TaskId task) {
     taskChanges.changed(task, sequence + 1);
   }
 
-  /** The next status holds the machine. */
+  /** Includes the machine in the next status. */
   void markChanged(MachineId machine) {
     machineChanges.changed(machine, sequence + 1);
   }
 
-  /** A new leader knows nothing of this shard yet. */
+  /** Discards the acknowledgements: a new leader has received no status of this shard yet. */
   void resetForNewLeader() {
     acknowledgedSequence = 0;
   }
 
-  /** The assignment that the next status acknowledges. */
+  /** Sets the assignment version that the next status acknowledges. */
   void onAssignment(long term, long version) {
     seenTerm = term;
     seenVersion = version;
   }
 
-  /** The leader knows the shard up to this status. */
+  /** Handles the leader's acknowledgement of all statuses up to this sequence number. */
   void onAck(long upTo) {
     boolean behind = upTo < acknowledgedSequence;
     acknowledgedSequence = upTo;
     if (behind || upTo == 0) {
-      // Another leader, or one that missed a status: it is sent everything since once more.
+      // A new leader, or one that missed a status: all changes since are sent again.
       periodicSequence = sequence;
       resend = true;
       onStatusChange.run();
@@ -95,7 +95,7 @@
     }
   }
 
-  /** Whether anything has changed that was not sent yet. */
+  /** Whether there are changes that have not been sent. */
   boolean hasUnsentChanges() {
     return resend
         || seenVersion != sentAssignmentVersion
@@ -103,12 +103,15 @@
         || machineChanges.anySince(sequence);
   }
 
-  /** What has changed since the last status. */
+  /** Builds a status with the changes since the last one. */
   ShardStatus incrementalStatus() {
     return buildStatus(resend ? acknowledgedSequence : sequence);
   }
 
-  /** Sent even without changes; repeats what has stayed unacknowledged since the one before. */
+  /**
+   * Builds the status that is sent at intervals even without changes. It repeats all unacknowledged
+   * changes if the previous periodic status was not acknowledged.
+   */
   ShardStatus periodicStatus() {
     boolean acknowledged = acknowledgedSequence >= periodicSequence && !resend;
     ShardStatus status = buildStatus(acknowledged ? sequence : acknowledgedSequence);
--- a/src/main/java/org/mulleinshift/sharding/TaskPhase.java
+++ b/src/main/java/org/mulleinshift/sharding/TaskPhase.java
@@ -8,9 +8,9 @@
 
 /** The phases in which an owner reports a task. The last five are final for the attempt. */
 public enum TaskPhase {
-  /** Assigned to the shard; no machine was chosen yet. */
+  /** Assigned to the shard; no machine has been chosen yet. */
   NEW("NEW"),
-  /** A machine was chosen; its worker has not reported the task yet. */
+  /** A machine has been chosen; its worker has not reported the task yet. */
   STARTING("STARTING"),
   FETCHING("FETCHING"),
   RUNNING("RUNNING"),
@@ -18,9 +18,9 @@
   DONE("DONE"),
   STOPPED("STOPPED"),
   FAILED("FAILED"),
-  /** It did not start, and is to be assigned again. */
+  /** It was not started, or its gang was broken; it must be assigned again. */
   REJECTED("REJECTED"),
-  /** It was on a machine, and is provably absent from it. */
+  /** It was on a machine and is provably no longer there. */
   LOST("LOST");
 
   private static final Map<String, TaskPhase> BY_WIRE_NAME =
@@ -33,13 +33,13 @@
     this.wireName = wireName;
   }
 
-  /** How peer frames name it. */
+  /** The name of the phase in peer frames. */
   String wireName() {
     return wireName;
   }
 
   /**
-   * The phase that a peer frame names.
+   * Returns the phase with this name in peer frames.
    *
    * @throws IllegalArgumentException if no phase has that name
    */
@@ -56,7 +56,7 @@
     return compareTo(DONE) >= 0;
   }
 
-  /** The phase of a task that a worker reports so. */
+  /** The phase that corresponds to a worker's report of a task. */
   static TaskPhase of(WorkerHeartbeat.ReportedTask entry) {
     return switch (entry.state()) {
       case FETCHING, WAITING -> FETCHING;
--- a/src/main/java/org/mulleinshift/sharding/TaskPlacer.java
+++ b/src/main/java/org/mulleinshift/sharding/TaskPlacer.java
@@ -22,12 +22,12 @@
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Chooses a machine of the shard for each task that was assigned to it. */
+/** Chooses a machine for each unplaced task of a shard. */
 final class TaskPlacer {
-  /** After this long without a machine a task goes back to the leader as rejected. */
+  /** A task that fits on no machine for this long is reported to the leader as rejected. */
   private static final Duration PLACEMENT_TIMEOUT = Duration.ofSeconds(4);
 
-  /** A shard lies in one zone, and the leader chose it. */
+  /** The zone plays no part: a shard lies in one zone, and the leader chose the shard. */
   private static final ZoneId ANY_ZONE = new ZoneId("");
 
   private final EventLoop loop;
@@ -38,7 +38,7 @@
   private final AssignmentReceiver assignments;
   private final LivenessMonitor liveness;
 
-  /** A placer for one shard under one grant. */
+  /** Creates a placer for one shard under one grant. */
   TaskPlacer(
       ShardOwner.Context context,
       ShardId shard,
@@ -54,7 +54,7 @@
     this.liveness = liveness;
   }
 
-  /** Places what can be placed; to be called only by an owner that may act. */
+  /** Places the unplaced tasks that fit on a machine. Only an owner that may act may call this. */
   void placeTasks() {
     List<OwnedTask> candidates = candidates();
     Set<TaskId> reportedUnassigned = reportedUnassigned();
@@ -73,7 +73,7 @@
     }
   }
 
-  /** Tasks that are certainly on no machine, the most urgent first. */
+  /** Tasks that are certainly on no machine, most urgent first. */
   private List<OwnedTask> candidates() {
     List<OwnedTask> candidates = new ArrayList<>();
     boolean allAccountedFor = allMachinesAccountedFor();
@@ -86,7 +86,10 @@
     return candidates;
   }
 
-  /** A fresh owner knows where inherited tasks are not only once each machine is accounted for. */
+  /**
+   * Whether every machine that is up has been confirmed or has expired. Only then does a new owner
+   * know which inherited tasks are on no machine.
+   */
   private boolean allMachinesAccountedFor() {
     return state.machines().stream()
         .allMatch(
@@ -96,7 +99,7 @@
                     || machine.phase() == MachinePhase.EXPIRED);
   }
 
-  /** Tasks of which some machine still knows another attempt: they wait until it is gone. */
+  /** Tasks of which a machine reports an unassigned attempt; they wait until that is gone. */
   private Set<TaskId> reportedUnassigned() {
     Set<TaskId> reported = new HashSet<>();
     for (OwnedMachine machine : state.machines()) {
@@ -122,7 +125,7 @@
     return true;
   }
 
-  /** Machines that may take tasks and have at least so much available. */
+  /** Machines that may take tasks and have at least the minimum available. */
   private List<MachineCapacity> capacities(Resources minimum) {
     List<MachineCapacity> capacities = new ArrayList<>();
     MonotonicTime now = loop.now();
--- a/src/main/java/org/mulleinshift/sharding/WorkerAddress.java
+++ b/src/main/java/org/mulleinshift/sharding/WorkerAddress.java
@@ -3,11 +3,13 @@
 import java.net.InetSocketAddress;
 import java.util.Optional;
 
-/** Where a worker takes direct commands and probes. */
+/** The address at which a worker accepts direct commands and probes. */
 final class WorkerAddress {
   private WorkerAddress() {}
 
-  /** Parses the address that its heartbeats name; empty if that is none. */
+  /**
+   * Parses the {@code host:port} of a worker's heartbeats; empty if the text is not of that form.
+   */
   static Optional<InetSocketAddress> parse(String text) {
     int colon = text.lastIndexOf(':');
     try {
--- a/src/test/java/org/mulleinshift/sharding/CommandsInFlightTest.java
+++ b/src/test/java/org/mulleinshift/sharding/CommandsInFlightTest.java
@@ -12,7 +12,10 @@
 import org.mulleinshift.sharding.ShardOwnerFixture.Origin;
 import org.mulleinshift.transport.HttpResponse;
 
-/** A direct command overtakes the answer to a heartbeat. */
+/**
+ * Guards against a cancelled task being started when a direct command overtakes the response to a
+ * heartbeat that starts it.
+ */
 final class CommandsInFlightTest {
   private final ShardOwnerFixture fixture = new ShardOwnerFixture(MACHINE);
 
@@ -22,7 +25,7 @@
 
   @Test
   void stopOfTaskThatAResponseMayStillStartUsesHigherToken() throws MalformedMessageException {
-    // Given a task started by a direct command, and one started by the answer to a heartbeat.
+    // Given a task started by a direct command, and one started by the response to a heartbeat.
     fixture.confirm(MACHINE);
     fixture.assign(1, 0, Origin.FRESH);
     assertEquals(
@@ -33,10 +36,10 @@
     String fetching = ShardOwnerFixture.reportedTask("run-1/0", "fetching");
     String response = fixture.sendHeartbeat(MACHINE, 3, TOKEN, fetching).orElseThrow();
     assertTrue(
-        response.contains("run-1/1"), "and is started by the answer to a heartbeat: " + response);
+        response.contains("run-1/1"), "and is started by the response to a heartbeat: " + response);
 
-    // When the job is cancelled, and the direct command is carried out before the answer to the
-    // heartbeat arrives: the worker doesn't know the second task yet.
+    // When the job is cancelled, and the worker carries out the direct command before it receives
+    // the response to its heartbeat: it doesn't know the second task yet.
     fixture.cancel(JOB);
     fixture
         .directMessages()
@@ -47,6 +50,6 @@
     // Then
     String stop = fixture.lastDirectMessage().body();
     assertTrue(stop.contains("halt") && stop.contains("run-1/1"), stop);
-    assertTrue(token(stop) > token(response), "the worker must drop the answer: " + stop);
+    assertTrue(token(stop) > token(response), "the worker must drop the response: " + stop);
   }
 }
--- a/src/test/java/org/mulleinshift/sharding/ImageCacheTest.java
+++ b/src/test/java/org/mulleinshift/sharding/ImageCacheTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The images used longest ago leave a full cache. */
+/** A full cache evicts the least recently used images. */
 final class ImageCacheTest {
   private static final double CAPACITY_GB = 10;
 
@@ -20,7 +20,10 @@
     cache.recordUse("first", 4, CAPACITY_GB);
 
     assertTrue(cache.recordUse("third", 4, CAPACITY_GB), "the set of images has changed");
-    assertEquals(List.of("first", "third"), List.copyOf(cache.images()), "second is the oldest");
+    assertEquals(
+        List.of("first", "third"),
+        List.copyOf(cache.images()),
+        "the second image is the least recently used");
   }
 
   @Test
@@ -29,7 +32,7 @@
 
     cache.recordUse("large", 20, CAPACITY_GB);
 
-    assertEquals(List.of("large"), List.copyOf(cache.images()), "a task runs from it");
+    assertEquals(List.of("large"), List.copyOf(cache.images()), "a task runs from the large image");
   }
 
   @Test
--- a/src/test/java/org/mulleinshift/sharding/InheritedTasksTest.java
+++ b/src/test/java/org/mulleinshift/sharding/InheritedTasksTest.java
@@ -14,12 +14,14 @@
 import org.mulleinshift.sharding.ShardOwnerFixture.Origin;
 
 /**
- * A fresh owner hears a late copy of a report, which lists a task that has since been started on
- * another machine. The machine's next own report does not list it, and the owner told the leader
- * that it is lost, though only that one machine had been accounted for; the leader had it started
- * on a third while it ran on the second. Drawn meetings with seed 2187: "90.527 node-3 ShardStatus
- * run-6/0 RUNNING on i-000008" (a copy from before), "93.851 run-6/0 LOST", "94.028 ran_twice:
- * run-6/0 on i-000001 and i-000009".
+ * Guards against running a task twice after a new owner receives a delayed copy of a heartbeat that
+ * lists the task, which has since been started on another machine. The machine's next heartbeat
+ * does not list it. The owner reported the task as lost although only that machine had been
+ * accounted for, and the leader started it on a third machine while it ran on the second.
+ *
+ * <p>Found by the random scenario "drawn-meetings", seed 2187: run-6/0 was reported RUNNING on
+ * i-000008 at 90.527 s, from the copy, and LOST at 93.851 s, and ran on i-000001 and i-000009 at
+ * 94.028 s.
  */
 final class InheritedTasksTest {
   private static final String OTHER_MACHINE = "i-000002";
@@ -49,7 +51,8 @@
     fixture.sendHeartbeat(MACHINE, 21, TOKEN, "");
     assertEquals(TaskPhase.NEW.wireName(), phase());
     fixture.confirm(OTHER_MACHINE);
-    assertEquals(TaskPhase.STARTING.wireName(), phase(), "it is on no machine");
+    assertEquals(
+        TaskPhase.STARTING.wireName(), phase(), "all machines are accounted for, so it is on none");
   }
 
   @Test
--- a/src/test/java/org/mulleinshift/sharding/MachineTokenTest.java
+++ b/src/test/java/org/mulleinshift/sharding/MachineTokenTest.java
@@ -10,7 +10,9 @@
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Fencing tokens rise with every grant, and within a grant whenever commands may be lost. */
+/**
+ * Fencing tokens rise with every grant, and within a grant whenever commands may not have arrived.
+ */
 final class MachineTokenTest {
   private static final Revision GRANT = new Revision(7);
   private static final Revision NEXT_GRANT = new Revision(8);
@@ -25,8 +27,9 @@
 
     token.raise(NOW);
 
-    assertTrue(token.value().compareTo(before) > 0, "a worker drops what the old token covers");
-    assertTrue(MachineToken.belongsTo(token.value(), GRANT), "no other owner's token");
+    assertTrue(token.value().compareTo(before) > 0, "a worker drops commands under the old token");
+    assertTrue(
+        MachineToken.belongsTo(token.value(), GRANT), "the token still belongs to the grant");
     assertTrue(
         MachineToken.first(NEXT_GRANT).compareTo(token.value()) > 0, "the next grant's is higher");
   }
@@ -38,7 +41,7 @@
 
     token.adopt(MachineToken.first(GRANT));
 
-    assertEquals(raised, token.value(), "tokens never fall");
+    assertEquals(raised, token.value(), "tokens never decrease");
   }
 
   @Test
--- a/src/test/java/org/mulleinshift/sharding/PeerPhaseGoldenTest.java
+++ b/src/test/java/org/mulleinshift/sharding/PeerPhaseGoldenTest.java
@@ -30,7 +30,7 @@
 import org.mulleinshift.protocol.peer.TaskStatus;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Phases and states that peer frames hold as text keep their names and their order. */
+/** The phases and states that peer frames hold as text keep their wire names and their order. */
 class PeerPhaseGoldenTest {
   private static final NodeId SENDER = new NodeId("n-1");
   private static final String PHASES = "peer/phases.hex";
@@ -126,7 +126,7 @@
     assertEquals(
         WorkerReachability.State.REACHABLE,
         PeerFailureDetector.workerReachability(heartbeat("PARKED")),
-        "a later build may have other states");
+        "a newer version may send states that this one does not know");
   }
 
   @Test
--- a/src/test/java/org/mulleinshift/sharding/ShardOwnerFixture.java
+++ b/src/test/java/org/mulleinshift/sharding/ShardOwnerFixture.java
@@ -30,7 +30,7 @@
 import org.mulleinshift.settings.PlatformSettings;
 import org.mulleinshift.transport.HttpResponse;
 
-/** An owner of a shard in virtual time, with its workers and its leader played by the test. */
+/** A shard's owner in virtual time; the test acts as its workers and its leader. */
 final class ShardOwnerFixture {
   private static final int OK = 200;
   private static final Duration HEARTBEAT_INTERVAL = Duration.ofSeconds(2);
@@ -56,7 +56,7 @@
     INHERITED
   }
 
-  /** A direct command message that nobody has answered yet. */
+  /** A direct command message, with the callback for the worker's response. */
   record DirectMessage(String body, Consumer<HttpResponse> reply) {}
 
   private final VirtualEventLoop loop = new VirtualEventLoop();
@@ -64,7 +64,7 @@
   private final Set<JobId> cancelled = new HashSet<>();
   private final ShardOwner owner;
 
-  /** An owner whose shard has these machines. */
+  /** Creates an owner whose shard has these machines. */
   ShardOwnerFixture(String... machines) {
     MachineTypeCatalog catalog =
         new MachineTypeCatalog(
@@ -116,7 +116,7 @@
     owner.onCancelled(job);
   }
 
-  /** The heartbeat of a worker, as it is on the wire. */
+  /** A worker's heartbeat in its wire format. */
   static String heartbeat(String machine, int sequence, long token, String tasks) {
     return "{\"host\":\""
         + machine
@@ -130,25 +130,25 @@
         + "]}";
   }
 
-  /** A task in a heartbeat, as it is on the wire. */
+  /** A task in a heartbeat in its wire format. */
   static String reportedTask(String task, String phase) {
     return "{\"piece\":\"" + task + "\",\"try\":1,\"phase\":\"" + phase + "\"}";
   }
 
-  /** The owner's answer to a heartbeat; empty if it gives none. */
+  /** Sends a heartbeat to the owner and returns its response; empty if it gives none. */
   Optional<String> sendHeartbeat(String machine, int sequence, long token, String tasks)
       throws MalformedMessageException {
     return owner.onHeartbeat(
         WorkerCodec.parseHeartbeat(heartbeat(machine, sequence, token, tasks)));
   }
 
-  /** Two heartbeats, of which the second shows that the worker has received the token. */
+  /** Sends two heartbeats, the second of which acknowledges the owner's token. */
   void confirm(String machine) throws MalformedMessageException {
     sendHeartbeat(machine, 1, 0, "");
     sendHeartbeat(machine, 2, TOKEN, "");
   }
 
-  /** The leader assigns a task of the job, in a message that builds on the version before. */
+  /** Assigns a task of {@link #JOB} as the leader, based on the previous version. */
   void assign(long version, int index, Origin origin) {
     AssignedTask task = new AssignedTask(index, 1L, origin == Origin.FRESH, false);
     AssignedJob job =
@@ -157,12 +157,12 @@
     send(version, List.of(job), List.of());
   }
 
-  /** The leader no longer assigns the task: its completion is stored. */
+  /** Removes a task from the assignments as the leader, as it does once its end is stored. */
   void unassign(long version, int index) {
     send(version, List.of(), List.of(new RemovedTask(JOB.value(), index)));
   }
 
-  /** The leader sends a message without tasks. */
+  /** Sends an assignment message without tasks as the leader. */
   void assignNothing(long version) {
     send(version, List.of(), List.of());
   }
--- a/src/test/java/org/mulleinshift/sharding/ShardOwnerTest.java
+++ b/src/test/java/org/mulleinshift/sharding/ShardOwnerTest.java
@@ -16,7 +16,7 @@
 import org.mulleinshift.protocol.peer.TaskStatus;
 import org.mulleinshift.sharding.ShardOwnerFixture.Origin;
 
-/** What an owner answers to its workers, and when it starts tasks. */
+/** How an owner responds to its workers, and when it starts, forgets and loses tasks. */
 final class ShardOwnerTest {
   private static final String OTHER_MACHINE = "i-000002";
   private static final Duration PAST_WORKER_LEASE = WORKER_LEASE.plusSeconds(1);
@@ -26,9 +26,9 @@
     ShardOwnerFixture fixture = new ShardOwnerFixture(MACHINE);
     long laterToken = MachineToken.first(new Revision(8)).value();
 
-    Optional<String> answer = fixture.sendHeartbeat(MACHINE, 1, laterToken, "");
+    Optional<String> response = fixture.sendHeartbeat(MACHINE, 1, laterToken, "");
 
-    assertTrue(answer.isEmpty(), "the worker would drop a 200 with a lower token: " + answer);
+    assertTrue(response.isEmpty(), "the worker would drop a 200 with a lower token: " + response);
   }
 
   @Test
@@ -86,17 +86,17 @@
     fixture.confirm(MACHINE);
     fixture.assignNothing(1);
 
-    // When a worker reports an ended and a running attempt, neither of them assigned.
+    // When a worker reports an exited and a running attempt, neither of which is assigned
     String tasks =
         ShardOwnerFixture.reportedTask("run-2/0", "exited")
             + ","
             + ShardOwnerFixture.reportedTask("run-3/0", "running");
-    String answer = fixture.sendHeartbeat(MACHINE, 3, TOKEN, tasks).orElseThrow();
+    String response = fixture.sendHeartbeat(MACHINE, 3, TOKEN, tasks).orElseThrow();
 
     // Then
-    int halt = answer.indexOf("halt");
-    int forget = answer.indexOf("forget");
-    assertTrue(halt >= 0 && halt < forget, "the halt must come first: " + answer);
+    int stop = response.indexOf("halt");
+    int forget = response.indexOf("forget");
+    assertTrue(stop >= 0 && stop < forget, "the stop command must come first: " + response);
   }
 
   @Test
@@ -114,7 +114,7 @@
     fixture.owner().tick();
 
     // Then
-    assertEquals("STARTING", atLeaseEnd, "by another clock the lease may still be valid");
+    assertEquals("STARTING", atLeaseEnd, "by the worker's clock the lease may still be valid");
     assertEquals("LOST", phaseOfOnlyTask(fixture), "nothing runs on the machine any more");
   }
 
