--- a/src/main/java/org/mulleinshift/sharding/LivenessMonitor.java
+++ b/src/main/java/org/mulleinshift/sharding/LivenessMonitor.java
@@ -140,8 +140,9 @@
    * token has been unacknowledged.
    */
   MachineLiveness livenessOf(OwnedMachine machine, MonotonicTime now) {
-    MonotonicTime lastHeard = machine.heartbeatReceivedAt().orElse(startedAt);
-    Duration silence = now.since(listeningSince.isAfter(lastHeard) ? listeningSince : lastHeard);
+    MonotonicTime lastReceivedAt = machine.heartbeatReceivedAt().orElse(startedAt);
+    Duration silence =
+        now.since(listeningSince.isAfter(lastReceivedAt) ? listeningSince : lastReceivedAt);
     Duration unacknowledged =
         machine.tokenUnacknowledgedSince().map(now::since).orElse(Duration.ZERO);
     if (silence.compareTo(lostAfter(machine)) > 0
@@ -170,7 +171,7 @@
     // The shard's earlier owner may answer the machine for one shard lease, then the machine must
     // find this node. The limit is no longer than that, so that the machines of an unreachable
     // zone are replaced during the outage.
-    Duration answeredElsewhere = shardLease.plus(suspectedAfter());
-    return answeredElsewhere.compareTo(lost) > 0 ? answeredElsewhere : lost;
+    Duration earlierOwnerLimit = shardLease.plus(suspectedAfter());
+    return earlierOwnerLimit.compareTo(lost) > 0 ? earlierOwnerLimit : lost;
   }
 }
