--- a/src/main/java/org/mulleinshift/autoscaling/RunningTaskCollector.java
+++ b/src/main/java/org/mulleinshift/autoscaling/AssignedTaskAllocator.java
@@ -16,11 +16,11 @@
 import org.mulleinshift.transport.EventLoop;
 
 /** Takes the assigned tasks out of a snapshot's capacity, and notes when they should end. */
-final class RunningTaskCollector {
+final class AssignedTaskAllocator {
   private final EventLoop loop;
   private final ClusterState state;
 
-  RunningTaskCollector(EventLoop loop, ClusterState state) {
+  AssignedTaskAllocator(EventLoop loop, ClusterState state) {
     this.loop = loop;
     this.state = state;
   }
@@ -28,19 +28,19 @@
   /** Tasks of one job that are assigned to a shard and placed on no machine yet. */
   private record UnplacedGroup(ResourceRequest request, double expectedSeconds, int count) {}
 
-  void collect(CapacitySnapshot snapshot) {
+  void allocate(CapacitySnapshot snapshot) {
     List<UnplacedGroup> unplaced = new ArrayList<>();
     for (Job job : state.jobs().all()) {
       if (!job.assignments().isEmpty()) {
-        collectJob(job, snapshot, unplaced);
+        allocateJob(job, snapshot, unplaced);
       }
     }
     // All placed tasks take their capacity first: then most machines of a busy cluster are full,
     // and need not be looked at again for each job.
-    collectUnplaced(unplaced, snapshot);
+    allocateUnplaced(unplaced, snapshot);
   }
 
-  private void collectJob(Job job, CapacitySnapshot snapshot, List<UnplacedGroup> unplaced) {
+  private void allocateJob(Job job, CapacitySnapshot snapshot, List<UnplacedGroup> unplaced) {
     double expectedSeconds = state.runTimes().expectedSeconds(job);
     ResourceRequest request = ResourceRequest.of(job.spec());
     Map<MachineId, MachineCapacity> machines = snapshot.byMachine();
@@ -66,11 +66,12 @@
   }
 
   private double remainingSeconds(TaskAssignment assignment, double expectedSeconds) {
-    double ran = assignment.runningSince().map(since -> loop.now().secondsSince(since)).orElse(0.0);
-    return RunTimeEstimator.remaining(expectedSeconds, ran);
+    double ranSeconds =
+        assignment.runningSince().map(since -> loop.now().secondsSince(since)).orElse(0.0);
+    return RunTimeEstimator.remaining(expectedSeconds, ranSeconds);
   }
 
-  private static void collectUnplaced(List<UnplacedGroup> unplaced, CapacitySnapshot snapshot) {
+  private static void allocateUnplaced(List<UnplacedGroup> unplaced, CapacitySnapshot snapshot) {
     Resources minimumRequest = UnschedulableRequests.minimumOf(unplaced, UnplacedGroup::request);
     List<MachineCapacity> candidates = new ArrayList<>();
     for (MachineCapacity capacity : snapshot.byMachine().values()) {
--- a/src/main/java/org/mulleinshift/autoscaling/Autoscaler.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Autoscaler.java
@@ -79,7 +79,7 @@
             catalog,
             state.shards(),
             settings.provisioningBackoff(),
-            provisioner::outstanding);
+            provisioner::outstandingMachines);
     this.bootTimes =
         new BootTimeEstimator(settings.defaultBootSeconds(), settings.abandonedBootFactor());
     this.queue = new PendingQueue(loop, state, demand, settings);
@@ -133,20 +133,20 @@
       scaleOut.provision(plan.shortage());
     }
     bootProbe.probe(waiting, horizonSeconds);
-    Set<MachineTypeId> wanted = queue.typesFor(waiting);
-    scaleIn.uncordon(wanted);
-    consolidator.run(wanted);
-    scaleIn.releaseIdle(plan.result().used());
+    Set<MachineTypeId> typesInDemand = queue.typesFor(waiting);
+    scaleIn.uncordon(typesInDemand);
+    consolidator.run(typesInDemand);
+    scaleIn.releaseIdle(plan.result().usedMachines());
   }
 
   private CapacityPlanner.Plan plan(List<PendingGroup> waiting, double horizonSeconds) {
     CapacityPlanner.Plan plan = planner.plan(waiting, horizonSeconds);
-    Set<MachineTypeId> scarce = scarceTypes.among(plan.shortage());
+    Set<MachineTypeId> scarce = scarceTypes.findIn(plan.shortage());
     if (!scarce.isEmpty()) {
       // Exception to the paper: tasks that only fit a type that is not to be had get that type's
       // capacity, and machines of other types are provisioned for the other tasks.
-      List<PendingGroup> moved = scarceTypes.avoid(scarce, waiting);
-      plan = moved.equals(waiting) ? plan : planner.plan(moved, horizonSeconds);
+      List<PendingGroup> restricted = scarceTypes.restrictToOtherTypes(scarce, waiting);
+      plan = restricted.equals(waiting) ? plan : planner.plan(restricted, horizonSeconds);
     }
     LOG.debug(
         "queue simulated, cpus={} waiting={} shortage={} scarce={}",
@@ -165,7 +165,7 @@
   private double horizonSeconds() {
     double shortest = Double.MAX_VALUE;
     for (MachineType type : state.catalog().types().values()) {
-      shortest = Math.min(shortest, bootTimes.expected(type));
+      shortest = Math.min(shortest, bootTimes.expectedSeconds(type));
     }
     return shortest;
   }
--- a/src/main/java/org/mulleinshift/autoscaling/AutoscalerSettings.java
+++ b/src/main/java/org/mulleinshift/autoscaling/AutoscalerSettings.java
@@ -32,11 +32,12 @@
     double lowPriorityWaitSeconds,
     int maxShardMachines) {
   /** Longest stored form of one machine within its shard's record. */
-  private static final int MACHINE_RECORD_BYTES = 128;
+  private static final int MAX_MACHINE_RECORD_BYTES = 128;
 
   /** The settings of a deployment. */
   public static AutoscalerSettings of(PlatformSettings platform, Tunables tunables) {
-    int fittingMachines = platform.cluster().storeLimits().minValueBytes() / MACHINE_RECORD_BYTES;
+    int fittingMachines =
+        platform.cluster().storeLimits().minValueBytes() / MAX_MACHINE_RECORD_BYTES;
     return new AutoscalerSettings(
         tunables.seconds(Tunables.Key.SIMULATION_INTERVAL_S),
         tunables.count(Tunables.Key.SIMULATION_STEPS),
--- a/src/main/java/org/mulleinshift/autoscaling/BootProbe.java
+++ b/src/main/java/org/mulleinshift/autoscaling/BootProbe.java
@@ -16,16 +16,16 @@
  */
 final class BootProbe {
   /** A probe provisions one machine, and one more for each so many delayed ones. */
-  private static final int DELAYED_PER_PROBE = 10;
+  private static final int DELAYED_BOOTS_PER_EXTRA_MACHINE = 10;
 
   private final EventLoop loop;
   private final OfferSelector offers;
   private final Provisioner provisioner;
   private final BootMonitor boots;
-  private final Map<MachineTypeId, Probe> latest = new HashMap<>();
+  private final Map<MachineTypeId, Probe> latestProbes = new HashMap<>();
 
   /** A probe and when it was made. */
-  private record Probe(Offer offer, MonotonicTime at) {}
+  private record Probe(Offer offer, MonotonicTime startedAt) {}
 
   BootProbe(EventLoop loop, OfferSelector offers, Provisioner provisioner, BootMonitor boots) {
     this.loop = loop;
@@ -38,15 +38,15 @@
   void probe(List<PendingGroup> waiting, double horizonSeconds) {
     for (MachineTypeId type : boots.typesWithDelays()) {
       if (isDue(type, horizonSeconds)) {
-        probe(type, waiting);
+        probeType(type, waiting);
       }
     }
   }
 
   private boolean isDue(MachineTypeId type, double horizonSeconds) {
-    Probe last = latest.get(type);
+    Probe lastProbe = latestProbes.get(type);
     return boots.isDelayed(type)
-        && (last == null || loop.now().secondsSince(last.at()) >= horizonSeconds);
+        && (lastProbe == null || loop.now().secondsSince(lastProbe.startedAt()) >= horizonSeconds);
   }
 
   /**
@@ -54,18 +54,19 @@
    * one is due at once, for another offer.
    */
   void onRefused(Offer offer) {
-    Probe last = latest.get(offer.type());
-    if (last != null && last.offer().equals(offer)) {
-      latest.remove(offer.type());
+    Probe lastProbe = latestProbes.get(offer.type());
+    if (lastProbe != null && lastProbe.offer().equals(offer)) {
+      latestProbes.remove(offer.type());
     }
   }
 
-  private void probe(MachineTypeId type, List<PendingGroup> waiting) {
+  private void probeType(MachineTypeId type, List<PendingGroup> waiting) {
     for (PendingGroup group : waiting) {
       Optional<Offer> offer = offerOf(type, group);
       if (offer.isPresent()) {
-        latest.put(type, new Probe(offer.get(), loop.now()));
-        provisioner.provision(offer.get(), 1 + boots.delayedCount(type) / DELAYED_PER_PROBE);
+        latestProbes.put(type, new Probe(offer.get(), loop.now()));
+        provisioner.provision(
+            offer.get(), 1 + boots.delayedCount(type) / DELAYED_BOOTS_PER_EXTRA_MACHINE);
         return;
       }
     }
--- a/src/main/java/org/mulleinshift/autoscaling/BootTimeEstimator.java
+++ b/src/main/java/org/mulleinshift/autoscaling/BootTimeEstimator.java
@@ -22,18 +22,18 @@
 
   private static final double MILLIS_PER_SECOND = 1000.0;
 
-  /** Boots usually take between this share of the listed time and {@link #MAX_USUAL_SHARE}. */
-  private static final double MIN_USUAL_SHARE = 0.6;
+  /** Boots usually take between this share of the listed time and {@link #ON_TIME_FACTOR}. */
+  private static final double MIN_EXPECTED_FACTOR = 0.6;
 
-  private static final double MAX_USUAL_SHARE = 1.5;
+  private static final double ON_TIME_FACTOR = 1.5;
 
   /** At least so many usual times a machine is waited for while none of its type comes up. */
-  private static final double DELAYED_TYPE_FACTOR = 8;
+  private static final double MIN_DELAYED_ABANDON_FACTOR = 8;
 
   private static final double ABANDON_GRACE_SECONDS = 10;
 
   /** What can be expected of a machine that is not up. */
-  enum Outlook {
+  enum BootStatus {
     /** It has not taken longer than usual. */
     ON_TIME,
     /** Late, but so is every machine of its type provisioned since: it may still come up. */
@@ -46,41 +46,41 @@
 
   /** The boots of one machine type. */
   private static final class BootHistory {
-    private final Deque<Double> seconds = new ArrayDeque<>();
-    private Optional<MonotonicTime> latestProvisionedUp = Optional.empty();
+    private final Deque<Double> samples = new ArrayDeque<>();
+    private Optional<MonotonicTime> latestProvisionedAt = Optional.empty();
 
     /** Whether a machine that was provisioned after the given time is up. */
-    boolean hasUpProvisionedAfter(MonotonicTime provisionedAt) {
-      return latestProvisionedUp.filter(latest -> latest.isAfter(provisionedAt)).isPresent();
+    boolean hasLaterMachineUp(MonotonicTime provisionedAt) {
+      return latestProvisionedAt.filter(latest -> latest.isAfter(provisionedAt)).isPresent();
     }
 
     void onUp(MonotonicTime provisionedAt) {
-      if (latestProvisionedUp.isEmpty() || provisionedAt.isAfter(latestProvisionedUp.get())) {
-        latestProvisionedUp = Optional.of(provisionedAt);
+      if (latestProvisionedAt.isEmpty() || provisionedAt.isAfter(latestProvisionedAt.get())) {
+        latestProvisionedAt = Optional.of(provisionedAt);
       }
     }
 
     void add(double bootSeconds) {
-      seconds.addLast(bootSeconds);
-      if (seconds.size() > MAX_SAMPLES) {
-        seconds.removeFirst();
+      samples.addLast(bootSeconds);
+      if (samples.size() > MAX_SAMPLES) {
+        samples.removeFirst();
       }
     }
   }
 
   private final double defaultSeconds;
-  private final double overdueFactor;
+  private final double abandonFactor;
   private final Map<MachineTypeId, BootHistory> histories = new HashMap<>();
 
   /**
    * An estimator without samples.
    *
    * @param defaultSeconds boot time of a type that lists none
-   * @param overdueFactor a boot that takes so many times the usual time is abandoned
+   * @param abandonFactor a boot that takes so many times the usual time is abandoned
    */
-  BootTimeEstimator(double defaultSeconds, double overdueFactor) {
+  BootTimeEstimator(double defaultSeconds, double abandonFactor) {
     this.defaultSeconds = defaultSeconds;
-    this.overdueFactor = overdueFactor;
+    this.abandonFactor = abandonFactor;
   }
 
   /**
@@ -101,49 +101,50 @@
   /** The latest boot times of each type in seconds, oldest first. */
   public Map<MachineTypeId, List<Double>> latestSamples() {
     Map<MachineTypeId, List<Double>> latest = new LinkedHashMap<>();
-    histories.forEach((type, history) -> latest.put(type, List.copyOf(history.seconds)));
+    histories.forEach((type, history) -> latest.put(type, List.copyOf(history.samples)));
     return latest;
   }
 
   /** Adds boot times that another leader measured, unless this one has measured its own. */
-  public void learn(MachineTypeId type, List<Double> bootSeconds) {
+  public void loadSamples(MachineTypeId type, List<Double> bootSeconds) {
     BootHistory history = history(type);
-    if (history.seconds.isEmpty()) {
+    if (history.samples.isEmpty()) {
       bootSeconds.stream()
           .filter(seconds -> seconds >= 0)
           .limit(MAX_SAMPLES)
-          .forEach(history.seconds::addLast);
+          .forEach(history.samples::addLast);
     }
   }
 
-  private double listed(MachineType type) {
+  private double catalogSeconds(MachineType type) {
     double seconds = type.boot().toMillis() / MILLIS_PER_SECOND;
     return seconds > 0 ? seconds : defaultSeconds;
   }
 
   /** The median of the latest boots in seconds, and at least the usual minimum. */
-  double expected(MachineType type) {
+  double expectedSeconds(MachineType type) {
     BootHistory history = histories.get(type.id());
-    if (history == null || history.seconds.isEmpty()) {
-      return listed(type);
+    if (history == null || history.samples.isEmpty()) {
+      return catalogSeconds(type);
     }
-    double[] sorted = history.seconds.stream().mapToDouble(Double::doubleValue).sorted().toArray();
-    return Math.max(MIN_USUAL_SHARE * listed(type), sorted[sorted.length / 2]);
+    double[] sorted = history.samples.stream().mapToDouble(Double::doubleValue).sorted().toArray();
+    return Math.max(MIN_EXPECTED_FACTOR * catalogSeconds(type), sorted[sorted.length / 2]);
   }
 
   /** What can be expected of a machine that is not up. */
-  Outlook outlook(MachineType type, MonotonicTime provisionedAt, MonotonicTime now) {
+  BootStatus bootStatus(MachineType type, MonotonicTime provisionedAt, MonotonicTime now) {
     double bootingSeconds = now.secondsSince(provisionedAt);
-    double usualSeconds = Math.max(expected(type), listed(type));
-    if (bootingSeconds <= MAX_USUAL_SHARE * usualSeconds) {
-      return Outlook.ON_TIME;
+    double usualSeconds = Math.max(expectedSeconds(type), catalogSeconds(type));
+    if (bootingSeconds <= ON_TIME_FACTOR * usualSeconds) {
+      return BootStatus.ON_TIME;
     }
     BootHistory history = histories.get(type.id());
-    boolean overtaken = history != null && history.hasUpProvisionedAfter(provisionedAt);
-    double factor = overtaken ? overdueFactor : Math.max(overdueFactor, DELAYED_TYPE_FACTOR);
+    boolean laterMachineUp = history != null && history.hasLaterMachineUp(provisionedAt);
+    double factor =
+        laterMachineUp ? abandonFactor : Math.max(abandonFactor, MIN_DELAYED_ABANDON_FACTOR);
     if (bootingSeconds > ABANDON_GRACE_SECONDS + factor * usualSeconds) {
-      return Outlook.ABANDONED;
+      return BootStatus.ABANDONED;
     }
-    return overtaken ? Outlook.OVERDUE : Outlook.DELAYED;
+    return laterMachineUp ? BootStatus.OVERDUE : BootStatus.DELAYED;
   }
 }
--- a/src/main/java/org/mulleinshift/autoscaling/CapacityPlanner.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CapacityPlanner.java
@@ -26,7 +26,7 @@
   private final Provisioner provisioner;
   private final BootTimeEstimator bootTimes;
   private final AutoscalerSettings settings;
-  private final RunningTaskCollector runningTasks;
+  private final AssignedTaskAllocator taskAllocator;
 
   CapacityPlanner(
       EventLoop loop,
@@ -39,7 +39,7 @@
     this.provisioner = provisioner;
     this.bootTimes = bootTimes;
     this.settings = settings;
-    this.runningTasks = new RunningTaskCollector(loop, state);
+    this.taskAllocator = new AssignedTaskAllocator(loop, state);
   }
 
   /**
@@ -68,7 +68,7 @@
     collectMachines(snapshot);
     collectRequested(snapshot);
     double cpus = snapshot.totalCpus();
-    runningTasks.collect(snapshot);
+    taskAllocator.allocate(snapshot);
     return new Plan(QueueSimulation.run(snapshot, waiting, settings.simulationSteps()), cpus);
   }
 
@@ -76,7 +76,7 @@
   CapacitySnapshot currentCapacity() {
     CapacitySnapshot snapshot = new CapacitySnapshot(0);
     collectMachines(snapshot);
-    runningTasks.collect(snapshot);
+    taskAllocator.allocate(snapshot);
     return snapshot;
   }
 
@@ -88,15 +88,15 @@
 
   private void collectMachine(
       CapacitySnapshot snapshot, ShardView shard, MachineId id, MachineRecord record) {
-    Optional<MachineType> known = state.catalog().type(record.type());
+    Optional<MachineType> catalogType = state.catalog().type(record.type());
     Optional<MachineStatus> status = shard.statusOf(id);
-    if (known.isEmpty()
+    if (catalogType.isEmpty()
         || state.machines().isCordoned(id)
         || status.filter(OwnedMachine::occupied).isPresent()
         || status.filter(MachineStatus::getInterrupted).isPresent()) {
       return;
     }
-    MachineType type = known.get();
+    MachineType type = catalogType.get();
     Machine machine = state.machines().track(id);
     if (!record.up() && isOverdue(type, machine)) {
       // It may never come up, so it is no capacity.
@@ -109,26 +109,29 @@
     if (!record.up()) {
       // Within the horizon even if its type boots slower than that: a booting machine that were
       // no capacity would be provisioned again with every resize.
-      double remaining = bootTimes.expected(type) - machine.ageSeconds(loop.now());
-      double upAt = Math.min(snapshot.horizonSeconds(), Math.max(0, remaining));
-      snapshot.addRelease(upAt, capacity, type.size());
+      double remainingSeconds = bootTimes.expectedSeconds(type) - machine.ageSeconds(loop.now());
+      double upInSeconds = Math.min(snapshot.horizonSeconds(), Math.max(0, remainingSeconds));
+      snapshot.addRelease(upInSeconds, capacity, type.size());
     }
   }
 
   private boolean isOverdue(MachineType type, Machine machine) {
-    BootTimeEstimator.Outlook outlook =
-        bootTimes.outlook(type, machine.provisionedAt(), loop.now());
-    return outlook == BootTimeEstimator.Outlook.OVERDUE
-        || outlook == BootTimeEstimator.Outlook.ABANDONED;
+    BootTimeEstimator.BootStatus bootStatus =
+        bootTimes.bootStatus(type, machine.provisionedAt(), loop.now());
+    return bootStatus == BootTimeEstimator.BootStatus.OVERDUE
+        || bootStatus == BootTimeEstimator.BootStatus.ABANDONED;
   }
 
   private void collectRequested(CapacitySnapshot snapshot) {
-    for (ProvisioningRequest request : provisioner.expected()) {
-      state.catalog().type(request.type()).ifPresent(type -> collect(snapshot, request, type));
+    for (ProvisioningRequest request : provisioner.expectedRequests()) {
+      state
+          .catalog()
+          .type(request.type())
+          .ifPresent(type -> collectRequest(snapshot, request, type));
     }
   }
 
-  private static void collect(
+  private static void collectRequest(
       CapacitySnapshot snapshot, ProvisioningRequest request, MachineType type) {
     for (int i = 0; i < request.count(); i++) {
       MachineCapacity capacity =
--- a/src/main/java/org/mulleinshift/autoscaling/CloudClient.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CloudClient.java
@@ -20,13 +20,13 @@
   private static final double REQUEST_SHARE = 0.6;
 
   /** A client that keeps to its share of the cloud's request rate. */
-  public static CloudClient limited(
+  public static CloudClient withRateLimit(
       EventLoop loop, AsyncHttpClient http, InetSocketAddress address, double requestsPerSecond) {
     return new CloudClient(http, address, new RateLimiter(loop, requestsPerSecond * REQUEST_SHARE));
   }
 
   /** Sends a request; the consumer gets the response, or the lack of one. */
-  void call(HttpRequest request, Consumer<HttpResponse> onResponse) {
+  void send(HttpRequest request, Consumer<HttpResponse> onResponse) {
     http.call(address, request, onResponse);
   }
 }
--- a/src/main/java/org/mulleinshift/autoscaling/CloudInventory.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CloudInventory.java
@@ -50,7 +50,7 @@
     if (!cloud.limiter().tryAcquire(1, 1)) {
       return;
     }
-    cloud.call(
+    cloud.send(
         HttpRequest.get(CloudCodec.listPath(after), REQUEST_TIMEOUT),
         response -> {
           if (response.isOk() && term.isActive()) {
--- a/src/main/java/org/mulleinshift/autoscaling/Consolidator.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Consolidator.java
@@ -74,20 +74,20 @@
    * Drains machines that are surplus for long enough. Types that tasks wait for are left alone;
    * tasks that only fit a large type, of which there are no more, do not keep the small ones up.
    *
-   * @param wanted types that waiting tasks could use
+   * @param typesInDemand types that waiting tasks could use
    */
-  void run(Set<MachineTypeId> wanted) {
-    if (wanted.containsAll(state.catalog().types().keySet())) {
+  void run(Set<MachineTypeId> typesInDemand) {
+    if (typesInDemand.containsAll(state.catalog().types().keySet())) {
       return;
     }
     Map<MachineId, MachineCapacity> capacities = planner.currentCapacity().byMachine();
     if (!reserve(capacities)) {
       return;
     }
-    List<MachineCapacity> candidates = candidates(capacities, wanted);
+    List<MachineCapacity> candidates = candidates(capacities, typesInDemand);
     Budget budget = new Budget(candidates.size());
     for (MachineCapacity candidate : candidates) {
-      consider(candidate, capacities, budget);
+      drainIfSurplus(candidate, capacities, budget);
     }
   }
 
@@ -105,9 +105,9 @@
 
   /** Machines of unwanted types, the most expensive first. */
   private static List<MachineCapacity> candidates(
-      Map<MachineId, MachineCapacity> capacities, Set<MachineTypeId> wanted) {
+      Map<MachineId, MachineCapacity> capacities, Set<MachineTypeId> typesInDemand) {
     List<MachineCapacity> candidates = new ArrayList<>(capacities.values());
-    candidates.removeIf(capacity -> wanted.contains(capacity.type()));
+    candidates.removeIf(capacity -> typesInDemand.contains(capacity.type()));
     candidates.sort(
         Comparator.comparingDouble(MachineCapacity::drainWeight)
             .reversed()
@@ -116,7 +116,7 @@
     return candidates;
   }
 
-  private void consider(
+  private void drainIfSurplus(
       MachineCapacity candidate, Map<MachineId, MachineCapacity> capacities, Budget budget) {
     Machine machine = state.machines().track(candidate.machine());
     boolean surplus =
--- a/src/main/java/org/mulleinshift/autoscaling/MachineHealthCheck.java
+++ b/src/main/java/org/mulleinshift/autoscaling/MachineHealthCheck.java
@@ -76,14 +76,14 @@
 
   private void inspect(ShardView shard, MachineId id, MachineRecord record) {
     Machine machine = state.machines().track(id);
-    Optional<BootTimeEstimator.Outlook> outlook = outlook(machine, record);
-    if (outlook.equals(Optional.of(BootTimeEstimator.Outlook.DELAYED))) {
+    Optional<BootTimeEstimator.BootStatus> bootStatus = bootStatus(machine, record);
+    if (bootStatus.equals(Optional.of(BootTimeEstimator.BootStatus.DELAYED))) {
       boots.onDelayed(record.type());
     }
     if (state.isBusy(id, shard.id())) {
       machine.markBusy(loop.now());
     }
-    if (outlook.equals(Optional.of(BootTimeEstimator.Outlook.ABANDONED))) {
+    if (bootStatus.equals(Optional.of(BootTimeEstimator.BootStatus.ABANDONED))) {
       releaser.release(id, ReleaseReason.BOOT_ABANDONED);
     } else if (record.up() && isLost(shard, id)) {
       releaser.release(id, ReleaseReason.LOST);
@@ -93,14 +93,14 @@
   }
 
   /** What can be expected of a machine that is not up, if its type is known. */
-  private Optional<BootTimeEstimator.Outlook> outlook(Machine machine, MachineRecord record) {
+  private Optional<BootTimeEstimator.BootStatus> bootStatus(Machine machine, MachineRecord record) {
     if (record.up()) {
       return Optional.empty();
     }
     return state
         .catalog()
         .type(record.type())
-        .map(type -> bootTimes.outlook(type, machine.provisionedAt(), loop.now()));
+        .map(type -> bootTimes.bootStatus(type, machine.provisionedAt(), loop.now()));
   }
 
   private static boolean isLost(ShardView shard, MachineId id) {
--- a/src/main/java/org/mulleinshift/autoscaling/MachineReleaser.java
+++ b/src/main/java/org/mulleinshift/autoscaling/MachineReleaser.java
@@ -19,15 +19,15 @@
 final class MachineReleaser {
   private static final Logger LOG = LoggerFactory.getLogger(MachineReleaser.class);
   private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
-  private static final int MAX_DELETED_REMEMBERED = 5000;
+  private static final int MAX_REMEMBERED_DELETIONS = 5000;
 
   private final ClusterState state;
   private final LeadershipTerm term;
   private final TransactionBatcher batcher;
   private final CloudClient cloud;
-  private final Set<MachineId> deleting = new LinkedHashSet<>();
-  private final Set<MachineId> deleted = BoundedMap.set(MAX_DELETED_REMEMBERED);
-  private boolean inFlight;
+  private final Set<MachineId> pendingDeletion = new LinkedHashSet<>();
+  private final Set<MachineId> deleted = BoundedMap.set(MAX_REMEMBERED_DELETIONS);
+  private boolean deletionInFlight;
 
   MachineReleaser(
       ClusterState state, LeadershipTerm term, TransactionBatcher batcher, CloudClient cloud) {
@@ -40,7 +40,7 @@
   /** The machine takes no new task from now on, and is deleted with the next batch. */
   void release(MachineId machine, ReleaseReason reason) {
     if (state.machines().track(machine).release()) {
-      deleting.add(machine);
+      pendingDeletion.add(machine);
       LOG.info("machine released, machine={} reason={}", machine, reason);
       state.shards().markChanged(machine);
     }
@@ -48,7 +48,7 @@
 
   /** Whether this leader released the machine, deleted or not. */
   boolean isReleased(MachineId machine) {
-    return deleted.contains(machine) || deleting.contains(machine);
+    return deleted.contains(machine) || pendingDeletion.contains(machine);
   }
 
   /** Whether the cloud has confirmed that the machine is gone. */
@@ -58,21 +58,22 @@
 
   /** Deletes a batch of the released machines, if the rate limit permits a call. */
   void deleteBatch() {
-    if (deleting.isEmpty() || inFlight || !cloud.limiter().tryAcquire(1, 0)) {
+    if (pendingDeletion.isEmpty() || deletionInFlight || !cloud.limiter().tryAcquire(1, 0)) {
       return;
     }
-    List<MachineId> batch = deleting.stream().limit(CloudCodec.MAX_MACHINES_PER_DELETION).toList();
-    inFlight = true;
+    List<MachineId> batch =
+        pendingDeletion.stream().limit(CloudCodec.MAX_MACHINES_PER_DELETION).toList();
+    deletionInFlight = true;
     // The state of a leader that was replaced is stale: a machine that it drained may have tasks
     // by now.
-    batcher.ifStillLeader(() -> delete(batch), () -> inFlight = false);
+    batcher.ifStillLeader(() -> delete(batch), () -> deletionInFlight = false);
   }
 
   private void delete(List<MachineId> batch) {
-    cloud.call(
+    cloud.send(
         HttpRequest.post(CloudCodec.DELETE_PATH, CloudCodec.writeDeletion(batch), REQUEST_TIMEOUT),
         response -> {
-          inFlight = false;
+          deletionInFlight = false;
           // Only a 200 confirms that the machines and all on them are gone.
           if (response.isOk() && term.isActive()) {
             onDeleted(batch);
@@ -81,7 +82,7 @@
   }
 
   private void onDeleted(List<MachineId> machines) {
-    machines.forEach(deleting::remove);
+    machines.forEach(pendingDeletion::remove);
     deleted.addAll(machines);
     state.machines().removeAll(machines);
     state.failures().onMachinesDeleted(machines);
--- a/src/main/java/org/mulleinshift/autoscaling/OfferSelector.java
+++ b/src/main/java/org/mulleinshift/autoscaling/OfferSelector.java
@@ -19,7 +19,7 @@
 /** Selects the cheapest of the cloud's offers that were not refused recently. */
 final class OfferSelector {
   /** So many requests for an offer wait for their answers at a time. */
-  private static final int MAX_REQUESTS = 8;
+  private static final int MAX_OUTSTANDING_REQUESTS = 8;
 
   /** The longest backoff, in first ones: capacity that comes back is found within that. */
   private static final int MAX_BACKOFF_FACTOR = 3;
@@ -33,47 +33,48 @@
   private final EventLoop loop;
   private final MachineTypeCatalog catalog;
   private final ShardTable shards;
-  private final Duration backoff;
+  private final Duration initialBackoff;
   private final ToIntFunction<Offer> outstanding;
-  private final Map<Offer, Refusals> refusals = new HashMap<>();
+  private final Map<Offer, RefusalBackoff> backoffs = new HashMap<>();
 
   /** How often in a row the cloud had none of an offer, and until when it is not requested. */
-  private record Refusals(int count, MonotonicTime until) {}
+  private record RefusalBackoff(int count, MonotonicTime until) {}
 
   /**
    * A selector for one term.
    *
-   * @param backoff after a first refusal; later ones wait longer
+   * @param initialBackoff after a first refusal; later ones wait longer
    * @param outstanding machines of an offer that are requested and not answered
    */
   OfferSelector(
       EventLoop loop,
       MachineTypeCatalog catalog,
       ShardTable shards,
-      Duration backoff,
+      Duration initialBackoff,
       ToIntFunction<Offer> outstanding) {
     this.loop = loop;
     this.catalog = catalog;
     this.shards = shards;
-    this.backoff = backoff;
+    this.initialBackoff = initialBackoff;
     this.outstanding = outstanding;
   }
 
   /** The cloud had none of these, or too few: they are requested again after a growing backoff. */
   void onRefused(Offer offer, Refusal refusal) {
-    Refusals known = refusals.get(offer);
-    if (known != null && known.until.isAfter(loop.now())) {
+    RefusalBackoff previous = backoffs.get(offer);
+    if (previous != null && previous.until.isAfter(loop.now())) {
       // Requested together with what was refused before: no further news.
       return;
     }
-    boolean first = known == null || refusal == Refusal.PARTIAL;
-    int count = first ? 1 : Math.min(MAX_BACKOFF_FACTOR, known.count + 1);
-    refusals.put(offer, new Refusals(count, loop.now().plus(backoff.multipliedBy(count))));
+    boolean resetsBackoff = previous == null || refusal == Refusal.PARTIAL;
+    int count = resetsBackoff ? 1 : Math.min(MAX_BACKOFF_FACTOR, previous.count + 1);
+    backoffs.put(
+        offer, new RefusalBackoff(count, loop.now().plus(initialBackoff.multipliedBy(count))));
   }
 
   /** The cloud provisioned all that was requested. */
   void onFulfilled(Offer offer) {
-    refusals.remove(offer);
+    backoffs.remove(offer);
   }
 
   /**
@@ -81,22 +82,22 @@
    * that was refused is tried with a single request. Unbounded, a queue far above what is to be had
    * would become hundreds of stored names, each to be written, requested, refused and removed.
    *
-   * @param wanted machines that are to be requested in this run
+   * @param planned machines that are to be requested in this run
    */
-  boolean isSaturated(Offer offer, Map<Offer, Integer> wanted) {
-    int maxRequests = refusals.containsKey(offer) ? 1 : MAX_REQUESTS;
-    int machines = wanted.getOrDefault(offer, 0) + outstanding.applyAsInt(offer);
+  boolean isSaturated(Offer offer, Map<Offer, Integer> planned) {
+    int maxRequests = backoffs.containsKey(offer) ? 1 : MAX_OUTSTANDING_REQUESTS;
+    int machines = planned.getOrDefault(offer, 0) + outstanding.applyAsInt(offer);
     return machines >= maxRequests * CloudCodec.MAX_MACHINES_PER_REQUEST;
   }
 
   /**
    * The cheapest available way to run those tasks of the group that would use one new machine.
    *
-   * @param wanted machines that are to be requested in this run
+   * @param planned machines that are to be requested in this run
    */
-  Optional<Offer> bestOffer(PendingGroup group, Map<Offer, Integer> wanted) {
+  Optional<Offer> bestOffer(PendingGroup group, Map<Offer, Integer> planned) {
     ResourceRequest request = group.request();
-    Map<ZoneId, Integer> machinesByZone = machinesByZone(wanted);
+    Map<ZoneId, Integer> machinesByZone = machinesByZone(planned);
     Offer best = null;
     double bestCost = Double.MAX_VALUE;
     for (MachineType type : catalog.types().values()) {
@@ -105,7 +106,7 @@
         continue;
       }
       for (Offer offer : offersOf(type)) {
-        if (isEligible(offer, group, wanted)) {
+        if (isEligible(offer, group, planned)) {
           int machinesInZone = machinesByZone.getOrDefault(offer.zone(), 0);
           double cost = cost(request, type, offer, fitting, machinesInZone);
           if (cost < bestCost) {
@@ -127,7 +128,7 @@
     return offers;
   }
 
-  private boolean isEligible(Offer offer, PendingGroup group, Map<Offer, Integer> wanted) {
+  private boolean isEligible(Offer offer, PendingGroup group, Map<Offer, Integer> planned) {
     ResourceRequest request = group.request();
     boolean allowed =
         (offer.spot() || !group.spotOnly())
@@ -135,7 +136,7 @@
             && request.allowsZone(offer.zone());
     return allowed
         && isAvailable(offer)
-        && !(refusals.containsKey(offer) && isSaturated(offer, wanted));
+        && !(backoffs.containsKey(offer) && isSaturated(offer, planned));
   }
 
   /** Cost of one task. Large machines are kept for large tasks unless they cost far less. */
@@ -166,16 +167,16 @@
   }
 
   private boolean isAvailable(Offer offer) {
-    Refusals known = refusals.get(offer);
-    return known == null || !known.until.isAfter(loop.now());
+    RefusalBackoff previous = backoffs.get(offer);
+    return previous == null || !previous.until.isAfter(loop.now());
   }
 
-  private Map<ZoneId, Integer> machinesByZone(Map<Offer, Integer> wanted) {
+  private Map<ZoneId, Integer> machinesByZone(Map<Offer, Integer> planned) {
     Map<ZoneId, Integer> counts = new HashMap<>();
     shards
         .all()
         .forEach(shard -> counts.merge(shard.zone(), shard.machines().size(), Integer::sum));
-    wanted.forEach((offer, count) -> counts.merge(offer.zone(), count, Integer::sum));
+    planned.forEach((offer, count) -> counts.merge(offer.zone(), count, Integer::sum));
     return counts;
   }
 }
--- a/src/main/java/org/mulleinshift/autoscaling/PendingQueue.java
+++ b/src/main/java/org/mulleinshift/autoscaling/PendingQueue.java
@@ -20,7 +20,7 @@
   private static final int MILLIS_PER_SECOND = 1000;
 
   /** So many run times before its deadline a job no longer waits for spot machines. */
-  private static final int RESERVED_RUN_TIMES = 2;
+  private static final int DEADLINE_RESERVE_RUN_TIMES = 2;
 
   private final EventLoop loop;
   private final ClusterState state;
@@ -35,7 +35,7 @@
   }
 
   /** A job with waiting tasks, and when they join the queue. */
-  private record QueuedJob(Job job, double fromSeconds) {}
+  private record QueuedJob(Job job, double earliestStartSeconds) {}
 
   /** Waiting tasks in order, without those beyond their team's limit. */
   List<PendingGroup> groups(double horizonSeconds) {
@@ -63,7 +63,7 @@
         state.runTimes().expectedSeconds(job),
         waitsForSpot(job),
         count,
-        queued.fromSeconds());
+        queued.earliestStartSeconds());
   }
 
   /** The active jobs, and among them, by priority, those that should be released in time. */
@@ -90,14 +90,16 @@
     if (job.priority() != Priority.LOW || !job.spec().spotAllowed()) {
       return false;
     }
-    double latestMillis =
+    double deadlineLimitMillis =
         job.deadlineMillis()
-            - RESERVED_RUN_TIMES * MILLIS_PER_SECOND * state.runTimes().expectedSeconds(job);
-    double untilMillis =
+            - DEADLINE_RESERVE_RUN_TIMES
+                * MILLIS_PER_SECOND
+                * state.runTimes().expectedSeconds(job);
+    double waitUntilMillis =
         Math.min(
-            latestMillis,
+            deadlineLimitMillis,
             job.readyMillis() + MILLIS_PER_SECOND * settings.lowPriorityWaitSeconds());
-    return loop.wallMillis() < untilMillis;
+    return loop.wallMillis() < waitUntilMillis;
   }
 
   /** The machine types that waiting tasks could use. */
--- a/src/main/java/org/mulleinshift/autoscaling/Provisioner.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Provisioner.java
@@ -31,7 +31,7 @@
   private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
   /** After so many timeouts the machines of a request are no longer counted on. */
-  private static final int EXPECTED_TIMEOUTS = 2;
+  private static final int MAX_EXPECTED_TIMEOUTS = 2;
 
   /** The cloud's answer if it is out of machines, as opposed to unavailable. */
   private static final String NO_CAPACITY = "no capacity";
@@ -52,7 +52,7 @@
   private final Revision termNumber;
   private final Listener listener;
   private final Map<String, ProvisioningRequest> requests = new LinkedHashMap<>();
-  private long lastNumber;
+  private long lastRequestNumber;
 
   Provisioner(
       EventLoop loop,
@@ -75,16 +75,16 @@
   }
 
   /** Requests whose machines may still be counted on. */
-  List<ProvisioningRequest> expected() {
-    long maxSeconds = REQUEST_TIMEOUT.toSeconds() * EXPECTED_TIMEOUTS;
+  List<ProvisioningRequest> expectedRequests() {
+    long maxAgeSeconds = REQUEST_TIMEOUT.toSeconds() * MAX_EXPECTED_TIMEOUTS;
     return requests.values().stream()
         .filter(Provisioner::isOpen)
-        .filter(request -> loop.now().secondsSince(request.plannedAt()) <= maxSeconds)
+        .filter(request -> loop.now().secondsSince(request.plannedAt()) <= maxAgeSeconds)
         .toList();
   }
 
   /** Machines of an offer that are planned or requested and not answered. */
-  int outstanding(Offer offer) {
+  int outstandingMachines(Offer offer) {
     return requests.values().stream()
         .filter(request -> isOpen(request) && Offer.of(request).equals(offer))
         .mapToInt(ProvisioningRequest::count)
@@ -120,8 +120,8 @@
   }
 
   private void provisionBatch(Offer offer, int count) {
-    lastNumber++;
-    String name = "r-" + termNumber + "-" + lastNumber;
+    lastRequestNumber++;
+    String name = "r-" + termNumber + "-" + lastRequestNumber;
     ProvisioningRequest request =
         new ProvisioningRequest(
             name,
@@ -132,7 +132,7 @@
             loop.now(),
             ProvisioningRequest.State.PLANNED);
     requests.put(name, request);
-    batcher.submit(StoreKeys.provisioningRequest(name), new StoreRequest(request));
+    batcher.submit(StoreKeys.provisioningRequest(name), new PutRequestKey(request));
   }
 
   private void send(ProvisioningRequest request) {
@@ -146,7 +146,7 @@
     String body =
         CloudCodec.writeProvisioningRequest(
             request.name(), request.type(), request.zone(), request.spot(), request.count());
-    cloud.call(
+    cloud.send(
         HttpRequest.post(CloudCodec.MACHINES_PATH, body, REQUEST_TIMEOUT),
         response -> onResponse(request, response));
   }
@@ -208,14 +208,14 @@
   /** The request's key is deleted only after its machines are stored. */
   private void complete(ProvisioningRequest request) {
     request.transitionTo(ProvisioningRequest.State.ANSWERED);
-    batcher.submit(StoreKeys.provisioningRequest(request.name()), new DeleteRequest(request));
+    batcher.submit(StoreKeys.provisioningRequest(request.name()), new DeleteRequestKey(request));
   }
 
   /** Stores the name of a request before the cloud receives it. */
-  private final class StoreRequest implements TransactionBatcher.Mutation {
+  private final class PutRequestKey implements TransactionBatcher.Mutation {
     private final ProvisioningRequest request;
 
-    StoreRequest(ProvisioningRequest request) {
+    PutRequestKey(ProvisioningRequest request) {
       this.request = request;
     }
 
@@ -234,10 +234,10 @@
   }
 
   /** Deletes the key of a request that was answered. */
-  private final class DeleteRequest implements TransactionBatcher.Mutation {
+  private final class DeleteRequestKey implements TransactionBatcher.Mutation {
     private final ProvisioningRequest request;
 
-    DeleteRequest(ProvisioningRequest request) {
+    DeleteRequestKey(ProvisioningRequest request) {
       this.request = request;
     }
 
--- a/src/main/java/org/mulleinshift/autoscaling/QueueSimulation.java
+++ b/src/main/java/org/mulleinshift/autoscaling/QueueSimulation.java
@@ -27,9 +27,9 @@
    * The outcome of a simulation.
    *
    * @param shortage the tasks that still wait at the horizon, in queue order
-   * @param used the machines that waiting tasks were packed onto
+   * @param usedMachines the machines that waiting tasks were packed onto
    */
-  record Result(List<PendingGroup> shortage, Set<MachineId> used) {}
+  record Result(List<PendingGroup> shortage, Set<MachineId> usedMachines) {}
 
   private final Collection<MachineCapacity> capacities;
   private final List<PendingGroup> waiting;
@@ -38,7 +38,7 @@
   private final List<List<CapacityRelease>> releasesByStep = new ArrayList<>();
   private final Resources minimumRequest;
   private final int[] remainingCounts;
-  private final Set<MachineId> used = new HashSet<>();
+  private final Set<MachineId> usedMachines = new HashSet<>();
 
   private QueueSimulation(
       Collection<MachineCapacity> capacities,
@@ -70,7 +70,7 @@
     for (int step = 0; step <= steps; step++) {
       simulation.simulateStep(step);
     }
-    return new Result(simulation.shortage(), simulation.used);
+    return new Result(simulation.shortage(), simulation.usedMachines);
   }
 
   private double secondsAt(int step) {
@@ -114,7 +114,7 @@
     for (int i = 0; i < remainingCounts.length; i++) {
       PendingGroup group = waiting.get(i);
       if (remainingCounts[i] > 0
-          && group.fromSeconds() <= now
+          && group.earliestStartSeconds() <= now
           && !unschedulable.covers(group.request())) {
         remainingCounts[i] -= pack(group, remainingCounts[i], step, candidates);
         if (remainingCounts[i] > 0) {
@@ -131,7 +131,7 @@
         count,
         candidates,
         (capacity, packed) -> {
-          used.add(capacity.machine());
+          usedMachines.add(capacity.machine());
           Resources amount = group.request().perTask().times(packed);
           scheduleRelease(new CapacityRelease(endSeconds, capacity, amount), step + 1);
         });
@@ -141,8 +141,8 @@
    * Adds the release to the first step that is not before it; one beyond the horizon is of no use.
    */
   private void scheduleRelease(CapacityRelease release, int earliestStep) {
-    double share = horizonSeconds > 0 ? release.atSeconds() / horizonSeconds : 0;
-    int step = (int) Math.max(earliestStep, Math.ceil(Math.min(MAX_STEP, share * steps)));
+    double horizonShare = horizonSeconds > 0 ? release.atSeconds() / horizonSeconds : 0;
+    int step = (int) Math.max(earliestStep, Math.ceil(Math.min(MAX_STEP, horizonShare * steps)));
     if (release.atSeconds() <= horizonSeconds && step <= steps) {
       releasesByStep.get(step).add(release);
     }
--- a/src/main/java/org/mulleinshift/autoscaling/ScaleIn.java
+++ b/src/main/java/org/mulleinshift/autoscaling/ScaleIn.java
@@ -39,15 +39,15 @@
    * Releases machines that are idle, were kept for their minimum time, and are of no use to the
    * queue.
    *
-   * @param used machines that the simulation packed waiting tasks onto
+   * @param usedMachines machines that the simulation packed waiting tasks onto
    */
-  void releaseIdle(Set<MachineId> used) {
+  void releaseIdle(Set<MachineId> usedMachines) {
     for (ShardView shard : state.shards().all()) {
       for (Map.Entry<MachineId, MachineRecord> entry : shard.machines().entrySet()) {
         MachineId id = entry.getKey();
         Machine machine = state.machines().track(id);
         if (isReleasable(machine, entry.getValue())
-            && isUnused(machine, used.contains(id))
+            && isUnused(machine, usedMachines.contains(id))
             && !state.isBusy(id, shard.id())) {
           releaser.release(id, ReleaseReason.IDLE);
         }
@@ -69,10 +69,10 @@
   }
 
   /** Capacity of these types is short: their machines that drain take tasks again. */
-  void uncordon(Set<MachineTypeId> wanted) {
+  void uncordon(Set<MachineTypeId> typesInDemand) {
     for (ShardView shard : state.shards().all()) {
       for (Map.Entry<MachineId, MachineRecord> entry : shard.machines().entrySet()) {
-        if (wanted.contains(entry.getValue().type())) {
+        if (typesInDemand.contains(entry.getValue().type())) {
           uncordon(shard, entry.getKey());
         }
       }
--- a/src/main/java/org/mulleinshift/autoscaling/ScaleOut.java
+++ b/src/main/java/org/mulleinshift/autoscaling/ScaleOut.java
@@ -65,38 +65,39 @@
 
   /** Provisions the machines that the tasks of the shortage fit on. */
   void provision(List<PendingGroup> shortage) {
-    Map<Offer, Integer> wanted = pack(shortage);
-    wanted.keySet().removeIf(offer -> boots.isDelayed(offer.type()));
-    wanted.forEach(provisioner::provision);
-    if (!wanted.isEmpty()) {
+    Map<Offer, Integer> planned = pack(shortage);
+    planned.keySet().removeIf(offer -> boots.isDelayed(offer.type()));
+    planned.forEach(provisioner::provision);
+    if (!planned.isEmpty()) {
       lastResize = Optional.of(loop.now());
     }
   }
 
   private Map<Offer, Integer> pack(List<PendingGroup> shortage) {
-    Map<Offer, Integer> wanted = new LinkedHashMap<>();
+    Map<Offer, Integer> planned = new LinkedHashMap<>();
     // Only machines with capacity left for some group: a long queue needs many machines.
-    List<MachineCapacity> open = new ArrayList<>();
+    List<MachineCapacity> openMachines = new ArrayList<>();
     Resources minimumRequest = UnschedulableRequests.minimumOf(shortage, PendingGroup::request);
     for (PendingGroup group : shortage) {
-      pack(group, open, wanted);
-      open.removeIf(capacity -> !minimumRequest.fitsInto(capacity.available()));
+      pack(group, openMachines, planned);
+      openMachines.removeIf(capacity -> !minimumRequest.fitsInto(capacity.available()));
     }
-    return wanted;
+    return planned;
   }
 
-  private void pack(PendingGroup group, List<MachineCapacity> open, Map<Offer, Integer> wanted) {
-    int remaining = group.count() - BinPacker.fill(group.request(), group.count(), open);
+  private void pack(
+      PendingGroup group, List<MachineCapacity> openMachines, Map<Offer, Integer> planned) {
+    int remaining = group.count() - BinPacker.fill(group.request(), group.count(), openMachines);
     while (remaining > 0) {
-      Optional<Offer> offer = offers.bestOffer(group.withCount(remaining), wanted);
-      if (offer.isEmpty() || offers.isSaturated(offer.get(), wanted)) {
+      Optional<Offer> offer = offers.bestOffer(group.withCount(remaining), planned);
+      if (offer.isEmpty() || offers.isSaturated(offer.get(), planned)) {
         // The next run goes on from what the cloud answers.
         return;
       }
-      int number = wanted.merge(offer.get(), 1, Integer::sum);
+      int number = planned.merge(offer.get(), 1, Integer::sum);
       MachineCapacity capacity = newMachineCapacity(offer.get(), number);
       remaining -= BinPacker.fill(group.request(), remaining, List.of(capacity));
-      open.add(capacity);
+      openMachines.add(capacity);
     }
   }
 
--- a/src/main/java/org/mulleinshift/autoscaling/ScarceTypes.java
+++ b/src/main/java/org/mulleinshift/autoscaling/ScarceTypes.java
@@ -20,7 +20,7 @@
   }
 
   /** The types that tasks wait for although the cloud has no more of them. */
-  Set<MachineTypeId> among(List<PendingGroup> shortage) {
+  Set<MachineTypeId> findIn(List<PendingGroup> shortage) {
     Set<MachineTypeId> scarce = new HashSet<>();
     for (PendingGroup group : shortage) {
       if (!offers.hasOfferFor(group.request())) {
@@ -35,7 +35,7 @@
   }
 
   /** The same tasks, restricted to other types where such machines are on offer. */
-  List<PendingGroup> avoid(Set<MachineTypeId> scarce, List<PendingGroup> waiting) {
+  List<PendingGroup> restrictToOtherTypes(Set<MachineTypeId> scarce, List<PendingGroup> waiting) {
     List<MachineTypeId> others =
         catalog.types().keySet().stream().filter(id -> !scarce.contains(id)).toList();
     List<PendingGroup> groups = new ArrayList<>();
--- a/src/main/java/org/mulleinshift/controller/ControllerComponents.java
+++ b/src/main/java/org/mulleinshift/controller/ControllerComponents.java
@@ -310,7 +310,7 @@
   }
 
   private CloudClient createCloudClient() {
-    return CloudClient.limited(
+    return CloudClient.withRateLimit(
         loop, ports.cloud(), settings.cloudAddress(), cluster.cloudLimits().requestsPerSecond());
   }
 
--- a/src/main/java/org/mulleinshift/leader/EstimateReplicator.java
+++ b/src/main/java/org/mulleinshift/leader/EstimateReplicator.java
@@ -69,7 +69,8 @@
     estimates
         .getBootTimes()
         .forEach(
-            item -> bootTimes.learn(new MachineTypeId(item.getMachineType()), item.getSeconds()));
+            item ->
+                bootTimes.loadSamples(new MachineTypeId(item.getMachineType()), item.getSeconds()));
     LOG.info(
         "estimates of an earlier leader applied, term={} age_ms={} classes={} machine_types={}",
         estimates.getTerm(),
--- a/src/test/java/org/mulleinshift/autoscaling/BootTimeEstimatorTest.java
+++ b/src/test/java/org/mulleinshift/autoscaling/BootTimeEstimatorTest.java
@@ -17,13 +17,13 @@
 /** Expected boot times, and the outlook of machines that boot late. */
 class BootTimeEstimatorTest {
   private static final double DEFAULT_SECONDS = 90;
-  private static final double OVERDUE_FACTOR = 3;
+  private static final double ABANDON_FACTOR = 3;
   private static final MachineTypeId TYPE_ID = new MachineTypeId("c4");
   private static final MachineType TYPE = type(Duration.ofSeconds(60));
   private static final MonotonicTime START = new MonotonicTime(0);
 
   private final BootTimeEstimator estimator =
-      new BootTimeEstimator(DEFAULT_SECONDS, OVERDUE_FACTOR);
+      new BootTimeEstimator(DEFAULT_SECONDS, ABANDON_FACTOR);
 
   private static MachineType type(Duration boot) {
     return new MachineType(TYPE_ID, new Resources(4, 0, 4), 10, 1, 2, 1, boot, List.of());
@@ -35,8 +35,9 @@
 
   @Test
   void listedTimeIsExpectedWithoutSamples() {
-    assertEquals(60, estimator.expected(TYPE), "the type lists 60 s");
-    assertEquals(DEFAULT_SECONDS, estimator.expected(type(Duration.ZERO)), "the type lists none");
+    assertEquals(60, estimator.expectedSeconds(TYPE), "the type lists 60 s");
+    assertEquals(
+        DEFAULT_SECONDS, estimator.expectedSeconds(type(Duration.ZERO)), "the type lists none");
   }
 
   @ParameterizedTest
@@ -47,7 +48,7 @@
     estimator.onUp(TYPE_ID, at(1), Optional.of(bootSeconds));
     estimator.onUp(TYPE_ID, at(2), Optional.of(80.0));
     // Then their median counts, but at least 0.6 of the listed time
-    assertEquals(expected, estimator.expected(TYPE), 1e-9, "boots of " + bootSeconds + " s");
+    assertEquals(expected, estimator.expectedSeconds(TYPE), 1e-9, "boots of " + bootSeconds + " s");
   }
 
   @Test
@@ -55,7 +56,7 @@
     // Given a boot that this leader measured
     estimator.onUp(TYPE_ID, at(0), Optional.of(50.0));
     // When it learns what another one measured
-    estimator.learn(TYPE_ID, List.of(70.0, 80.0));
+    estimator.loadSamples(TYPE_ID, List.of(70.0, 80.0));
     // Then only its own counts
     assertEquals(Map.of(TYPE_ID, List.of(50.0)), estimator.latestSamples(), "own samples stay");
   }
@@ -63,23 +64,23 @@
   @ParameterizedTest
   @CsvSource({"90, ON_TIME", "91, DELAYED", "490, DELAYED", "491, ABANDONED"})
   void machineIsDelayedWhileNoneOfItsTypeComesUp(
-      long bootingSeconds, BootTimeEstimator.Outlook outlook) {
+      long bootingSeconds, BootTimeEstimator.BootStatus bootStatus) {
     assertEquals(
-        outlook,
-        estimator.outlook(TYPE, START, at(bootingSeconds)),
+        bootStatus,
+        estimator.bootStatus(TYPE, START, at(bootingSeconds)),
         "booting for " + bootingSeconds + " s");
   }
 
   @ParameterizedTest
   @CsvSource({"90, ON_TIME", "91, OVERDUE", "190, OVERDUE", "191, ABANDONED"})
   void machineIsOverdueOnceOneProvisionedLaterIsUp(
-      long bootingSeconds, BootTimeEstimator.Outlook outlook) {
+      long bootingSeconds, BootTimeEstimator.BootStatus bootStatus) {
     // Given a machine of the type that was provisioned later, and is up
     estimator.onUp(TYPE_ID, at(1), Optional.empty());
     // Then one that was provisioned before is given less time
     assertEquals(
-        outlook,
-        estimator.outlook(TYPE, START, at(bootingSeconds)),
+        bootStatus,
+        estimator.bootStatus(TYPE, START, at(bootingSeconds)),
         "booting for " + bootingSeconds + " s");
   }
 }
--- a/src/test/java/org/mulleinshift/autoscaling/QueueSimulationTest.java
+++ b/src/test/java/org/mulleinshift/autoscaling/QueueSimulationTest.java
@@ -43,10 +43,10 @@
         MACHINE, MachineCapacity.NO_SHARD, ZONE, TYPE, false, available, Set.of());
   }
 
-  private static PendingGroup group(int count, double runSeconds, double fromSeconds) {
+  private static PendingGroup group(int count, double runSeconds, double earliestStartSeconds) {
     ResourceRequest request =
         new ResourceRequest(ONE_CPU, "image", 0, List.of(), Optional.empty(), true);
-    return new PendingGroup(request, runSeconds, false, count, fromSeconds);
+    return new PendingGroup(request, runSeconds, false, count, earliestStartSeconds);
   }
 
   private int shortageOf(PendingGroup... waiting) {
@@ -101,6 +101,6 @@
     QueueSimulation.Result result = QueueSimulation.run(snapshot, List.of(first, second), STEPS);
     // Then the second one is short, and the machine is used
     assertEquals(List.of(second.withCount(2)), result.shortage(), "the first group goes first");
-    assertEquals(Set.of(MACHINE), result.used(), "tasks were packed onto the machine");
+    assertEquals(Set.of(MACHINE), result.usedMachines(), "tasks were packed onto the machine");
   }
 }
