--- a/src/main/java/org/mulleinshift/autoscaling/AssignedTaskAllocator.java
+++ b/src/main/java/org/mulleinshift/autoscaling/AssignedTaskAllocator.java
@@ -15,7 +15,10 @@
 import org.mulleinshift.scheduling.RunTimeEstimator;
 import org.mulleinshift.transport.EventLoop;
 
-/** Takes the assigned tasks out of a snapshot's capacity, and notes when they should end. */
+/**
+ * Allocates capacity of a snapshot to the assigned tasks, and adds its release at their expected
+ * end.
+ */
 final class AssignedTaskAllocator {
   private final EventLoop loop;
   private final ClusterState state;
@@ -25,7 +28,7 @@
     this.state = state;
   }
 
-  /** Tasks of one job that are assigned to a shard and placed on no machine yet. */
+  /** Tasks of one job that are assigned to a shard but not yet placed on a machine. */
   private record UnplacedGroup(ResourceRequest request, double expectedSeconds, int count) {}
 
   void allocate(CapacitySnapshot snapshot) {
@@ -35,8 +38,8 @@
         allocateJob(job, snapshot, unplaced);
       }
     }
-    // All placed tasks take their capacity first: then most machines of a busy cluster are full,
-    // and need not be looked at again for each job.
+    // Placed tasks are allocated first: then most machines of a busy cluster are full and need not
+    // be searched again for each job.
     allocateUnplaced(unplaced, snapshot);
   }
 
@@ -88,7 +91,7 @@
     }
   }
 
-  /** Packs the tasks onto machines; returns how many found capacity. */
+  /** Packs the tasks onto machines; returns how many were placed. */
   private static int pack(
       UnplacedGroup group, List<MachineCapacity> candidates, CapacitySnapshot snapshot) {
     return BinPacker.fill(
--- a/src/main/java/org/mulleinshift/autoscaling/Autoscaler.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Autoscaler.java
@@ -21,8 +21,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sizes the cluster from the queue in periodic runs: checks the machines' health, simulates the
- * queue, provisions machines for the shortage, and releases machines that are idle or surplus.
+ * Periodically sizes the cluster to the queue: checks machine health, simulates the queue,
+ * provisions machines for the shortage, and releases machines that are idle or surplus.
  */
 public final class Autoscaler implements Provisioner.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
@@ -49,15 +49,16 @@
   private final MachineRegistrar registrar;
 
   /**
-   * The autoscaler of one term.
+   * Creates the autoscaler of one leadership term.
    *
-   * @param state what the leader knows of the cluster
-   * @param term whether this controller may act as the leader
-   * @param termNumber part of the names of provisioning requests, which are never used again
+   * @param state the leader's view of the cluster
+   * @param term tells whether this controller may act as the leader
+   * @param termNumber part of the names of provisioning requests, so that no term reuses a name of
+   *     another
    * @param batcher writes to the store as the leader of this term
    * @param cloud provisions and deletes machines
    * @param demand the queue that the cluster is sized for
-   * @param settings of the autoscaler
+   * @param settings settings of the autoscaler
    */
   public Autoscaler(
       ClusterState state,
@@ -97,17 +98,19 @@
     this.inventory = new CloudInventory(loop, term, cloud, this::onListed);
   }
 
-  /** The provisioning requests of the term. */
+  /** Returns the component that sends and tracks the provisioning requests of this term. */
   public Provisioner provisioner() {
     return provisioner;
   }
 
-  /** The measured boot times. */
+  /** Returns the boot time estimates of this term. */
   public BootTimeEstimator bootTimes() {
     return bootTimes;
   }
 
-  /** Starts the periodic runs; all stored state was read. */
+  /**
+   * Starts the periodic runs and machine listings. Must be called after all stored state was read.
+   */
   public void start() {
     provisioner.start();
     loop.after(FIRST_RUN_DELAY, this::runPeriodically);
@@ -143,8 +146,8 @@
     CapacityPlanner.Plan plan = planner.plan(waiting, horizonSeconds);
     Set<MachineTypeId> scarce = scarceTypes.findIn(plan.shortage());
     if (!scarce.isEmpty()) {
-      // Exception to the paper: tasks that only fit a type that is not to be had get that type's
-      // capacity, and machines of other types are provisioned for the other tasks.
+      // Deviation from the paper: tasks that only fit a type the cloud has run out of get the
+      // capacity of that type, and machines of other types are provisioned for the other tasks.
       List<PendingGroup> restricted = scarceTypes.restrictToOtherTypes(scarce, waiting);
       plan = restricted.equals(waiting) ? plan : planner.plan(restricted, horizonSeconds);
     }
@@ -161,7 +164,10 @@
     return groups.stream().mapToInt(PendingGroup::count).sum();
   }
 
-  /** The shortest expected boot time of any type: what is missing then can't come sooner. */
+  /**
+   * Returns the shortest expected boot time of any type: machines provisioned now come up no
+   * sooner.
+   */
   private double horizonSeconds() {
     double shortest = Double.MAX_VALUE;
     for (MachineType type : state.catalog().types().values()) {
@@ -170,7 +176,7 @@
     return shortest;
   }
 
-  /** The owner of a shard reported a new status of a machine. */
+  /** Called when the owner of a shard reported a new status of a machine. */
   public void onMachineStatus(ShardView shard, MachineId id) {
     healthCheck.onMachineStatus(shard, id);
   }
@@ -205,7 +211,10 @@
     }
   }
 
-  /** A worker that is in no shard reported to some controller. */
+  /**
+   * Called when a worker whose machine is in no shard reported to some controller. Registers the
+   * machine, unless this leader has released it.
+   */
   public void onUnknownWorker(UnknownWorkerReport report) {
     MachineId id = new MachineId(report.getMachine());
     if (!releaser.isReleased(id)) {
--- a/src/main/java/org/mulleinshift/autoscaling/AutoscalerSettings.java
+++ b/src/main/java/org/mulleinshift/autoscaling/AutoscalerSettings.java
@@ -5,19 +5,20 @@
 import org.mulleinshift.settings.Tunables;
 
 /**
- * The settings of the autoscaler, read once.
+ * Settings of the autoscaler, read once.
  *
- * @param interval between two runs
- * @param simulationSteps number of steps of a queue simulation
- * @param immediateResizeShare a shortage above this share of the cluster is provisioned at once
- * @param provisioningBackoff before an offer that the cloud refused is requested again
+ * @param interval time between two runs
+ * @param simulationSteps number of steps into which a queue simulation divides its horizon
+ * @param immediateResizeShare a shortage of more than this share of the cluster's processors is
+ *     provisioned at once
+ * @param provisioningBackoff delay before an offer that the cloud refused is requested again
  * @param defaultBootSeconds boot time of a machine type whose catalog entry has none
- * @param abandonedBootFactor a boot that takes so many times the expected time is abandoned
- * @param idleSeconds after which an unused machine is released
- * @param minimumAgeSeconds a machine is kept at least that long
- * @param surplusSeconds after which a machine whose tasks fit elsewhere is drained
- * @param lowPriorityWaitSeconds for which low-priority tasks wait for spot machines
- * @param maxShardMachines machines of one shard at most
+ * @param abandonedBootFactor multiple of the usual boot time after which a boot is abandoned
+ * @param idleSeconds time after which an unused machine is released
+ * @param minimumAgeSeconds age that a machine must reach before it is drained or released as idle
+ * @param surplusSeconds time after which a machine whose tasks fit elsewhere is drained
+ * @param lowPriorityWaitSeconds how long low-priority tasks wait for spot machines
+ * @param maxShardMachines maximum number of machines in one shard
  */
 public record AutoscalerSettings(
     Duration interval,
@@ -31,10 +32,13 @@
     double surplusSeconds,
     double lowPriorityWaitSeconds,
     int maxShardMachines) {
-  /** Longest stored form of one machine within its shard's record. */
+  /** Maximum size of the stored form of one machine within its shard's record. */
   private static final int MAX_MACHINE_RECORD_BYTES = 128;
 
-  /** The settings of a deployment. */
+  /**
+   * Reads the settings of a deployment. A shard is limited to the number of machines whose record
+   * fits into one value of the store.
+   */
   public static AutoscalerSettings of(PlatformSettings platform, Tunables tunables) {
     int fittingMachines =
         platform.cluster().storeLimits().minValueBytes() / MAX_MACHINE_RECORD_BYTES;
--- a/src/main/java/org/mulleinshift/autoscaling/BootMonitor.java
+++ b/src/main/java/org/mulleinshift/autoscaling/BootMonitor.java
@@ -5,34 +5,36 @@
 import java.util.Set;
 import org.mulleinshift.protocol.MachineTypeId;
 
-/** The machines that boot late, by type, as the latest run saw them. */
+/** Counts delayed boots by machine type, as of the latest run. */
 final class BootMonitor {
-  /** So many late machines of a type mean that the type does not come up at the moment. */
+  /** Number of delayed machines at which a type counts as not coming up at present. */
   private static final int DELAYED_BOOTS_THRESHOLD = 2;
 
   private final Map<MachineTypeId, Integer> delayedBoots = new HashMap<>();
 
-  /** Forgets what the run before saw. */
+  /** Discards the counts of the previous run. */
   void reset() {
     delayedBoots.clear();
   }
 
-  /** A machine of the type boots late, and so do all of that type provisioned since. */
+  /**
+   * Counts a machine of the type that boots late while none of the type provisioned since is up.
+   */
   void onDelayed(MachineTypeId type) {
     delayedBoots.merge(type, 1, Integer::sum);
   }
 
-  /** Whether machines of the type do not come up at the moment. */
+  /** Returns whether machines of the type are not coming up at present. */
   boolean isDelayed(MachineTypeId type) {
     return delayedCount(type) >= DELAYED_BOOTS_THRESHOLD;
   }
 
-  /** How many machines of the type boot late. */
+  /** Returns how many machines of the type are delayed. */
   int delayedCount(MachineTypeId type) {
     return delayedBoots.getOrDefault(type, 0);
   }
 
-  /** The types of which some machine boots late. */
+  /** Returns the types with at least one delayed machine. */
   Set<MachineTypeId> typesWithDelays() {
     return delayedBoots.keySet();
   }
--- a/src/main/java/org/mulleinshift/autoscaling/BootProbe.java
+++ b/src/main/java/org/mulleinshift/autoscaling/BootProbe.java
@@ -10,12 +10,12 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Finds out whether delayed machine types come up again. While no machine of a type comes up, those
- * that boot count as capacity, and only a few are provisioned, a boot time apart: more would be
- * paid for in vain.
+ * Probes delayed machine types to find out whether they come up again. While no machine of a type
+ * comes up, its booting machines count as capacity, and only a few more are provisioned, once per
+ * boot time: more would be paid for in vain.
  */
 final class BootProbe {
-  /** A probe provisions one machine, and one more for each so many delayed ones. */
+  /** A probe provisions one machine, plus one for each this many delayed machines of the type. */
   private static final int DELAYED_BOOTS_PER_EXTRA_MACHINE = 10;
 
   private final EventLoop loop;
@@ -24,7 +24,7 @@
   private final BootMonitor boots;
   private final Map<MachineTypeId, Probe> latestProbes = new HashMap<>();
 
-  /** A probe and when it was made. */
+  /** The offer that was requested as a probe, and when. */
   private record Probe(Offer offer, MonotonicTime startedAt) {}
 
   BootProbe(EventLoop loop, OfferSelector offers, Provisioner provisioner, BootMonitor boots) {
@@ -34,7 +34,10 @@
     this.boots = boots;
   }
 
-  /** Provisions a few machines of each delayed type that some waiting task can use. */
+  /**
+   * Provisions a few machines of each delayed type that some waiting task can use, at most once per
+   * horizon.
+   */
   void probe(List<PendingGroup> waiting, double horizonSeconds) {
     for (MachineTypeId type : boots.typesWithDelays()) {
       if (isDue(type, horizonSeconds)) {
@@ -50,8 +53,9 @@
   }
 
   /**
-   * The cloud refused an offer. If it was a probe, nothing boots that could show anything: the next
-   * one is due at once, for another offer.
+   * Handles an offer that the cloud refused. If it was the latest probe of its type, no machine
+   * boots that could show whether the type comes up again, so the next probe is due at once, with
+   * another offer.
    */
   void onRefused(Offer offer) {
     Probe lastProbe = latestProbes.get(offer.type());
--- a/src/main/java/org/mulleinshift/autoscaling/BootTimeEstimator.java
+++ b/src/main/java/org/mulleinshift/autoscaling/BootTimeEstimator.java
@@ -12,44 +12,52 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Estimates boot times from the latest boots of each machine type, and what can be expected of a
- * machine that boots. At times machines come up at once, late, or not at all: the estimates are
- * bounded so that neither a few fast boots nor a few slow ones decide for long.
+ * Estimates boot times from the latest boots of each machine type, and classifies machines that are
+ * still booting. At times machines come up at once, late, or not at all, so the estimates are
+ * bounded: a few fast or slow boots must not distort them for long.
  */
 public final class BootTimeEstimator {
-  /** Boots of a type that the estimate is made from. */
+  /** Number of latest boots of a type that its estimate is based on. */
   private static final int MAX_SAMPLES = 12;
 
   private static final double MILLIS_PER_SECOND = 1000.0;
 
-  /** Boots usually take between this share of the listed time and {@link #ON_TIME_FACTOR}. */
+  /**
+   * Lower bound of an expected boot time, as a multiple of the boot time in the catalog. Boots
+   * usually take between this multiple and {@link #ON_TIME_FACTOR}.
+   */
   private static final double MIN_EXPECTED_FACTOR = 0.6;
 
   private static final double ON_TIME_FACTOR = 1.5;
 
-  /** At least so many usual times a machine is waited for while none of its type comes up. */
+  /**
+   * While no machine of the type provisioned later is up, a machine is waited for at least this
+   * many times its usual boot time.
+   */
   private static final double MIN_DELAYED_ABANDON_FACTOR = 8;
 
   private static final double ABANDON_GRACE_SECONDS = 10;
 
-  /** What can be expected of a machine that is not up. */
+  /** Classifies how a machine that is not up yet is booting. */
   enum BootStatus {
-    /** It has not taken longer than usual. */
+    /** It has not taken longer than boots usually do. */
     ON_TIME,
-    /** Late, but so is every machine of its type provisioned since: it may still come up. */
+    /** Late, but no machine of its type provisioned later is up either: it may still come up. */
     DELAYED,
-    /** Late, while machines provisioned later are up: no capacity to count on. */
+    /** Late, while a machine of its type provisioned later is up: it does not count as capacity. */
     OVERDUE,
-    /** Not worth waiting for. */
+    /** So late that it is no longer waited for. */
     ABANDONED
   }
 
-  /** The boots of one machine type. */
+  /** The latest boots of one machine type. */
   private static final class BootHistory {
     private final Deque<Double> samples = new ArrayDeque<>();
+
+    /** When the most recently provisioned machine that is up was provisioned. */
     private Optional<MonotonicTime> latestProvisionedAt = Optional.empty();
 
-    /** Whether a machine that was provisioned after the given time is up. */
+    /** Returns whether a machine that was provisioned after the given time is up. */
     boolean hasLaterMachineUp(MonotonicTime provisionedAt) {
       return latestProvisionedAt.filter(latest -> latest.isAfter(provisionedAt)).isPresent();
     }
@@ -73,10 +81,10 @@
   private final Map<MachineTypeId, BootHistory> histories = new HashMap<>();
 
   /**
-   * An estimator without samples.
+   * Creates an estimator without samples.
    *
-   * @param defaultSeconds boot time of a type that lists none
-   * @param abandonFactor a boot that takes so many times the usual time is abandoned
+   * @param defaultSeconds boot time of a type whose catalog entry has none
+   * @param abandonFactor multiple of the usual boot time after which a boot is abandoned
    */
   BootTimeEstimator(double defaultSeconds, double abandonFactor) {
     this.defaultSeconds = defaultSeconds;
@@ -84,9 +92,9 @@
   }
 
   /**
-   * A machine came up.
+   * Records that a machine came up.
    *
-   * @param bootSeconds how long that took, known only if its provisioning was observed
+   * @param bootSeconds its boot time, empty if its provisioning was not observed
    */
   void onUp(MachineTypeId type, MonotonicTime provisionedAt, Optional<Double> bootSeconds) {
     BootHistory history = history(type);
@@ -98,14 +106,17 @@
     return histories.computeIfAbsent(type, key -> new BootHistory());
   }
 
-  /** The latest boot times of each type in seconds, oldest first. */
+  /** Returns the latest boot times of each type in seconds, oldest first. */
   public Map<MachineTypeId, List<Double>> latestSamples() {
     Map<MachineTypeId, List<Double>> latest = new LinkedHashMap<>();
     histories.forEach((type, history) -> latest.put(type, List.copyOf(history.samples)));
     return latest;
   }
 
-  /** Adds boot times that another leader measured, unless this one has measured its own. */
+  /**
+   * Loads boot times that another leader measured, unless this estimator already has samples of the
+   * type. Negative values are ignored.
+   */
   public void loadSamples(MachineTypeId type, List<Double> bootSeconds) {
     BootHistory history = history(type);
     if (history.samples.isEmpty()) {
@@ -121,7 +132,11 @@
     return seconds > 0 ? seconds : defaultSeconds;
   }
 
-  /** The median of the latest boots in seconds, and at least the usual minimum. */
+  /**
+   * Returns the median of the latest boot times, but at least {@link #MIN_EXPECTED_FACTOR} times
+   * the boot time in the catalog. Without samples, returns the boot time in the catalog or, if it
+   * has none, the default.
+   */
   double expectedSeconds(MachineType type) {
     BootHistory history = histories.get(type.id());
     if (history == null || history.samples.isEmpty()) {
@@ -131,7 +146,7 @@
     return Math.max(MIN_EXPECTED_FACTOR * catalogSeconds(type), sorted[sorted.length / 2]);
   }
 
-  /** What can be expected of a machine that is not up. */
+  /** Classifies a machine that is not up yet by how long it has been booting. */
   BootStatus bootStatus(MachineType type, MonotonicTime provisionedAt, MonotonicTime now) {
     double bootingSeconds = now.secondsSince(provisionedAt);
     double usualSeconds = Math.max(expectedSeconds(type), catalogSeconds(type));
--- a/src/main/java/org/mulleinshift/autoscaling/CapacityPlanner.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CapacityPlanner.java
@@ -18,7 +18,7 @@
 
 /**
  * Takes a snapshot of the cluster's capacity (machines that are up, booting or requested, less the
- * tasks that run) and simulates the queue on it.
+ * tasks assigned to them) and simulates the queue on it.
  */
 final class CapacityPlanner {
   private final EventLoop loop;
@@ -46,15 +46,15 @@
    * The outcome of a simulation.
    *
    * @param result the shortage, and the machines that waiting tasks would use
-   * @param clusterCpus processors of the cluster, booting and requested machines included
+   * @param clusterCpus processors of the cluster, including booting and requested machines
    */
   record Plan(QueueSimulation.Result result, double clusterCpus) {
-    /** The tasks that would still wait at the horizon. */
+    /** Returns the tasks that would still wait at the horizon. */
     List<PendingGroup> shortage() {
       return result.shortage();
     }
 
-    /** The processors that the shortage requests. */
+    /** Returns the number of processors that the tasks of the shortage request. */
     double shortageCpus() {
       return shortage().stream()
           .mapToDouble(group -> group.count() * group.request().perTask().cpus())
@@ -62,7 +62,7 @@
     }
   }
 
-  /** Simulates the queue over the horizon. */
+  /** Simulates the waiting tasks on the cluster's capacity over the horizon. */
   Plan plan(List<PendingGroup> waiting, double horizonSeconds) {
     CapacitySnapshot snapshot = new CapacitySnapshot(horizonSeconds);
     collectMachines(snapshot);
@@ -72,7 +72,10 @@
     return new Plan(QueueSimulation.run(snapshot, waiting, settings.simulationSteps()), cpus);
   }
 
-  /** The machines of all shards, less the tasks that are on them or assigned to their shard. */
+  /**
+   * Returns the capacity of the machines in all shards, less the tasks that are on them or assigned
+   * to a shard.
+   */
   CapacitySnapshot currentCapacity() {
     CapacitySnapshot snapshot = new CapacitySnapshot(0);
     collectMachines(snapshot);
@@ -99,7 +102,7 @@
     MachineType type = catalogType.get();
     Machine machine = state.machines().track(id);
     if (!record.up() && isOverdue(type, machine)) {
-      // It may never come up, so it is no capacity.
+      // It may never come up, so it does not count as capacity.
       return;
     }
     Resources available = record.up() ? type.size() : Resources.ZERO;
@@ -107,8 +110,8 @@
         new MachineCapacity(id, shard.id(), shard.zone(), type, record.spot(), available, Set.of());
     snapshot.addMachine(capacity);
     if (!record.up()) {
-      // Within the horizon even if its type boots slower than that: a booting machine that were
-      // no capacity would be provisioned again with every resize.
+      // Capped at the horizon even if the type boots more slowly: if a booting machine did not
+      // count as capacity, each resize would provision it again.
       double remainingSeconds = bootTimes.expectedSeconds(type) - machine.ageSeconds(loop.now());
       double upInSeconds = Math.min(snapshot.horizonSeconds(), Math.max(0, remainingSeconds));
       snapshot.addRelease(upInSeconds, capacity, type.size());
--- a/src/main/java/org/mulleinshift/autoscaling/CapacityRelease.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CapacityRelease.java
@@ -6,8 +6,8 @@
 /**
  * Capacity of a machine that becomes available later.
  *
- * @param atSeconds when, from now on
+ * @param atSeconds seconds from now until it becomes available
  * @param capacity the machine
- * @param amount how much
+ * @param amount the resources that become available
  */
 record CapacityRelease(double atSeconds, MachineCapacity capacity, Resources amount) {}
--- a/src/main/java/org/mulleinshift/autoscaling/CapacitySnapshot.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CapacitySnapshot.java
@@ -10,8 +10,8 @@
 import org.mulleinshift.protocol.Resources;
 
 /**
- * The capacity of the cluster at one moment, and what becomes available within a horizon. The
- * capacities are mutable: a simulation packs tasks into them.
+ * The capacity of the cluster at one moment, and the capacity that becomes available within a
+ * horizon. The machine capacities are mutable: a simulation allocates tasks to them.
  */
 final class CapacitySnapshot {
   private final double horizonSeconds;
@@ -23,7 +23,7 @@
     this.horizonSeconds = horizonSeconds;
   }
 
-  /** Adds a machine of a shard, on which tasks may run. */
+  /** Adds a machine of a shard; tasks may run on it. */
   void addMachine(MachineCapacity capacity) {
     capacities.add(capacity);
     byMachine.put(capacity.machine(), capacity);
@@ -34,7 +34,7 @@
     capacities.add(capacity);
   }
 
-  /** Adds capacity that becomes available; what does so beyond the horizon is left out. */
+  /** Adds capacity that becomes available later; ignored if that is beyond the horizon. */
   void addRelease(double atSeconds, MachineCapacity capacity, Resources amount) {
     if (atSeconds <= horizonSeconds) {
       releases.add(new CapacityRelease(atSeconds, capacity, amount));
@@ -45,22 +45,25 @@
     return horizonSeconds;
   }
 
-  /** All machines, requested ones too. */
+  /** Returns all machines, including requested ones. */
   List<MachineCapacity> capacities() {
     return Collections.unmodifiableList(capacities);
   }
 
-  /** What becomes available within the horizon. */
+  /** Returns the capacity that becomes available within the horizon. */
   List<CapacityRelease> releases() {
     return Collections.unmodifiableList(releases);
   }
 
-  /** The machines of shards, by id; a trial may replace capacities in this map. */
+  /**
+   * Returns the machines of shards by id. The map is modifiable: a consolidation trial may replace
+   * capacities in it.
+   */
   Map<MachineId, MachineCapacity> byMachine() {
     return byMachine;
   }
 
-  /** The processors of all machines, free or not. */
+  /** Returns the number of processors of all machines, free or allocated. */
   double totalCpus() {
     return capacities.stream().mapToDouble(capacity -> capacity.size().cpus()).sum();
   }
--- a/src/main/java/org/mulleinshift/autoscaling/CloudInventory.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CloudInventory.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads the cloud's list of machines periodically. The list lags: that a machine is not in it does
- * not mean that the machine is gone.
+ * Periodically reads the cloud's list of machines. The list lags behind: a machine that is missing
+ * from it is not necessarily gone.
  */
 final class CloudInventory {
   private static final Logger LOG = LoggerFactory.getLogger(CloudInventory.class);
--- a/src/main/java/org/mulleinshift/autoscaling/Consolidator.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Consolidator.java
@@ -24,19 +24,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Drains the most expensive machines whose tasks would fit into the capacity that the others have
- * left. Their tasks end where they are; nothing is moved.
+ * Drains the most expensive machines whose tasks would fit into the capacity left on the others.
+ * Tasks are not moved: they end on the machine that they run on.
  */
 final class Consolidator {
   private static final Logger LOG = LoggerFactory.getLogger(Consolidator.class);
 
-  /** A run drains one machine, and one more for each so many candidates. */
+  /** A run counts at most one machine as surplus, plus one for each this many candidates. */
   private static final int CANDIDATES_PER_DRAIN = 24;
 
-  /** Trials of one run: each costs as much as the cluster is large. */
+  /** Maximum number of trials per run: the cost of each grows with the size of the cluster. */
   private static final int MAX_TRIALS = 16;
 
-  /** Reserved capacity must be available so many times before a machine is surplus. */
+  /**
+   * Reserved capacity must be available this many times over before a machine counts as surplus.
+   */
   private static final int RESERVATION_FACTOR = 2;
 
   private final EventLoop loop;
@@ -52,7 +54,7 @@
     this.settings = settings;
   }
 
-  /** How many machines one run may still try and find surplus. */
+  /** How many more machines the current run may try, and may count as surplus. */
   private static final class Budget {
     private int trials = MAX_TRIALS;
     private int drains;
@@ -71,8 +73,9 @@
   }
 
   /**
-   * Drains machines that are surplus for long enough. Types that tasks wait for are left alone;
-   * tasks that only fit a large type, of which there are no more, do not keep the small ones up.
+   * Drains machines that have been surplus for long enough. Types that tasks wait for are left
+   * alone. Tasks that only fit a large type that has run out do not keep machines of smaller types
+   * from being drained.
    *
    * @param typesInDemand types that waiting tasks could use
    */
@@ -91,7 +94,10 @@
     }
   }
 
-  /** Takes the reserved capacity; returns false if not all of it is available. */
+  /**
+   * Allocates the reserved capacity {@link #RESERVATION_FACTOR} times over; returns false if not
+   * all of it is available.
+   */
   private boolean reserve(Map<MachineId, MachineCapacity> capacities) {
     for (CapacityReservation.Reservation reservation :
         state.reservation().reservations(loop.now())) {
@@ -103,7 +109,7 @@
     return true;
   }
 
-  /** Machines of unwanted types, the most expensive first. */
+  /** Returns the machines of types not in demand, the most expensive first. */
   private static List<MachineCapacity> candidates(
       Map<MachineId, MachineCapacity> capacities, Set<MachineTypeId> typesInDemand) {
     List<MachineCapacity> candidates = new ArrayList<>(capacities.values());
@@ -140,7 +146,8 @@
   }
 
   /**
-   * Whether the others have capacity for its tasks; if so, it is taken, and the machine removed.
+   * Returns whether the machine's tasks fit on the other machines. If so, allocates them there and
+   * removes the machine from the capacities.
    */
   private boolean fitsElsewhere(
       MachineCapacity candidate, Map<MachineId, MachineCapacity> capacities) {
@@ -163,7 +170,7 @@
     return true;
   }
 
-  /** How often each request occurs among the tasks on a machine. */
+  /** Returns how many tasks on a machine have each request. */
   private Map<ResourceRequest, Integer> requestsOn(MachineId machine) {
     Map<ResourceRequest, Integer> requests = new LinkedHashMap<>();
     for (TaskAssignment assignment : state.allocations().on(machine)) {
--- a/src/main/java/org/mulleinshift/autoscaling/Demand.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Demand.java
@@ -6,9 +6,9 @@
 
 /** The queue that the cluster is sized for. */
 public interface Demand {
-  /** Active jobs, the most urgent first. */
+  /** Returns the ranked jobs, the most urgent first. */
   List<Job> rankedJobs();
 
-  /** Jobs that should be released by the end of their dependencies within the horizon. */
+  /** Returns the waiting jobs whose dependencies should end within the horizon. */
   List<ExpectedRelease> expectedReleases(double horizonSeconds);
 }
--- a/src/main/java/org/mulleinshift/autoscaling/MachineHealthCheck.java
+++ b/src/main/java/org/mulleinshift/autoscaling/MachineHealthCheck.java
@@ -15,7 +15,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Notes which machines come up and which boot late, and releases those that do not come up, are
+ * Records which machines come up and which boot late, and releases those that do not come up, are
  * lost, or are quarantined.
  */
 final class MachineHealthCheck {
@@ -40,7 +40,10 @@
     this.releaser = releaser;
   }
 
-  /** The owner of the shard reported a new status of a machine; one that came up is stored. */
+  /**
+   * Called when the owner of the shard reported a new status of a machine. If the owner confirms
+   * that the machine came up, stores that in the shard's record.
+   */
   void onMachineStatus(ShardView shard, MachineId id) {
     MachineRecord record = shard.machines().get(id);
     if (record == null || record.up() || !isConfirmed(shard, id)) {
@@ -48,9 +51,10 @@
     }
     Machine machine = state.machines().track(id);
     shard.machines().put(id, new MachineRecord(record.type(), record.spot(), true));
-    // Only a machine whose provisioning was observed has a known boot time. Machines that were up
-    // before, or that an earlier leader provisioned, would seem to boot in no time: then there
-    // would be no horizon and no spacing of resizes, and every booting machine would be overdue.
+    // Only a machine whose provisioning this leader observed has a known boot time. Machines that
+    // were up before, or that an earlier leader provisioned, would appear to boot in no time: then
+    // the horizon and the time between resizes would vanish, and every booting machine would be
+    // overdue.
     bootTimes.onUp(record.type(), machine.provisionedAt(), machine.onUp(loop.now()));
     long seconds = Math.round(machine.ageSeconds(loop.now()));
     LOG.info("machine up, machine={} after_s={}", id, seconds);
@@ -64,7 +68,9 @@
         .isPresent();
   }
 
-  /** Inspects all machines, and releases those that are of no use. */
+  /**
+   * Checks all machines: counts delayed boots, and releases machines that are of no further use.
+   */
   void run() {
     boots.reset();
     for (ShardView shard : state.shards().all()) {
@@ -92,7 +98,7 @@
     }
   }
 
-  /** What can be expected of a machine that is not up, if its type is known. */
+  /** Returns the boot status of a machine, or empty if it is up or its type is unknown. */
   private Optional<BootTimeEstimator.BootStatus> bootStatus(Machine machine, MachineRecord record) {
     if (record.up()) {
       return Optional.empty();
--- a/src/main/java/org/mulleinshift/autoscaling/MachineRegistrar.java
+++ b/src/main/java/org/mulleinshift/autoscaling/MachineRegistrar.java
@@ -14,7 +14,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Registers machines with a shard of their zone, those that nobody expected too. */
+/** Adds machines to a shard of their zone, including machines that were not expected. */
 final class MachineRegistrar {
   private static final Logger LOG = LoggerFactory.getLogger(MachineRegistrar.class);
 
@@ -23,10 +23,10 @@
   private final int maxShardMachines;
 
   /**
-   * A registrar for one term.
+   * Creates the registrar of one term.
    *
-   * @param maxShardMachines machines of one shard at most: its record must stay below the store's
-   *     limit for a value
+   * @param maxShardMachines maximum number of machines in one shard, whose record must stay below
+   *     the store's limit for a value
    */
   MachineRegistrar(ClusterState state, MachineReleaser releaser, int maxShardMachines) {
     this.state = state;
@@ -34,7 +34,10 @@
     this.maxShardMachines = maxShardMachines;
   }
 
-  /** Registers the machines that the cloud provisioned for a request. */
+  /**
+   * Registers the machines that the cloud provisioned for a request, except those that are
+   * registered or deleted already.
+   */
   void registerProvisioned(ProvisioningRequest request, List<MachineId> machines) {
     Set<ShardView> changed = new LinkedHashSet<>();
     for (MachineId machine : machines) {
@@ -49,14 +52,15 @@
   }
 
   /**
-   * Registers a machine that nobody expected, unless it is in a shard already: one that was
-   * provisioned late, or by a request whose answer was lost.
+   * Registers a machine that was not expected, unless it is in a shard already: it was provisioned
+   * late, or by a request whose response was lost.
    */
   void registerUnexpected(MachineId id, MachineTypeId type, ZoneId zone, boolean spot) {
     if (state.shards().contains(id)) {
       return;
     }
-    // It may belong to a shard that this build can't read, and then has an owner already.
+    // If there is a shard that this build can't read, the machine may belong to it and have an
+    // owner already.
     if (state.catalog().type(type).isEmpty() || !state.view().unreadableShards().isEmpty()) {
       return;
     }
--- a/src/main/java/org/mulleinshift/autoscaling/MachineReleaser.java
+++ b/src/main/java/org/mulleinshift/autoscaling/MachineReleaser.java
@@ -15,7 +15,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Releases machines: marks them, and deletes them in the cloud a batch at a time. */
+/** Releases machines: marks them, and deletes them in the cloud in batches. */
 final class MachineReleaser {
   private static final Logger LOG = LoggerFactory.getLogger(MachineReleaser.class);
   private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
@@ -37,7 +37,10 @@
     this.cloud = cloud;
   }
 
-  /** The machine takes no new task from now on, and is deleted with the next batch. */
+  /**
+   * Marks the machine so that it takes no new task, and queues it for deletion. Does nothing if it
+   * is being released already.
+   */
   void release(MachineId machine, ReleaseReason reason) {
     if (state.machines().track(machine).release()) {
       pendingDeletion.add(machine);
@@ -46,17 +49,20 @@
     }
   }
 
-  /** Whether this leader released the machine, deleted or not. */
+  /** Returns whether this leader released the machine, deleted or not. */
   boolean isReleased(MachineId machine) {
     return deleted.contains(machine) || pendingDeletion.contains(machine);
   }
 
-  /** Whether the cloud has confirmed that the machine is gone. */
+  /** Returns whether the cloud has confirmed that the machine is deleted. */
   boolean isDeleted(MachineId machine) {
     return deleted.contains(machine);
   }
 
-  /** Deletes a batch of the released machines, if the rate limit permits a call. */
+  /**
+   * Deletes a batch of the released machines, if no deletion is in flight and the rate limit
+   * permits a call.
+   */
   void deleteBatch() {
     if (pendingDeletion.isEmpty() || deletionInFlight || !cloud.limiter().tryAcquire(1, 0)) {
       return;
@@ -64,8 +70,8 @@
     List<MachineId> batch =
         pendingDeletion.stream().limit(CloudCodec.MAX_MACHINES_PER_DELETION).toList();
     deletionInFlight = true;
-    // The state of a leader that was replaced is stale: a machine that it drained may have tasks
-    // by now.
+    // The state of a leader that was replaced is stale: a machine that it drained may have tasks by
+    // now.
     batcher.ifStillLeader(() -> delete(batch), () -> deletionInFlight = false);
   }
 
@@ -74,7 +80,7 @@
         HttpRequest.post(CloudCodec.DELETE_PATH, CloudCodec.writeDeletion(batch), REQUEST_TIMEOUT),
         response -> {
           deletionInFlight = false;
-          // Only a 200 confirms that the machines and all on them are gone.
+          // Only status 200 confirms that the machines and all tasks on them are gone.
           if (response.isOk() && term.isActive()) {
             onDeleted(batch);
           }
--- a/src/main/java/org/mulleinshift/autoscaling/Offer.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Offer.java
@@ -5,14 +5,14 @@
 import org.mulleinshift.protocol.ZoneId;
 
 /**
- * A kind of machine in a zone, which the cloud may run out of.
+ * Machines of one type, zone and pricing model, which the cloud may run out of.
  *
  * @param type machine type
- * @param zone where it is offered
- * @param spot whether it is preemptible
+ * @param zone zone in which the machines are offered
+ * @param spot whether the machines are preemptible
  */
 record Offer(MachineTypeId type, ZoneId zone, boolean spot) {
-  /** The offer that a provisioning request asks for. */
+  /** Returns the offer that a provisioning request is for. */
   static Offer of(ProvisioningRequest request) {
     return new Offer(request.type(), request.zone(), request.spot());
   }
--- a/src/main/java/org/mulleinshift/autoscaling/OfferSelector.java
+++ b/src/main/java/org/mulleinshift/autoscaling/OfferSelector.java
@@ -16,18 +16,24 @@
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Selects the cheapest of the cloud's offers that were not refused recently. */
+/** Selects the cheapest of the cloud's offers, except those that were refused recently. */
 final class OfferSelector {
-  /** So many requests for an offer wait for their answers at a time. */
+  /** Maximum number of unanswered requests for one offer. */
   private static final int MAX_OUTSTANDING_REQUESTS = 8;
 
-  /** The longest backoff, in first ones: capacity that comes back is found within that. */
+  /**
+   * Longest backoff as a multiple of the initial one: capacity that comes back is found within that
+   * time.
+   */
   private static final int MAX_BACKOFF_FACTOR = 3;
 
-  /** Each machine in a zone makes the zone's offers look more expensive by this share. */
+  /**
+   * Share by which each machine in a zone raises the cost of the zone's offers, to balance the
+   * zones.
+   */
   private static final double ZONE_BALANCE_WEIGHT = 0.001;
 
-  /** A machine that a task fills costs its price; one that it hardly uses counts this often. */
+  /** Cost factor of a machine that a task hardly uses; a machine that a task fills has factor 1. */
   private static final double MAX_OVERSIZE_FACTOR = 2;
 
   private final EventLoop loop;
@@ -37,14 +43,17 @@
   private final ToIntFunction<Offer> outstanding;
   private final Map<Offer, RefusalBackoff> backoffs = new HashMap<>();
 
-  /** How often in a row the cloud had none of an offer, and until when it is not requested. */
+  /**
+   * Number of consecutive refusals, up to {@link #MAX_BACKOFF_FACTOR}, and when the backoff ends.
+   */
   private record RefusalBackoff(int count, MonotonicTime until) {}
 
   /**
-   * A selector for one term.
+   * Creates the selector of one term.
    *
-   * @param initialBackoff after a first refusal; later ones wait longer
-   * @param outstanding machines of an offer that are requested and not answered
+   * @param initialBackoff backoff after a first refusal; it grows with further ones
+   * @param outstanding returns the number of machines of an offer that are requested and not
+   *     answered
    */
   OfferSelector(
       EventLoop loop,
@@ -59,11 +68,14 @@
     this.outstanding = outstanding;
   }
 
-  /** The cloud had none of these, or too few: they are requested again after a growing backoff. */
+  /**
+   * Handles an offer of which the cloud had no machines, or too few. It is requested again after a
+   * backoff, which grows with consecutive total refusals.
+   */
   void onRefused(Offer offer, Refusal refusal) {
     RefusalBackoff previous = backoffs.get(offer);
     if (previous != null && previous.until.isAfter(loop.now())) {
-      // Requested together with what was refused before: no further news.
+      // This request was made before the backoff began: its refusal says nothing new.
       return;
     }
     boolean resetsBackoff = previous == null || refusal == Refusal.PARTIAL;
@@ -72,15 +84,16 @@
         offer, new RefusalBackoff(count, loop.now().plus(initialBackoff.multipliedBy(count))));
   }
 
-  /** The cloud provisioned all that was requested. */
+  /** Ends the backoff of an offer: the cloud provisioned all machines that were requested. */
   void onFulfilled(Offer offer) {
     backoffs.remove(offer);
   }
 
   /**
-   * Whether so many machines of the offer are requested that its answers are worth waiting for. One
-   * that was refused is tried with a single request. Unbounded, a queue far above what is to be had
-   * would become hundreds of stored names, each to be written, requested, refused and removed.
+   * Returns whether so many machines of the offer are requested that the answers should be awaited
+   * first. An offer that was refused is tried with a single request. Without this limit, a queue
+   * far larger than the available capacity would become hundreds of stored request names, each to
+   * be written, requested, refused and removed.
    *
    * @param planned machines that are to be requested in this run
    */
@@ -91,7 +104,8 @@
   }
 
   /**
-   * The cheapest available way to run those tasks of the group that would use one new machine.
+   * Returns the available offer with the lowest cost per task, considering the tasks of the group
+   * that would use one new machine. Empty if no offer is available.
    *
    * @param planned machines that are to be requested in this run
    */
@@ -139,7 +153,9 @@
         && !(backoffs.containsKey(offer) && isSaturated(offer, planned));
   }
 
-  /** Cost of one task. Large machines are kept for large tasks unless they cost far less. */
+  /**
+   * Returns the cost per task. Large machines are kept for large tasks unless they cost far less.
+   */
   private static double cost(
       ResourceRequest request, MachineType type, Offer offer, int fitting, int machinesInZone) {
     double oversize = MAX_OVERSIZE_FACTOR - request.perTask().shareOf(type.size());
@@ -149,7 +165,7 @@
         * (1 + ZONE_BALANCE_WEIGHT * machinesInZone);
   }
 
-  /** Whether any machine that such a task fits and may run on is available. */
+  /** Returns whether any offer is available whose machines such a task fits and may run on. */
   boolean hasOfferFor(ResourceRequest request) {
     for (MachineType type : catalog.types().values()) {
       if (request.fits(type)
--- a/src/main/java/org/mulleinshift/autoscaling/PendingGroup.java
+++ b/src/main/java/org/mulleinshift/autoscaling/PendingGroup.java
@@ -3,14 +3,14 @@
 import org.mulleinshift.placement.ResourceRequest;
 
 /**
- * Equal waiting tasks of one job, as the queue simulation sees them.
+ * Identical waiting tasks of one job, as input of the queue simulation.
  *
  * @param request what one task requests
  * @param runSeconds expected run time of a task
- * @param spotOnly whether the tasks wait for spot machines rather than use on-demand ones
+ * @param spotOnly whether no on-demand machines are provisioned for the tasks
  * @param count number of tasks
- * @param earliestStartSeconds earliest start from now on, when the job's dependencies should be
- *     done
+ * @param earliestStartSeconds seconds from now until the job's dependencies should be done; 0 if
+ *     the tasks may start now
  */
 record PendingGroup(
     ResourceRequest request,
@@ -18,17 +18,17 @@
     boolean spotOnly,
     int count,
     double earliestStartSeconds) {
-  /** The same tasks with another request. */
+  /** Returns the same tasks with another request. */
   PendingGroup withRequest(ResourceRequest other) {
     return new PendingGroup(other, runSeconds, spotOnly, count, earliestStartSeconds);
   }
 
-  /** So many of these tasks. */
+  /** Returns the given number of these tasks. */
   PendingGroup withCount(int other) {
     return new PendingGroup(request, runSeconds, spotOnly, other, earliestStartSeconds);
   }
 
-  /** Whether the tasks join the queue after the first moment and no later than the second. */
+  /** Returns whether the tasks join the queue after the first time and no later than the second. */
   boolean joinsBetween(double afterSeconds, double untilSeconds) {
     return earliestStartSeconds > afterSeconds && earliestStartSeconds <= untilSeconds;
   }
--- a/src/main/java/org/mulleinshift/autoscaling/PendingQueue.java
+++ b/src/main/java/org/mulleinshift/autoscaling/PendingQueue.java
@@ -15,11 +15,13 @@
 import org.mulleinshift.scheduling.ClusterState;
 import org.mulleinshift.transport.EventLoop;
 
-/** The waiting tasks that the cluster is sized for, in the order in which they would start. */
+/**
+ * Lists the waiting tasks that the cluster is sized for, in the order in which they would start.
+ */
 final class PendingQueue {
   private static final int MILLIS_PER_SECOND = 1000;
 
-  /** So many run times before its deadline a job no longer waits for spot machines. */
+  /** A job no longer waits for spot machines this many expected run times before its deadline. */
   private static final int DEADLINE_RESERVE_RUN_TIMES = 2;
 
   private final EventLoop loop;
@@ -34,10 +36,10 @@
     this.settings = settings;
   }
 
-  /** A job with waiting tasks, and when they join the queue. */
+  /** A job with waiting tasks, and the seconds from now until they join the queue. */
   private record QueuedJob(Job job, double earliestStartSeconds) {}
 
-  /** Waiting tasks in order, without those beyond their team's limit. */
+  /** Returns the waiting tasks in order, without those beyond their team's limit. */
   List<PendingGroup> groups(double horizonSeconds) {
     Map<TeamId, Resources> usage = state.usageByTeam();
     List<PendingGroup> groups = new ArrayList<>();
@@ -46,7 +48,7 @@
       TeamId team = job.spec().team();
       Resources used = usage.getOrDefault(team, Resources.ZERO);
       int withinLimit = Math.min(job.waitingCount(), state.quotas().tasksWithinLimit(job, used));
-      // A job whose tasks fail is no demand beyond its next attempt.
+      // A failing job counts only for the tasks that it may attempt now.
       int count = Math.min(withinLimit, state.failures().allowedAttempts(job, loop.now()));
       if (count > 0) {
         usage.put(team, used.plus(job.spec().perTask().times(count)));
@@ -66,7 +68,10 @@
         queued.earliestStartSeconds());
   }
 
-  /** The active jobs, and among them, by priority, those that should be released in time. */
+  /**
+   * Returns the active jobs with waiting tasks. Jobs that should be released within the horizon are
+   * inserted by priority.
+   */
   private List<QueuedJob> queue(double horizonSeconds) {
     List<QueuedJob> queue = new ArrayList<>();
     for (Job job : demand.rankedJobs()) {
@@ -85,7 +90,10 @@
     return queue;
   }
 
-  /** Work of the lowest priority uses no on-demand machine as long as it has time to wait. */
+  /**
+   * Returns whether no on-demand machines are provisioned for the job: it has the lowest priority,
+   * may use spot machines, and has time left to wait for them.
+   */
   private boolean waitsForSpot(Job job) {
     if (job.priority() != Priority.LOW || !job.spec().spotAllowed()) {
       return false;
@@ -102,7 +110,7 @@
     return loop.wallMillis() < waitUntilMillis;
   }
 
-  /** The machine types that waiting tasks could use. */
+  /** Returns the machine types that waiting tasks could use. */
   Set<MachineTypeId> typesFor(List<PendingGroup> waiting) {
     Set<MachineTypeId> types = new HashSet<>();
     for (PendingGroup group : waiting) {
--- a/src/main/java/org/mulleinshift/autoscaling/Provisioner.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Provisioner.java
@@ -23,25 +23,27 @@
 
 /**
  * Requests machines from the cloud. The name of a provisioning request is stored before it is used
- * and never used again; its key is deleted only after the machines are stored.
+ * and never reused; its key is deleted only after the machines are stored.
  */
 public final class Provisioner {
   private static final Logger LOG = LoggerFactory.getLogger(Provisioner.class);
   private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
   private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
-  /** After so many timeouts the machines of a request are no longer counted on. */
+  /** Number of request timeouts after which the machines of a request are no longer expected. */
   private static final int MAX_EXPECTED_TIMEOUTS = 2;
 
-  /** The cloud's answer if it is out of machines, as opposed to unavailable. */
+  /**
+   * Text of the cloud's response when it has run out of machines, as opposed to being unavailable.
+   */
   private static final String NO_CAPACITY = "no capacity";
 
-  /** Is notified of what became of provisioning requests. */
+  /** Receives the outcome of provisioning requests. */
   interface Listener {
-    /** The machines were provisioned, perhaps fewer than requested. */
+    /** Called when the cloud provisioned the machines, possibly fewer than requested or none. */
     void onProvisioned(ProvisioningRequest request, List<MachineId> machines);
 
-    /** The cloud had fewer machines than requested, or none. */
+    /** Called when the cloud had fewer machines than requested, or none. */
     void onRefused(ProvisioningRequest request, Refusal refusal);
   }
 
@@ -69,12 +71,15 @@
     this.listener = listener;
   }
 
-  /** Sends the requests that an earlier leader stored. */
+  /** Sends the requests that an earlier leader stored and may have sent already. */
   void start() {
     requests.values().forEach(this::send);
   }
 
-  /** Requests whose machines may still be counted on. */
+  /**
+   * Returns the requests whose machines may still be expected: those that are unanswered and
+   * recent.
+   */
   List<ProvisioningRequest> expectedRequests() {
     long maxAgeSeconds = REQUEST_TIMEOUT.toSeconds() * MAX_EXPECTED_TIMEOUTS;
     return requests.values().stream()
@@ -83,7 +88,7 @@
         .toList();
   }
 
-  /** Machines of an offer that are planned or requested and not answered. */
+  /** Returns the number of machines of an offer that are planned or requested and not answered. */
   int outstandingMachines(Offer offer) {
     return requests.values().stream()
         .filter(request -> isOpen(request) && Offer.of(request).equals(offer))
@@ -96,8 +101,8 @@
   }
 
   /**
-   * Loads stored requests. A new leader sends them again under their stored names: the same name
-   * never provisions twice.
+   * Loads the requests that an earlier leader stored. They are sent again under their stored names:
+   * the cloud never provisions twice for the same name.
    */
   public void load(List<KeyValue> items) {
     for (KeyValue item : items) {
@@ -106,13 +111,17 @@
         requests.put(name, ProvisioningRequest.read(name, item.value(), loop.now()));
         batcher.recordRevision(item.key(), item.revision());
       } catch (MalformedMessageException e) {
-        // Neither sent again nor ended here. Its machines, if any come, are adopted as unexpected.
+        // The request is neither sent again nor deleted. If its machines come, they are registered
+        // as unexpected ones.
         LOG.warn("stored record unreadable, key={} reason={}", item.key(), e.getMessage());
       }
     }
   }
 
-  /** Requests so many machines of an offer. */
+  /**
+   * Requests the given number of machines of an offer, in as many requests as the cloud's limit
+   * needs.
+   */
   void provision(Offer offer, int count) {
     for (int remaining = count; remaining > 0; remaining -= CloudCodec.MAX_MACHINES_PER_REQUEST) {
       provisionBatch(offer, Math.min(remaining, CloudCodec.MAX_MACHINES_PER_REQUEST));
@@ -170,7 +179,8 @@
       onRefused(request);
       return;
     }
-    // No clear answer: the cloud may have provisioned. The retry uses the same name.
+    // Without a definite answer the cloud may have provisioned the machines. The retry uses the
+    // same name.
     loop.after(RETRY_DELAY, () -> send(request));
   }
 
@@ -205,13 +215,13 @@
     complete(request);
   }
 
-  /** The request's key is deleted only after its machines are stored. */
+  /** Marks the request as answered. Its key is deleted only after its machines are stored. */
   private void complete(ProvisioningRequest request) {
     request.transitionTo(ProvisioningRequest.State.ANSWERED);
     batcher.submit(StoreKeys.provisioningRequest(request.name()), new DeleteRequestKey(request));
   }
 
-  /** Stores the name of a request before the cloud receives it. */
+  /** Stores the name of a request before it is sent to the cloud. */
   private final class PutRequestKey implements TransactionBatcher.Mutation {
     private final ProvisioningRequest request;
 
--- a/src/main/java/org/mulleinshift/autoscaling/QueueSimulation.java
+++ b/src/main/java/org/mulleinshift/autoscaling/QueueSimulation.java
@@ -13,14 +13,14 @@
 import org.mulleinshift.protocol.Resources;
 
 /**
- * The resource estimation of the paper "Autoscaling High-Throughput Workloads on Container
+ * Resource estimation as in the paper "Autoscaling High-Throughput Workloads on Container
  * Orchestrators", section IV-B and algorithm 1: simulates the queue step by step over one resource
  * initialization time (the horizon). Tasks that end release their capacity, machines that boot add
  * theirs, and waiting tasks are packed into what is available. The tasks that still wait at the
  * horizon are the shortage.
  */
 final class QueueSimulation {
-  /** Keeps a step that is far beyond the horizon within the range of an int. */
+  /** Limits the step of a release far beyond the horizon to the range of an int. */
   private static final double MAX_STEP = 1e6;
 
   /**
@@ -57,11 +57,11 @@
   }
 
   /**
-   * Simulates the queue; the capacities and releases of the snapshot are used up.
+   * Simulates the queue. Allocates the capacities of the snapshot, which can't be used again.
    *
    * @param snapshot capacity now, and what becomes available within the horizon
    * @param waiting the queue, the most urgent tasks first
-   * @param steps how many steps the horizon is divided into
+   * @param steps number of steps into which the horizon is divided
    */
   static Result run(CapacitySnapshot snapshot, List<PendingGroup> waiting, int steps) {
     QueueSimulation simulation =
@@ -79,8 +79,8 @@
 
   private void simulateStep(int step) {
     Set<MachineCapacity> increased = applyReleases(step);
-    // Tasks that found no capacity before can only find it where some was released since. Tasks
-    // that join the queue now have not looked at any machine yet.
+    // Tasks that found no capacity before need only try machines where some was released since.
+    // Tasks that join the queue in this step have not tried any machine yet.
     boolean searchAll = step == 0 || anyJoins(step);
     List<MachineCapacity> candidates = new ArrayList<>();
     for (MachineCapacity capacity : searchAll ? capacities : increased) {
@@ -137,9 +137,7 @@
         });
   }
 
-  /**
-   * Adds the release to the first step that is not before it; one beyond the horizon is of no use.
-   */
+  /** Adds the release to the first step that is not before it; ignores one beyond the horizon. */
   private void scheduleRelease(CapacityRelease release, int earliestStep) {
     double horizonShare = horizonSeconds > 0 ? release.atSeconds() / horizonSeconds : 0;
     int step = (int) Math.max(earliestStep, Math.ceil(Math.min(MAX_STEP, horizonShare * steps)));
--- a/src/main/java/org/mulleinshift/autoscaling/ReleaseReason.java
+++ b/src/main/java/org/mulleinshift/autoscaling/ReleaseReason.java
@@ -2,14 +2,14 @@
 
 /** Why a machine is released. */
 enum ReleaseReason {
-  /** It did not come up within any time worth waiting for. */
+  /** Its boot took so long that it is no longer waited for. */
   BOOT_ABANDONED,
-  /** It was up, and its lease has expired without a heartbeat. */
+  /** It was up, and its lease expired without a heartbeat. */
   LOST,
-  /** Tasks of several jobs failed on it. */
+  /** Tasks of jobs that succeed elsewhere failed on it repeatedly. */
   QUARANTINED,
   /** The cloud lists it as failed. */
   FAILED,
-  /** No task uses it, and none is expected to. */
+  /** No task uses it or is expected to. */
   IDLE
 }
--- a/src/main/java/org/mulleinshift/autoscaling/ScaleIn.java
+++ b/src/main/java/org/mulleinshift/autoscaling/ScaleIn.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Releases machines that are wholly idle, and ends the draining of machines that are wanted. */
+/** Releases idle machines, and uncordons draining machines whose types are in demand. */
 final class ScaleIn {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Releases machines that are idle, were kept for their minimum time, and are of no use to the
-   * queue.
+   * Releases machines without tasks that have reached the minimum age and are either draining, or
+   * idle for long enough and of no use to the queue.
    *
    * @param usedMachines machines that the simulation packed waiting tasks onto
    */
@@ -55,7 +55,7 @@
     }
   }
 
-  /** Whether the machine may be released if no task uses it. */
+  /** Returns whether the machine may be released if no task uses it. */
   private boolean isReleasable(Machine machine, MachineRecord record) {
     return record.up()
         && !boots.isDelayed(record.type())
@@ -68,7 +68,7 @@
         || (!usedByQueue && machine.idleSeconds(loop.now()) >= settings.idleSeconds());
   }
 
-  /** Capacity of these types is short: their machines that drain take tasks again. */
+  /** Lets draining machines of the types in demand take tasks again. */
   void uncordon(Set<MachineTypeId> typesInDemand) {
     for (ShardView shard : state.shards().all()) {
       for (Map.Entry<MachineId, MachineRecord> entry : shard.machines().entrySet()) {
--- a/src/main/java/org/mulleinshift/autoscaling/ScaleOut.java
+++ b/src/main/java/org/mulleinshift/autoscaling/ScaleOut.java
@@ -16,7 +16,7 @@
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Provisions machines for a shortage, one boot time apart. */
+/** Provisions machines for a shortage. Resizes are normally one boot time apart. */
 final class ScaleOut {
   private final EventLoop loop;
   private final MachineTypeCatalog catalog;
@@ -27,9 +27,10 @@
   private Optional<MonotonicTime> lastResize = Optional.empty();
 
   /**
-   * The scale-out of one term.
+   * Creates the scale-out of one term.
    *
-   * @param immediateResizeShare a shortage above this share of the cluster is provisioned at once
+   * @param immediateResizeShare a shortage of more than this share of the cluster's processors is
+   *     provisioned at once
    */
   ScaleOut(
       EventLoop loop,
@@ -47,9 +48,10 @@
   }
 
   /**
-   * Whether the shortage may be provisioned now. Resizes are a boot time apart. Exception to the
-   * paper: a shortage that is large compared to the cluster cannot be an error of the simulation,
-   * and at a start or in a burst each boot time counts.
+   * Returns whether the shortage may be provisioned now. Resizes are one boot time apart. Deviation
+   * from the paper: a shortage that is large compared to the cluster is provisioned at once, since
+   * it cannot be an error of the simulation, and each boot time counts when the cluster starts or
+   * in a burst.
    */
   boolean isAllowed(CapacityPlanner.Plan plan, double horizonSeconds) {
     boolean large = plan.shortageCpus() > immediateResizeShare * plan.clusterCpus();
@@ -58,12 +60,15 @@
         || loop.now().secondsSince(lastResize.get()) >= horizonSeconds;
   }
 
-  /** Capacity that was refused will not come: the next run may look elsewhere at once. */
+  /**
+   * Lets the next run resize at once: refused capacity will not come, and other offers may be
+   * available.
+   */
   void onRefused() {
     lastResize = Optional.empty();
   }
 
-  /** Provisions the machines that the tasks of the shortage fit on. */
+  /** Provisions the machines needed by the tasks of the shortage, except those of delayed types. */
   void provision(List<PendingGroup> shortage) {
     Map<Offer, Integer> planned = pack(shortage);
     planned.keySet().removeIf(offer -> boots.isDelayed(offer.type()));
@@ -75,7 +80,7 @@
 
   private Map<Offer, Integer> pack(List<PendingGroup> shortage) {
     Map<Offer, Integer> planned = new LinkedHashMap<>();
-    // Only machines with capacity left for some group: a long queue needs many machines.
+    // Only machines with capacity left for some group are kept, since a long queue needs many.
     List<MachineCapacity> openMachines = new ArrayList<>();
     Resources minimumRequest = UnschedulableRequests.minimumOf(shortage, PendingGroup::request);
     for (PendingGroup group : shortage) {
@@ -91,7 +96,7 @@
     while (remaining > 0) {
       Optional<Offer> offer = offers.bestOffer(group.withCount(remaining), planned);
       if (offer.isEmpty() || offers.isSaturated(offer.get(), planned)) {
-        // The next run goes on from what the cloud answers.
+        // The next run continues once the cloud has answered.
         return;
       }
       int number = planned.merge(offer.get(), 1, Integer::sum);
--- a/src/main/java/org/mulleinshift/autoscaling/ScarceTypes.java
+++ b/src/main/java/org/mulleinshift/autoscaling/ScarceTypes.java
@@ -9,7 +9,10 @@
 import org.mulleinshift.protocol.MachineType;
 import org.mulleinshift.protocol.MachineTypeId;
 
-/** Machine types that the cloud has no more of, and which tasks can run on others. */
+/**
+ * Finds machine types that the cloud has run out of, and restricts tasks to other types where
+ * possible.
+ */
 final class ScarceTypes {
   private final MachineTypeCatalog catalog;
   private final OfferSelector offers;
@@ -19,7 +22,7 @@
     this.offers = offers;
   }
 
-  /** The types that tasks wait for although the cloud has no more of them. */
+  /** Returns the types that fit those tasks of the shortage for which no offer is available. */
   Set<MachineTypeId> findIn(List<PendingGroup> shortage) {
     Set<MachineTypeId> scarce = new HashSet<>();
     for (PendingGroup group : shortage) {
@@ -34,7 +37,10 @@
     return scarce;
   }
 
-  /** The same tasks, restricted to other types where such machines are on offer. */
+  /**
+   * Returns the same tasks, restricted to types that are not scarce where such machines are on
+   * offer.
+   */
   List<PendingGroup> restrictToOtherTypes(Set<MachineTypeId> scarce, List<PendingGroup> waiting) {
     List<MachineTypeId> others =
         catalog.types().keySet().stream().filter(id -> !scarce.contains(id)).toList();
--- a/src/test/java/org/mulleinshift/autoscaling/BootTimeEstimatorTest.java
+++ b/src/test/java/org/mulleinshift/autoscaling/BootTimeEstimatorTest.java
@@ -14,7 +14,7 @@
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Expected boot times, and the outlook of machines that boot late. */
+/** Tests expected boot times, and the boot status of machines that boot late. */
 class BootTimeEstimatorTest {
   private static final double DEFAULT_SECONDS = 90;
   private static final double ABANDON_FACTOR = 3;
@@ -47,7 +47,7 @@
     estimator.onUp(TYPE_ID, at(0), Optional.of(bootSeconds));
     estimator.onUp(TYPE_ID, at(1), Optional.of(bootSeconds));
     estimator.onUp(TYPE_ID, at(2), Optional.of(80.0));
-    // Then their median counts, but at least 0.6 of the listed time
+    // Then their median counts, but at least 0.6 of the boot time in the catalog
     assertEquals(expected, estimator.expectedSeconds(TYPE), 1e-9, "boots of " + bootSeconds + " s");
   }
 
@@ -55,7 +55,7 @@
   void samplesOfAnotherLeaderDoNotReplaceOwnOnes() {
     // Given a boot that this leader measured
     estimator.onUp(TYPE_ID, at(0), Optional.of(50.0));
-    // When it learns what another one measured
+    // When it loads what another leader measured
     estimator.loadSamples(TYPE_ID, List.of(70.0, 80.0));
     // Then only its own counts
     assertEquals(Map.of(TYPE_ID, List.of(50.0)), estimator.latestSamples(), "own samples stay");
@@ -77,7 +77,7 @@
       long bootingSeconds, BootTimeEstimator.BootStatus bootStatus) {
     // Given a machine of the type that was provisioned later, and is up
     estimator.onUp(TYPE_ID, at(1), Optional.empty());
-    // Then one that was provisioned before is given less time
+    // Then one that was provisioned before is abandoned earlier
     assertEquals(
         bootStatus,
         estimator.bootStatus(TYPE, START, at(bootingSeconds)),
--- a/src/test/java/org/mulleinshift/autoscaling/QueueSimulationTest.java
+++ b/src/test/java/org/mulleinshift/autoscaling/QueueSimulationTest.java
@@ -17,7 +17,7 @@
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.ZoneId;
 
-/** The shortage that a queue simulation finds at its horizon. */
+/** Tests the shortage that a queue simulation finds at its horizon. */
 class QueueSimulationTest {
   private static final double HORIZON_SECONDS = 100;
   private static final int STEPS = 10;
