--- a/src/main/java/org/mulleinshift/autoscaling/RunningTaskCollector.java
+++ b/src/main/java/org/mulleinshift/autoscaling/AssignedTaskAllocator.java
@@ -15,32 +15,35 @@
 import org.mulleinshift.scheduling.RunTimeEstimator;
 import org.mulleinshift.transport.EventLoop;
 
-/** Takes the assigned tasks out of a snapshot's capacity, and notes when they should end. */
-final class RunningTaskCollector {
+/**
+ * Allocates capacity of a snapshot to the assigned tasks, and adds its release at their expected
+ * end.
+ */
+final class AssignedTaskAllocator {
   private final EventLoop loop;
   private final ClusterState state;
 
-  RunningTaskCollector(EventLoop loop, ClusterState state) {
+  AssignedTaskAllocator(EventLoop loop, ClusterState state) {
     this.loop = loop;
     this.state = state;
   }
 
-  /** Tasks of one job that are assigned to a shard and placed on no machine yet. */
+  /** Tasks of one job that are assigned to a shard but not yet placed on a machine. */
   private record UnplacedGroup(ResourceRequest request, double expectedSeconds, int count) {}
 
-  void collect(CapacitySnapshot snapshot) {
+  void allocate(CapacitySnapshot snapshot) {
     List<UnplacedGroup> unplaced = new ArrayList<>();
     for (Job job : state.jobs().all()) {
       if (!job.assignments().isEmpty()) {
-        collectJob(job, snapshot, unplaced);
+        allocateJob(job, snapshot, unplaced);
       }
     }
-    // All placed tasks take their capacity first: then most machines of a busy cluster are full,
-    // and need not be looked at again for each job.
-    collectUnplaced(unplaced, snapshot);
+    // Placed tasks are allocated first: then most machines of a busy cluster are full and need not
+    // be searched again for each job.
+    allocateUnplaced(unplaced, snapshot);
   }
 
-  private void collectJob(Job job, CapacitySnapshot snapshot, List<UnplacedGroup> unplaced) {
+  private void allocateJob(Job job, CapacitySnapshot snapshot, List<UnplacedGroup> unplaced) {
     double expectedSeconds = state.runTimes().expectedSeconds(job);
     ResourceRequest request = ResourceRequest.of(job.spec());
     Map<MachineId, MachineCapacity> machines = snapshot.byMachine();
@@ -66,11 +69,12 @@
   }
 
   private double remainingSeconds(TaskAssignment assignment, double expectedSeconds) {
-    double ran = assignment.runningSince().map(since -> loop.now().secondsSince(since)).orElse(0.0);
-    return RunTimeEstimator.remainingSeconds(expectedSeconds, ran);
+    double ranSeconds =
+        assignment.runningSince().map(since -> loop.now().secondsSince(since)).orElse(0.0);
+    return RunTimeEstimator.remainingSeconds(expectedSeconds, ranSeconds);
   }
 
-  private static void collectUnplaced(List<UnplacedGroup> unplaced, CapacitySnapshot snapshot) {
+  private static void allocateUnplaced(List<UnplacedGroup> unplaced, CapacitySnapshot snapshot) {
     Resources minimumRequest = UnschedulableRequests.minimumOf(unplaced, UnplacedGroup::request);
     List<MachineCapacity> candidates = new ArrayList<>();
     for (MachineCapacity capacity : snapshot.byMachine().values()) {
@@ -87,7 +91,7 @@
     }
   }
 
-  /** Packs the tasks onto machines; returns how many found capacity. */
+  /** Packs the tasks onto machines; returns how many were placed. */
   private static int pack(
       UnplacedGroup group, List<MachineCapacity> candidates, CapacitySnapshot snapshot) {
     return BinPacker.fill(
--- a/src/main/java/org/mulleinshift/autoscaling/BootProbe.java
+++ b/src/main/java/org/mulleinshift/autoscaling/BootProbe.java
@@ -10,22 +10,22 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Finds out whether delayed machine types come up again. While no machine of a type comes up, those
- * that boot count as capacity, and only a few are provisioned, a boot time apart: more would be
- * paid for in vain.
+ * Probes delayed machine types to find out whether they come up again. While no machine of a type
+ * comes up, its booting machines count as capacity, and only a few more are provisioned, once per
+ * boot time: more would be paid for in vain.
  */
 final class BootProbe {
-  /** A probe provisions one machine, and one more for each so many delayed ones. */
-  private static final int DELAYED_PER_PROBE = 10;
+  /** A probe provisions one machine, plus one for each this many delayed machines of the type. */
+  private static final int DELAYED_BOOTS_PER_EXTRA_MACHINE = 10;
 
   private final EventLoop loop;
   private final OfferSelector offers;
   private final Provisioner provisioner;
   private final BootMonitor boots;
-  private final Map<MachineTypeId, Probe> latest = new HashMap<>();
+  private final Map<MachineTypeId, Probe> latestProbes = new HashMap<>();
 
-  /** A probe and when it was made. */
-  private record Probe(Offer offer, MonotonicTime at) {}
+  /** The offer that was requested as a probe, and when. */
+  private record Probe(Offer offer, MonotonicTime startedAt) {}
 
   BootProbe(EventLoop loop, OfferSelector offers, Provisioner provisioner, BootMonitor boots) {
     this.loop = loop;
@@ -34,38 +34,43 @@
     this.boots = boots;
   }
 
-  /** Provisions a few machines of each delayed type that some waiting task can use. */
+  /**
+   * Provisions a few machines of each delayed type that some waiting task can use, at most once per
+   * horizon.
+   */
   void probe(List<PendingGroup> waiting, double horizonSeconds) {
     for (MachineTypeId type : boots.typesWithDelays()) {
       if (isDue(type, horizonSeconds)) {
-        probe(type, waiting);
+        probeType(type, waiting);
       }
     }
   }
 
   private boolean isDue(MachineTypeId type, double horizonSeconds) {
-    Probe last = latest.get(type);
+    Probe lastProbe = latestProbes.get(type);
     return boots.isDelayed(type)
-        && (last == null || loop.now().secondsSince(last.at()) >= horizonSeconds);
+        && (lastProbe == null || loop.now().secondsSince(lastProbe.startedAt()) >= horizonSeconds);
   }
 
   /**
-   * The cloud refused an offer. If it was a probe, nothing boots that could show anything: the next
-   * one is due at once, for another offer.
+   * Handles an offer that the cloud refused. If it was the latest probe of its type, no machine
+   * boots that could show whether the type comes up again, so the next probe is due at once, with
+   * another offer.
    */
   void onRefused(Offer offer) {
-    Probe last = latest.get(offer.type());
-    if (last != null && last.offer().equals(offer)) {
-      latest.remove(offer.type());
+    Probe lastProbe = latestProbes.get(offer.type());
+    if (lastProbe != null && lastProbe.offer().equals(offer)) {
+      latestProbes.remove(offer.type());
     }
   }
 
-  private void probe(MachineTypeId type, List<PendingGroup> waiting) {
+  private void probeType(MachineTypeId type, List<PendingGroup> waiting) {
     for (PendingGroup group : waiting) {
       Optional<Offer> offer = offerOf(type, group);
       if (offer.isPresent()) {
-        latest.put(type, new Probe(offer.get(), loop.now()));
-        provisioner.provision(offer.get(), 1 + boots.delayedCount(type) / DELAYED_PER_PROBE);
+        latestProbes.put(type, new Probe(offer.get(), loop.now()));
+        provisioner.provision(
+            offer.get(), 1 + boots.delayedCount(type) / DELAYED_BOOTS_PER_EXTRA_MACHINE);
         return;
       }
     }
--- a/src/main/java/org/mulleinshift/autoscaling/CapacityPlanner.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CapacityPlanner.java
@@ -18,7 +18,7 @@
 
 /**
  * Takes a snapshot of the cluster's capacity (machines that are up, booting or requested, less the
- * tasks that run) and simulates the queue on it.
+ * tasks assigned to them) and simulates the queue on it.
  */
 final class CapacityPlanner {
   private final EventLoop loop;
@@ -26,7 +26,7 @@
   private final Provisioner provisioner;
   private final BootTimeEstimator bootTimes;
   private final AutoscalerSettings settings;
-  private final RunningTaskCollector runningTasks;
+  private final AssignedTaskAllocator taskAllocator;
 
   CapacityPlanner(
       EventLoop loop,
@@ -39,22 +39,22 @@
     this.provisioner = provisioner;
     this.bootTimes = bootTimes;
     this.settings = settings;
-    this.runningTasks = new RunningTaskCollector(loop, state);
+    this.taskAllocator = new AssignedTaskAllocator(loop, state);
   }
 
   /**
    * The outcome of a simulation.
    *
    * @param result the shortage, and the machines that waiting tasks would use
-   * @param clusterCpus processors of the cluster, booting and requested machines included
+   * @param clusterCpus processors of the cluster, including booting and requested machines
    */
   record Plan(QueueSimulation.Result result, double clusterCpus) {
-    /** The tasks that would still wait at the horizon. */
+    /** Returns the tasks that would still wait at the horizon. */
     List<PendingGroup> shortage() {
       return result.shortage();
     }
 
-    /** The processors that the shortage requests. */
+    /** Returns the number of processors that the tasks of the shortage request. */
     double shortageCpus() {
       return shortage().stream()
           .mapToDouble(group -> group.count() * group.request().perTask().cpus())
@@ -62,21 +62,24 @@
     }
   }
 
-  /** Simulates the queue over the horizon. */
+  /** Simulates the waiting tasks on the cluster's capacity over the horizon. */
   Plan plan(List<PendingGroup> waiting, double horizonSeconds) {
     CapacitySnapshot snapshot = new CapacitySnapshot(horizonSeconds);
     collectMachines(snapshot);
     collectRequested(snapshot);
     double cpus = snapshot.totalCpus();
-    runningTasks.collect(snapshot);
+    taskAllocator.allocate(snapshot);
     return new Plan(QueueSimulation.run(snapshot, waiting, settings.simulationSteps()), cpus);
   }
 
-  /** The machines of all shards, less the tasks that are on them or assigned to their shard. */
+  /**
+   * Returns the capacity of the machines in all shards, less the tasks that are on them or assigned
+   * to a shard.
+   */
   CapacitySnapshot currentCapacity() {
     CapacitySnapshot snapshot = new CapacitySnapshot(0);
     collectMachines(snapshot);
-    runningTasks.collect(snapshot);
+    taskAllocator.allocate(snapshot);
     return snapshot;
   }
 
@@ -88,18 +91,18 @@
 
   private void collectMachine(
       CapacitySnapshot snapshot, ShardView shard, MachineId id, MachineRecord record) {
-    Optional<MachineType> known = state.catalog().type(record.type());
+    Optional<MachineType> catalogType = state.catalog().type(record.type());
     Optional<MachineStatus> status = shard.statusOf(id);
-    if (known.isEmpty()
+    if (catalogType.isEmpty()
         || state.machines().isCordoned(id)
         || status.filter(OwnedMachine::hasUnreadableTasks).isPresent()
         || status.filter(MachineStatus::getInterrupted).isPresent()) {
       return;
     }
-    MachineType type = known.get();
+    MachineType type = catalogType.get();
     Machine machine = state.machines().getOrTrack(id);
     if (!record.up() && isOverdue(type, machine)) {
-      // It may never come up, so it is no capacity.
+      // It may never come up, so it does not count as capacity.
       return;
     }
     Resources available = record.up() ? type.size() : Resources.ZERO;
@@ -107,28 +110,31 @@
         new MachineCapacity(id, shard.id(), shard.zone(), type, record.spot(), available, Set.of());
     snapshot.addMachine(capacity);
     if (!record.up()) {
-      // Within the horizon even if its type boots slower than that: a booting machine that were
-      // no capacity would be provisioned again with every resize.
-      double remaining = bootTimes.expected(type) - machine.ageSeconds(loop.now());
-      double upAt = Math.min(snapshot.horizonSeconds(), Math.max(0, remaining));
-      snapshot.addRelease(upAt, capacity, type.size());
+      // Capped at the horizon even if the type boots more slowly: if a booting machine did not
+      // count as capacity, each resize would provision it again.
+      double remainingSeconds = bootTimes.expectedSeconds(type) - machine.ageSeconds(loop.now());
+      double upInSeconds = Math.min(snapshot.horizonSeconds(), Math.max(0, remainingSeconds));
+      snapshot.addRelease(upInSeconds, capacity, type.size());
     }
   }
 
   private boolean isOverdue(MachineType type, Machine machine) {
-    BootTimeEstimator.Outlook outlook =
-        bootTimes.outlook(type, machine.provisionedAt(), loop.now());
-    return outlook == BootTimeEstimator.Outlook.OVERDUE
-        || outlook == BootTimeEstimator.Outlook.ABANDONED;
+    BootTimeEstimator.BootStatus bootStatus =
+        bootTimes.bootStatus(type, machine.provisionedAt(), loop.now());
+    return bootStatus == BootTimeEstimator.BootStatus.OVERDUE
+        || bootStatus == BootTimeEstimator.BootStatus.ABANDONED;
   }
 
   private void collectRequested(CapacitySnapshot snapshot) {
-    for (ProvisioningRequest request : provisioner.expected()) {
-      state.catalog().type(request.type()).ifPresent(type -> collect(snapshot, request, type));
+    for (ProvisioningRequest request : provisioner.expectedRequests()) {
+      state
+          .catalog()
+          .type(request.type())
+          .ifPresent(type -> collectRequest(snapshot, request, type));
     }
   }
 
-  private static void collect(
+  private static void collectRequest(
       CapacitySnapshot snapshot, ProvisioningRequest request, MachineType type) {
     for (int i = 0; i < request.count(); i++) {
       MachineCapacity capacity =
--- a/src/main/java/org/mulleinshift/autoscaling/MachineReleaser.java
+++ b/src/main/java/org/mulleinshift/autoscaling/MachineReleaser.java
@@ -15,19 +15,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Releases machines: marks them, and deletes them in the cloud a batch at a time. */
+/** Releases machines: marks them, and deletes them in the cloud in batches. */
 final class MachineReleaser {
   private static final Logger LOG = LoggerFactory.getLogger(MachineReleaser.class);
   private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
-  private static final int MAX_DELETED_REMEMBERED = 5000;
+  private static final int MAX_REMEMBERED_DELETIONS = 5000;
 
   private final ClusterState state;
   private final LeadershipTerm term;
   private final TransactionBatcher batcher;
   private final CloudClient cloud;
-  private final Set<MachineId> deleting = new LinkedHashSet<>();
-  private final Set<MachineId> deleted = BoundedMap.set(MAX_DELETED_REMEMBERED);
-  private boolean inFlight;
+  private final Set<MachineId> pendingDeletion = new LinkedHashSet<>();
+  private final Set<MachineId> deleted = BoundedMap.set(MAX_REMEMBERED_DELETIONS);
+  private boolean deletionInFlight;
 
   MachineReleaser(
       ClusterState state, LeadershipTerm term, TransactionBatcher batcher, CloudClient cloud) {
@@ -37,43 +37,50 @@
     this.cloud = cloud;
   }
 
-  /** The machine takes no new task from now on, and is deleted with the next batch. */
+  /**
+   * Marks the machine so that it takes no new task, and queues it for deletion. Does nothing if it
+   * is being released already.
+   */
   void release(MachineId machine, ReleaseReason reason) {
     if (state.machines().getOrTrack(machine).release()) {
-      deleting.add(machine);
+      pendingDeletion.add(machine);
       LOG.info("machine released, machine={} reason={}", machine, reason);
       state.shards().markChanged(machine);
     }
   }
 
-  /** Whether this leader released the machine, deleted or not. */
+  /** Returns whether this leader released the machine, deleted or not. */
   boolean isReleased(MachineId machine) {
-    return deleted.contains(machine) || deleting.contains(machine);
+    return deleted.contains(machine) || pendingDeletion.contains(machine);
   }
 
-  /** Whether the cloud has confirmed that the machine is gone. */
+  /** Returns whether the cloud has confirmed that the machine is deleted. */
   boolean isDeleted(MachineId machine) {
     return deleted.contains(machine);
   }
 
-  /** Deletes a batch of the released machines, if the rate limit permits a call. */
+  /**
+   * Deletes a batch of the released machines, if no deletion is in flight and the rate limit
+   * permits a call.
+   */
   void deleteBatch() {
-    if (deleting.isEmpty() || inFlight || !cloud.limiter().tryAcquire(1, 0)) {
+    if (pendingDeletion.isEmpty() || deletionInFlight || !cloud.limiter().tryAcquire(1, 0)) {
       return;
     }
-    List<MachineId> batch = deleting.stream().limit(CloudCodec.MAX_MACHINES_PER_DELETION).toList();
-    inFlight = true;
-    // The state of a leader that was replaced is stale: a machine that it drained may have tasks
-    // by now.
-    batcher.ifStillLeader(() -> delete(batch), () -> inFlight = false);
+    List<MachineId> batch =
+        pendingDeletion.stream().limit(CloudCodec.MAX_MACHINES_PER_DELETION).toList();
+    deletionInFlight = true;
+    // The state of a leader that was replaced is stale: a machine that it drained may have tasks by
+    // now.
+    batcher.ifStillLeader(() -> delete(batch), () -> deletionInFlight = false);
   }
 
   private void delete(List<MachineId> batch) {
-    cloud.call(
+    cloud.send(
         HttpRequest.post(CloudCodec.DELETE_PATH, CloudCodec.writeDeletion(batch), REQUEST_TIMEOUT),
         response -> {
-          inFlight = false;
-          // Only a 200 confirms that the machines and all on them are gone.
+          deletionInFlight = false;
+          // Only status 200 confirms that the machines and all tasks on them are gone.
           if (response.isOk() && term.isActive()) {
             onDeleted(batch);
           }
@@ -81,7 +88,7 @@
   }
 
   private void onDeleted(List<MachineId> machines) {
-    machines.forEach(deleting::remove);
+    machines.forEach(pendingDeletion::remove);
     deleted.addAll(machines);
     state.machines().removeAll(machines);
     state.failures().onMachinesDeleted(machines);
--- a/src/main/java/org/mulleinshift/autoscaling/OfferSelector.java
+++ b/src/main/java/org/mulleinshift/autoscaling/OfferSelector.java
@@ -16,87 +16,102 @@
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Selects the cheapest of the cloud's offers that were not refused recently. */
+/** Selects the cheapest of the cloud's offers, except those that were refused recently. */
 final class OfferSelector {
-  /** So many requests for an offer wait for their answers at a time. */
-  private static final int MAX_REQUESTS = 8;
+  /** Maximum number of unanswered requests for one offer. */
+  private static final int MAX_OUTSTANDING_REQUESTS = 8;
 
-  /** The longest backoff, in first ones: capacity that comes back is found within that. */
+  /**
+   * Longest backoff as a multiple of the initial one: capacity that comes back is found within that
+   * time.
+   */
   private static final int MAX_BACKOFF_FACTOR = 3;
 
-  /** Each machine in a zone makes the zone's offers look more expensive by this share. */
+  /**
+   * Share by which each machine in a zone raises the cost of the zone's offers, to balance the
+   * zones.
+   */
   private static final double ZONE_BALANCE_WEIGHT = 0.001;
 
-  /** A machine that a task fills costs its price; one that it hardly uses counts this often. */
+  /** Cost factor of a machine that a task hardly uses; a machine that a task fills has factor 1. */
   private static final double MAX_OVERSIZE_FACTOR = 2;
 
   private final EventLoop loop;
   private final MachineTypeCatalog catalog;
   private final ShardTable shards;
-  private final Duration backoff;
+  private final Duration initialBackoff;
   private final ToIntFunction<Offer> outstanding;
-  private final Map<Offer, Refusals> refusals = new HashMap<>();
+  private final Map<Offer, RefusalBackoff> backoffs = new HashMap<>();
 
-  /** How often in a row the cloud had none of an offer, and until when it is not requested. */
-  private record Refusals(int count, MonotonicTime until) {}
+  /**
+   * Number of consecutive refusals, up to {@link #MAX_BACKOFF_FACTOR}, and when the backoff ends.
+   */
+  private record RefusalBackoff(int count, MonotonicTime until) {}
 
   /**
-   * A selector for one term.
+   * Creates the selector of one term.
    *
-   * @param backoff after a first refusal; later ones wait longer
-   * @param outstanding machines of an offer that are requested and not answered
+   * @param initialBackoff backoff after a first refusal; it grows with further ones
+   * @param outstanding returns the number of machines of an offer that are requested and not
+   *     answered
    */
   OfferSelector(
       EventLoop loop,
       MachineTypeCatalog catalog,
       ShardTable shards,
-      Duration backoff,
+      Duration initialBackoff,
       ToIntFunction<Offer> outstanding) {
     this.loop = loop;
     this.catalog = catalog;
     this.shards = shards;
-    this.backoff = backoff;
+    this.initialBackoff = initialBackoff;
     this.outstanding = outstanding;
   }
 
-  /** The cloud had none of these, or too few: they are requested again after a growing backoff. */
+  /**
+   * Handles an offer of which the cloud had no machines, or too few. It is requested again after a
+   * backoff, which grows with consecutive total refusals.
+   */
   void onRefused(Offer offer, Refusal refusal) {
-    Refusals known = refusals.get(offer);
-    if (known != null && known.until.isAfter(loop.now())) {
-      // Requested together with what was refused before: no further news.
+    RefusalBackoff previous = backoffs.get(offer);
+    if (previous != null && previous.until.isAfter(loop.now())) {
+      // This request was made before the backoff began: its refusal says nothing new.
       return;
     }
-    boolean first = known == null || refusal == Refusal.PARTIAL;
-    int count = first ? 1 : Math.min(MAX_BACKOFF_FACTOR, known.count + 1);
-    refusals.put(offer, new Refusals(count, loop.now().plus(backoff.multipliedBy(count))));
+    boolean resetsBackoff = previous == null || refusal == Refusal.PARTIAL;
+    int count = resetsBackoff ? 1 : Math.min(MAX_BACKOFF_FACTOR, previous.count + 1);
+    backoffs.put(
+        offer, new RefusalBackoff(count, loop.now().plus(initialBackoff.multipliedBy(count))));
   }
 
-  /** The cloud provisioned all that was requested. */
+  /** Ends the backoff of an offer: the cloud provisioned all machines that were requested. */
   void onFulfilled(Offer offer) {
-    refusals.remove(offer);
+    backoffs.remove(offer);
   }
 
   /**
-   * Whether so many machines of the offer are requested that its answers are worth waiting for. One
-   * that was refused is tried with a single request. Unbounded, a queue far above what is to be had
-   * would become hundreds of stored names, each to be written, requested, refused and removed.
+   * Returns whether so many machines of the offer are requested that the answers should be awaited
+   * first. An offer that was refused is tried with a single request. Without this limit, a queue
+   * far larger than the available capacity would become hundreds of stored request names, each to
+   * be written, requested, refused and removed.
    *
-   * @param wanted machines that are to be requested in this run
+   * @param planned machines that are to be requested in this run
    */
-  boolean isSaturated(Offer offer, Map<Offer, Integer> wanted) {
-    int maxRequests = refusals.containsKey(offer) ? 1 : MAX_REQUESTS;
-    int machines = wanted.getOrDefault(offer, 0) + outstanding.applyAsInt(offer);
+  boolean isSaturated(Offer offer, Map<Offer, Integer> planned) {
+    int maxRequests = backoffs.containsKey(offer) ? 1 : MAX_OUTSTANDING_REQUESTS;
+    int machines = planned.getOrDefault(offer, 0) + outstanding.applyAsInt(offer);
     return machines >= maxRequests * CloudCodec.MAX_MACHINES_PER_REQUEST;
   }
 
   /**
-   * The cheapest available way to run those tasks of the group that would use one new machine.
+   * Returns the available offer with the lowest cost per task, considering the tasks of the group
+   * that would use one new machine. Empty if no offer is available.
    *
-   * @param wanted machines that are to be requested in this run
+   * @param planned machines that are to be requested in this run
    */
-  Optional<Offer> bestOffer(PendingGroup group, Map<Offer, Integer> wanted) {
+  Optional<Offer> bestOffer(PendingGroup group, Map<Offer, Integer> planned) {
     ResourceRequest request = group.request();
-    Map<ZoneId, Integer> machinesByZone = machinesByZone(wanted);
+    Map<ZoneId, Integer> machinesByZone = machinesByZone(planned);
     Offer best = null;
     double bestCost = Double.MAX_VALUE;
     for (MachineType type : catalog.types().values()) {
@@ -105,7 +120,7 @@
         continue;
       }
       for (Offer offer : offersOf(type)) {
-        if (isEligible(offer, group, wanted)) {
+        if (isEligible(offer, group, planned)) {
           int machinesInZone = machinesByZone.getOrDefault(offer.zone(), 0);
           double cost = cost(request, type, offer, fitting, machinesInZone);
           if (cost < bestCost) {
@@ -127,7 +142,7 @@
     return offers;
   }
 
-  private boolean isEligible(Offer offer, PendingGroup group, Map<Offer, Integer> wanted) {
+  private boolean isEligible(Offer offer, PendingGroup group, Map<Offer, Integer> planned) {
     ResourceRequest request = group.request();
     boolean allowed =
         (offer.spot() || !group.spotOnly())
@@ -135,10 +150,12 @@
             && request.allowsZone(offer.zone());
     return allowed
         && isAvailable(offer)
-        && !(refusals.containsKey(offer) && isSaturated(offer, wanted));
+        && !(backoffs.containsKey(offer) && isSaturated(offer, planned));
   }
 
-  /** Cost of one task. Large machines are kept for large tasks unless they cost far less. */
+  /**
+   * Returns the cost per task. Large machines are kept for large tasks unless they cost far less.
+   */
   private static double cost(
       ResourceRequest request, MachineType type, Offer offer, int fitting, int machinesInZone) {
     double oversize = MAX_OVERSIZE_FACTOR - request.perTask().shareOf(type.size());
@@ -148,7 +165,7 @@
         * (1 + ZONE_BALANCE_WEIGHT * machinesInZone);
   }
 
-  /** Whether any machine that such a task fits and may run on is available. */
+  /** Returns whether any offer is available whose machines such a task fits and may run on. */
   boolean hasOfferFor(ResourceRequest request) {
     for (MachineType type : catalog.types().values()) {
       if (request.fits(type)
@@ -166,16 +183,16 @@
   }
 
   private boolean isAvailable(Offer offer) {
-    Refusals known = refusals.get(offer);
-    return known == null || !known.until.isAfter(loop.now());
+    RefusalBackoff previous = backoffs.get(offer);
+    return previous == null || !previous.until.isAfter(loop.now());
   }
 
-  private Map<ZoneId, Integer> machinesByZone(Map<Offer, Integer> wanted) {
+  private Map<ZoneId, Integer> machinesByZone(Map<Offer, Integer> planned) {
     Map<ZoneId, Integer> counts = new HashMap<>();
     shards
         .all()
         .forEach(shard -> counts.merge(shard.zone(), shard.machines().size(), Integer::sum));
-    wanted.forEach((offer, count) -> counts.merge(offer.zone(), count, Integer::sum));
+    planned.forEach((offer, count) -> counts.merge(offer.zone(), count, Integer::sum));
     return counts;
   }
 }
--- a/src/main/java/org/mulleinshift/autoscaling/ScaleOut.java
+++ b/src/main/java/org/mulleinshift/autoscaling/ScaleOut.java
@@ -16,7 +16,7 @@
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Provisions machines for a shortage, one boot time apart. */
+/** Provisions machines for a shortage. Resizes are normally one boot time apart. */
 final class ScaleOut {
   private final EventLoop loop;
   private final MachineTypeCatalog catalog;
@@ -27,9 +27,10 @@
   private Optional<MonotonicTime> lastResize = Optional.empty();
 
   /**
-   * The scale-out of one term.
+   * Creates the scale-out of one term.
    *
-   * @param immediateResizeShare a shortage above this share of the cluster is provisioned at once
+   * @param immediateResizeShare a shortage of more than this share of the cluster's processors is
+   *     provisioned at once
    */
   ScaleOut(
       EventLoop loop,
@@ -47,9 +48,10 @@
   }
 
   /**
-   * Whether the shortage may be provisioned now. Resizes are a boot time apart. Exception to the
-   * paper: a shortage that is large compared to the cluster cannot be an error of the simulation,
-   * and at a start or in a burst each boot time counts.
+   * Returns whether the shortage may be provisioned now. Resizes are one boot time apart. Deviation
+   * from the paper: a shortage that is large compared to the cluster is provisioned at once, since
+   * it cannot be an error of the simulation, and each boot time counts when the cluster starts or
+   * in a burst.
    */
   boolean isAllowed(CapacityPlanner.Plan plan, double horizonSeconds) {
     boolean large = plan.shortageCpus() > immediateResizeShare * plan.clusterCpus();
@@ -58,45 +60,49 @@
         || loop.now().secondsSince(lastResize.get()) >= horizonSeconds;
   }
 
-  /** Capacity that was refused will not come: the next run may look elsewhere at once. */
+  /**
+   * Lets the next run resize at once: refused capacity will not come, and other offers may be
+   * available.
+   */
   void onRefused() {
     lastResize = Optional.empty();
   }
 
-  /** Provisions the machines that the tasks of the shortage fit on. */
+  /** Provisions the machines needed by the tasks of the shortage, except those of delayed types. */
   void provision(List<PendingGroup> shortage) {
-    Map<Offer, Integer> wanted = pack(shortage);
-    wanted.keySet().removeIf(offer -> boots.isDelayed(offer.type()));
-    wanted.forEach(provisioner::provision);
-    if (!wanted.isEmpty()) {
+    Map<Offer, Integer> planned = pack(shortage);
+    planned.keySet().removeIf(offer -> boots.isDelayed(offer.type()));
+    planned.forEach(provisioner::provision);
+    if (!planned.isEmpty()) {
       lastResize = Optional.of(loop.now());
     }
   }
 
   private Map<Offer, Integer> pack(List<PendingGroup> shortage) {
-    Map<Offer, Integer> wanted = new LinkedHashMap<>();
-    // Only machines with capacity left for some group: a long queue needs many machines.
-    List<MachineCapacity> open = new ArrayList<>();
+    Map<Offer, Integer> planned = new LinkedHashMap<>();
+    // Only machines with capacity left for some group are kept, since a long queue needs many.
+    List<MachineCapacity> openMachines = new ArrayList<>();
     Resources minimumRequest = UnschedulableRequests.minimumOf(shortage, PendingGroup::request);
     for (PendingGroup group : shortage) {
-      pack(group, open, wanted);
-      open.removeIf(capacity -> !minimumRequest.fitsInto(capacity.available()));
+      pack(group, openMachines, planned);
+      openMachines.removeIf(capacity -> !minimumRequest.fitsInto(capacity.available()));
     }
-    return wanted;
+    return planned;
   }
 
-  private void pack(PendingGroup group, List<MachineCapacity> open, Map<Offer, Integer> wanted) {
-    int remaining = group.count() - BinPacker.fill(group.request(), group.count(), open);
+  private void pack(
+      PendingGroup group, List<MachineCapacity> openMachines, Map<Offer, Integer> planned) {
+    int remaining = group.count() - BinPacker.fill(group.request(), group.count(), openMachines);
     while (remaining > 0) {
-      Optional<Offer> offer = offers.bestOffer(group.withCount(remaining), wanted);
-      if (offer.isEmpty() || offers.isSaturated(offer.get(), wanted)) {
-        // The next run goes on from what the cloud answers.
+      Optional<Offer> offer = offers.bestOffer(group.withCount(remaining), planned);
+      if (offer.isEmpty() || offers.isSaturated(offer.get(), planned)) {
+        // The next run continues once the cloud has answered.
         return;
       }
-      int number = wanted.merge(offer.get(), 1, Integer::sum);
+      int number = planned.merge(offer.get(), 1, Integer::sum);
       MachineCapacity capacity = newMachineCapacity(offer.get(), number);
       remaining -= BinPacker.fill(group.request(), remaining, List.of(capacity));
-      open.add(capacity);
+      openMachines.add(capacity);
     }
   }
 
