--- a/src/main/java/org/mulleinshift/autoscaling/MachineReleaser.java
+++ b/src/main/java/org/mulleinshift/autoscaling/MachineReleaser.java
@@ -65,7 +65,7 @@
     inFlight = true;
     // The state of a leader that was replaced is stale: a machine that it drained may have tasks
     // by now.
-    batcher.ifStillLeader(() -> delete(batch), () -> inFlight = false);
+    batcher.confirmLeadership(() -> delete(batch), () -> inFlight = false);
   }
 
   private void delete(List<MachineId> batch) {
--- a/src/main/java/org/mulleinshift/controller/ActiveJobsListener.java
+++ b/src/main/java/org/mulleinshift/controller/ActiveJobsListener.java
@@ -5,11 +5,11 @@
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.StoreCodec.KeyValue;
+import org.mulleinshift.store.PrefixWatcher;
 import org.mulleinshift.store.StoreKeys;
-import org.mulleinshift.store.WatchCache;
 
 /** Distributes changes of the active jobs in the store. */
-final class ActiveJobsListener implements WatchCache.Listener {
+final class ActiveJobsListener implements PrefixWatcher.Listener {
   /** Whom changes of active jobs concern besides the leader. */
   interface Subscriber {
     /** A job is active; the record is empty if this build can't read it. */
--- a/src/main/java/org/mulleinshift/controller/ControlKeysListener.java
+++ b/src/main/java/org/mulleinshift/controller/ControlKeysListener.java
@@ -4,11 +4,11 @@
 import org.mulleinshift.model.ClusterView;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.StoreCodec.KeyValue;
+import org.mulleinshift.store.PrefixWatcher;
 import org.mulleinshift.store.StoreKeys;
-import org.mulleinshift.store.WatchCache;
 
 /** Applies changes of the control keys to the view, and notifies of them once it is consistent. */
-final class ControlKeysListener implements WatchCache.Listener {
+final class ControlKeysListener implements PrefixWatcher.Listener {
   private final ClusterView view;
   private final Runnable onGrantsChanged;
   private final Runnable onViewChanged;
--- a/src/main/java/org/mulleinshift/controller/ControllerComponents.java
+++ b/src/main/java/org/mulleinshift/controller/ControllerComponents.java
@@ -23,8 +23,8 @@
 import org.mulleinshift.sharding.OwnedShards;
 import org.mulleinshift.sharding.ShardOwner;
 import org.mulleinshift.store.KeyValueStore;
+import org.mulleinshift.store.PrefixWatcher;
 import org.mulleinshift.store.StoreKeys;
-import org.mulleinshift.store.WatchCache;
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.RequestHandler;
 
@@ -52,9 +52,9 @@
   private final KeyValueStore store;
   private final CancelledJobs cancelledJobs;
   private final CurrentTerm currentTerm;
-  private final WatchCache controlKeys;
+  private final PrefixWatcher controlKeys;
   private final ActiveJobsListener activeJobsListener;
-  private final WatchCache activeJobs;
+  private final PrefixWatcher activeJobs;
   private final PeerFailureDetector failureDetector;
   private final FrameMessenger messenger;
   private final StoreHealth storeHealth;
@@ -133,7 +133,7 @@
   }
 
   /** Keeps this controller's copy of the active jobs. */
-  WatchCache activeJobs() {
+  PrefixWatcher activeJobs() {
     return activeJobs;
   }
 
@@ -197,14 +197,14 @@
     heartbeats.start();
   }
 
-  private WatchCache createControlKeys() {
+  private PrefixWatcher createControlKeys() {
     ControlKeysListener listener =
         new ControlKeysListener(view, events::onGrantsChange, events::onViewChange);
-    return new WatchCache(loop, store, StoreKeys.CONTROL, rateLimits.watchSpacing(), listener);
+    return new PrefixWatcher(loop, store, StoreKeys.CONTROL, rateLimits.watchSpacing(), listener);
   }
 
-  private WatchCache createActiveJobs() {
-    return new WatchCache(
+  private PrefixWatcher createActiveJobs() {
+    return new PrefixWatcher(
         loop, store, StoreKeys.ACTIVE_JOBS, rateLimits.watchSpacing(), activeJobsListener);
   }
 
@@ -216,7 +216,7 @@
             rateLimits.probeSpacing(),
             this::probeStore,
             events);
-    store.observe(health);
+    store.setCallObserver(health);
     return health;
   }
 
--- a/src/main/java/org/mulleinshift/controller/ControllerReadiness.java
+++ b/src/main/java/org/mulleinshift/controller/ControllerReadiness.java
@@ -6,7 +6,7 @@
 import org.mulleinshift.membership.StoreHealth;
 import org.mulleinshift.membership.WorkerReachability;
 import org.mulleinshift.placement.MachineTypeCatalog;
-import org.mulleinshift.store.WatchCache;
+import org.mulleinshift.store.PrefixWatcher;
 
 /**
  * What this controller is fit for.
@@ -21,7 +21,7 @@
 record ControllerReadiness(
     ControllerSession session,
     StoreHealth storeHealth,
-    WatchCache controlKeys,
+    PrefixWatcher controlKeys,
     BooleanSupplier jobsLoaded,
     MachineTypeCatalog catalog,
     Supplier<WorkerReachability.State> reachability) {
@@ -54,6 +54,6 @@
   }
 
   private boolean watchesControlKeys() {
-    return controlKeys.state() == WatchCache.State.WATCHING;
+    return controlKeys.state() == PrefixWatcher.State.WATCHING;
   }
 }
--- a/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
+++ b/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
@@ -22,8 +22,8 @@
 import org.mulleinshift.protocol.peer.LeaseRenewalResponse;
 import org.mulleinshift.store.KeyValueStore;
 import org.mulleinshift.store.KeyValueStore.ReadResult;
+import org.mulleinshift.store.PrefixWatcher;
 import org.mulleinshift.store.StoreKeys;
-import org.mulleinshift.store.WatchCache;
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.MonotonicTime;
 import org.slf4j.Logger;
@@ -65,8 +65,8 @@
   private final PeerFailureDetector peers;
   private final ControllerSession session;
   private final ClusterView view;
-  private final WatchCache control;
-  private final WatchCache jobs;
+  private final PrefixWatcher control;
+  private final PrefixWatcher jobs;
   private final BiConsumer<NodeId, Object> sendToPeer;
   private final Map<Long, PendingRequest> pending = new HashMap<>();
   private long lastRequestId;
@@ -91,8 +91,8 @@
       PeerFailureDetector peers,
       ControllerSession session,
       ClusterView view,
-      WatchCache control,
-      WatchCache jobs) {}
+      PrefixWatcher control,
+      PrefixWatcher jobs) {}
 
   /**
    * Sends nothing before {@link #start}.
@@ -234,8 +234,8 @@
     }
     if (request.lease.equals(NO_LEASE)) {
       // The cache notifies the session once it is current.
-      jobs.offer(changes, request.sentAt);
-    } else if (control.offer(changes, request.sentAt)) {
+      jobs.tryApply(changes, request.sentAt);
+    } else if (control.tryApply(changes, request.sentAt)) {
       session.onRenewedByPeer(request.lease, request.sentAt, ownGrants());
     }
   }
--- a/src/main/java/org/mulleinshift/store/ConfirmationQueue.java
+++ b/src/main/java/org/mulleinshift/store/ConfirmationQueue.java
@@ -8,8 +8,8 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Callers that wait for a confirmation that a {@link WatchCache} is current. Whoever asks before a
- * confirmation is requested shares it, so that many callers cost one request.
+ * Callers that wait for a confirmation that a {@link PrefixWatcher} is current. Whoever asks before
+ * a confirmation is requested shares it, so that many callers cost one request.
  */
 final class ConfirmationQueue {
   /** Requests one confirmation from the store. */
@@ -23,29 +23,29 @@
   }
 
   private final EventLoop loop;
-  private final Duration spacing;
+  private final Duration minInterval;
   private final Requester requester;
   private List<Consumer<Boolean>> waiting = new ArrayList<>();
-  private MonotonicTime requestedAt;
-  private boolean requestPlanned;
+  private MonotonicTime lastRequestedAt;
+  private boolean requestScheduled;
   private KeyValueStore.Urgency urgency = KeyValueStore.Urgency.NORMAL;
 
   /**
    * An empty queue.
    *
-   * @param spacing minimum time between two confirmations
+   * @param minInterval minimum time between two confirmations
    */
-  ConfirmationQueue(EventLoop loop, Duration spacing, Requester requester) {
+  ConfirmationQueue(EventLoop loop, Duration minInterval, Requester requester) {
     this.loop = loop;
-    this.spacing = spacing;
+    this.minInterval = minInterval;
     this.requester = requester;
-    this.requestedAt = loop.now().minus(spacing);
+    this.lastRequestedAt = loop.now().minus(minInterval);
   }
 
   /** Adds a caller to the next confirmation. */
   void add(Consumer<Boolean> callback) {
     waiting.add(callback);
-    planRequest();
+    scheduleRequest();
   }
 
   /** Has the next confirmation requested even if the store's rate is used up. */
@@ -54,28 +54,29 @@
     add(confirmed -> {});
   }
 
-  private void planRequest() {
-    if (requestPlanned || waiting.isEmpty()) {
+  private void scheduleRequest() {
+    if (requestScheduled || waiting.isEmpty()) {
       return;
     }
-    requestPlanned = true;
-    Duration elapsed = loop.now().since(requestedAt);
+    requestScheduled = true;
+    Duration elapsed = loop.now().since(lastRequestedAt);
     loop.after(
-        elapsed.compareTo(spacing) >= 0 ? Duration.ZERO : spacing.minus(elapsed), this::request);
+        elapsed.compareTo(minInterval) >= 0 ? Duration.ZERO : minInterval.minus(elapsed),
+        this::request);
   }
 
   private void request() {
     List<Consumer<Boolean>> callers = waiting;
     waiting = new ArrayList<>();
-    requestedAt = loop.now();
-    KeyValueStore.Urgency next = urgency;
+    lastRequestedAt = loop.now();
+    KeyValueStore.Urgency requestUrgency = urgency;
     urgency = KeyValueStore.Urgency.NORMAL;
-    requester.confirm(next, confirmed -> onConfirmation(callers, confirmed));
+    requester.confirm(requestUrgency, confirmed -> onConfirmation(callers, confirmed));
   }
 
   private void onConfirmation(List<Consumer<Boolean>> callers, boolean confirmed) {
     callers.forEach(callback -> callback.accept(confirmed));
-    requestPlanned = false;
-    planRequest();
+    requestScheduled = false;
+    scheduleRequest();
   }
 }
--- a/src/main/java/org/mulleinshift/store/KeyValueStore.java
+++ b/src/main/java/org/mulleinshift/store/KeyValueStore.java
@@ -25,18 +25,18 @@
  * late changes nothing. All callbacks run on the event loop.
  */
 public final class KeyValueStore {
-  private static final Duration DEADLINE = Duration.ofSeconds(2);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
 
   /** A page takes longer than a single key. */
-  private static final Duration PAGE_DEADLINE = DEADLINE.multipliedBy(2);
+  private static final Duration PAGE_TIMEOUT = CALL_TIMEOUT.multipliedBy(2);
 
   /** Callers that wait for a confirmation hardly wait longer than this. */
-  private static final Duration READ_CHANGES_DEADLINE = Duration.ofMillis(1500);
+  private static final Duration READ_CHANGES_TIMEOUT = Duration.ofMillis(1500);
 
   /** How long the store keeps a watch open without changes. */
-  private static final Duration WATCH_WAIT = Duration.ofSeconds(8);
+  private static final Duration LONG_POLL_WAIT = Duration.ofSeconds(8);
 
-  private static final Duration WATCH_DEADLINE = Duration.ofSeconds(11);
+  private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(11);
 
   /** How a call competes for this node's share of the store's rates. */
   public enum Urgency {
@@ -49,15 +49,15 @@
     /** Leaves a large reserve of the rate to more urgent calls. */
     LOW(0.4);
 
-    private final double reserve;
+    private final double reserveFraction;
 
-    Urgency(double reserve) {
-      this.reserve = reserve;
+    Urgency(double reserveFraction) {
+      this.reserveFraction = reserveFraction;
     }
 
     /** The part of the rate that the call must leave unused. */
-    double reserve() {
-      return reserve;
+    double reserveFraction() {
+      return reserveFraction;
     }
   }
 
@@ -103,15 +103,15 @@
   /**
    * This node's shares of the store's rates.
    *
-   * @param requests requests per second
-   * @param writes written keys per second
+   * @param requestsPerSecond requests per second
+   * @param writesPerSecond written keys per second
    * @param requestsShareAfterReduction the part of the request rate that remains once the store's
    *     limits are reduced
    * @param writesShareAfterReduction the part of the write rate that remains then
    */
   public record Rates(
-      double requests,
-      double writes,
+      double requestsPerSecond,
+      double writesPerSecond,
       double requestsShareAfterReduction,
       double writesShareAfterReduction) {}
 
@@ -158,8 +158,8 @@
   }
 
   /** Reports the outcome of calls to the observer from now on, in place of an earlier one. */
-  public void observe(CallObserver next) {
-    observer = Optional.of(next);
+  public void setCallObserver(CallObserver newObserver) {
+    observer = Optional.of(newObserver);
   }
 
   /** This node's share of the write rate changes with its role. */
@@ -170,7 +170,7 @@
   /** Reads one key. */
   public void get(String key, Urgency urgency, Consumer<ReadResult<KeyValue>> callback) {
     call(
-        HttpRequest.get(StoreCodec.keyPath(key), DEADLINE),
+        HttpRequest.get(StoreCodec.keyPath(key), CALL_TIMEOUT),
         urgency,
         StoreCodec::parseItem,
         callback);
@@ -180,7 +180,7 @@
   public void readPage(
       String prefix, Optional<String> after, Consumer<ReadResult<StoreCodec.Range>> callback) {
     call(
-        HttpRequest.get(StoreCodec.rangePath(prefix, after), PAGE_DEADLINE),
+        HttpRequest.get(StoreCodec.rangePath(prefix, after), PAGE_TIMEOUT),
         Urgency.URGENT,
         StoreCodec::parseRange,
         callback);
@@ -227,14 +227,14 @@
     budget.acquireRequest();
     send(
         HttpRequest.post(
-            StoreCodec.COMMIT_PATH, StoreCodec.writeTransaction(guards, changes), DEADLINE),
+            StoreCodec.COMMIT_PATH, StoreCodec.writeTransaction(guards, changes), CALL_TIMEOUT),
         response -> callback.accept(StoreResponses.toCommitResult(response)));
   }
 
   /** Grants a new lease that expires unless it is renewed within its time to live. */
   public void grantLease(Duration ttl, Consumer<ReadResult<LeaseId>> callback) {
     call(
-        HttpRequest.post(StoreCodec.LEASES_PATH, StoreCodec.writeLeaseRequest(ttl), DEADLINE),
+        HttpRequest.post(StoreCodec.LEASES_PATH, StoreCodec.writeLeaseRequest(ttl), CALL_TIMEOUT),
         Urgency.URGENT,
         StoreCodec::parseLease,
         callback);
@@ -243,7 +243,7 @@
   /** Renews a lease; absent if it has expired. */
   public void renewLease(LeaseId lease, Consumer<ReadResult<Boolean>> callback) {
     call(
-        HttpRequest.post(StoreCodec.renewLeasePath(lease), "{}", DEADLINE),
+        HttpRequest.post(StoreCodec.renewLeasePath(lease), "{}", CALL_TIMEOUT),
         Urgency.URGENT,
         body -> true,
         callback);
@@ -252,7 +252,7 @@
   /** Ends a lease, and with it all keys that are bound to it. */
   public void revokeLease(LeaseId lease, Consumer<ReadResult<Boolean>> callback) {
     call(
-        HttpRequest.delete(StoreCodec.leasePath(lease), DEADLINE),
+        HttpRequest.delete(StoreCodec.leasePath(lease), CALL_TIMEOUT),
         Urgency.URGENT,
         body -> true,
         callback);
@@ -265,7 +265,7 @@
       Urgency urgency,
       Consumer<ReadResult<StoreCodec.Changes>> callback) {
     call(
-        HttpRequest.get(StoreCodec.watchPath(prefix, from, Duration.ZERO), READ_CHANGES_DEADLINE),
+        HttpRequest.get(StoreCodec.watchPath(prefix, from, Duration.ZERO), READ_CHANGES_TIMEOUT),
         urgency,
         StoreCodec::parseChanges,
         callback);
@@ -277,7 +277,7 @@
     budget.acquireRequest();
     watches.call(
         address,
-        HttpRequest.get(StoreCodec.watchPath(prefix, from, WATCH_WAIT), WATCH_DEADLINE),
+        HttpRequest.get(StoreCodec.watchPath(prefix, from, LONG_POLL_WAIT), WATCH_TIMEOUT),
         response ->
             callback.accept(StoreResponses.toReadResult(response, StoreCodec::parseChanges)));
   }
--- a/src/main/java/org/mulleinshift/store/PendingMutations.java
+++ b/src/main/java/org/mulleinshift/store/PendingMutations.java
@@ -28,11 +28,11 @@
   /**
    * The mutations of one transaction.
    *
-   * @param origin the queue that they were taken from
+   * @param sourceQueue the queue that they were taken from
    * @param mutations by name, in the order of their writes
    */
   record Batch(
-      Map<String, TransactionBatcher.Mutation> origin,
+      Map<String, TransactionBatcher.Mutation> sourceQueue,
       Map<String, TransactionBatcher.Mutation> mutations,
       List<Write> writes,
       KeyValueStore.Urgency urgency) {
@@ -53,20 +53,20 @@
   }
 
   private final EventLoop loop;
-  private final int maxOps;
+  private final int maxWrites;
   private final Map<String, TransactionBatcher.Mutation> pending = new LinkedHashMap<>();
   private final Map<String, TransactionBatcher.Mutation> whenIdle = new LinkedHashMap<>();
   private final Map<String, MonotonicTime> submittedAt = new HashMap<>();
-  private int remainingSingles;
+  private int remainingSingleCommits;
 
   /**
    * An empty queue.
    *
-   * @param maxOps maximum number of writes of a transaction
+   * @param maxWrites maximum number of writes of a transaction
    */
-  PendingMutations(EventLoop loop, int maxOps) {
+  PendingMutations(EventLoop loop, int maxWrites) {
     this.loop = loop;
-    this.maxOps = maxOps;
+    this.maxWrites = maxWrites;
   }
 
   /** Adds a mutation, in place of one of the same name that was not taken yet. */
@@ -99,63 +99,63 @@
     if (batch.writes().isEmpty()) {
       return Optional.empty();
     }
-    remainingSingles = Math.max(0, remainingSingles - 1);
+    remainingSingleCommits = Math.max(0, remainingSingleCommits - 1);
     return Optional.of(batch);
   }
 
   private void fill(Batch batch) {
-    int bytes = 0;
-    for (String name : inOrder(batch.origin())) {
-      TransactionBatcher.Mutation mutation = batch.origin().get(name);
+    int batchBytes = 0;
+    for (String name : prioritize(batch.sourceQueue())) {
+      TransactionBatcher.Mutation mutation = batch.sourceQueue().get(name);
       List<Write> writes = mutation.writes();
       if (writes.isEmpty()) {
-        batch.origin().remove(name);
+        batch.sourceQueue().remove(name);
         submittedAt.remove(name);
         continue;
       }
-      int size = writes.stream().mapToInt(PendingMutations::estimatedSize).sum();
+      int mutationBytes = writes.stream().mapToInt(PendingMutations::estimatedBytes).sum();
       boolean full =
-          remainingSingles > 0
-              || batch.writes().size() + writes.size() > maxOps
-              || bytes + size > MAX_TRANSACTION_BYTES;
+          remainingSingleCommits > 0
+              || batch.writes().size() + writes.size() > maxWrites
+              || batchBytes + mutationBytes > MAX_TRANSACTION_BYTES;
       if (!batch.writes().isEmpty() && full) {
         return;
       }
-      bytes += size;
+      batchBytes += mutationBytes;
       batch.writes().addAll(writes);
       batch.mutations().put(name, mutation);
-      batch.origin().remove(name);
+      batch.sourceQueue().remove(name);
     }
   }
 
   /** Where writes are scarce, mutations that are not urgent let others pass, but not for ever. */
-  private List<String> inOrder(Map<String, TransactionBatcher.Mutation> origin) {
-    List<String> order = new ArrayList<>();
-    List<String> soon = new ArrayList<>();
-    List<String> later = new ArrayList<>();
-    MonotonicTime overdue = loop.now().minus(MAX_DEFERRAL);
-    origin.forEach(
+  private List<String> prioritize(Map<String, TransactionBatcher.Mutation> queue) {
+    List<String> ordered = new ArrayList<>();
+    List<String> urgentOrOverdue = new ArrayList<>();
+    List<String> deferrable = new ArrayList<>();
+    MonotonicTime overdueBefore = loop.now().minus(MAX_DEFERRAL);
+    queue.forEach(
         (name, mutation) -> {
           boolean urgent = mutation.urgent();
           if (urgent && mutation.takesPrecedence()) {
-            order.add(name);
-          } else if (urgent || isOverdue(name, overdue)) {
-            soon.add(name);
+            ordered.add(name);
+          } else if (urgent || isOverdue(name, overdueBefore)) {
+            urgentOrOverdue.add(name);
           } else {
-            later.add(name);
+            deferrable.add(name);
           }
         });
-    order.addAll(soon);
-    order.addAll(later);
-    return order;
+    ordered.addAll(urgentOrOverdue);
+    ordered.addAll(deferrable);
+    return ordered;
   }
 
-  private boolean isOverdue(String name, MonotonicTime overdue) {
-    MonotonicTime since = submittedAt.get(name);
-    return since == null || overdue.isAfter(since);
+  private boolean isOverdue(String name, MonotonicTime overdueBefore) {
+    MonotonicTime submitted = submittedAt.get(name);
+    return submitted == null || overdueBefore.isAfter(submitted);
   }
 
-  private static int estimatedSize(Write write) {
+  private static int estimatedBytes(Write write) {
     return WRITE_OVERHEAD_BYTES
         + write.key().length()
         + write.value().map(String::length).orElse(0);
@@ -163,15 +163,15 @@
 
   /** Puts a batch back at the front; mutations submitted anew meanwhile stay: they are newer. */
   void restore(Batch batch) {
-    Map<String, TransactionBatcher.Mutation> newer = new LinkedHashMap<>(batch.origin());
-    batch.origin().clear();
-    batch.origin().putAll(batch.mutations());
-    batch.origin().putAll(newer);
+    Map<String, TransactionBatcher.Mutation> newer = new LinkedHashMap<>(batch.sourceQueue());
+    batch.sourceQueue().clear();
+    batch.sourceQueue().putAll(batch.mutations());
+    batch.sourceQueue().putAll(newer);
   }
 
   /** Restores a batch that was rejected and takes each of its mutations alone from now on. */
-  void restoreAsSingles(Batch batch) {
-    remainingSingles = batch.mutations().size();
+  void restoreForSingleCommits(Batch batch) {
+    remainingSingleCommits = batch.mutations().size();
     restore(batch);
   }
 
--- a/src/main/java/org/mulleinshift/store/WatchCache.java
+++ b/src/main/java/org/mulleinshift/store/PrefixWatcher.java
@@ -15,7 +15,7 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /** Follows all keys with a prefix: reads them once, then watches, and reads again when it must. */
-public final class WatchCache {
+public final class PrefixWatcher {
   /** The states of following. */
   public enum State {
     /** Not started. */
@@ -25,7 +25,7 @@
     /** A watch is open, or about to be opened. */
     WATCHING,
     /** A call failed; it is repeated after a pause. */
-    PAUSED
+    BACKING_OFF
   }
 
   /** Receives every change, in order. */
@@ -38,17 +38,17 @@
   }
 
   /** Minimum pause after a failed call; the maximum is twice as long. */
-  private static final Duration PAUSE = Duration.ofMillis(400);
+  private static final Duration MIN_RETRY_DELAY = Duration.ofMillis(400);
 
   private final EventLoop loop;
   private final KeyValueStore store;
   private final String prefix;
-  private final Duration spacing;
+  private final Duration minInterval;
   private final Listener listener;
   private final ConfirmationQueue confirmations;
   private final Map<String, Revision> revisions = new HashMap<>();
   private Optional<MonotonicTime> currentAsOf = Optional.empty();
-  private boolean complete;
+  private boolean initialReadDone;
   private boolean reading;
   private State state = State.IDLE;
   private Revision revision = new Revision(0);
@@ -60,25 +60,25 @@
    * A cache that has not started.
    *
    * @param prefix of the keys to follow
-   * @param spacing minimum time between two watches, and between two confirmations
+   * @param minInterval minimum time between two watches, and between two confirmations
    */
-  public WatchCache(
-      EventLoop loop, KeyValueStore store, String prefix, Duration spacing, Listener listener) {
+  public PrefixWatcher(
+      EventLoop loop, KeyValueStore store, String prefix, Duration minInterval, Listener listener) {
     this.loop = loop;
     this.store = store;
     this.prefix = prefix;
-    this.spacing = spacing;
+    this.minInterval = minInterval;
     this.listener = listener;
-    this.confirmations = new ConfirmationQueue(loop, spacing, this::requestConfirmation);
+    this.confirmations = new ConfirmationQueue(loop, minInterval, this::requestConfirmation);
   }
 
   /** Begins to follow the keys. */
   public void start() {
-    read();
+    readAllKeys();
   }
 
   /** Reads everything again, a page at a time; what an open watch still brings is ignored. */
-  public void read() {
+  public void readAllKeys() {
     reading = true;
     readPage(Optional.empty(), Optional.empty(), new HashSet<>(revisions.keySet()));
   }
@@ -88,17 +88,17 @@
 
   private void readPage(
       Optional<String> after, Optional<ReadStart> firstPage, Set<String> unseenKeys) {
-    long current = enter(State.READING);
+    long step = beginStep(State.READING);
     MonotonicTime requestedAt = loop.now();
     store.readPage(
         prefix,
         after,
         result -> {
-          if (current != generation) {
+          if (step != generation) {
             return;
           }
           if (!(result instanceof KeyValueStore.ReadResult.Found<StoreCodec.Range> found)) {
-            pause(() -> readPage(after, firstPage, unseenKeys));
+            retryAfterDelay(() -> readPage(after, firstPage, unseenKeys));
             return;
           }
           StoreCodec.Range page = found.value();
@@ -132,7 +132,7 @@
     revision = start.revision();
     advanceCurrentAsOf(start.requestedAt());
     reading = false;
-    complete = true;
+    initialReadDone = true;
     listener.onCaughtUp(revision);
   }
 
@@ -154,7 +154,7 @@
   }
 
   private void requestConfirmation(KeyValueStore.Urgency urgency, Consumer<Boolean> callback) {
-    if (!complete) {
+    if (!initialReadDone) {
       callback.accept(false);
       return;
     }
@@ -166,7 +166,7 @@
         result -> {
           boolean confirmed =
               result instanceof KeyValueStore.ReadResult.Found<StoreCodec.Changes> found
-                  && offer(found.value(), requestedAt);
+                  && tryApply(found.value(), requestedAt);
           callback.accept(confirmed);
         });
   }
@@ -185,7 +185,7 @@
   }
 
   /** Starts the next step; answers to calls of earlier steps are ignored from now on. */
-  private long enter(State next) {
+  private long beginStep(State next) {
     state = next;
     return ++generation;
   }
@@ -195,51 +195,52 @@
     return state;
   }
 
-  private void pause(Runnable next) {
-    long current = enter(State.PAUSED);
-    Duration jittered = PAUSE.plusMillis((long) (loop.random() * PAUSE.toMillis()));
-    afterIfCurrent(jittered, current, next);
+  private void retryAfterDelay(Runnable next) {
+    long step = beginStep(State.BACKING_OFF);
+    Duration delay =
+        MIN_RETRY_DELAY.plusMillis((long) (loop.random() * MIN_RETRY_DELAY.toMillis()));
+    scheduleIfCurrent(delay, step, next);
   }
 
-  private void afterIfCurrent(Duration delay, long current, Runnable next) {
+  private void scheduleIfCurrent(Duration delay, long step, Runnable next) {
     loop.after(
         delay,
         () -> {
-          if (current == generation) {
+          if (step == generation) {
             next.run();
           }
         });
   }
 
   private void watch() {
-    long current = enter(State.WATCHING);
+    long step = beginStep(State.WATCHING);
     MonotonicTime openedAt = loop.now();
     store.watch(
         prefix,
         revision,
         result -> {
-          if (current != generation) {
+          if (step != generation) {
             return;
           }
           if (result instanceof KeyValueStore.ReadResult.Found<StoreCodec.Changes> found) {
             apply(found.value(), openedAt);
-            watchAgain(openedAt);
+            scheduleNextWatch(openedAt);
           } else if (result instanceof KeyValueStore.ReadResult.Absent<StoreCodec.Changes>) {
             // The store no longer keeps the changes since our revision.
-            read();
+            readAllKeys();
           } else {
-            pause(this::watch);
+            retryAfterDelay(this::watch);
           }
         });
   }
 
   /** Changes that follow each other closely share an answer. */
-  private void watchAgain(MonotonicTime openedAt) {
+  private void scheduleNextWatch(MonotonicTime openedAt) {
     Duration elapsed = loop.now().since(openedAt);
-    if (elapsed.compareTo(spacing) >= 0) {
+    if (elapsed.compareTo(minInterval) >= 0) {
       watch();
     } else {
-      afterIfCurrent(spacing.minus(elapsed), generation, this::watch);
+      scheduleIfCurrent(minInterval.minus(elapsed), generation, this::watch);
     }
   }
 
@@ -254,8 +255,8 @@
    * @param requestedAt when they were requested
    * @return false if they can't be applied now
    */
-  public boolean offer(StoreCodec.Changes changes, MonotonicTime requestedAt) {
-    if (!complete || reading) {
+  public boolean tryApply(StoreCodec.Changes changes, MonotonicTime requestedAt) {
+    if (!initialReadDone || reading) {
       return false;
     }
     apply(changes, requestedAt);
@@ -264,7 +265,7 @@
 
   private void apply(StoreCodec.Changes changes, MonotonicTime requestedAt) {
     for (StoreCodec.Change change : changes.changes()) {
-      if (!isKnown(change)) {
+      if (!isAlreadyApplied(change)) {
         apply(change);
       }
     }
@@ -279,7 +280,7 @@
    * Answers to watches and confirmations cross: what lies before our revision was passed on
    * already, and a key that was deleted since must not come back by it.
    */
-  private boolean isKnown(StoreCodec.Change change) {
+  private boolean isAlreadyApplied(StoreCodec.Change change) {
     Revision known = revisions.getOrDefault(change.key(), revision);
     return known.compareTo(change.revision()) >= 0 || revision.compareTo(change.revision()) >= 0;
   }
--- a/src/main/java/org/mulleinshift/store/StoreRateBudget.java
+++ b/src/main/java/org/mulleinshift/store/StoreRateBudget.java
@@ -19,12 +19,12 @@
   private final RateLimiter writes;
   private double requestRate;
   private double writeRate;
-  private boolean reducedLimits;
+  private boolean limitsReduced;
 
   StoreRateBudget(EventLoop loop, KeyValueStore.Rates rates) {
     this.rates = rates;
-    this.requestRate = rates.requests();
-    this.writeRate = rates.writes();
+    this.requestRate = rates.requestsPerSecond();
+    this.writeRate = rates.writesPerSecond();
     this.requests = new RateLimiter(loop, requestRate);
     this.writes = new RateLimiter(loop, writeRate);
   }
@@ -35,7 +35,7 @@
       acquireRequest();
       return true;
     }
-    return requests.tryAcquire(1, urgency.reserve() * requestRate);
+    return requests.tryAcquire(1, urgency.reserveFraction() * requestRate);
   }
 
   /** Takes one request in any case; later ones wait the longer. */
@@ -49,12 +49,12 @@
       writes.acquireOverdraft(count);
       return true;
     }
-    return writes.tryAcquire(count, urgency.reserve() * writeRate);
+    return writes.tryAcquire(count, urgency.reserveFraction() * writeRate);
   }
 
   /** Sets this node's share of the write rate, given for the store's initial limits. */
   void setWriteRate(double writesPerSecond) {
-    writeRate = writesPerSecond * (reducedLimits ? rates.writesShareAfterReduction() : 1);
+    writeRate = writesPerSecond * (limitsReduced ? rates.writesShareAfterReduction() : 1);
     writes.setRate(writeRate);
   }
 
@@ -62,10 +62,10 @@
   void onRateLimited() {
     boolean reductionExpected =
         rates.requestsShareAfterReduction() < 1 || rates.writesShareAfterReduction() < 1;
-    if (reducedLimits || !reductionExpected) {
+    if (limitsReduced || !reductionExpected) {
       return;
     }
-    reducedLimits = true;
+    limitsReduced = true;
     writeRate *= rates.writesShareAfterReduction();
     requestRate *= rates.requestsShareAfterReduction();
     LOG.info("store rate reduced, requests={} writes={}", requestRate, writeRate);
--- a/src/main/java/org/mulleinshift/store/TransactionBatcher.java
+++ b/src/main/java/org/mulleinshift/store/TransactionBatcher.java
@@ -33,7 +33,7 @@
   private static final int MAX_LOGGED_REJECTIONS = 1000;
 
   /** The revision of a key that does not exist. */
-  private static final Revision ABSENT = new Revision(0);
+  private static final Revision ABSENT_KEY_REVISION = new Revision(0);
 
   /** States of the batcher. */
   public enum State {
@@ -81,39 +81,39 @@
   private final EventLoop loop;
   private final KeyValueStore store;
   private final Revision term;
-  private final Duration spacing;
+  private final Duration minInterval;
   private final Runnable onLeadershipLost;
   private final PendingMutations mutations;
-  private final Map<String, Revision> revisions = new HashMap<>();
+  private final Map<String, Revision> lastSeenRevisions = new HashMap<>();
   private final Set<String> loggedRejections = new HashSet<>();
   private State state = State.IDLE;
-  private boolean flushPlanned;
-  private int unconfirmedInARow;
-  private MonotonicTime sentAt;
+  private boolean flushScheduled;
+  private int consecutiveUnconfirmed;
+  private MonotonicTime lastSentAt;
 
   /**
    * A batcher for one term.
    *
    * @param term revision of the leader key, compared by every transaction
-   * @param maxOps maximum number of writes of a transaction
-   * @param spacing minimum time between two transactions: what comes meanwhile shares the next one,
-   *     and the request rate remains for others
+   * @param maxWrites maximum number of writes of a transaction
+   * @param minInterval minimum time between two transactions: what comes meanwhile shares the next
+   *     one, and the request rate remains for others
    * @param onLeadershipLost called once it is certain that the term is over
    */
   public TransactionBatcher(
       EventLoop loop,
       KeyValueStore store,
       Revision term,
-      int maxOps,
-      Duration spacing,
+      int maxWrites,
+      Duration minInterval,
       Runnable onLeadershipLost) {
     this.loop = loop;
     this.store = store;
     this.term = term;
-    this.spacing = spacing;
-    this.sentAt = loop.now().minus(spacing);
+    this.minInterval = minInterval;
+    this.lastSentAt = loop.now().minus(minInterval);
     this.onLeadershipLost = onLeadershipLost;
-    this.mutations = new PendingMutations(loop, maxOps);
+    this.mutations = new PendingMutations(loop, maxWrites);
   }
 
   /**
@@ -121,19 +121,19 @@
    * no guard of the store covers. By the clock alone the term may seem current after its lease was
    * revoked early.
    *
-   * @param confirmed called if the term is current
-   * @param otherwise called if it is not, or cannot be confirmed
+   * @param onConfirmed called if the term is current
+   * @param onUnconfirmed called if it is not, or cannot be confirmed
    */
-  public void ifStillLeader(Runnable confirmed, Runnable otherwise) {
+  public void confirmLeadership(Runnable onConfirmed, Runnable onUnconfirmed) {
     store.commit(
         List.of(leaderGuard()),
         List.of(),
         KeyValueStore.Urgency.PROMPT,
         result -> {
           if (result instanceof KeyValueStore.CommitResult.Committed && state != State.CLOSED) {
-            confirmed.run();
+            onConfirmed.run();
           } else {
-            otherwise.run();
+            onUnconfirmed.run();
           }
         });
   }
@@ -145,17 +145,17 @@
 
   /** Records the revision at which a key was last seen; the next write of the key demands it. */
   public void recordRevision(String key, Revision revision) {
-    revisions.put(key, revision);
+    lastSeenRevisions.put(key, revision);
   }
 
   /** Whether the key exists in the store, as last seen. */
   public boolean hasRevision(String key) {
-    return revisions.containsKey(key);
+    return lastSeenRevisions.containsKey(key);
   }
 
   /** Forgets a key that is not written again. */
   public void forgetRevision(String key) {
-    revisions.remove(key);
+    lastSeenRevisions.remove(key);
   }
 
   /** Submits a mutation; one of the same name that is not yet on its way is replaced. */
@@ -164,14 +164,14 @@
       return;
     }
     mutations.add(name, mutation);
-    planFlush(Duration.ZERO);
+    scheduleFlush(Duration.ZERO);
   }
 
   /** Submits a mutation to be stored when nothing else waits and the rate allows it. */
   public void submitWhenIdle(String name, Mutation mutation) {
     if (state != State.CLOSED) {
       mutations.addWhenIdle(name, mutation);
-      planFlush(Duration.ZERO);
+      scheduleFlush(Duration.ZERO);
     }
   }
 
@@ -188,19 +188,19 @@
     }
   }
 
-  private void planFlush(Duration delay) {
-    if (flushPlanned) {
+  private void scheduleFlush(Duration delay) {
+    if (flushScheduled) {
       return;
     }
-    flushPlanned = true;
+    flushScheduled = true;
     Runnable flush =
         () -> {
-          flushPlanned = false;
+          flushScheduled = false;
           flush();
         };
-    Duration remainingSpacing = spacing.minus(loop.now().since(sentAt));
-    if (remainingSpacing.compareTo(delay) > 0) {
-      loop.after(remainingSpacing, flush);
+    Duration remainingInterval = minInterval.minus(loop.now().since(lastSentAt));
+    if (remainingInterval.compareTo(delay) > 0) {
+      loop.after(remainingInterval, flush);
     } else if (delay.isZero()) {
       // At the end of the current step, so that what one step changes shares a transaction.
       loop.post(flush);
@@ -216,7 +216,7 @@
   }
 
   private void commit(PendingMutations.Batch batch) {
-    sentAt = loop.now();
+    lastSentAt = loop.now();
     transitionTo(State.COMMITTING);
     store.commit(guards(batch), batch.writes(), batch.urgency(), result -> onResult(batch, result));
   }
@@ -229,7 +229,7 @@
     List<Compare> guards = new ArrayList<>();
     guards.add(leaderGuard());
     for (String key : batch.keys()) {
-      guards.add(new Compare(key, revisions.getOrDefault(key, ABSENT)));
+      guards.add(new Compare(key, lastSeenRevisions.getOrDefault(key, ABSENT_KEY_REVISION)));
     }
     return guards;
   }
@@ -246,7 +246,7 @@
         || result instanceof KeyValueStore.CommitResult.Busy) {
       mutations.restore(batch);
       transitionTo(State.IDLE);
-      planFlush(RETRY_DELAY);
+      scheduleFlush(RETRY_DELAY);
     } else {
       onUncertain(batch, result);
     }
@@ -255,16 +255,16 @@
   private void onCommitted(PendingMutations.Batch batch, Revision revision) {
     for (Write write : batch.writes()) {
       if (write.value().isPresent()) {
-        revisions.put(write.key(), revision);
+        lastSeenRevisions.put(write.key(), revision);
       } else {
-        revisions.remove(write.key());
+        lastSeenRevisions.remove(write.key());
       }
     }
     transitionTo(State.IDLE);
-    unconfirmedInARow = 0;
+    consecutiveUnconfirmed = 0;
     mutations.onCommitted(batch);
     batch.mutations().values().forEach(mutation -> mutation.onCommitted(revision));
-    planFlush(Duration.ZERO);
+    scheduleFlush(Duration.ZERO);
   }
 
   /**
@@ -274,11 +274,11 @@
   private void onRejected(PendingMutations.Batch batch, String reason) {
     transitionTo(State.IDLE);
     if (batch.mutations().size() > 1) {
-      mutations.restoreAsSingles(batch);
+      mutations.restoreForSingleCommits(batch);
     } else {
       batch.mutations().forEach((name, mutation) -> onRejected(name, mutation, reason));
     }
-    planFlush(RETRY_DELAY);
+    scheduleFlush(RETRY_DELAY);
   }
 
   private void onRejected(String name, Mutation mutation, String reason) {
@@ -294,13 +294,13 @@
    */
   private void onUncertain(PendingMutations.Batch batch, KeyValueStore.CommitResult result) {
     mutations.restore(batch);
-    unconfirmedInARow++;
+    consecutiveUnconfirmed++;
     LOG.info(
         "transaction not confirmed, term={} result={} writes={} in_a_row={}",
         term,
         result.getClass().getSimpleName(),
         batch.writesByKind(),
-        unconfirmedInARow);
+        consecutiveUnconfirmed);
     transitionTo(State.REREADING);
     List<String> keys = new ArrayList<>();
     keys.add(StoreKeys.LEADER);
@@ -315,7 +315,7 @@
     }
     if (keys.isEmpty()) {
       transitionTo(State.IDLE);
-      planFlush(Duration.ZERO);
+      scheduleFlush(Duration.ZERO);
       return;
     }
     String key = keys.get(keys.size() - 1);
@@ -342,7 +342,7 @@
       return;
     }
     item.ifPresentOrElse(
-        found -> revisions.put(key, found.revision()), () -> revisions.remove(key));
+        found -> lastSeenRevisions.put(key, found.revision()), () -> lastSeenRevisions.remove(key));
     batch.mutations().values().forEach(mutation -> mutation.onReread(key, item));
     reread(keys, batch);
   }
--- a/src/test/java/org/mulleinshift/membership/IndirectLeaseRenewalTest.java
+++ b/src/test/java/org/mulleinshift/membership/IndirectLeaseRenewalTest.java
@@ -23,8 +23,8 @@
 import org.mulleinshift.protocol.peer.LeaseRenewalRequest;
 import org.mulleinshift.protocol.peer.LeaseRenewalResponse;
 import org.mulleinshift.store.KeyValueStore;
+import org.mulleinshift.store.PrefixWatcher;
 import org.mulleinshift.store.StoreKeys;
-import org.mulleinshift.store.WatchCache;
 import org.mulleinshift.transport.HttpRequest;
 import org.mulleinshift.transport.HttpResponse;
 import org.mulleinshift.transport.MonotonicTime;
@@ -83,8 +83,8 @@
           Duration.ofSeconds(2),
           () -> jobs().confirmCurrentUrgently(),
           () -> {});
-  private final WatchCache control = follow(StoreKeys.CONTROL, () -> {});
-  private final WatchCache jobs =
+  private final PrefixWatcher control = follow(StoreKeys.CONTROL, () -> {});
+  private final PrefixWatcher jobs =
       follow(
           StoreKeys.ACTIVE_JOBS,
           () -> jobs().currentAsOf().ifPresent(session::onCancellationsKnown));
@@ -95,17 +95,17 @@
           new IndirectLeaseRenewal.Context(store, storeHealth, peers, session, view, control, jobs),
           (node, body) -> sent.add(body));
 
-  private WatchCache jobs() {
+  private PrefixWatcher jobs() {
     return jobs;
   }
 
-  private WatchCache follow(String prefix, Runnable settled) {
-    return new WatchCache(
+  private PrefixWatcher follow(String prefix, Runnable settled) {
+    return new PrefixWatcher(
         loop,
         store,
         prefix,
         Duration.ofMillis(40),
-        new WatchCache.Listener() {
+        new PrefixWatcher.Listener() {
           @Override
           public void onChange(String key, Optional<StoreCodec.KeyValue> item) {
             if (prefix.equals(StoreKeys.CONTROL)) {
@@ -152,7 +152,7 @@
   }
 
   private void startWithReachableStore() {
-    store.observe(storeHealth);
+    store.setCallObserver(storeHealth);
     storeHealth.start();
     session.start();
     control.start();
--- a/src/test/java/org/mulleinshift/store/PendingMutationsTest.java
+++ b/src/test/java/org/mulleinshift/store/PendingMutationsTest.java
@@ -12,10 +12,10 @@
 
 /** Which mutations share a transaction, and in which order. */
 class PendingMutationsTest {
-  private static final int MAX_OPS = 3;
+  private static final int MAX_WRITES = 3;
 
   private final VirtualEventLoop loop = new VirtualEventLoop();
-  private final PendingMutations mutations = new PendingMutations(loop, MAX_OPS);
+  private final PendingMutations mutations = new PendingMutations(loop, MAX_WRITES);
 
   /** Writes one key. */
   private record KeyMutation(String key, boolean urgent) implements TransactionBatcher.Mutation {
@@ -81,7 +81,7 @@
     add("a", true);
     add("b", true);
     add("c", true);
-    mutations.restoreAsSingles(mutations.takeBatch().orElseThrow());
+    mutations.restoreForSingleCommits(mutations.takeBatch().orElseThrow());
     assertEquals(List.of("a"), nextKeys());
     assertEquals(List.of("b"), nextKeys());
     assertEquals(List.of("c"), nextKeys());
--- a/src/test/java/org/mulleinshift/store/TransactionBatcherTest.java
+++ b/src/test/java/org/mulleinshift/store/TransactionBatcherTest.java
@@ -25,7 +25,7 @@
   private static final Revision READ = new Revision(5);
   private static final Revision CANCELLED = new Revision(7);
   private static final int CONFLICT = 409;
-  private static final int MAX_OPERATIONS = 12;
+  private static final int MAX_WRITES = 12;
 
   private final VirtualEventLoop loop = new VirtualEventLoop();
   private final StoreStub store = new StoreStub();
@@ -34,7 +34,7 @@
           loop,
           new KeyValueStore(loop, store, store, ADDRESS, new KeyValueStore.Rates(1000, 1000, 1, 1)),
           TERM,
-          MAX_OPERATIONS,
+          MAX_WRITES,
           Duration.ofMillis(10),
           () -> {});
   private int committed;
