--- a/src/main/java/org/mulleinshift/store/ConfirmationQueue.java
+++ b/src/main/java/org/mulleinshift/store/ConfirmationQueue.java
@@ -8,16 +8,16 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * Callers that wait for a confirmation that a {@link PrefixWatcher} is current. Whoever asks before
- * a confirmation is requested shares it, so that many callers cost one request.
+ * Callers that wait for confirmation that a {@link PrefixWatcher} is current. All callers that are
+ * added before the next request is sent share its result, so that many callers cost one request.
  */
 final class ConfirmationQueue {
   /** Requests one confirmation from the store. */
   @FunctionalInterface
   interface Requester {
     /**
-     * Calls back with true once every change up to now was applied, or with false if that cannot be
-     * known now.
+     * Calls back with true once every change stored before this call was applied, or with false if
+     * the store did not confirm that.
      */
     void confirm(KeyValueStore.Urgency urgency, Consumer<Boolean> callback);
   }
@@ -31,7 +31,7 @@
   private KeyValueStore.Urgency urgency = KeyValueStore.Urgency.NORMAL;
 
   /**
-   * An empty queue.
+   * Creates an empty queue.
    *
    * @param minInterval minimum time between two confirmations
    */
@@ -42,13 +42,13 @@
     this.lastRequestedAt = loop.now().minus(minInterval);
   }
 
-  /** Adds a caller to the next confirmation. */
+  /** Calls back with the result of the next confirmation to be requested. */
   void add(Consumer<Boolean> callback) {
     waiting.add(callback);
     scheduleRequest();
   }
 
-  /** Has the next confirmation requested even if the store's rate is used up. */
+  /** Requests the next confirmation even if the rate budget is used up. */
   void addUrgent() {
     urgency = KeyValueStore.Urgency.URGENT;
     add(confirmed -> {});
--- a/src/main/java/org/mulleinshift/store/KeyValueStore.java
+++ b/src/main/java/org/mulleinshift/store/KeyValueStore.java
@@ -21,28 +21,29 @@
 /**
  * Client of the consensus-backed key-value store.
  *
- * <p>Every write is guarded by compare-and-swap conditions, so that a transaction that is applied
- * late changes nothing. All callbacks run on the event loop.
+ * <p>Callers guard their writes with compare-and-swap conditions, so that a transaction that the
+ * store applies late changes nothing. All callbacks run on the event loop.
  */
 public final class KeyValueStore {
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
 
-  /** A page takes longer than a single key. */
+  /** Reading a page of keys takes longer than reading a single key. */
   private static final Duration PAGE_TIMEOUT = CALL_TIMEOUT.multipliedBy(2);
 
-  /** Callers that wait for a confirmation hardly wait longer than this. */
+  /** Callers that wait for a confirmation rarely wait longer than this. */
   private static final Duration READ_CHANGES_TIMEOUT = Duration.ofMillis(1500);
 
-  /** How long the store keeps a watch open without changes. */
+  /** How long the store keeps a watch open without changes before it answers. */
   private static final Duration LONG_POLL_WAIT = Duration.ofSeconds(8);
 
+  /** Longer than {@link #LONG_POLL_WAIT}, after which the store answers even without changes. */
   private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(11);
 
-  /** How a call competes for this node's share of the store's rates. */
+  /** The priority of a call within this node's share of the store's rates. */
   public enum Urgency {
-    /** Sent in any case, such as a lease renewal or the acceptance of a job. */
+    /** Sent even if the rate is used up, such as a lease renewal or the acceptance of a job. */
     URGENT(0),
-    /** A caller waits for it, but it may be refused. */
+    /** A caller waits for it; may use the whole rate, but is refused once that is used up. */
     PROMPT(0),
     /** Leaves a small reserve of the rate to more urgent calls. */
     NORMAL(0.15),
@@ -55,7 +56,7 @@
       this.reserveFraction = reserveFraction;
     }
 
-    /** The part of the rate that the call must leave unused. */
+    /** The fraction of the rate that the call must leave unused. */
     double reserveFraction() {
       return reserveFraction;
     }
@@ -66,13 +67,16 @@
     /** The store returned a value. */
     record Found<T>(T value) implements ReadResult<T> {}
 
-    /** Certain: there is no such key, lease or change history. */
+    /**
+     * Certain: there is no such key or lease, or the store can't return the changes that were asked
+     * for, since it no longer keeps them or they are too long for one response.
+     */
     record Absent<T>() implements ReadResult<T> {}
 
-    /** Nothing is known; a write may have happened or may happen later. */
+    /** No usable response: the call may have been carried out, or may be later. */
     record Unknown<T>() implements ReadResult<T> {}
 
-    /** Certain: not carried out. */
+    /** Certain: not carried out, since a rate is used up or the store is unavailable. */
     record Refused<T>() implements ReadResult<T> {}
   }
 
@@ -87,27 +91,27 @@
     /** Certain: not carried out, since a write names a lease that has expired. */
     record LeaseExpired() implements CommitResult {}
 
-    /** Certain: not carried out, and never will be in this form. */
+    /** Certain: not carried out; the store would reject the same transaction again. */
     record Rejected(String reason) implements CommitResult {}
 
-    /** Nothing is known: it may have been carried out or may be later; the keys must be re-read. */
+    /** No usable response: it may have been carried out, or may be later; re-read the keys. */
     record Unknown() implements CommitResult {}
 
-    /** Certain: not carried out, and not soon. */
+    /** Certain: not carried out, since the store is unavailable. */
     record Refused() implements CommitResult {}
 
-    /** Certain: not carried out, since the rate is used up for a moment. */
+    /** Certain: not carried out, since the rate is used up for the moment. */
     record Busy() implements CommitResult {}
   }
 
   /**
    * This node's shares of the store's rates.
    *
-   * @param requestsPerSecond requests per second
-   * @param writesPerSecond written keys per second
-   * @param requestsShareAfterReduction the part of the request rate that remains once the store's
-   *     limits are reduced
-   * @param writesShareAfterReduction the part of the write rate that remains then
+   * @param requestsPerSecond maximum rate of requests
+   * @param writesPerSecond maximum rate of written keys
+   * @param requestsShareAfterReduction the fraction of the request rate that remains once the
+   *     store's limits are reduced
+   * @param writesShareAfterReduction the fraction of the write rate that remains then
    */
   public record Rates(
       double requestsPerSecond,
@@ -115,18 +119,18 @@
       double requestsShareAfterReduction,
       double writesShareAfterReduction) {}
 
-  /** Observes the outcome of calls; not of watches, whose answers wait for changes. */
+  /** Observes the outcome of calls; not of watches, whose responses wait for changes. */
   public interface CallObserver {
     /** A call was sent. */
     void sent();
 
-    /** Answered; a refusal above the rate is an answer too. */
+    /** The store responded; a refusal because a rate was exceeded counts as a response. */
     void served();
 
     /**
-     * Refused as unavailable, or no answer came.
+     * The store responded that it is unavailable, or did not respond in time.
      *
-     * @param sentAt when the call was made: answers to later ones may have come meanwhile
+     * @param sentAt when the call was sent; responses to later calls may have arrived since
      */
     void failed(MonotonicTime sentAt);
   }
@@ -139,9 +143,9 @@
   private Optional<CallObserver> observer = Optional.empty();
 
   /**
-   * A client of the store at the address.
+   * Creates a client of the store at the address.
    *
-   * @param calls connections for calls that are answered at once
+   * @param calls connections for calls that the store answers at once
    * @param watches connections for watches, which stay open
    */
   public KeyValueStore(
@@ -157,17 +161,20 @@
     this.budget = new StoreRateBudget(loop, rates);
   }
 
-  /** Reports the outcome of calls to the observer from now on, in place of an earlier one. */
+  /** Sets the observer of later calls; replaces the previous one. */
   public void setCallObserver(CallObserver newObserver) {
     observer = Optional.of(newObserver);
   }
 
-  /** This node's share of the write rate changes with its role. */
+  /**
+   * Sets this node's share of the write rate, which depends on its role. The rate is given for the
+   * store's limits before any reduction.
+   */
   public void setWriteRate(double writesPerSecond) {
     budget.setWriteRate(writesPerSecond);
   }
 
-  /** Reads one key. */
+  /** Reads one key; absent if it does not exist. */
   public void get(String key, Urgency urgency, Consumer<ReadResult<KeyValue>> callback) {
     call(
         HttpRequest.get(StoreCodec.keyPath(key), CALL_TIMEOUT),
@@ -176,7 +183,7 @@
         callback);
   }
 
-  /** The keys with the prefix that come after the given one, as many as fit into an answer. */
+  /** Reads the keys with the prefix that come after the given one, as many as fit into a page. */
   public void readPage(
       String prefix, Optional<String> after, Consumer<ReadResult<StoreCodec.Range>> callback) {
     call(
@@ -186,7 +193,10 @@
         callback);
   }
 
-  /** All keys with a prefix that few keys have; not a snapshot of one moment. */
+  /**
+   * Reads all keys with a prefix that few keys have, page by page. The result is not a snapshot:
+   * pages may be read at different revisions, and it has the revision of the first one.
+   */
   public void readAll(String prefix, Consumer<ReadResult<StoreCodec.Range>> callback) {
     readAllFrom(prefix, Optional.empty(), new ArrayList<>(), Optional.empty(), callback);
   }
@@ -207,7 +217,7 @@
           }
           StoreCodec.Range range = page.value();
           found.addAll(range.items());
-          // The oldest page's revision: a watch from there misses nothing.
+          // A watch from the first page's revision misses no change.
           Revision revision = firstRevision.orElse(range.revision());
           if (range.next().isPresent()) {
             readAllFrom(prefix, range.next(), found, Optional.of(revision), callback);
@@ -217,7 +227,7 @@
         });
   }
 
-  /** Writes all changes in one transaction, if all guards match. */
+  /** Commits all changes in one transaction if all guards match, and none otherwise. */
   public void commit(
       List<Compare> guards, List<Write> changes, Urgency urgency, Consumer<CommitResult> callback) {
     if (!budget.tryAcquireWrites(changes.size(), urgency)) {
@@ -231,7 +241,7 @@
         response -> callback.accept(StoreResponses.toCommitResult(response)));
   }
 
-  /** Grants a new lease that expires unless it is renewed within its time to live. */
+  /** Creates a lease that expires unless it is renewed within its time to live. */
   public void grantLease(Duration ttl, Consumer<ReadResult<LeaseId>> callback) {
     call(
         HttpRequest.post(StoreCodec.LEASES_PATH, StoreCodec.writeLeaseRequest(ttl), CALL_TIMEOUT),
@@ -249,7 +259,7 @@
         callback);
   }
 
-  /** Ends a lease, and with it all keys that are bound to it. */
+  /** Revokes a lease and thereby deletes all keys that are bound to it; absent if it expired. */
   public void revokeLease(LeaseId lease, Consumer<ReadResult<Boolean>> callback) {
     call(
         HttpRequest.delete(StoreCodec.leasePath(lease), CALL_TIMEOUT),
@@ -258,7 +268,7 @@
         callback);
   }
 
-  /** All changes up to now, without waiting for any. */
+  /** Reads all changes since a revision, without waiting for new ones. */
   public void readChanges(
       String prefix,
       Revision from,
@@ -271,7 +281,7 @@
         callback);
   }
 
-  /** The next changes since a revision; waits for some, but not for ever. */
+  /** Reads the changes since a revision; if there are none, waits some seconds for the next. */
   public void watch(
       String prefix, Revision from, Consumer<ReadResult<StoreCodec.Changes>> callback) {
     budget.acquireRequest();
--- a/src/main/java/org/mulleinshift/store/PendingMutations.java
+++ b/src/main/java/org/mulleinshift/store/PendingMutations.java
@@ -14,15 +14,18 @@
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Mutations that wait to be stored, by name, and their choice for the next transaction. */
+/** Mutations that wait to be stored, by name; selects those of the next transaction. */
 final class PendingMutations {
-  /** A mutation that is not urgent goes before later ones once it has waited this long. */
+  /** A mutation that is not urgent is treated like an urgent one once it has waited this long. */
   private static final Duration MAX_DEFERRAL = Duration.ofSeconds(2);
 
-  /** Estimated length of a transaction from which on no further mutation is added. */
+  /**
+   * Maximum estimated length of a transaction; only a single mutation that is longer by itself
+   * exceeds it.
+   */
   private static final int MAX_TRANSACTION_BYTES = 48_000;
 
-  /** Estimated bytes of a write and its guard, besides the key and the value. */
+  /** Estimated bytes of a write and its guard, without the key and the value. */
   private static final int WRITE_OVERHEAD_BYTES = 200;
 
   /**
@@ -37,14 +40,14 @@
       List<Write> writes,
       KeyValueStore.Urgency urgency) {
 
-    /** How many writes it has to keys of each kind. */
+    /** The number of writes by kind of key; see {@link StoreKeys#kindOf}. */
     Map<String, Integer> writesByKind() {
       Map<String, Integer> counts = new TreeMap<>();
       writes.forEach(write -> counts.merge(StoreKeys.kindOf(write.key()), 1, Integer::sum));
       return counts;
     }
 
-    /** The keys that it writes, each once. */
+    /** The keys that the batch writes, without duplicates, in the order of their writes. */
     Set<String> keys() {
       Set<String> keys = new LinkedHashSet<>();
       writes.forEach(write -> keys.add(write.key()));
@@ -60,7 +63,7 @@
   private int remainingSingleCommits;
 
   /**
-   * An empty queue.
+   * Creates an empty queue.
    *
    * @param maxWrites maximum number of writes of a transaction
    */
@@ -69,7 +72,7 @@
     this.maxWrites = maxWrites;
   }
 
-  /** Adds a mutation, in place of one of the same name that was not taken yet. */
+  /** Adds a mutation; replaces one of the same name that is still pending. */
   void add(String name, TransactionBatcher.Mutation mutation) {
     pending.put(name, mutation);
     submittedAt.putIfAbsent(name, loop.now());
@@ -86,7 +89,7 @@
     submittedAt.clear();
   }
 
-  /** Takes the mutations of the next transaction; empty if there is nothing to write. */
+  /** Removes and returns the mutations of the next transaction; empty if there are no writes. */
   Optional<Batch> takeBatch() {
     boolean idle = pending.isEmpty();
     Batch batch =
@@ -128,7 +131,11 @@
     }
   }
 
-  /** Where writes are scarce, mutations that are not urgent let others pass, but not for ever. */
+  /**
+   * Orders the names: urgent mutations that take precedence, then other urgent and overdue ones,
+   * then the rest. When the write rate is low, a mutation that is not urgent lets others go first,
+   * but only for {@link #MAX_DEFERRAL}.
+   */
   private List<String> prioritize(Map<String, TransactionBatcher.Mutation> queue) {
     List<String> ordered = new ArrayList<>();
     List<String> urgentOrOverdue = new ArrayList<>();
@@ -161,7 +168,10 @@
         + write.value().map(String::length).orElse(0);
   }
 
-  /** Puts a batch back at the front; mutations submitted anew meanwhile stay: they are newer. */
+  /**
+   * Returns a batch to the front of its queue. A mutation of the same name that was submitted since
+   * the batch was taken is newer and is kept instead.
+   */
   void restore(Batch batch) {
     Map<String, TransactionBatcher.Mutation> newer = new LinkedHashMap<>(batch.sourceQueue());
     batch.sourceQueue().clear();
@@ -169,18 +179,24 @@
     batch.sourceQueue().putAll(newer);
   }
 
-  /** Restores a batch that was rejected and takes each of its mutations alone from now on. */
+  /**
+   * Restores a rejected batch. The next batches, as many as it had mutations, hold one mutation
+   * each, so that the one that causes the rejection can be identified.
+   */
   void restoreForSingleCommits(Batch batch) {
     remainingSingleCommits = batch.mutations().size();
     restore(batch);
   }
 
-  /** A mutation was rejected alone: its waiting time counts anew if it is submitted again. */
+  /** Drops the waiting time of a mutation that was rejected alone. */
   void onRejected(String name) {
     submittedAt.remove(name);
   }
 
-  /** The batch is stored; the waiting time of mutations that were submitted anew goes on. */
+  /**
+   * Drops the waiting times of the batch's mutations, except of those that are pending again, whose
+   * time goes on.
+   */
   void onCommitted(Batch batch) {
     batch.mutations().keySet().stream()
         .filter(name -> !pending.containsKey(name))
--- a/src/main/java/org/mulleinshift/store/PrefixWatcher.java
+++ b/src/main/java/org/mulleinshift/store/PrefixWatcher.java
@@ -14,9 +14,12 @@
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Follows all keys with a prefix: reads them once, then watches, and reads again when it must. */
+/**
+ * Reports every change of the keys with a prefix to a listener: reads all keys once, then watches
+ * for changes, and reads all keys again if the store no longer has the changes that it missed.
+ */
 public final class PrefixWatcher {
-  /** The states of following. */
+  /** States of the watcher. */
   public enum State {
     /** Not started. */
     IDLE,
@@ -24,20 +27,20 @@
     READING,
     /** A watch is open, or about to be opened. */
     WATCHING,
-    /** A call failed; it is repeated after a pause. */
+    /** A call failed; it is repeated after a delay. */
     BACKING_OFF
   }
 
   /** Receives every change, in order. */
   public interface Listener {
-    /** A key has changed; empty if it was deleted. */
+    /** A key has changed; the item is empty if it was deleted. */
     void onChange(String key, Optional<KeyValue> item);
 
     /** All changes up to the revision were passed to {@link #onChange}. */
     void onCaughtUp(Revision revision);
   }
 
-  /** Minimum pause after a failed call; the maximum is twice as long. */
+  /** Minimum delay after a failed call; random jitter at most doubles it. */
   private static final Duration MIN_RETRY_DELAY = Duration.ofMillis(400);
 
   private final EventLoop loop;
@@ -53,13 +56,13 @@
   private State state = State.IDLE;
   private Revision revision = new Revision(0);
 
-  /** Counts the steps of following; the answer to an earlier step's call is ignored. */
+  /** Number of the current step; responses to calls of earlier steps are ignored. */
   private long generation;
 
   /**
-   * A cache that has not started.
+   * Creates a watcher that is not started.
    *
-   * @param prefix of the keys to follow
+   * @param prefix of the keys to watch
    * @param minInterval minimum time between two watches, and between two confirmations
    */
   public PrefixWatcher(
@@ -72,18 +75,18 @@
     this.confirmations = new ConfirmationQueue(loop, minInterval, this::requestConfirmation);
   }
 
-  /** Begins to follow the keys. */
+  /** Starts with a read of all keys. */
   public void start() {
     readAllKeys();
   }
 
-  /** Reads everything again, a page at a time; what an open watch still brings is ignored. */
+  /** Reads all keys again, page by page; the response to a watch that is still open is ignored. */
   public void readAllKeys() {
     reading = true;
     readPage(Optional.empty(), Optional.empty(), new HashSet<>(revisions.keySet()));
   }
 
-  /** From where a watch misses nothing, and when the read that shows that was requested. */
+  /** The revision of the first page, from which a watch misses no change, and its request time. */
   private record ReadStart(Revision revision, MonotonicTime requestedAt) {}
 
   private void readPage(
@@ -103,7 +106,6 @@
           }
           StoreCodec.Range page = found.value();
           applyPage(page.items(), unseenKeys);
-          // The oldest page's revision: a watch from there misses nothing.
           ReadStart start = firstPage.orElse(new ReadStart(page.revision(), requestedAt));
           if (page.next().isPresent()) {
             readPage(page.next(), Optional.of(start), unseenKeys);
@@ -114,7 +116,7 @@
         });
   }
 
-  /** What is parsed is passed on at once, so that no more than a page is kept in memory. */
+  /** Passes a page's items to the listener at once, so that no more than a page is in memory. */
   private void applyPage(List<KeyValue> items, Set<String> unseenKeys) {
     for (KeyValue item : items) {
       unseenKeys.remove(item.key());
@@ -137,17 +139,18 @@
   }
 
   /**
-   * Calls back once every change up to this moment was passed to the listener, or with false if
-   * that cannot be known now. A watch does not confirm it, its changes may be delayed. Callers that
-   * ask before a confirmation is requested share it, so that many of them cost one request.
+   * Calls back with true once every change stored before this call was passed to the listener, or
+   * with false if that could not be confirmed. An open watch can't confirm it, since its changes
+   * may be delayed. Callers that ask before the request is sent share it, so that many cost one
+   * request.
    */
   public void confirmCurrent(Consumer<Boolean> callback) {
     confirmations.add(callback);
   }
 
   /**
-   * The same for a caller that can't wait for the store's rate; the result is passed to the
-   * listener.
+   * Like {@link #confirmCurrent}, but sent even if the rate budget is used up. A success reaches
+   * the caller through {@link Listener#onCaughtUp} only.
    */
   public void confirmCurrentUrgently() {
     confirmations.addUrgent();
@@ -177,20 +180,20 @@
   }
 
   /**
-   * Every change stored before this moment was passed to the listener: it is when a request was
-   * sent that was answered since. Empty before all keys were read.
+   * The time before which every stored change was passed to the listener: the latest send time of
+   * the requests whose results were applied. Empty until all keys were read once.
    */
   public Optional<MonotonicTime> currentAsOf() {
     return currentAsOf;
   }
 
-  /** Starts the next step; answers to calls of earlier steps are ignored from now on. */
+  /** Starts a step and returns its number; responses to calls of earlier steps are ignored. */
   private long beginStep(State next) {
     state = next;
     return ++generation;
   }
 
-  /** What the cache does at present. */
+  /** The current state. */
   public State state() {
     return state;
   }
@@ -226,7 +229,7 @@
             apply(found.value(), openedAt);
             scheduleNextWatch(openedAt);
           } else if (result instanceof KeyValueStore.ReadResult.Absent<StoreCodec.Changes>) {
-            // The store no longer keeps the changes since our revision.
+            // The store no longer keeps the changes since this revision, or they are too long.
             readAllKeys();
           } else {
             retryAfterDelay(this::watch);
@@ -234,7 +237,7 @@
         });
   }
 
-  /** Changes that follow each other closely share an answer. */
+  /** Waits out the minimum interval, so that changes in quick succession share a response. */
   private void scheduleNextWatch(MonotonicTime openedAt) {
     Duration elapsed = loop.now().since(openedAt);
     if (elapsed.compareTo(minInterval) >= 0) {
@@ -244,16 +247,16 @@
     }
   }
 
-  /** The revision up to which the keys are known. */
+  /** The revision up to which all changes were passed to the listener. */
   public Revision revision() {
     return revision;
   }
 
   /**
-   * Applies changes since {@link #revision()} that were received by other means.
+   * Applies changes since {@link #revision()} that were received by other means than the watch.
    *
    * @param requestedAt when they were requested
-   * @return false if they can't be applied now
+   * @return false, without applying them, if all keys were not read yet or are being read again
    */
   public boolean tryApply(StoreCodec.Changes changes, MonotonicTime requestedAt) {
     if (!initialReadDone || reading) {
@@ -277,8 +280,8 @@
   }
 
   /**
-   * Answers to watches and confirmations cross: what lies before our revision was passed on
-   * already, and a key that was deleted since must not come back by it.
+   * Responses to watches and confirmations may arrive out of order. Changes up to the current
+   * revision were passed on already; applying one again could restore a key that was deleted since.
    */
   private boolean isAlreadyApplied(StoreCodec.Change change) {
     Revision known = revisions.getOrDefault(change.key(), revision);
--- a/src/main/java/org/mulleinshift/store/StoreKeys.java
+++ b/src/main/java/org/mulleinshift/store/StoreKeys.java
@@ -14,14 +14,14 @@
  *   <li>{@code c/n/NODE} a controller's session lease
  *   <li>{@code c/g/SHARD} the owner of a shard, bound to the owner's session lease
  *   <li>{@code c/b/SHARD} a shard's zone and machines
- *   <li>{@code a/JOB} an accepted job that is not over, or is cancelled but not yet gone
+ *   <li>{@code c/v/NODE} the feature level that a controller has published
+ *   <li>{@code a/JOB} an accepted job, cancelled or not, whose end is not stored yet
  *   <li>{@code t/JOB} how a job ended; never removed
- *   <li>{@code p/JOB/CHUNK} done and assigned tasks of a part of a job
- *   <li>{@code p/JOB/CHUNK/PATH} the same of a part of a chunk that was too long for a value
+ *   <li>{@code p/JOB/CHUNK} completed and assigned tasks of a chunk of a job
+ *   <li>{@code p/JOB/CHUNK/PATH} the same for a part of a chunk that was too long for one value
  *   <li>{@code l/NUMBER} a slot of the progress log: progress of chunks of several jobs
- *   <li>{@code w/JOB/DIGEST/N} a list of a job's dependencies, where its record could not hold it
+ *   <li>{@code w/JOB/DIGEST/N} a list of a job's dependencies that did not fit into its record
  *   <li>{@code r/NAME} a provisioning request that is not yet answered
- *   <li>{@code c/v/NODE} the feature level that a controller has published
  * </ul>
  */
 public final class StoreKeys {
@@ -42,7 +42,7 @@
 
   private StoreKeys() {}
 
-  /** The prefix that tells the kind of a key: {@code t/} or {@code c/g/}. */
+  /** The prefix that identifies the kind of a key, such as {@code t/} or {@code c/g/}. */
   static String kindOf(String key) {
     int searchFrom = key.startsWith(CONTROL) ? CONTROL.length() : 0;
     return key.substring(0, key.indexOf('/', searchFrom) + 1);
@@ -63,12 +63,12 @@
     return SHARDS + shard;
   }
 
-  /** The key of a job that is not over. */
+  /** The key of an accepted job whose end is not stored yet. */
   public static String activeJob(JobId job) {
     return ACTIVE_JOBS + job;
   }
 
-  /** The key of how a job ended. */
+  /** The key of the record of how a job ended. */
   public static String endedJob(JobId job) {
     return ENDED_JOBS + job;
   }
@@ -78,7 +78,7 @@
     return PROGRESS_LOG + number;
   }
 
-  /** The number of a progress log slot; empty if this build does not write such a key. */
+  /** The slot number of a progress log key; empty if this build does not write such keys. */
   public static OptionalInt logSegmentNumber(String key) {
     String number = key.substring(PROGRESS_LOG.length());
     return SEGMENT_NUMBER.matcher(number).matches()
@@ -89,8 +89,8 @@
   /**
    * The key of one list of a job's dependencies.
    *
-   * @param digest digest of all the lists of the submission
-   * @param list number of the list, from 0
+   * @param digest digest of all lists of the submission
+   * @param list index of the list, from 0
    */
   public static String dependencyList(JobId job, String digest, int list) {
     return DEPENDENCY_LISTS + job + "/" + digest + "/" + list;
--- a/src/main/java/org/mulleinshift/store/StoreRateBudget.java
+++ b/src/main/java/org/mulleinshift/store/StoreRateBudget.java
@@ -8,8 +8,8 @@
 /**
  * This node's budget of the store's request and write rates.
  *
- * <p>The rates are reduced once, when the store first answers that a rate is exceeded, and never
- * rise again.
+ * <p>Where the settings announce reduced limits, the rates are reduced once, when the store first
+ * answers that a rate is exceeded, and are not restored.
  */
 final class StoreRateBudget {
   private static final Logger LOG = LoggerFactory.getLogger(StoreRateBudget.class);
@@ -29,7 +29,7 @@
     this.writes = new RateLimiter(loop, writeRate);
   }
 
-  /** Takes one request; false if the urgency does not justify sending it now. */
+  /** Takes one request; false if that would use the reserve kept for more urgent calls. */
   boolean tryAcquireRequest(KeyValueStore.Urgency urgency) {
     if (urgency == KeyValueStore.Urgency.URGENT) {
       acquireRequest();
@@ -38,12 +38,12 @@
     return requests.tryAcquire(1, urgency.reserveFraction() * requestRate);
   }
 
-  /** Takes one request in any case; later ones wait the longer. */
+  /** Takes one request even if the rate is used up; the overdraft delays later ones. */
   void acquireRequest() {
     requests.acquireOverdraft(1);
   }
 
-  /** Takes that many writes; false if the urgency does not justify sending them now. */
+  /** Takes that many writes; false if that would use the reserve kept for more urgent calls. */
   boolean tryAcquireWrites(int count, KeyValueStore.Urgency urgency) {
     if (urgency == KeyValueStore.Urgency.URGENT) {
       writes.acquireOverdraft(count);
@@ -52,13 +52,16 @@
     return writes.tryAcquire(count, urgency.reserveFraction() * writeRate);
   }
 
-  /** Sets this node's share of the write rate, given for the store's initial limits. */
+  /** Sets this node's share of the write rate, given for the limits before any reduction. */
   void setWriteRate(double writesPerSecond) {
     writeRate = writesPerSecond * (limitsReduced ? rates.writesShareAfterReduction() : 1);
     writes.setRate(writeRate);
   }
 
-  /** The store answered that a rate is exceeded: its limits may have been reduced. */
+  /**
+   * Handles the store's answer that a rate is exceeded: takes the first one as the reduction of its
+   * limits that the settings announce, if they do.
+   */
   void onRateLimited() {
     boolean reductionExpected =
         rates.requestsShareAfterReduction() < 1 || rates.writesShareAfterReduction() < 1;
--- a/src/main/java/org/mulleinshift/store/StoreResponses.java
+++ b/src/main/java/org/mulleinshift/store/StoreResponses.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Maps the store's HTTP responses to typed results. A response that cannot be parsed counts as
- * none: whether the request was carried out is then unknown.
+ * Maps the store's HTTP responses to typed results. A response that cannot be parsed is treated
+ * like a missing one: it is unknown whether the request was carried out.
  */
 final class StoreResponses {
   private static final Logger LOG = LoggerFactory.getLogger(StoreResponses.class);
@@ -25,7 +25,7 @@
 
   private StoreResponses() {}
 
-  /** Whether the store processed the request; a refusal above the rate counts. */
+  /** Whether the store responded and is available; a refusal above the rate limit counts. */
   static boolean isServed(HttpResponse response) {
     return response.isReceived() && response.status() != HttpStatus.SERVICE_UNAVAILABLE;
   }
@@ -38,7 +38,8 @@
   static <T> KeyValueStore.ReadResult<T> toReadResult(HttpResponse response, BodyParser<T> parser) {
     return switch (response.status()) {
       case HttpStatus.OK -> parseFound(response, parser);
-      // Too long: more changes than this node takes in one answer, as if they were no longer kept.
+      // TOO_LONG: more changes than this node accepts in one response; handled like changes that
+      // the store no longer keeps.
       case HttpStatus.NOT_FOUND, HttpStatus.GONE, HttpResponse.TOO_LONG ->
           new KeyValueStore.ReadResult.Absent<>();
       case HttpStatus.TOO_MANY_REQUESTS, HttpStatus.SERVICE_UNAVAILABLE ->
--- a/src/main/java/org/mulleinshift/store/TransactionBatcher.java
+++ b/src/main/java/org/mulleinshift/store/TransactionBatcher.java
@@ -18,18 +18,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's writes to the store: collects mutations and commits them in few transactions, one at
- * a time.
+ * Collects the leader's mutations of the store and commits them in few transactions, one at a time.
  *
  * <p>Every transaction is guarded by the leader's term and by the last known revision of each key
- * that it writes, so that a transaction applied late does nothing (a later write has moved the key
- * on).
+ * that it writes, so that a transaction applied late has no effect: a later write has changed the
+ * revision.
  */
 public final class TransactionBatcher {
   private static final Logger LOG = LoggerFactory.getLogger(TransactionBatcher.class);
   private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
-  /** Bounds the set of names whose rejection was logged. */
+  /** Maximum number of mutation names whose rejection is logged, once each. */
   private static final int MAX_LOGGED_REJECTIONS = 1000;
 
   /** The revision of a key that does not exist. */
@@ -37,43 +36,49 @@
 
   /** States of the batcher. */
   public enum State {
-    /** No transaction is on its way. */
+    /** No transaction is in flight. */
     IDLE,
     /** A transaction was sent and not yet answered. */
     COMMITTING,
-    /** A transaction failed or was not answered; its keys are read again. */
+    /** A transaction failed or its outcome is unknown; its keys are being read again. */
     REREADING,
     /** The term is over. */
     CLOSED
   }
 
   /**
-   * A change that must be stored as a whole. Its writes are made when it is sent; none means that
-   * the change is no longer wanted.
+   * A change that is stored atomically. Its writes are computed when it is sent; if there are none,
+   * it is dropped.
    */
   public interface Mutation {
-    /** The writes by the state of this moment; empty if there is nothing to store any more. */
+    /** The writes for the current state; empty if there is nothing left to store. */
     List<Write> writes();
 
-    /** The writes that were made last are stored. */
+    /** The writes that were returned last are stored at the revision. */
     void onCommitted(Revision revision);
 
-    /** Whether something waits for it to be stored; else it lets others pass for a while. */
+    /** Whether something waits for it to be stored; otherwise it may be deferred for a while. */
     default boolean urgent() {
       return true;
     }
 
-    /** Whether it goes before all others while something waits for it: few changes for many. */
+    /**
+     * Whether it goes before all others while it is urgent, such as one that stores many changes in
+     * few writes.
+     */
     default boolean takesPrecedence() {
       return false;
     }
 
-    /** The store will never accept the mutation in this form; it may be submitted again. */
+    /**
+     * The store rejected the mutation and would reject it again in this form. It was dropped; the
+     * implementation may change it and submit it again.
+     */
     default void onRejected() {}
 
     /**
-     * A key was read again after a conflict or a missing answer; the mutation may adapt to it or be
-     * abandoned.
+     * A key was read again after a conflict or a missing response; the mutation may adapt its
+     * writes to the item, or return none from now on. The item is empty if the key does not exist.
      */
     default void onReread(String key, Optional<KeyValue> item) {}
   }
@@ -92,13 +97,13 @@
   private MonotonicTime lastSentAt;
 
   /**
-   * A batcher for one term.
+   * Creates a batcher for one term.
    *
    * @param term revision of the leader key, compared by every transaction
    * @param maxWrites maximum number of writes of a transaction
-   * @param minInterval minimum time between two transactions: what comes meanwhile shares the next
-   *     one, and the request rate remains for others
-   * @param onLeadershipLost called once it is certain that the term is over
+   * @param minInterval minimum time between two transactions: mutations submitted meanwhile share
+   *     the next one, which leaves more of the request rate to other calls
+   * @param onLeadershipLost called when a read shows that the term is over
    */
   public TransactionBatcher(
       EventLoop loop,
@@ -117,9 +122,9 @@
   }
 
   /**
-   * Confirms with the store that the term is current at a moment after this call: for actions that
-   * no guard of the store covers. By the clock alone the term may seem current after its lease was
-   * revoked early.
+   * Confirms with the store that the term is current at some moment after this call, for actions
+   * that no guard of a transaction protects. The clock alone is not enough: the lease may have been
+   * revoked before it expired.
    *
    * @param onConfirmed called if the term is current
    * @param onUnconfirmed called if it is not, or cannot be confirmed
@@ -138,27 +143,27 @@
         });
   }
 
-  /** The term that the transactions belong to. */
+  /** The term that guards the transactions: the revision of the leader key. */
   public Revision term() {
     return term;
   }
 
-  /** Records the revision at which a key was last seen; the next write of the key demands it. */
+  /** Records the revision at which a key was last seen; guards the next write of the key. */
   public void recordRevision(String key, Revision revision) {
     lastSeenRevisions.put(key, revision);
   }
 
-  /** Whether the key exists in the store, as last seen. */
+  /** Whether the key existed in the store when it was last seen. */
   public boolean hasRevision(String key) {
     return lastSeenRevisions.containsKey(key);
   }
 
-  /** Forgets a key that is not written again. */
+  /** Forgets the revision of a key that will not be written again. */
   public void forgetRevision(String key) {
     lastSeenRevisions.remove(key);
   }
 
-  /** Submits a mutation; one of the same name that is not yet on its way is replaced. */
+  /** Submits a mutation; replaces one of the same name that has not been sent yet. */
   public void submit(String name, Mutation mutation) {
     if (state == State.CLOSED) {
       return;
@@ -167,7 +172,7 @@
     scheduleFlush(Duration.ZERO);
   }
 
-  /** Submits a mutation to be stored when nothing else waits and the rate allows it. */
+  /** Submits a mutation to be stored when no other is pending and the rate allows it. */
   public void submitWhenIdle(String name, Mutation mutation) {
     if (state != State.CLOSED) {
       mutations.addWhenIdle(name, mutation);
@@ -175,13 +180,13 @@
     }
   }
 
-  /** Ends the batcher with the term: nothing more is written. */
+  /** Closes the batcher at the end of the term: drops all mutations and accepts no more. */
   public void close() {
     transitionTo(State.CLOSED);
     mutations.clear();
   }
 
-  /** The only place where the batcher's state changes; closed is final. */
+  /** Changes the state, unless the batcher is closed; all changes of state go through here. */
   private void transitionTo(State next) {
     if (state != State.CLOSED) {
       state = next;
@@ -202,7 +207,7 @@
     if (remainingInterval.compareTo(delay) > 0) {
       loop.after(remainingInterval, flush);
     } else if (delay.isZero()) {
-      // At the end of the current step, so that what one step changes shares a transaction.
+      // Runs after the current event loop step, so that all its changes share a transaction.
       loop.post(flush);
     } else {
       loop.after(delay, flush);
@@ -268,8 +273,8 @@
   }
 
   /**
-   * The store will never accept this transaction. Which mutation is the cause shows when each is
-   * sent alone; one that is rejected alone delays only itself, until it is submitted again.
+   * Handles a transaction that the store would reject again: sends its mutations one by one to find
+   * the cause. A mutation that is rejected alone is dropped, so that it does not block the others.
    */
   private void onRejected(PendingMutations.Batch batch, String reason) {
     transitionTo(State.IDLE);
@@ -290,7 +295,8 @@
   }
 
   /**
-   * After a conflict or no answer nothing is known of the keys: each is read before it is written.
+   * Handles a conflict, an expired lease or an unknown outcome: the recorded revisions may be out
+   * of date, so each key is read again before it is written.
    */
   private void onUncertain(PendingMutations.Batch batch, KeyValueStore.CommitResult result) {
     mutations.restore(batch);
@@ -308,7 +314,7 @@
     reread(keys, batch);
   }
 
-  /** Reads the last of the keys, then the others. */
+  /** Reads the keys one by one, from last to first. */
   private void reread(List<String> keys, PendingMutations.Batch batch) {
     if (state == State.CLOSED) {
       return;
--- a/src/test/java/org/mulleinshift/store/PendingMutationsTest.java
+++ b/src/test/java/org/mulleinshift/store/PendingMutationsTest.java
@@ -10,7 +10,7 @@
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.protocol.StoreCodec.Write;
 
-/** Which mutations share a transaction, and in which order. */
+/** Checks which mutations share a transaction, and in which order. */
 class PendingMutationsTest {
   private static final int MAX_WRITES = 3;
 
--- a/src/test/java/org/mulleinshift/store/StoreResponsesTest.java
+++ b/src/test/java/org/mulleinshift/store/StoreResponsesTest.java
@@ -12,7 +12,7 @@
 import org.mulleinshift.store.KeyValueStore.ReadResult;
 import org.mulleinshift.transport.HttpResponse;
 
-/** What the store's responses say of a call: carried out, not carried out, or unknown. */
+/** Checks whether a response means that a call was carried out, was not, or is unknown. */
 class StoreResponsesTest {
   private static ReadResult<String> read(int status) {
     return StoreResponses.toReadResult(new HttpResponse(status, "value"), body -> body);
--- a/src/test/java/org/mulleinshift/store/TransactionBatcherTest.java
+++ b/src/test/java/org/mulleinshift/store/TransactionBatcherTest.java
@@ -17,7 +17,7 @@
 import org.mulleinshift.transport.HttpResponse;
 import org.mulleinshift.transport.HttpStatus;
 
-/** What the leader's transactions demand, and what follows where they are refused. */
+/** Checks the guards of the leader's transactions and the reads after a conflict. */
 class TransactionBatcherTest {
   private static final InetSocketAddress ADDRESS = InetSocketAddress.createUnresolved("host", 1);
   private static final String KEY = "a/run-1";
@@ -39,7 +39,10 @@
           () -> {});
   private int committed;
 
-  /** Keeps the transactions; every key that is read has the revision that is set for it. */
+  /**
+   * Records transactions and reads. The leader key has revision TERM, any other key CANCELLED.
+   * After a read, commits succeed.
+   */
   private final class StoreStub implements AsyncHttpClient {
     private final List<String> transactions = new ArrayList<>();
     private final List<String> reads = new ArrayList<>();
