--- a/src/main/java/org/mulleinshift/autoscaling/MachineReleaser.java
+++ b/src/main/java/org/mulleinshift/autoscaling/MachineReleaser.java
@@ -72,7 +72,7 @@
     deletionInFlight = true;
     // The state of a leader that was replaced is stale: a machine that it drained may have tasks by
     // now.
-    batcher.ifStillLeader(() -> delete(batch), () -> deletionInFlight = false);
+    batcher.confirmLeadership(() -> delete(batch), () -> deletionInFlight = false);
   }
 
   private void delete(List<MachineId> batch) {
--- a/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
+++ b/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
@@ -22,8 +22,8 @@
 import org.mulleinshift.protocol.peer.LeaseRenewalResponse;
 import org.mulleinshift.store.KeyValueStore;
 import org.mulleinshift.store.KeyValueStore.ReadResult;
+import org.mulleinshift.store.PrefixWatcher;
 import org.mulleinshift.store.StoreKeys;
-import org.mulleinshift.store.WatchCache;
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.MonotonicTime;
 import org.slf4j.Logger;
@@ -69,8 +69,8 @@
   private final PeerFailureDetector failureDetector;
   private final ControllerSession session;
   private final ClusterView view;
-  private final WatchCache controlKeys;
-  private final WatchCache activeJobs;
+  private final PrefixWatcher controlKeys;
+  private final PrefixWatcher activeJobs;
   private final BiConsumer<NodeId, Object> sendToPeer;
   private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
   private long lastRequestId;
@@ -95,8 +95,8 @@
       PeerFailureDetector peers,
       ControllerSession session,
       ClusterView view,
-      WatchCache controlKeys,
-      WatchCache activeJobs) {}
+      PrefixWatcher controlKeys,
+      PrefixWatcher activeJobs) {}
 
   /**
    * Creates an inactive instance; {@link #start} sends the first request.
@@ -243,8 +243,8 @@
     }
     if (request.lease.equals(NO_LEASE)) {
       // The cache notifies the session once it has applied the changes.
-      activeJobs.offer(changes, request.sentAt);
-    } else if (controlKeys.offer(changes, request.sentAt)) {
+      activeJobs.tryApply(changes, request.sentAt);
+    } else if (controlKeys.tryApply(changes, request.sentAt)) {
       session.onRenewedByPeer(request.lease, request.sentAt, ownGrants());
     }
   }
--- a/src/main/java/org/mulleinshift/store/WatchCache.java
+++ b/src/main/java/org/mulleinshift/store/PrefixWatcher.java
@@ -14,9 +14,12 @@
 import org.mulleinshift.transport.EventLoop;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Follows all keys with a prefix: reads them once, then watches, and reads again when it must. */
-public final class WatchCache {
-  /** The states of following. */
+/**
+ * Reports every change of the keys with a prefix to a listener: reads all keys once, then watches
+ * for changes, and reads all keys again if the store no longer has the changes that it missed.
+ */
+public final class PrefixWatcher {
+  /** States of the watcher. */
   public enum State {
     /** Not started. */
     IDLE,
@@ -24,86 +27,85 @@
     READING,
     /** A watch is open, or about to be opened. */
     WATCHING,
-    /** A call failed; it is repeated after a pause. */
-    PAUSED
+    /** A call failed; it is repeated after a delay. */
+    BACKING_OFF
   }
 
   /** Receives every change, in order. */
   public interface Listener {
-    /** A key has changed; empty if it was deleted. */
+    /** A key has changed; the item is empty if it was deleted. */
     void onChange(String key, Optional<KeyValue> item);
 
     /** All changes up to the revision were passed to {@link #onChange}. */
     void onCaughtUp(Revision revision);
   }
 
-  /** Minimum pause after a failed call; the maximum is twice as long. */
-  private static final Duration PAUSE = Duration.ofMillis(400);
+  /** Minimum delay after a failed call; random jitter at most doubles it. */
+  private static final Duration MIN_RETRY_DELAY = Duration.ofMillis(400);
 
   private final EventLoop loop;
   private final KeyValueStore store;
   private final String prefix;
-  private final Duration spacing;
+  private final Duration minInterval;
   private final Listener listener;
   private final ConfirmationQueue confirmations;
   private final Map<String, Revision> revisions = new HashMap<>();
   private Optional<MonotonicTime> currentAsOf = Optional.empty();
-  private boolean complete;
+  private boolean initialReadDone;
   private boolean reading;
   private State state = State.IDLE;
   private Revision revision = new Revision(0);
 
-  /** Counts the steps of following; the answer to an earlier step's call is ignored. */
+  /** Number of the current step; responses to calls of earlier steps are ignored. */
   private long generation;
 
   /**
-   * A cache that has not started.
+   * Creates a watcher that is not started.
    *
-   * @param prefix of the keys to follow
-   * @param spacing minimum time between two watches, and between two confirmations
+   * @param prefix of the keys to watch
+   * @param minInterval minimum time between two watches, and between two confirmations
    */
-  public WatchCache(
-      EventLoop loop, KeyValueStore store, String prefix, Duration spacing, Listener listener) {
+  public PrefixWatcher(
+      EventLoop loop, KeyValueStore store, String prefix, Duration minInterval, Listener listener) {
     this.loop = loop;
     this.store = store;
     this.prefix = prefix;
-    this.spacing = spacing;
+    this.minInterval = minInterval;
     this.listener = listener;
-    this.confirmations = new ConfirmationQueue(loop, spacing, this::requestConfirmation);
+    this.confirmations = new ConfirmationQueue(loop, minInterval, this::requestConfirmation);
   }
 
-  /** Begins to follow the keys. */
+  /** Starts with a read of all keys. */
   public void start() {
-    read();
+    readAllKeys();
   }
 
-  /** Reads everything again, a page at a time; what an open watch still brings is ignored. */
-  public void read() {
+  /** Reads all keys again, page by page; the response to a watch that is still open is ignored. */
+  public void readAllKeys() {
     reading = true;
     readPage(Optional.empty(), Optional.empty(), new HashSet<>(revisions.keySet()));
   }
 
-  /** From where a watch misses nothing, and when the read that shows that was requested. */
+  /** The revision of the first page, from which a watch misses no change, and its request time. */
   private record ReadStart(Revision revision, MonotonicTime requestedAt) {}
 
   private void readPage(
       Optional<String> after, Optional<ReadStart> firstPage, Set<String> unseenKeys) {
-    long current = enter(State.READING);
+    long step = beginStep(State.READING);
     MonotonicTime requestedAt = loop.now();
     store.readPage(
         prefix,
         after,
         result -> {
-          if (current != generation) {
+          if (step != generation) {
             return;
           }
           if (!(result instanceof KeyValueStore.ReadResult.Found<StoreCodec.Range> found)) {
-            pause(() -> readPage(after, firstPage, unseenKeys));
+            retryAfterDelay(() -> readPage(after, firstPage, unseenKeys));
             return;
           }
           StoreCodec.Range page = found.value();
           applyPage(page.items(), unseenKeys);
-          // The oldest page's revision: a watch from there misses nothing.
           ReadStart start = firstPage.orElse(new ReadStart(page.revision(), requestedAt));
           if (page.next().isPresent()) {
             readPage(page.next(), Optional.of(start), unseenKeys);
@@ -114,7 +116,7 @@
         });
   }
 
-  /** What is parsed is passed on at once, so that no more than a page is kept in memory. */
+  /** Passes a page's items to the listener at once, so that no more than a page is in memory. */
   private void applyPage(List<KeyValue> items, Set<String> unseenKeys) {
     for (KeyValue item : items) {
       unseenKeys.remove(item.key());
@@ -132,29 +134,30 @@
     revision = start.revision();
     advanceCurrentAsOf(start.requestedAt());
     reading = false;
-    complete = true;
+    initialReadDone = true;
     listener.onCaughtUp(revision);
   }
 
   /**
-   * Calls back once every change up to this moment was passed to the listener, or with false if
-   * that cannot be known now. A watch does not confirm it, its changes may be delayed. Callers that
-   * ask before a confirmation is requested share it, so that many of them cost one request.
+   * Calls back with true once every change stored before this call was passed to the listener, or
+   * with false if that could not be confirmed. An open watch can't confirm it, since its changes
+   * may be delayed. Callers that ask before the request is sent share it, so that many cost one
+   * request.
    */
   public void confirmCurrent(Consumer<Boolean> callback) {
     confirmations.add(callback);
   }
 
   /**
-   * The same for a caller that can't wait for the store's rate; the result is passed to the
-   * listener.
+   * Like {@link #confirmCurrent}, but sent even if the rate budget is used up. A success reaches
+   * the caller through {@link Listener#onCaughtUp} only.
    */
   public void confirmCurrentUrgently() {
     confirmations.addUrgent();
   }
 
   private void requestConfirmation(KeyValueStore.Urgency urgency, Consumer<Boolean> callback) {
-    if (!complete) {
+    if (!initialReadDone) {
       callback.accept(false);
       return;
     }
@@ -166,7 +169,7 @@
         result -> {
           boolean confirmed =
               result instanceof KeyValueStore.ReadResult.Found<StoreCodec.Changes> found
-                  && offer(found.value(), requestedAt);
+                  && tryApply(found.value(), requestedAt);
           callback.accept(confirmed);
         });
   }
@@ -177,85 +180,86 @@
   }
 
   /**
-   * Every change stored before this moment was passed to the listener: it is when a request was
-   * sent that was answered since. Empty before all keys were read.
+   * The time before which every stored change was passed to the listener: the latest send time of
+   * the requests whose results were applied. Empty until all keys were read once.
    */
   public Optional<MonotonicTime> currentAsOf() {
     return currentAsOf;
   }
 
-  /** Starts the next step; answers to calls of earlier steps are ignored from now on. */
-  private long enter(State next) {
+  /** Starts a step and returns its number; responses to calls of earlier steps are ignored. */
+  private long beginStep(State next) {
     state = next;
     return ++generation;
   }
 
-  /** What the cache does at present. */
+  /** The current state. */
   public State state() {
     return state;
   }
 
-  private void pause(Runnable next) {
-    long current = enter(State.PAUSED);
-    Duration jittered = PAUSE.plusMillis((long) (loop.random() * PAUSE.toMillis()));
-    afterIfCurrent(jittered, current, next);
+  private void retryAfterDelay(Runnable next) {
+    long step = beginStep(State.BACKING_OFF);
+    Duration delay =
+        MIN_RETRY_DELAY.plusMillis((long) (loop.random() * MIN_RETRY_DELAY.toMillis()));
+    scheduleIfCurrent(delay, step, next);
   }
 
-  private void afterIfCurrent(Duration delay, long current, Runnable next) {
+  private void scheduleIfCurrent(Duration delay, long step, Runnable next) {
     loop.after(
         delay,
         () -> {
-          if (current == generation) {
+          if (step == generation) {
             next.run();
           }
         });
   }
 
   private void watch() {
-    long current = enter(State.WATCHING);
+    long step = beginStep(State.WATCHING);
     MonotonicTime openedAt = loop.now();
     store.watch(
         prefix,
         revision,
         result -> {
-          if (current != generation) {
+          if (step != generation) {
             return;
           }
           if (result instanceof KeyValueStore.ReadResult.Found<StoreCodec.Changes> found) {
             apply(found.value(), openedAt);
-            watchAgain(openedAt);
+            scheduleNextWatch(openedAt);
           } else if (result instanceof KeyValueStore.ReadResult.Absent<StoreCodec.Changes>) {
-            // The store no longer keeps the changes since our revision.
-            read();
+            // The store no longer keeps the changes since this revision, or they are too long.
+            readAllKeys();
           } else {
-            pause(this::watch);
+            retryAfterDelay(this::watch);
           }
         });
   }
 
-  /** Changes that follow each other closely share an answer. */
-  private void watchAgain(MonotonicTime openedAt) {
+  /** Waits out the minimum interval, so that changes in quick succession share a response. */
+  private void scheduleNextWatch(MonotonicTime openedAt) {
     Duration elapsed = loop.now().since(openedAt);
-    if (elapsed.compareTo(spacing) >= 0) {
+    if (elapsed.compareTo(minInterval) >= 0) {
       watch();
     } else {
-      afterIfCurrent(spacing.minus(elapsed), generation, this::watch);
+      scheduleIfCurrent(minInterval.minus(elapsed), generation, this::watch);
     }
   }
 
-  /** The revision up to which the keys are known. */
+  /** The revision up to which all changes were passed to the listener. */
   public Revision revision() {
     return revision;
   }
 
   /**
-   * Applies changes since {@link #revision()} that were received by other means.
+   * Applies changes since {@link #revision()} that were received by other means than the watch.
    *
    * @param requestedAt when they were requested
-   * @return false if they can't be applied now
+   * @return false, without applying them, if all keys were not read yet or are being read again
    */
-  public boolean offer(StoreCodec.Changes changes, MonotonicTime requestedAt) {
-    if (!complete || reading) {
+  public boolean tryApply(StoreCodec.Changes changes, MonotonicTime requestedAt) {
+    if (!initialReadDone || reading) {
       return false;
     }
     apply(changes, requestedAt);
@@ -264,7 +268,7 @@
 
   private void apply(StoreCodec.Changes changes, MonotonicTime requestedAt) {
     for (StoreCodec.Change change : changes.changes()) {
-      if (!isKnown(change)) {
+      if (!isAlreadyApplied(change)) {
         apply(change);
       }
     }
@@ -276,10 +280,10 @@
   }
 
   /**
-   * Answers to watches and confirmations cross: what lies before our revision was passed on
-   * already, and a key that was deleted since must not come back by it.
+   * Responses to watches and confirmations may arrive out of order. Changes up to the current
+   * revision were passed on already; applying one again could restore a key that was deleted since.
    */
-  private boolean isKnown(StoreCodec.Change change) {
+  private boolean isAlreadyApplied(StoreCodec.Change change) {
     Revision known = revisions.getOrDefault(change.key(), revision);
     return known.compareTo(change.revision()) >= 0 || revision.compareTo(change.revision()) >= 0;
   }
--- a/src/test/java/org/mulleinshift/store/TransactionBatcherTest.java
+++ b/src/test/java/org/mulleinshift/store/TransactionBatcherTest.java
@@ -17,7 +17,7 @@
 import org.mulleinshift.transport.HttpResponse;
 import org.mulleinshift.transport.HttpStatus;
 
-/** What the leader's transactions demand, and what follows where they are refused. */
+/** Checks the guards of the leader's transactions and the reads after a conflict. */
 class TransactionBatcherTest {
   private static final InetSocketAddress ADDRESS = InetSocketAddress.createUnresolved("host", 1);
   private static final String KEY = "a/run-1";
@@ -25,7 +25,7 @@
   private static final Revision READ = new Revision(5);
   private static final Revision CANCELLED = new Revision(7);
   private static final int CONFLICT = 409;
-  private static final int MAX_OPERATIONS = 12;
+  private static final int MAX_WRITES = 12;
 
   private final VirtualEventLoop loop = new VirtualEventLoop();
   private final StoreStub store = new StoreStub();
@@ -34,12 +34,15 @@
           loop,
           new KeyValueStore(loop, store, store, ADDRESS, new KeyValueStore.Rates(1000, 1000, 1, 1)),
           TERM,
-          MAX_OPERATIONS,
+          MAX_WRITES,
           Duration.ofMillis(10),
           () -> {});
   private int committed;
 
-  /** Keeps the transactions; every key that is read has the revision that is set for it. */
+  /**
+   * Records transactions and reads. The leader key has revision TERM, any other key CANCELLED.
+   * After a read, commits succeed.
+   */
   private final class StoreStub implements AsyncHttpClient {
     private final List<String> transactions = new ArrayList<>();
     private final List<String> reads = new ArrayList<>();
