--- a/src/main/java/org/mulleinshift/Main.java
+++ b/src/main/java/org/mulleinshift/Main.java
@@ -13,7 +13,7 @@
 import org.mulleinshift.controller.Controller;
 import org.mulleinshift.memory.Heap;
 import org.mulleinshift.memory.HeapMonitor;
-import org.mulleinshift.memory.MemoryPlan;
+import org.mulleinshift.memory.MemoryBudget;
 import org.mulleinshift.protocol.WorkerCodec;
 import org.mulleinshift.settings.Leases;
 import org.mulleinshift.settings.PlatformSettings;
@@ -50,14 +50,14 @@
   private static final int CLOUD_QUEUE = 32;
   private static final int WORKER_THREADS = 8;
   private static final int WORKER_QUEUE = 256;
-  private static final int MEBIBYTE_BITS = 20;
-  private static final String CONFIG = "--config";
-  private static final int BAD_SETTINGS = 2;
-  private static final int CANNOT_LISTEN = 1;
-  private static final Duration PEER_ACK = Duration.ofMillis(2500);
+  private static final int MIB_SHIFT = 20;
+  private static final String CONFIG_OPTION = "--config";
+  private static final int EXIT_INVALID_SETTINGS = 2;
+  private static final int EXIT_CANNOT_LISTEN = 1;
+  private static final Duration PEER_ACK_TIMEOUT = Duration.ofMillis(2500);
 
   @Option(
-      names = CONFIG,
+      names = CONFIG_OPTION,
       required = true,
       paramLabel = "FILE",
       description = "The platform's settings (TOML).")
@@ -74,7 +74,10 @@
 
   /** Starts a controller; a second form of the arguments is parsed by the library. */
   public static void main(String[] args) throws IOException, InterruptedException {
-    int code = args.length == 2 && args[0].equals(CONFIG) ? start(Path.of(args[1])) : parse(args);
+    int code =
+        args.length == 2 && args[0].equals(CONFIG_OPTION)
+            ? runWithConfig(Path.of(args[1]))
+            : parseAndRun(args);
     if (code != 0) {
       System.exit(code);
     }
@@ -84,13 +87,13 @@
    * What the platform asks for. The parser of arguments is left out of it: its classes are too old
    * for the class archive, and reading them took a part of each start on a small share of a core.
    */
-  private static int start(Path config) throws IOException, InterruptedException {
+  private static int runWithConfig(Path config) throws IOException, InterruptedException {
     Main main = new Main();
     main.config = config;
     return main.call();
   }
 
-  private static int parse(String[] args) {
+  private static int parseAndRun(String[] args) {
     return new CommandLine(new Main()).execute(args);
   }
 
@@ -104,18 +107,18 @@
       Leases.check(config.toString(), settings.cluster().workerTiming(), tunables);
     } catch (SettingsException e) {
       System.err.println(e.getMessage());
-      return BAD_SETTINGS;
+      return EXIT_INVALID_SETTINGS;
     }
     if (check) {
       System.out.println("settings are in order");
       return 0;
     }
-    MemoryPlan memory =
-        MemoryPlan.of(
+    MemoryBudget memory =
+        MemoryBudget.of(
             settings.limits().memoryMb(),
             settings.limits().maxSockets(),
             Runtime.getRuntime().maxMemory());
-    JdkHttpServer.configure(memory.idleConnections());
+    JdkHttpServer.configure(memory.maxIdleConnections());
     try {
       run(settings, tunables, memory);
     } catch (BindException e) {
@@ -126,20 +129,20 @@
               + settings.peerBind()
               + ": "
               + e.getMessage());
-      return CANNOT_LISTEN;
+      return EXIT_CANNOT_LISTEN;
     }
     return 0;
   }
 
-  private void run(PlatformSettings settings, Tunables tunables, MemoryPlan memory)
+  private void run(PlatformSettings settings, Tunables tunables, MemoryBudget memory)
       throws IOException, InterruptedException {
     Logger log = LoggerFactory.getLogger(Main.class);
     ThreadEventLoop loop = new ThreadEventLoop();
-    AtomicReference<Controller> target = new AtomicReference<>();
+    AtomicReference<Controller> controllerRef = new AtomicReference<>();
     TcpPeerTransport peers =
-        peerTransport(loop, settings, memory, frame -> target.get().onFrame(frame));
+        peerTransport(loop, settings, memory, frame -> controllerRef.get().onFrame(frame));
     Controller controller = new Controller(settings, tunables, ports(loop, peers, memory));
-    target.set(controller);
+    controllerRef.set(controller);
     JdkHttpServer server =
         new JdkHttpServer(
             loop,
@@ -148,7 +151,7 @@
             new JdkHttpServer.Limits(
                 tunables.count(Tunables.Key.HTTP_THREADS),
                 memory.userBodyBytes(),
-                memory.reportBodyBytes(),
+                memory.heartbeatBodyBytes(),
                 WorkerCodec.HEARTBEAT_PATH::equals));
     peers.start(settings.peerBind());
     server.start();
@@ -156,20 +159,26 @@
         "controller started, label={} address={} heap_mib={}",
         settings.label(),
         settings.publicAddress(),
-        memory.heapBytes() >> MEBIBYTE_BITS);
+        memory.heapLimitBytes() >> MIB_SHIFT);
     loop.post(controller::start);
     loop.run();
   }
 
   private static TcpPeerTransport peerTransport(
-      EventLoop loop, PlatformSettings settings, MemoryPlan memory, Consumer<byte[]> receiver) {
+      EventLoop loop, PlatformSettings settings, MemoryBudget memory, Consumer<byte[]> receiver) {
     Map<String, InetSocketAddress> peers = new HashMap<>();
     settings.members().forEach(member -> peers.put(member.label(), member.address()));
     return new TcpPeerTransport(
-        loop, peers, receiver, PEER_ACK, memory.peerQueueBytes(), memory.peerIncomingBytes());
+        loop,
+        peers,
+        receiver,
+        PEER_ACK_TIMEOUT,
+        memory.peerQueueBytes(),
+        memory.peerIncomingBytes());
   }
 
-  private static Controller.Ports ports(EventLoop loop, TcpPeerTransport peers, MemoryPlan memory) {
+  private static Controller.Ports ports(
+      EventLoop loop, TcpPeerTransport peers, MemoryBudget memory) {
     return new Controller.Ports(
         loop,
         new JdkAsyncHttpClient("state", loop, STORE_THREADS, STORE_QUEUE),
@@ -177,7 +186,7 @@
         new JdkAsyncHttpClient("cloud", loop, CLOUD_THREADS, CLOUD_QUEUE),
         new JdkAsyncHttpClient("worker", loop, WORKER_THREADS, WORKER_QUEUE),
         peers,
-        new HeapMonitor(loop, Heap.ofProcess(), memory.heapBytes()));
+        new HeapMonitor(loop, Heap.ofProcess(), memory.heapLimitBytes()));
   }
 
   /** Tells the version that the build put into the jar. */
--- a/src/main/java/org/mulleinshift/compatibility/FeatureGates.java
+++ b/src/main/java/org/mulleinshift/compatibility/FeatureGates.java
@@ -35,9 +35,9 @@
   public static final int CANCELLATION_NOTICES = 3;
 
   /** From this level on no controller calls a job waiting whose dependency ended as cancelled. */
-  public static final int DEPENDENCY_PROOFS = 4;
+  public static final int DEPENDENCY_VERIFICATION = 4;
 
-  private static final int OWN_LEVEL = DEPENDENCY_PROOFS;
+  private static final int OWN_LEVEL = DEPENDENCY_VERIFICATION;
 
   private final EventLoop loop;
   private final KeyValueStore store;
@@ -66,10 +66,10 @@
     store.get(
         StoreKeys.featureLevel(self),
         KeyValueStore.Urgency.URGENT,
-        answer -> {
-          if (answer instanceof ReadResult.Absent<KeyValue>) {
+        result -> {
+          if (result instanceof ReadResult.Absent<KeyValue>) {
             publish(new Revision(0));
-          } else if (answer instanceof ReadResult.Found<KeyValue> found) {
+          } else if (result instanceof ReadResult.Found<KeyValue> found) {
             if (ClusterView.readFeatureLevel(found.value()) < OWN_LEVEL) {
               publish(found.value().revision());
             }
--- a/src/main/java/org/mulleinshift/compatibility/UnreadableJobs.java
+++ b/src/main/java/org/mulleinshift/compatibility/UnreadableJobs.java
@@ -24,9 +24,9 @@
 public final class UnreadableJobs {
   private static final Logger LOG = LoggerFactory.getLogger(UnreadableJobs.class);
 
-  private final Map<JobId, Footprint> jobs = new LinkedHashMap<>();
-  private final Set<ShardId> shards = new HashSet<>();
-  private boolean shardsUnknown;
+  private final Map<JobId, Footprint> footprints = new LinkedHashMap<>();
+  private final Set<ShardId> possibleShards = new HashSet<>();
+  private boolean mayHaveTasksAnywhere;
 
   /**
    * Quarantines a job; logged once for each.
@@ -34,53 +34,53 @@
    * @param record the stored record
    * @param reason what can't be read, for the log
    */
-  public void add(JobId job, JsonNode record, String reason) {
-    if (jobs.putIfAbsent(job, JobRecord.footprint(record)) == null) {
+  public void quarantine(JobId job, JsonNode record, String reason) {
+    if (footprints.putIfAbsent(job, JobRecord.footprint(record)) == null) {
       LOG.warn("job quarantined as unreadable, job={} reason={}", job, reason);
     }
   }
 
   /** Records where a quarantined job may have tasks, by a chunk of its stored progress. */
-  public void addProgress(JsonNode chunk) {
+  public void addShardsFromProgress(JsonNode chunk) {
     JsonNode assignments = chunk.path("at");
     if (!assignments.isArray()) {
-      shardsUnknown = true;
+      mayHaveTasksAnywhere = true;
       return;
     }
     for (JsonNode assignment : assignments) {
       if (assignment.path("b").isTextual()) {
         addShard(new ShardId(assignment.path("b").asText()));
       } else {
-        shardsUnknown = true;
+        mayHaveTasksAnywhere = true;
       }
     }
   }
 
   /** A quarantined job may have tasks in that shard. */
   public void addShard(ShardId shard) {
-    shards.add(shard);
+    possibleShards.add(shard);
   }
 
   /** Whether the job is quarantined. */
   public boolean contains(JobId job) {
-    return jobs.containsKey(job);
+    return footprints.containsKey(job);
   }
 
   /** All quarantined jobs. */
   public Set<JobId> jobs() {
-    return Collections.unmodifiableSet(jobs.keySet());
+    return Collections.unmodifiableSet(footprints.keySet());
   }
 
   /**
    * Whether tasks of quarantined jobs, which must not be stopped, may be on the shard's machines.
    */
-  public boolean mayOccupy(ShardId shard) {
-    return !jobs.isEmpty() && (shardsUnknown || shards.contains(shard));
+  public boolean mayHaveTasksIn(ShardId shard) {
+    return !footprints.isEmpty() && (mayHaveTasksAnywhere || possibleShards.contains(shard));
   }
 
   /** Adds what the quarantined jobs may use to the usage of their teams. */
   public void addUsage(Map<TeamId, Resources> usage) {
-    for (Footprint footprint : jobs.values()) {
+    for (Footprint footprint : footprints.values()) {
       footprint.team().ifPresent(team -> usage.merge(team, footprint.maximum(), Resources::plus));
     }
   }
--- a/src/main/java/org/mulleinshift/controller/CancellationAnnouncer.java
+++ b/src/main/java/org/mulleinshift/controller/CancellationAnnouncer.java
@@ -32,14 +32,14 @@
   private static final Logger LOG = LoggerFactory.getLogger(CancellationAnnouncer.class);
   private static final Duration ACK_TIMEOUT = Duration.ofMillis(500);
   private static final int MAX_PENDING = 512;
-  private static final int MAX_REMEMBERED = 4096;
+  private static final int MAX_REMEMBERED_ANNOUNCEMENTS = 4096;
 
   /** An announcement that some owners have not acknowledged. */
-  private static final class Pending {
+  private static final class PendingAnnouncement {
     private final Set<NodeId> unacknowledged;
-    private final List<Consumer<Boolean>> results = new ArrayList<>();
+    private final List<Consumer<Boolean>> callbacks = new ArrayList<>();
 
-    Pending(Set<NodeId> owners) {
+    PendingAnnouncement(Set<NodeId> owners) {
       this.unacknowledged = owners;
     }
   }
@@ -51,8 +51,9 @@
   private final FrameMessenger messenger;
   private final CancelledJobs cancelledJobs;
   private final Duration ownershipLease;
-  private final Map<JobId, Pending> pending = new HashMap<>();
-  private final Map<JobId, MonotonicTime> firstAnnouncedAt = new BoundedMap<>(MAX_REMEMBERED);
+  private final Map<JobId, PendingAnnouncement> pending = new HashMap<>();
+  private final Map<JobId, MonotonicTime> firstAnnouncedAt =
+      new BoundedMap<>(MAX_REMEMBERED_ANNOUNCEMENTS);
 
   /**
    * Nothing is announced yet.
@@ -82,24 +83,24 @@
   }
 
   @Override
-  public void announce(JobId job, Consumer<Boolean> result) {
+  public void announce(JobId job, Consumer<Boolean> callback) {
     cancelledJobs.add(job);
     Set<NodeId> owners = otherOwners();
-    if (owners.isEmpty() || isKnownByAll(job)) {
-      result.accept(true);
+    if (owners.isEmpty() || needsNoAnnouncement(job)) {
+      callback.accept(true);
       return;
     }
-    Pending waiting = pending.get(job);
-    if (waiting != null) {
-      waiting.results.add(result);
+    PendingAnnouncement existing = pending.get(job);
+    if (existing != null) {
+      existing.callbacks.add(callback);
       return;
     }
     if (pending.size() >= MAX_PENDING) {
-      result.accept(false);
+      callback.accept(false);
       return;
     }
-    Pending next = new Pending(owners);
-    next.results.add(result);
+    PendingAnnouncement next = new PendingAnnouncement(owners);
+    next.callbacks.add(callback);
     pending.put(job, next);
     messenger.sendToOthers(new JobCancellation(job.value()));
     loop.after(ACK_TIMEOUT, () -> expire(job, next));
@@ -114,38 +115,38 @@
   }
 
   /** Whether nothing is gained by an announcement, or it would not be understood. */
-  private boolean isKnownByAll(JobId job) {
+  private boolean needsNoAnnouncement(JobId job) {
     MonotonicTime now = loop.now();
     MonotonicTime first = firstAnnouncedAt.computeIfAbsent(job, key -> now);
     return now.since(first).compareTo(ownershipLease) >= 0
         || !featureGates.allSupport(FeatureGates.CANCELLATION_NOTICES);
   }
 
-  private void expire(JobId job, Pending expired) {
+  private void expire(JobId job, PendingAnnouncement expired) {
     if (pending.remove(job, expired)) {
       LOG.info("cancellation not acknowledged, job={} controllers={}", job, expired.unacknowledged);
-      expired.results.forEach(result -> result.accept(false));
+      expired.callbacks.forEach(callback -> callback.accept(false));
     }
   }
 
   /** Another controller has stored or found a cancellation. */
   void onAnnouncement(NodeId sender, JobCancellation announcement) {
     JobId job = new JobId(announcement.getJob());
-    cancelledJobs.announce(job);
+    cancelledJobs.addAnnounced(job);
     messenger.send(sender, new JobCancellationAck(job.value()));
   }
 
   /** Another controller starts no task of the job any more. */
   void onAck(NodeId sender, JobCancellationAck ack) {
     JobId job = new JobId(ack.getJob());
-    Pending waiting = pending.get(job);
-    if (waiting == null) {
+    PendingAnnouncement existing = pending.get(job);
+    if (existing == null) {
       return;
     }
-    waiting.unacknowledged.remove(sender);
-    if (waiting.unacknowledged.isEmpty()) {
+    existing.unacknowledged.remove(sender);
+    if (existing.unacknowledged.isEmpty()) {
       pending.remove(job);
-      waiting.results.forEach(result -> result.accept(true));
+      existing.callbacks.forEach(callback -> callback.accept(true));
     }
   }
 }
--- a/src/main/java/org/mulleinshift/controller/CancelledJobs.java
+++ b/src/main/java/org/mulleinshift/controller/CancelledJobs.java
@@ -34,7 +34,7 @@
   }
 
   /** Another controller says that a job is cancelled, maybe before the store shows it. */
-  void announce(JobId job) {
+  void addAnnounced(JobId job) {
     if (!contains(job)) {
       announced.add(job);
       onCancelled.accept(job);
--- a/src/main/java/org/mulleinshift/controller/ComponentEvents.java
+++ b/src/main/java/org/mulleinshift/controller/ComponentEvents.java
@@ -77,7 +77,7 @@
   }
 
   /** This controller may stand for election again. */
-  void onCandidacyChange() {
+  void onCandidacyAllowed() {
     components.leadership().observeElection();
   }
 
@@ -87,7 +87,7 @@
   }
 
   /** The view of the control keys has changed. */
-  void onViewChange() {
+  void onControlKeysChanged() {
     components.ownedShards().onControlChange();
     components.currentTerm().ifLeading(Leader::onControlChange);
     components.leadership().observeElection();
--- a/src/main/java/org/mulleinshift/controller/Controller.java
+++ b/src/main/java/org/mulleinshift/controller/Controller.java
@@ -15,20 +15,20 @@
    * The ways out of the process.
    *
    * @param loop the event loop, which owns all state
-   * @param store calls of the store
-   * @param watches long calls of the store that wait for changes
-   * @param cloud calls of the cloud
-   * @param workers calls of workers
-   * @param peers frames to the other controllers
+   * @param storeClient calls of the store
+   * @param watchClient long calls of the store that wait for changes
+   * @param cloudClient calls of the cloud
+   * @param workerClient calls of workers
+   * @param peerTransport frames to the other controllers
    * @param heapMonitor use of the heap
    */
   public record Ports(
       EventLoop loop,
-      AsyncHttpClient store,
-      AsyncHttpClient watches,
-      AsyncHttpClient cloud,
-      AsyncHttpClient workers,
-      PeerTransport peers,
+      AsyncHttpClient storeClient,
+      AsyncHttpClient watchClient,
+      AsyncHttpClient cloudClient,
+      AsyncHttpClient workerClient,
+      PeerTransport peerTransport,
       HeapMonitor heapMonitor) {}
 
   private final ControllerComponents components;
--- a/src/main/java/org/mulleinshift/controller/ControllerComponents.java
+++ b/src/main/java/org/mulleinshift/controller/ControllerComponents.java
@@ -47,7 +47,7 @@
   private final RunTimeEstimator runTimes = new RunTimeEstimator();
   private final ComponentEvents events = new ComponentEvents(this);
   private final PeerMessageDispatcher dispatcher = new PeerMessageDispatcher();
-  private final EstimateReplicator estimates;
+  private final EstimateReplicator estimateReplicator;
   private final StoreRateLimits rateLimits;
   private final KeyValueStore store;
   private final CancelledJobs cancelledJobs;
@@ -66,11 +66,11 @@
   private final ControllerStatus status;
   private final OwnedShards ownedShards;
   private final FeatureGates featureGates;
-  private final CancellationAnnouncer cancellations;
+  private final CancellationAnnouncer cancellationAnnouncer;
   private final JobApi jobApi;
   private final CloudClient cloud;
   private final ControllerReadiness readiness;
-  private final LeaderLocator locator;
+  private final LeaderLocator leaderLocator;
   private final LeadershipCoordinator leadership;
   private final HeartbeatExchange heartbeats;
   private final RequestRouter router;
@@ -84,18 +84,19 @@
     this.loop = ports.loop();
     this.members = ClusterMembers.of(settings);
     this.shardLease = Leases.shardLease(cluster.workerTiming(), tunables);
-    this.estimates = new EstimateReplicator(loop, runTimes);
+    this.estimateReplicator = new EstimateReplicator(loop, runTimes);
     this.rateLimits = new StoreRateLimits(cluster);
     this.store = rateLimits.createClient(ports, settings.storeAddress());
     this.cancelledJobs = new CancelledJobs(events::onJobCancelled);
     this.currentTerm =
-        new CurrentTerm(loop, store, rateLimits, this::createLeader, events::onCandidacyChange);
+        new CurrentTerm(loop, store, rateLimits, this::createLeader, events::onCandidacyAllowed);
     this.controlKeys = createControlKeys();
     this.activeJobsListener = new ActiveJobsListener(cancelledJobs, currentTerm, events);
     this.activeJobs = createActiveJobs();
     this.failureDetector = new PeerFailureDetector(loop, members.self());
     this.messenger =
-        new FrameMessenger(loop, ports.peers(), members, failureDetector, dispatcher::dispatch);
+        new FrameMessenger(
+            loop, ports.peerTransport(), members, failureDetector, dispatcher::dispatch);
     this.storeHealth = createStoreHealth();
     this.session = createSession();
     this.election = createElection();
@@ -105,11 +106,11 @@
     this.status = createStatus();
     this.ownedShards = createOwnedShards();
     this.featureGates = new FeatureGates(loop, store, members.self(), members.all(), view);
-    this.cancellations = createCancellations();
+    this.cancellationAnnouncer = createCancellationAnnouncer();
     this.jobApi = createJobApi();
     this.cloud = createCloudClient();
     this.readiness = createReadiness();
-    this.locator = new LeaderLocator(view, storeHealth, failureDetector);
+    this.leaderLocator = new LeaderLocator(view, storeHealth, failureDetector);
     this.leadership = createLeadership();
     this.heartbeats = createHeartbeats();
     this.router =
@@ -158,8 +159,8 @@
   }
 
   /** Announces cancellations to the other controllers. */
-  CancellationAnnouncer cancellations() {
-    return cancellations;
+  CancellationAnnouncer cancellationAnnouncer() {
+    return cancellationAnnouncer;
   }
 
   /** Answers users. */
@@ -168,8 +169,8 @@
   }
 
   /** What this controller learns from leaders. */
-  EstimateReplicator estimates() {
-    return estimates;
+  EstimateReplicator estimateReplicator() {
+    return estimateReplicator;
   }
 
   /** Decides when this controller stands for election or resigns. */
@@ -199,13 +200,13 @@
 
   private WatchCache createControlKeys() {
     ControlKeysListener listener =
-        new ControlKeysListener(view, events::onGrantsChange, events::onViewChange);
-    return new WatchCache(loop, store, StoreKeys.CONTROL, rateLimits.watchSpacing(), listener);
+        new ControlKeysListener(view, events::onGrantsChange, events::onControlKeysChanged);
+    return new WatchCache(loop, store, StoreKeys.CONTROL, rateLimits.minWatchInterval(), listener);
   }
 
   private WatchCache createActiveJobs() {
     return new WatchCache(
-        loop, store, StoreKeys.ACTIVE_JOBS, rateLimits.watchSpacing(), activeJobsListener);
+        loop, store, StoreKeys.ACTIVE_JOBS, rateLimits.minWatchInterval(), activeJobsListener);
   }
 
   private StoreHealth createStoreHealth() {
@@ -213,7 +214,7 @@
         new StoreHealth(
             loop,
             tunables.seconds(Tunables.Key.STORE_TIMEOUT_S),
-            rateLimits.probeSpacing(),
+            rateLimits.probeInterval(),
             this::probeStore,
             events);
     store.observe(health);
@@ -284,7 +285,7 @@
     ShardOwner.Context context =
         new ShardOwner.Context(
             loop,
-            ports.workers(),
+            ports.workerClient(),
             catalog,
             cluster.workerTiming(),
             shardLease,
@@ -301,17 +302,20 @@
 
   private MachineTypeCatalog createCatalog() {
     return new MachineTypeCatalog(
-        loop, ports.cloud(), settings.cloudAddress(), events::onPreconditionChange);
+        loop, ports.cloudClient(), settings.cloudAddress(), events::onPreconditionChange);
   }
 
-  private CancellationAnnouncer createCancellations() {
+  private CancellationAnnouncer createCancellationAnnouncer() {
     return new CancellationAnnouncer(
         loop, members, view, featureGates, messenger, cancelledJobs, shardLease);
   }
 
   private CloudClient createCloudClient() {
     return CloudClient.limited(
-        loop, ports.cloud(), settings.cloudAddress(), cluster.cloudLimits().requestsPerSecond());
+        loop,
+        ports.cloudClient(),
+        settings.cloudAddress(),
+        cluster.cloudLimits().requestsPerSecond());
   }
 
   private JobApi createJobApi() {
@@ -324,8 +328,8 @@
             tunables.count(Tunables.Key.RETRY_AFTER_S),
             activeJobs::confirmCurrent,
             ports.heapMonitor()::pressure,
-            cancellations,
-            () -> featureGates.allSupport(FeatureGates.DEPENDENCY_PROOFS)));
+            cancellationAnnouncer,
+            () -> featureGates.allSupport(FeatureGates.DEPENDENCY_VERIFICATION)));
   }
 
   private ControllerReadiness createReadiness() {
@@ -344,7 +348,7 @@
             members.self(),
             election,
             currentTerm,
-            locator,
+            leaderLocator,
             readiness,
             storeHealth,
             failureDetector,
@@ -361,7 +365,7 @@
             session,
             storeHealth,
             ownedShards::reachability,
-            locator,
+            leaderLocator,
             election,
             failover,
             failureDetector,
@@ -380,7 +384,7 @@
             view,
             catalog,
             runTimes,
-            estimates,
+            estimateReplicator,
             featureGates,
             failover,
             status,
--- a/src/main/java/org/mulleinshift/controller/ControllerReadiness.java
+++ b/src/main/java/org/mulleinshift/controller/ControllerReadiness.java
@@ -28,32 +28,32 @@
 
   /** May serve users; not while only this controller has lost the store: others can do better. */
   boolean canServe() {
-    return started() && storeHealth.state() != StoreHealth.State.LOST;
+    return isInitialized() && storeHealth.state() != StoreHealth.State.LOST;
   }
 
   /** May stand for election: its view of the stored state is current. */
   boolean canLead() {
-    return started() && servedByStore() && watchesControlKeys();
+    return isInitialized() && isStoreConnected() && isWatchingControlKeys();
   }
 
   /** All its own connections work, so that it may judge those of others. */
   boolean connectionsHealthy() {
-    return servedByStore()
+    return isStoreConnected()
         && reachability.get() == WorkerReachability.State.REACHABLE
-        && watchesControlKeys();
+        && isWatchingControlKeys();
   }
 
-  private boolean started() {
+  private boolean isInitialized() {
     return session.state() == ControllerSession.State.ACTIVE
         && jobsLoaded.getAsBoolean()
         && catalog.isLoaded();
   }
 
-  private boolean servedByStore() {
+  private boolean isStoreConnected() {
     return storeHealth.state() == StoreHealth.State.CONNECTED;
   }
 
-  private boolean watchesControlKeys() {
+  private boolean isWatchingControlKeys() {
     return controlKeys.state() == WatchCache.State.WATCHING;
   }
 }
--- a/src/main/java/org/mulleinshift/controller/CurrentTerm.java
+++ b/src/main/java/org/mulleinshift/controller/CurrentTerm.java
@@ -13,13 +13,13 @@
 /** Starts the leader's work when this controller is elected, and ends it with the term. */
 final class CurrentTerm implements LeaderElection.Listener {
   /** After the end of a term, before this controller may stand for election again. */
-  private static final Duration CANDIDACY_PAUSE = Duration.ofMillis(500);
+  private static final Duration CANDIDACY_DELAY = Duration.ofMillis(500);
 
   private final EventLoop loop;
   private final KeyValueStore store;
   private final StoreRateLimits rateLimits;
   private final Function<Revision, Leader> leaderFactory;
-  private final Runnable candidacy;
+  private final Runnable onCandidacyAllowed;
   private Optional<Leader> leader = Optional.empty();
 
   /**
@@ -29,26 +29,26 @@
    * @param store its rate of writes depends on who leads
    * @param rateLimits of the store
    * @param leaderFactory creates the leader of a term
-   * @param candidacy lets this controller stand for election if it can
+   * @param onCandidacyAllowed lets this controller stand for election if it can
    */
   CurrentTerm(
       EventLoop loop,
       KeyValueStore store,
       StoreRateLimits rateLimits,
       Function<Revision, Leader> leaderFactory,
-      Runnable candidacy) {
+      Runnable onCandidacyAllowed) {
     this.loop = loop;
     this.store = store;
     this.rateLimits = rateLimits;
     this.leaderFactory = leaderFactory;
-    this.candidacy = candidacy;
+    this.onCandidacyAllowed = onCandidacyAllowed;
   }
 
   @Override
   public void onElected(Revision term) {
     Leader next = leaderFactory.apply(term);
     leader = Optional.of(next);
-    store.setWriteRate(rateLimits.leaderWrites());
+    store.setWriteRate(rateLimits.leaderWritesPerSecond());
     next.start();
   }
 
@@ -56,8 +56,8 @@
   public void onLeadershipLost() {
     leader.ifPresent(Leader::retire);
     leader = Optional.empty();
-    store.setWriteRate(rateLimits.followerWrites());
-    loop.after(CANDIDACY_PAUSE, candidacy);
+    store.setWriteRate(rateLimits.followerWritesPerSecond());
+    loop.after(CANDIDACY_DELAY, onCandidacyAllowed);
   }
 
   /** Whether a term of this controller has begun and not ended. */
--- a/src/main/java/org/mulleinshift/controller/FrameMessenger.java
+++ b/src/main/java/org/mulleinshift/controller/FrameMessenger.java
@@ -29,7 +29,7 @@
   private static final int MAX_RELAYED_BYTES = 1 << 18;
 
   /** One of so many malformed frames is logged. */
-  private static final int MALFORMED_LOG_INTERVAL = 100;
+  private static final int MALFORMED_FRAMES_PER_LOG = 100;
 
   /** The way that a frame has come. */
   private enum Route {
@@ -75,9 +75,9 @@
       return;
     }
     // All messages of one step of the event loop to a peer share a frame.
-    List<Object> waiting = outbox.computeIfAbsent(node, key -> new ArrayList<>());
-    waiting.add(message);
-    if (waiting.size() == 1) {
+    List<Object> queued = outbox.computeIfAbsent(node, key -> new ArrayList<>());
+    queued.add(message);
+    if (queued.size() == 1) {
       loop.post(() -> flush(node));
     }
   }
@@ -139,7 +139,7 @@
       }
       content.getBodies().forEach(message -> receiver.accept(sender, message));
     } catch (MalformedMessageException e) {
-      if (malformedFrames++ % MALFORMED_LOG_INTERVAL == 0) {
+      if (malformedFrames++ % MALFORMED_FRAMES_PER_LOG == 0) {
         LOG.warn("peer frame refused, reason={} refused={}", e.getMessage(), malformedFrames);
       }
     }
--- a/src/main/java/org/mulleinshift/controller/HeartbeatExchange.java
+++ b/src/main/java/org/mulleinshift/controller/HeartbeatExchange.java
@@ -25,7 +25,7 @@
   private static final Duration LEADER_INTERVAL = Duration.ofMillis(300);
 
   /** Whether the receivers of a heartbeat are to answer it. */
-  private enum Reply {
+  private enum RequestedReply {
     PERIODIC,
     IMMEDIATE
   }
@@ -76,15 +76,15 @@
 
   /** Sends a heartbeat out of turn: something that it reports has changed. */
   void send() {
-    send(Reply.PERIODIC);
+    send(RequestedReply.PERIODIC);
   }
 
   /** Sends a heartbeat that asks the others for theirs at once. */
   void requestReplies() {
-    send(Reply.IMMEDIATE);
+    send(RequestedReply.IMMEDIATE);
   }
 
-  private void send(Reply reply) {
+  private void send(RequestedReply requestedReply) {
     Optional<ClusterView.LeaderRecord> leader = context.locator().confirmedByStore();
     Heartbeat heartbeat =
         new Heartbeat(
@@ -95,7 +95,7 @@
             leader.map(record -> record.node().value()).orElse(""),
             leader.map(record -> record.term().value()).orElse(0L),
             chooseStandby(),
-            reply == Reply.IMMEDIATE,
+            requestedReply == RequestedReply.IMMEDIATE,
             context.failureDetector().lastHeardList());
     context.messenger().sendToOthers(heartbeat);
   }
--- a/src/main/java/org/mulleinshift/controller/LeaderLocator.java
+++ b/src/main/java/org/mulleinshift/controller/LeaderLocator.java
@@ -26,25 +26,25 @@
 
   /** The leader by this controller's own view, unless the view may be out of date. */
   Optional<ClusterView.LeaderRecord> confirmedByStore() {
-    return servedByStore() ? view.leader() : Optional.empty();
+    return isStoreConnected() ? view.leader() : Optional.empty();
   }
 
   /** The leader by the peers that the store serves; asked only where the own view doesn't count. */
   Optional<ClusterView.LeaderRecord> reportedByPeers() {
-    return servedByStore() ? Optional.empty() : failureDetector.leaderReportedByPeers();
+    return isStoreConnected() ? Optional.empty() : failureDetector.leaderReportedByPeers();
   }
 
   /** The leader of the newest term, by the own view or by peers. */
   Optional<ClusterView.LeaderRecord> newest() {
-    Optional<ClusterView.LeaderRecord> viewed = view.leader();
-    Optional<ClusterView.LeaderRecord> reported = reportedByPeers();
-    boolean reportedIsNewer =
-        reported.isPresent()
-            && (viewed.isEmpty() || reported.get().term().compareTo(viewed.get().term()) > 0);
-    return reportedIsNewer ? reported : viewed;
+    Optional<ClusterView.LeaderRecord> fromView = view.leader();
+    Optional<ClusterView.LeaderRecord> fromPeers = reportedByPeers();
+    boolean peersKnowNewerTerm =
+        fromPeers.isPresent()
+            && (fromView.isEmpty() || fromPeers.get().term().compareTo(fromView.get().term()) > 0);
+    return peersKnowNewerTerm ? fromPeers : fromView;
   }
 
-  private boolean servedByStore() {
+  private boolean isStoreConnected() {
     return storeHealth.state() == StoreHealth.State.CONNECTED;
   }
 }
--- a/src/main/java/org/mulleinshift/controller/PeerMessageHandlers.java
+++ b/src/main/java/org/mulleinshift/controller/PeerMessageHandlers.java
@@ -39,9 +39,9 @@
         (sender, transfer) -> components.leadership().onLeadershipTransfer(transfer));
     dispatcher.register(
         LearnedEstimates.class,
-        (sender, estimates) -> components.estimates().onEstimates(estimates));
-    dispatcher.register(JobCancellation.class, components.cancellations()::onAnnouncement);
-    dispatcher.register(JobCancellationAck.class, components.cancellations()::onAck);
+        (sender, estimates) -> components.estimateReplicator().onEstimates(estimates));
+    dispatcher.register(JobCancellation.class, components.cancellationAnnouncer()::onAnnouncement);
+    dispatcher.register(JobCancellationAck.class, components.cancellationAnnouncer()::onAck);
     dispatcher.register(
         JobSummary.class, (sender, summary) -> components.jobApi().onSummary(summary));
   }
--- a/src/main/java/org/mulleinshift/controller/StoreRateLimits.java
+++ b/src/main/java/org/mulleinshift/controller/StoreRateLimits.java
@@ -14,18 +14,18 @@
   private static final double MIN_WRITE_SHARE = 0.2;
 
   /** Each may use more than its even share of requests, since not all do at the same time. */
-  private static final double EVEN_SHARE_FACTOR = 1.4;
+  private static final double EVEN_SHARE_MULTIPLIER = 1.4;
 
   /** Share of the store's requests that watches may use. */
   private static final double WATCH_SHARE = 0.25;
 
   /** Watches of one controller: active jobs and control keys. */
-  private static final double WATCHES = 2;
+  private static final double WATCHES_PER_CONTROLLER = 2;
 
   /** Share of the store's requests that probes of all controllers' connections may use. */
   private static final double PROBE_SHARE = 0.05;
 
-  private static final Duration MIN_PROBE_SPACING = Duration.ofMillis(500);
+  private static final Duration MIN_PROBE_INTERVAL = Duration.ofMillis(500);
 
   private static final double MILLIS_PER_SECOND = 1000;
 
@@ -40,31 +40,32 @@
   KeyValueStore createClient(Controller.Ports ports, InetSocketAddress address) {
     return new KeyValueStore(
         ports.loop(),
-        ports.store(),
-        ports.watches(),
+        ports.storeClient(),
+        ports.watchClient(),
         address,
         new KeyValueStore.Rates(
-            requests(),
-            followerWrites(),
+            requestsPerSecond(),
+            followerWritesPerSecond(),
             cluster.storeLimits().requestsShareAfterReduction(),
             cluster.storeLimits().writesShareAfterReduction()));
   }
 
   /** Requests a second of one controller. */
-  double requests() {
+  double requestsPerSecond() {
     double evenShare = 1.0 / Math.max(1, cluster.size());
-    return cluster.storeLimits().requestsPerSecond() * Math.min(1, evenShare * EVEN_SHARE_FACTOR);
+    return cluster.storeLimits().requestsPerSecond()
+        * Math.min(1, evenShare * EVEN_SHARE_MULTIPLIER);
   }
 
   /** Writes a second of the leader, which stores all progress of jobs and machines. */
-  double leaderWrites() {
+  double leaderWritesPerSecond() {
     return cluster.storeLimits().writesPerSecond() * LEADER_WRITE_SHARE;
   }
 
   /** Writes a second of one of the others, which accept and cancel jobs. */
-  double followerWrites() {
+  double followerWritesPerSecond() {
     if (cluster.size() == 1) {
-      return leaderWrites();
+      return leaderWritesPerSecond();
     }
     int followers = Math.max(1, cluster.size() - 1);
     double share = Math.max(MIN_WRITE_SHARE, FOLLOWERS_WRITE_SHARE / followers);
@@ -75,17 +76,19 @@
    * Time between two requests of a watch. Every change that is watched costs each controller a
    * request: they share a part of the rate.
    */
-  Duration watchSpacing() {
+  Duration minWatchInterval() {
     double seconds =
-        WATCHES * cluster.size() / (WATCH_SHARE * cluster.storeLimits().requestsPerSecond());
+        WATCHES_PER_CONTROLLER
+            * cluster.size()
+            / (WATCH_SHARE * cluster.storeLimits().requestsPerSecond());
     return Duration.ofMillis((long) (MILLIS_PER_SECOND * seconds));
   }
 
   /** Time between two probes of one controller's connection to the store. */
-  Duration probeSpacing() {
+  Duration probeInterval() {
     double probesPerSecond =
         PROBE_SHARE * cluster.storeLimits().requestsPerSecond() / cluster.size();
-    Duration spacing = Duration.ofMillis((long) (MILLIS_PER_SECOND / probesPerSecond));
-    return spacing.compareTo(MIN_PROBE_SPACING) < 0 ? MIN_PROBE_SPACING : spacing;
+    Duration interval = Duration.ofMillis((long) (MILLIS_PER_SECOND / probesPerSecond));
+    return interval.compareTo(MIN_PROBE_INTERVAL) < 0 ? MIN_PROBE_INTERVAL : interval;
   }
 }
--- a/src/main/java/org/mulleinshift/leader/JobLifecycle.java
+++ b/src/main/java/org/mulleinshift/leader/JobLifecycle.java
@@ -144,7 +144,7 @@
   @Override
   public void quarantineJob(JobId id, JsonNode record, String reason) {
     UnreadableJobs unreadable = state.unreadable();
-    unreadable.add(id, record, reason);
+    unreadable.quarantine(id, record, reason);
     Optional<Job> job = state.jobs().remove(id);
     dependencies.remove(id);
     for (TaskAssignment assignment : job.map(Job::assignments).orElse(List.of())) {
--- a/src/main/java/org/mulleinshift/memory/Heap.java
+++ b/src/main/java/org/mulleinshift/memory/Heap.java
@@ -3,7 +3,7 @@
 /** The heap, where the memory of objects is allocated. */
 public interface Heap {
   /** Bytes in use, those of unreachable objects included. */
-  long used();
+  long usedBytes();
 
   /** Frees unreachable objects; takes some tens of milliseconds. */
   void collect();
@@ -12,7 +12,7 @@
   static Heap ofProcess() {
     return new Heap() {
       @Override
-      public long used() {
+      public long usedBytes() {
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
       }
 
--- a/src/main/java/org/mulleinshift/memory/HeapMonitor.java
+++ b/src/main/java/org/mulleinshift/memory/HeapMonitor.java
@@ -18,7 +18,7 @@
   private static final Duration MIN_TIME_BETWEEN_URGENT_COLLECTIONS = Duration.ofMillis(500);
 
   /** A collection is followed by a pause of at least this many times its duration. */
-  private static final int PAUSE_FACTOR = 20;
+  private static final int COLLECTION_PAUSE_FACTOR = 20;
 
   /** Shares of the limit: below this one the pressure is normal. */
   private static final double HIGH_SHARE = 0.70;
@@ -35,16 +35,16 @@
   private final Heap heap;
   private final long limitBytes;
   private MemoryPressure pressure = MemoryPressure.NORMAL;
-  private MonotonicTime mayCollectAt;
-  private MonotonicTime collectedAt;
+  private MonotonicTime nextCollectionAllowedAt;
+  private MonotonicTime lastCollectedAt;
 
   /** A monitor that reports no pressure until it is started. */
   public HeapMonitor(EventLoop loop, Heap heap, long limitBytes) {
     this.loop = loop;
     this.heap = heap;
     this.limitBytes = limitBytes;
-    this.mayCollectAt = loop.now();
-    this.collectedAt = loop.now().minus(MIN_TIME_BETWEEN_COLLECTIONS);
+    this.nextCollectionAllowedAt = loop.now();
+    this.lastCollectedAt = loop.now().minus(MIN_TIME_BETWEEN_COLLECTIONS);
   }
 
   /** Checks the heap from now on, a few times a second. */
@@ -59,29 +59,29 @@
   }
 
   private void check() {
-    long used = heap.used();
-    if (used < HIGH_SHARE * limitBytes) {
-      transitionTo(MemoryPressure.NORMAL, used);
+    long usedBytes = heap.usedBytes();
+    if (usedBytes < HIGH_SHARE * limitBytes) {
+      transitionTo(MemoryPressure.NORMAL, usedBytes);
       return;
     }
     MonotonicTime now = loop.now();
-    boolean due = used >= COLLECT_SHARE * limitBytes && !mayCollectAt.isAfter(now);
+    boolean due = usedBytes >= COLLECT_SHARE * limitBytes && !nextCollectionAllowedAt.isAfter(now);
     boolean urgent =
-        used >= URGENT_SHARE * limitBytes
-            && now.since(collectedAt).compareTo(MIN_TIME_BETWEEN_URGENT_COLLECTIONS) >= 0;
+        usedBytes >= URGENT_SHARE * limitBytes
+            && now.since(lastCollectedAt).compareTo(MIN_TIME_BETWEEN_URGENT_COLLECTIONS) >= 0;
     if (!due && !urgent) {
       return;
     }
     heap.collect();
-    collectedAt = loop.now();
-    Duration pause = collectedAt.since(now).multipliedBy(PAUSE_FACTOR);
-    mayCollectAt =
-        collectedAt.plus(
+    lastCollectedAt = loop.now();
+    Duration pause = lastCollectedAt.since(now).multipliedBy(COLLECTION_PAUSE_FACTOR);
+    nextCollectionAllowedAt =
+        lastCollectedAt.plus(
             pause.compareTo(MIN_TIME_BETWEEN_COLLECTIONS) > 0
                 ? pause
                 : MIN_TIME_BETWEEN_COLLECTIONS);
-    long remaining = heap.used();
-    transitionTo(pressureOf(remaining), remaining);
+    long remainingBytes = heap.usedBytes();
+    transitionTo(pressureOf(remainingBytes), remainingBytes);
   }
 
   private MemoryPressure pressureOf(long usedBytes) {
@@ -92,13 +92,13 @@
   }
 
   /** The only place where the pressure changes. */
-  private void transitionTo(MemoryPressure next, long used) {
+  private void transitionTo(MemoryPressure next, long usedBytes) {
     if (next != pressure) {
       LOG.warn(
           "memory pressure changed, from={} to={} used_mib={} limit_mib={}",
           pressure,
           next,
-          used >> MIB_SHIFT,
+          usedBytes >> MIB_SHIFT,
           limitBytes >> MIB_SHIFT);
       pressure = next;
     }
--- a/src/main/java/org/mulleinshift/progress/ProgressLoader.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressLoader.java
@@ -89,7 +89,7 @@
 
   private void onEntry(LogSegment.Entry entry, KeyValue item, int slot) {
     if (unreadable.contains(entry.job())) {
-      unreadable.addProgress(entry.progress());
+      unreadable.addShardsFromProgress(entry.progress());
       log.pin(slot);
     } else if (jobs.findJob(entry.job()).isPresent()) {
       FoundImage found = new FoundImage(item.revision(), entry.progress(), OptionalInt.of(slot));
@@ -126,7 +126,7 @@
   private void quarantine(Job job, JsonNode progress, String reason) {
     JsonNode record = JobRecord.value(job.spec(), job.dependencies(), job.acceptedMillis(), false);
     jobs.quarantineJob(job.spec().id(), record, reason);
-    unreadable.addProgress(progress);
+    unreadable.addShardsFromProgress(progress);
   }
 
   /** Loads a page of the keys of chunks; a whole chunk comes before its halves. */
@@ -139,7 +139,7 @@
       }
       JobId id = key.get().job();
       if (unreadable.contains(id)) {
-        unreadable.addProgress(item.value());
+        unreadable.addShardsFromProgress(item.value());
         continue;
       }
       batcher.recordRevision(item.key(), item.revision());
@@ -188,7 +188,7 @@
   }
 
   private void pin(FoundImage found) {
-    unreadable.addProgress(found.progress());
+    unreadable.addShardsFromProgress(found.progress());
     found.slot().ifPresent(log::pin);
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/ClusterState.java
+++ b/src/main/java/org/mulleinshift/scheduling/ClusterState.java
@@ -53,7 +53,7 @@
 
   /** Whether a task is, may be about to be, or may unknown to this build be on the machine. */
   public boolean isBusy(MachineId machine, ShardId shard) {
-    return allocations.busy(machine, shard) || unreadable.mayOccupy(shard);
+    return allocations.busy(machine, shard) || unreadable.mayHaveTasksIn(shard);
   }
 
   /** What each team uses, or may use. */
--- a/src/test/java/org/mulleinshift/MemoryLimitsTest.java
+++ b/src/test/java/org/mulleinshift/MemoryLimitsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.mulleinshift.memory.MemoryPlan;
+import org.mulleinshift.memory.MemoryBudget;
 import org.mulleinshift.protocol.MalformedMessageException;
 import org.mulleinshift.protocol.WorkerCodec;
 import org.mulleinshift.transport.JdkHttpServer;
@@ -33,15 +33,16 @@
   @ParameterizedTest
   @CsvSource({"176, 700", "205, 1500", "414, 2391", "414, 3762", "96, 20000"})
   void whatIsHeldFitsIntoTheNode(double memoryMb, int sockets) {
-    MemoryPlan plan = MemoryPlan.of(memoryMb, sockets, 320 * MIB);
-    assertTrue(plan.heapBytes() + 40 * MIB <= memoryMb * MIB, "heap " + plan.heapBytes());
+    MemoryBudget plan = MemoryBudget.of(memoryMb, sockets, 320 * MIB);
+    assertTrue(plan.heapLimitBytes() + 40 * MIB <= memoryMb * MIB, "heap " + plan.heapLimitBytes());
     long held =
-        24L * 1024 * plan.idleConnections()
+        24L * 1024 * plan.maxIdleConnections()
             + plan.userBodyBytes()
-            + plan.reportBodyBytes()
+            + plan.heartbeatBodyBytes()
             + 4L * plan.peerQueueBytes()
             + plan.peerIncomingBytes();
-    assertTrue(held <= 0.7 * plan.heapBytes(), "held " + held + " of " + plan.heapBytes());
+    assertTrue(
+        held <= 0.7 * plan.heapLimitBytes(), "held " + held + " of " + plan.heapLimitBytes());
   }
 
   /** Frames of up to 4 MiB waited for a peer that hung, up to 64 of them. */
--- a/src/test/java/org/mulleinshift/simulation/SimulatedController.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedController.java
@@ -147,7 +147,7 @@
 
   private final class SimulatedHeap implements Heap {
     @Override
-    public long used() {
+    public long usedBytes() {
       return (long) (heapShare * HEAP_BYTES);
     }
 
