--- a/src/test/java/org/mulleinshift/controller/CancellationAnnouncerTest.java
+++ b/src/test/java/org/mulleinshift/controller/CancellationAnnouncerTest.java
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void isKnownOnceEveryOwnerHasAcknowledged() {
+  void isConfirmedOnceEveryOwnerHasAcknowledged() {
     announce();
     assertEquals(2, sent.size(), "all others are told, since any may become an owner");
     assertEquals(List.of(JOB), stopped);
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void isInDoubtWhileAnOwnerDoesNotAnswer() {
+  void isNotConfirmedWhileAnOwnerDoesNotAnswer() {
     announce();
     loop.runFor(0.5);
     assertEquals(List.of(false), results);
@@ -104,7 +104,7 @@
   }
 
   @Test
-  void isKnownOnceNoOwnerThatDoesNotKnowMayAct() {
+  void isConfirmedOnceOwnershipLeasesFromBeforeHaveExpired() {
     announce();
     loop.runFor(LEASE.toMillis() / 1000.0);
     announce();
