--- a/src/main/java/org/mulleinshift/LogSetup.java
+++ b/src/main/java/org/mulleinshift/LogSetup.java
@@ -9,7 +9,10 @@
 import ch.qos.logback.core.spi.ContextAwareBase;
 import org.slf4j.Logger;
 
-/** Logs to standard error, in the amount that the variable LOG_LEVEL sets. */
+/**
+ * Configures Logback to log to standard error. The environment variable {@code LOG_LEVEL} sets the
+ * minimum level; it is INFO if the variable is unset or names no level.
+ */
 public final class LogSetup extends ContextAwareBase implements Configurator {
   @Override
   public ExecutionStatus configure(LoggerContext context) {
--- a/src/main/java/org/mulleinshift/Main.java
+++ b/src/main/java/org/mulleinshift/Main.java
@@ -32,7 +32,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The command line. */
+/**
+ * Entry point of the controller process: parses the command line, reads the settings and runs the
+ * controller.
+ */
 @Command(
     name = "mulleinshift",
     description = "Runs one controller of a mulleinshift cluster.",
@@ -40,7 +43,7 @@
     versionProvider = Main.Version.class,
     sortOptions = false)
 public final class Main implements Callable<Integer> {
-  /** Threads of a client of one outside system, and calls that may wait for them. */
+  /** For each HTTP client: its number of threads, and how many calls may be queued for them. */
   private static final int STORE_THREADS = 6;
 
   private static final int STORE_QUEUE = 512;
@@ -72,7 +75,10 @@
   @Option(names = "--check", description = "Check the settings files and end.")
   private boolean check;
 
-  /** Starts a controller; a second form of the arguments is parsed by the library. */
+  /**
+   * Runs the controller. {@code --config FILE} is handled without picocli; all other arguments are
+   * parsed by it.
+   */
   public static void main(String[] args) throws IOException, InterruptedException {
     int code =
         args.length == 2 && args[0].equals(CONFIG_OPTION)
@@ -84,8 +90,9 @@
   }
 
   /**
-   * What the platform asks for. The parser of arguments is left out of it: its classes are too old
-   * for the class archive, and reading them took a part of each start on a small share of a core.
+   * Fast path for the command line that the platform uses. It avoids picocli, whose class files are
+   * too old for the class data sharing archive: loading them took a part of each process start on a
+   * small share of a core.
    */
   private static int runWithConfig(Path config) throws IOException, InterruptedException {
     Main main = new Main();
@@ -189,7 +196,7 @@
         new HeapMonitor(loop, Heap.ofProcess(), memory.heapLimitBytes()));
   }
 
-  /** Tells the version that the build put into the jar. */
+  /** Returns the version from the jar's manifest, or {@code (not packaged)} without a jar. */
   public static final class Version implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
--- a/src/main/java/org/mulleinshift/compatibility/FeatureGates.java
+++ b/src/main/java/org/mulleinshift/compatibility/FeatureGates.java
@@ -16,25 +16,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which feature level each controller has published. A process publishes its own once, under a key
- * that outlives it: a controller that was upgraded does not come back with an older build. What an
- * older build would misread is written only after all members have published a level that reads it;
- * since none of these keys is ever deleted, every later leader finds the same.
+ * Enables features that older builds don't support, once all members of the cluster support them.
+ * Each controller publishes its feature level under a key that outlives the process: a controller
+ * that was upgraded does not come back with an older build. Data that an older build would misread
+ * is written only after all members have published a level that can read it. These keys are never
+ * deleted, so every later leader comes to the same result.
  */
 public final class FeatureGates {
   private static final Logger LOG = LoggerFactory.getLogger(FeatureGates.class);
   private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
-  /** From this level on a chunk of progress may be split. */
+  /** From this level on, a controller can read progress chunks that were split. */
   public static final int SPLIT_CHUNKS = 1;
 
-  /** From this level on progress may be stored in the log. */
+  /** From this level on, a controller can read progress from the progress log. */
   public static final int PROGRESS_LOG = 2;
 
-  /** From this level on controllers announce cancellations to each other. */
+  /** From this level on, a controller understands announcements of cancellations. */
   public static final int CANCELLATION_NOTICES = 3;
 
-  /** From this level on no controller calls a job waiting whose dependency ended as cancelled. */
+  /**
+   * From this level on, a controller never reports a job as waiting if one of its dependencies
+   * ended as cancelled.
+   */
   public static final int DEPENDENCY_VERIFICATION = 4;
 
   private static final int OWN_LEVEL = DEPENDENCY_VERIFICATION;
@@ -47,10 +51,10 @@
   private int loggedLevel;
 
   /**
-   * Gates that are closed until all members have published their levels.
+   * Creates gates that are closed until all members have published their levels.
    *
-   * @param members all configured controllers, this one included
-   * @param view where the published levels are read
+   * @param members all configured controllers, including this one
+   * @param view provides the published levels
    */
   public FeatureGates(
       EventLoop loop, KeyValueStore store, NodeId self, List<NodeId> members, ClusterView view) {
@@ -61,7 +65,7 @@
     this.view = view;
   }
 
-  /** Publishes the feature level of this process, unless that or a newer one is stored. */
+  /** Publishes the feature level of this build, unless the stored level is at least as high. */
   public void start() {
     store.get(
         StoreKeys.featureLevel(self),
@@ -92,7 +96,7 @@
         });
   }
 
-  /** Whether all members have published that feature level, or a newer one. */
+  /** Returns whether all members have published the given feature level or a higher one. */
   public boolean allSupport(int level) {
     boolean all =
         members.stream().allMatch(node -> view.featureLevels().getOrDefault(node, 0) >= level);
--- a/src/main/java/org/mulleinshift/compatibility/UnreadableJobs.java
+++ b/src/main/java/org/mulleinshift/compatibility/UnreadableJobs.java
@@ -16,9 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Jobs whose stored form this build can't read: a newer build wrote them, or they are damaged. This
- * build can't judge them: nothing stored of them is deleted or written, none of their tasks is
- * started, stopped or forgotten, and the resources that they may use count as used. They stay
+ * Quarantined jobs: this build can't read their stored records, because a newer build wrote them or
+ * they are corrupt. Their stored data is neither changed nor deleted, none of their tasks is
+ * started, stopped or dropped, and the resources that they may use count as used. They stay
  * quarantined until the next term.
  */
 public final class UnreadableJobs {
@@ -29,10 +29,10 @@
   private boolean mayHaveTasksAnywhere;
 
   /**
-   * Quarantines a job; logged once for each.
+   * Quarantines a job; logs it the first time.
    *
    * @param record the stored record
-   * @param reason what can't be read, for the log
+   * @param reason why it can't be read, for the log
    */
   public void quarantine(JobId job, JsonNode record, String reason) {
     if (footprints.putIfAbsent(job, JobRecord.footprint(record)) == null) {
@@ -40,7 +40,10 @@
     }
   }
 
-  /** Records where a quarantined job may have tasks, by a chunk of its stored progress. */
+  /**
+   * Adds the shards in which a quarantined job may have tasks, according to a chunk of its stored
+   * progress. If the chunk doesn't show them, the job may have tasks in any shard.
+   */
   public void addShardsFromProgress(JsonNode chunk) {
     JsonNode assignments = chunk.path("at");
     if (!assignments.isArray()) {
@@ -56,29 +59,30 @@
     }
   }
 
-  /** A quarantined job may have tasks in that shard. */
+  /** Adds a shard in which a quarantined job may have tasks. */
   public void addShard(ShardId shard) {
     possibleShards.add(shard);
   }
 
-  /** Whether the job is quarantined. */
+  /** Returns whether the job is quarantined. */
   public boolean contains(JobId job) {
     return footprints.containsKey(job);
   }
 
-  /** All quarantined jobs. */
+  /** Returns an unmodifiable view of all quarantined jobs. */
   public Set<JobId> jobs() {
     return Collections.unmodifiableSet(footprints.keySet());
   }
 
   /**
-   * Whether tasks of quarantined jobs, which must not be stopped, may be on the shard's machines.
+   * Returns whether the shard's machines may run tasks of quarantined jobs, which must not be
+   * stopped.
    */
   public boolean mayHaveTasksIn(ShardId shard) {
     return !footprints.isEmpty() && (mayHaveTasksAnywhere || possibleShards.contains(shard));
   }
 
-  /** Adds what the quarantined jobs may use to the usage of their teams. */
+  /** Adds the maximum resources of the quarantined jobs to their teams' usage. */
   public void addUsage(Map<TeamId, Resources> usage) {
     for (Footprint footprint : footprints.values()) {
       footprint.team().ifPresent(team -> usage.merge(team, footprint.maximum(), Resources::plus));
--- a/src/main/java/org/mulleinshift/compatibility/package-info.java
+++ b/src/main/java/org/mulleinshift/compatibility/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Controllers of several builds side by side: which stored forms all of them read, and jobs whose
- * stored form this build can't read.
+ * Compatibility between controllers of different builds in one cluster: feature levels that all
+ * members support, and jobs whose stored records this build can't read.
  */
 package org.mulleinshift.compatibility;
--- a/src/main/java/org/mulleinshift/controller/ActiveJobsListener.java
+++ b/src/main/java/org/mulleinshift/controller/ActiveJobsListener.java
@@ -8,20 +8,20 @@
 import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.store.WatchCache;
 
-/** Distributes changes of the active jobs in the store. */
+/** Forwards changes of the store's active jobs to the components that use them. */
 final class ActiveJobsListener implements WatchCache.Listener {
-  /** Whom changes of active jobs concern besides the leader. */
+  /** Receives changes of active jobs in addition to the leader. */
   interface Subscriber {
-    /** A job is active; the record is empty if this build can't read it. */
+    /** A job was added or its record changed; empty if this build can't read the record. */
     void onActive(JobId id, Optional<JobRecord> job);
 
-    /** A job is active no longer. */
+    /** A job is no longer active. */
     void onNoLongerActive(JobId id);
 
-    /** All changes up to the revision were handed over. */
+    /** All changes up to the revision have been delivered. */
     void onCaughtUp(Revision revision);
 
-    /** The active jobs were handed over for the first time. */
+    /** All active jobs have been delivered for the first time; called once. */
     void onLoaded();
   }
 
@@ -31,11 +31,11 @@
   private boolean loaded;
 
   /**
-   * A listener before the first change.
+   * Creates a listener that has received no change yet.
    *
-   * @param cancelledJobs is kept up to date
-   * @param currentTerm the leader, if this controller leads
-   * @param subscriber gets the changes too
+   * @param cancelledJobs is updated from the records' cancellation flags
+   * @param currentTerm provides the leader if this controller leads
+   * @param subscriber also receives the changes
    */
   ActiveJobsListener(CancelledJobs cancelledJobs, CurrentTerm currentTerm, Subscriber subscriber) {
     this.cancelledJobs = cancelledJobs;
@@ -43,7 +43,7 @@
     this.subscriber = subscriber;
   }
 
-  /** Whether the active jobs were read once. */
+  /** Returns whether all active jobs have been read once. */
   boolean loaded() {
     return loaded;
   }
--- a/src/main/java/org/mulleinshift/controller/CancellationAnnouncer.java
+++ b/src/main/java/org/mulleinshift/controller/CancellationAnnouncer.java
@@ -23,10 +23,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells the other controllers of a stored cancellation before it is acknowledged to its user, and
- * waits until every owner of shards has confirmed that it starts no task of the job. An owner that
- * does not confirm would learn of the cancellation from the store, or may act no longer than its
- * ownership lease.
+ * Announces a stored cancellation to the other controllers before it is acknowledged to the user,
+ * and waits until every shard owner has confirmed that it starts no more tasks of the job. An owner
+ * that does not confirm either learns of the cancellation from the store or loses its ownership
+ * lease.
  */
 final class CancellationAnnouncer implements CancellationNotice {
   private static final Logger LOG = LoggerFactory.getLogger(CancellationAnnouncer.class);
@@ -34,7 +34,7 @@
   private static final int MAX_PENDING = 512;
   private static final int MAX_REMEMBERED_ANNOUNCEMENTS = 4096;
 
-  /** An announcement that some owners have not acknowledged. */
+  /** An announcement that has not been acknowledged by all owners. */
   private static final class PendingAnnouncement {
     private final Set<NodeId> unacknowledged;
     private final List<Consumer<Boolean>> callbacks = new ArrayList<>();
@@ -56,14 +56,14 @@
       new BoundedMap<>(MAX_REMEMBERED_ANNOUNCEMENTS);
 
   /**
-   * Nothing is announced yet.
+   * Creates an announcer without pending announcements.
    *
    * @param members the controllers of the cluster
-   * @param view who owns shards
-   * @param featureGates whether all controllers understand the announcement
-   * @param messenger sends to the others
-   * @param cancelledJobs the cancelled jobs that this controller knows
-   * @param ownershipLease an owner that does not know the cancellation acts no longer than this
+   * @param view provides the owners of shards
+   * @param featureGates tell whether all controllers understand announcements
+   * @param messenger sends the announcements
+   * @param cancelledJobs the cancelled jobs known to this controller
+   * @param ownershipLease for how long an owner may act without knowing the cancellation
    */
   CancellationAnnouncer(
       EventLoop loop,
@@ -106,7 +106,7 @@
     loop.after(ACK_TIMEOUT, () -> expire(job, next));
   }
 
-  /** Controllers other than this one that own shards. */
+  /** Returns the controllers other than this one that own shards. */
   private Set<NodeId> otherOwners() {
     Set<NodeId> owners = new HashSet<>();
     view.grants().values().stream().map(GrantRecord::owner).forEach(owners::add);
@@ -114,7 +114,10 @@
     return owners;
   }
 
-  /** Whether nothing is gained by an announcement, or it would not be understood. */
+  /**
+   * Returns whether no owner can act without knowing the cancellation any more, since a full
+   * ownership lease has passed, or some controller doesn't understand announcements yet.
+   */
   private boolean needsNoAnnouncement(JobId job) {
     MonotonicTime now = loop.now();
     MonotonicTime first = firstAnnouncedAt.computeIfAbsent(job, key -> now);
@@ -129,14 +132,14 @@
     }
   }
 
-  /** Another controller has stored or found a cancellation. */
+  /** Another controller announces a cancellation, which it has stored or found in the store. */
   void onAnnouncement(NodeId sender, JobCancellation announcement) {
     JobId job = new JobId(announcement.getJob());
     cancelledJobs.addAnnounced(job);
     messenger.send(sender, new JobCancellationAck(job.value()));
   }
 
-  /** Another controller starts no task of the job any more. */
+  /** Another controller confirms that it starts no more tasks of the job. */
   void onAck(NodeId sender, JobCancellationAck ack) {
     JobId job = new JobId(ack.getJob());
     PendingAnnouncement existing = pending.get(job);
--- a/src/main/java/org/mulleinshift/controller/CancelledJobs.java
+++ b/src/main/java/org/mulleinshift/controller/CancelledJobs.java
@@ -6,34 +6,38 @@
 import org.mulleinshift.memory.BoundedMap;
 import org.mulleinshift.protocol.JobId;
 
-/** The active jobs that are known to be cancelled. */
+/** The active jobs that this controller knows to be cancelled. */
 final class CancelledJobs {
   private static final int MAX_ANNOUNCED = 4096;
 
   private final Set<JobId> jobs = new HashSet<>();
 
-  /** Announced by other controllers; the store may have shown their end before. */
+  /**
+   * Jobs whose cancellation was announced by another controller. Bounded, since {@link #remove} may
+   * have been called before the announcement arrived and is then not called again.
+   */
   private final Set<JobId> announced = BoundedMap.set(MAX_ANNOUNCED);
 
   private final Consumer<JobId> onCancelled;
 
   /**
-   * No cancelled job yet.
+   * Creates an empty set.
    *
-   * @param onCancelled runs once for each job
+   * @param onCancelled called when a job is added; called again if a job that was announced is then
+   *     found cancelled in the store
    */
   CancelledJobs(Consumer<JobId> onCancelled) {
     this.onCancelled = onCancelled;
   }
 
-  /** A job is cancelled; it may be known already. */
+  /** Adds a job whose cancellation is in the store; it may have been added before. */
   void add(JobId job) {
     if (jobs.add(job)) {
       onCancelled.accept(job);
     }
   }
 
-  /** Another controller says that a job is cancelled, maybe before the store shows it. */
+  /** Adds a job whose cancellation another controller announced; the store's watch may lag. */
   void addAnnounced(JobId job) {
     if (!contains(job)) {
       announced.add(job);
@@ -41,13 +45,13 @@
     }
   }
 
-  /** A job is active no longer. */
+  /** Removes a job that is no longer active. */
   void remove(JobId job) {
     jobs.remove(job);
     announced.remove(job);
   }
 
-  /** Whether the job is known to be cancelled. */
+  /** Returns whether the job is known to be cancelled. */
   boolean contains(JobId job) {
     return jobs.contains(job) || announced.contains(job);
   }
--- a/src/main/java/org/mulleinshift/controller/ClusterMembers.java
+++ b/src/main/java/org/mulleinshift/controller/ClusterMembers.java
@@ -7,14 +7,14 @@
 import org.mulleinshift.settings.PlatformSettings;
 
 /**
- * The configured controllers of the cluster.
+ * The controllers of the cluster according to the settings.
  *
  * @param self this controller
- * @param others all others, in the order of the settings
- * @param otherZoneFirst all others, those of other zones than this controller's first
+ * @param others all other controllers, in the order of the settings
+ * @param otherZoneFirst all other controllers, those outside this controller's zone first
  */
 record ClusterMembers(NodeId self, List<NodeId> others, List<NodeId> otherZoneFirst) {
-  /** The controllers that the settings name. */
+  /** Reads the members from the settings. */
   static ClusterMembers of(PlatformSettings settings) {
     List<NodeId> others =
         settings.members().stream().map(member -> new NodeId(member.label())).toList();
@@ -26,14 +26,14 @@
     return new ClusterMembers(new NodeId(settings.label()), others, otherZoneFirst);
   }
 
-  /** All controllers, this one first. */
+  /** Returns all controllers, this one first. */
   List<NodeId> all() {
     List<NodeId> all = new ArrayList<>(List.of(self));
     all.addAll(others);
     return all;
   }
 
-  /** Whether the node is one of the other controllers. */
+  /** Returns whether the node is one of the other controllers. */
   boolean isOther(NodeId node) {
     return others.contains(node);
   }
--- a/src/main/java/org/mulleinshift/controller/ComponentEvents.java
+++ b/src/main/java/org/mulleinshift/controller/ComponentEvents.java
@@ -12,20 +12,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Passes what happens in one component of a controller on to those that it concerns, in a fixed
- * order. No event comes before all components are built.
+ * Forwards events of one component of a controller to the components that handle them, in a fixed
+ * order. No event occurs before all components are built.
  */
 final class ComponentEvents implements StoreHealth.Listener, ActiveJobsListener.Subscriber {
   private static final Logger LOG = LoggerFactory.getLogger(ComponentEvents.class);
 
   private final ControllerComponents components;
 
-  /** The events of components that may not be built yet. */
+  /** Creates a forwarder; the components may not be built yet. */
   ComponentEvents(ControllerComponents components) {
     this.components = components;
   }
 
-  /** Peers are asked how their connections to the store are. */
+  /** Asks the peers for the state of their connections to the store. */
   @Override
   public void onSuspected() {
     components.heartbeats().requestReplies();
@@ -37,7 +37,8 @@
   }
 
   /**
-   * The connection to the store has changed: a leader that lost it has to transfer its leadership.
+   * Reports the new state to the peers. A controller that lost the store transfers its leadership,
+   * if it leads, and has peers renew its leases.
    */
   @Override
   public void onStateChanged(StoreHealth.State next) {
@@ -71,44 +72,44 @@
     components.leadership().observeElection();
   }
 
-  /** A job is cancelled: this controller's tasks of it are to stop. */
+  /** A job was cancelled: stops its tasks in the shards that this controller owns. */
   void onJobCancelled(JobId job) {
     components.ownedShards().onCancelled(job);
   }
 
-  /** This controller may stand for election again. */
+  /** This controller may stand for election again after its term ended. */
   void onCandidacyAllowed() {
     components.leadership().observeElection();
   }
 
-  /** Grants of shards have changed in the store. */
+  /** Shard grants have changed in the store. */
   void onGrantsChange() {
     components.session().verifyGrantsSoon();
   }
 
-  /** The view of the control keys has changed. */
+  /** The view has been updated from the control keys. */
   void onControlKeysChanged() {
     components.ownedShards().onControlChange();
     components.currentTerm().ifLeading(Leader::onControlChange);
     components.leadership().observeElection();
   }
 
-  /** The session, or whether machine types are known, has changed. */
+  /** The session has changed, or the machine types have become known. */
   void onPreconditionChange() {
     components.ownedShards().onControlChange();
     components.leadership().observeElection();
   }
 
-  /** Whether this controller reaches its workers has changed. */
+  /** The state of this controller's connection to its workers has changed. */
   void onReachabilityChange() {
     logPeerConnections();
     components.heartbeats().send();
   }
 
   /**
-   * This process was paused while the clocks ran on. That it received nothing meanwhile says
-   * nothing of the others; whatever else was fresh before is checked by the clock where it is acted
-   * on.
+   * This process was paused while the clocks ran on. That it received no messages in the meantime
+   * is no sign that their senders failed. Leases and other time limits are checked against the
+   * clock where they matter.
    */
   void onProcessPause(Duration pause) {
     LOG.warn("process paused, pause_ms={}", pause.toMillis());
--- a/src/main/java/org/mulleinshift/controller/ControlKeysListener.java
+++ b/src/main/java/org/mulleinshift/controller/ControlKeysListener.java
@@ -7,7 +7,7 @@
 import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.store.WatchCache;
 
-/** Applies changes of the control keys to the view, and notifies of them once it is consistent. */
+/** Applies changes of the control keys to the view, and reports them once it is consistent. */
 final class ControlKeysListener implements WatchCache.Listener {
   private final ClusterView view;
   private final Runnable onGrantsChanged;
@@ -15,11 +15,12 @@
   private boolean grantsChanged;
 
   /**
-   * A listener.
+   * Creates a listener.
    *
-   * @param view is kept up to date
-   * @param onGrantsChanged runs first where a change concerns grants of shards
-   * @param onViewChanged runs after each group of changes
+   * @param view is updated with each change
+   * @param onGrantsChanged called after a group of changes that includes shard grants, before
+   *     {@code onViewChanged}
+   * @param onViewChanged called after each group of changes
    */
   ControlKeysListener(ClusterView view, Runnable onGrantsChanged, Runnable onViewChanged) {
     this.view = view;
--- a/src/main/java/org/mulleinshift/controller/Controller.java
+++ b/src/main/java/org/mulleinshift/controller/Controller.java
@@ -9,18 +9,18 @@
 import org.mulleinshift.transport.RequestHandler;
 import org.mulleinshift.transport.Responder;
 
-/** One controller of the cluster: receives requests of users and workers and frames of peers. */
+/** One controller of the cluster: handles HTTP requests of users and workers and peer frames. */
 public final class Controller implements RequestHandler {
   /**
-   * The ways out of the process.
+   * What the controller uses of its process and of the network; replaced in simulations.
    *
-   * @param loop the event loop, which owns all state
-   * @param storeClient calls of the store
-   * @param watchClient long calls of the store that wait for changes
-   * @param cloudClient calls of the cloud
-   * @param workerClient calls of workers
-   * @param peerTransport frames to the other controllers
-   * @param heapMonitor use of the heap
+   * @param loop the event loop, on which all state is read and changed
+   * @param storeClient sends requests to the store
+   * @param watchClient sends the store's watches, long requests that wait for changes
+   * @param cloudClient sends requests to the cloud's API
+   * @param workerClient sends requests to workers
+   * @param peerTransport sends frames to the other controllers
+   * @param heapMonitor reports memory pressure
    */
   public record Ports(
       EventLoop loop,
@@ -34,17 +34,17 @@
   private final ControllerComponents components;
 
   /**
-   * A controller that does nothing until it starts.
+   * Creates a controller, which sends nothing until {@link #start} is called.
    *
-   * @param settings of the platform
-   * @param tunables of the operators
-   * @param ports its ways out of the process
+   * @param settings settings of the platform
+   * @param tunables settings of the operators
+   * @param ports connections to its process and to the network
    */
   public Controller(PlatformSettings settings, Tunables tunables, Ports ports) {
     this.components = new ControllerComponents(settings, tunables, ports);
   }
 
-  /** Starts all components; called once. */
+  /** Starts all components; must be called once, on the event loop. */
   public void start() {
     components.start();
   }
@@ -54,7 +54,7 @@
     components.router().handle(method, path, body, responder);
   }
 
-  /** Receives a frame from a peer. */
+  /** Handles a frame received from a peer; called on the event loop. */
   public void onFrame(byte[] frame) {
     components.messenger().onFrame(frame);
   }
--- a/src/main/java/org/mulleinshift/controller/ControllerComponents.java
+++ b/src/main/java/org/mulleinshift/controller/ControllerComponents.java
@@ -29,11 +29,11 @@
 import org.mulleinshift.transport.RequestHandler;
 
 /**
- * Builds the components of one controller and joins them. A component that works with one built
- * later gets a callback, which isn't called before {@link #start}.
+ * Builds the components of one controller and connects them. A component that uses one built later
+ * gets a callback, which isn't called before {@link #start}.
  */
 final class ControllerComponents {
-  /** A session's lease is renewed at least so often while it lasts. */
+  /** A session lease is renewed at least this many times within its duration. */
   private static final int RENEWALS_PER_LEASE = 5;
 
   private final PlatformSettings settings;
@@ -75,7 +75,7 @@
   private final HeartbeatExchange heartbeats;
   private final RequestRouter router;
 
-  /** Builds each component after those that it works with from its start. */
+  /** Builds each component after those that its constructor needs. */
   ControllerComponents(PlatformSettings settings, Tunables tunables, Controller.Ports ports) {
     this.settings = settings;
     this.cluster = settings.cluster();
@@ -118,72 +118,72 @@
     PeerMessageHandlers.register(dispatcher, this);
   }
 
-  /** Handles HTTP requests. */
+  /** Returns the handler of all HTTP requests. */
   RequestHandler router() {
     return router;
   }
 
-  /** Exchanges frames with the other controllers. */
+  /** Returns the messenger, which exchanges frames with the other controllers. */
   FrameMessenger messenger() {
     return messenger;
   }
 
-  /** The leader, while this controller leads. */
+  /** Returns the current term, which provides the leader while this controller leads. */
   CurrentTerm currentTerm() {
     return currentTerm;
   }
 
-  /** Keeps this controller's copy of the active jobs. */
+  /** Returns this controller's copy of the active jobs in the store. */
   WatchCache activeJobs() {
     return activeJobs;
   }
 
-  /** Knows from which controllers heartbeats arrive. */
+  /** Returns the failure detector for the other controllers. */
   PeerFailureDetector failureDetector() {
     return failureDetector;
   }
 
-  /** Holds this controller's lease of its shards. */
+  /** Returns this controller's session in the store, which its ownership of shards depends on. */
   ControllerSession session() {
     return session;
   }
 
-  /** Renews leases by way of other controllers. */
+  /** Returns the component that renews leases through other controllers. */
   IndirectLeaseRenewal indirectRenewal() {
     return indirectRenewal;
   }
 
-  /** The shards that this controller owns. */
+  /** Returns the shards that this controller owns. */
   OwnedShards ownedShards() {
     return ownedShards;
   }
 
-  /** Announces cancellations to the other controllers. */
+  /** Returns the component that announces cancellations to the other controllers. */
   CancellationAnnouncer cancellationAnnouncer() {
     return cancellationAnnouncer;
   }
 
-  /** Answers users. */
+  /** Returns the handler of users' requests. */
   JobApi jobApi() {
     return jobApi;
   }
 
-  /** What this controller learns from leaders. */
+  /** Returns the replicator of estimates that leaders learn. */
   EstimateReplicator estimateReplicator() {
     return estimateReplicator;
   }
 
-  /** Decides when this controller stands for election or resigns. */
+  /** Returns the component that decides when this controller stands for election or resigns. */
   LeadershipCoordinator leadership() {
     return leadership;
   }
 
-  /** Exchanges heartbeats. */
+  /** Returns the exchange of heartbeats with the other controllers. */
   HeartbeatExchange heartbeats() {
     return heartbeats;
   }
 
-  /** Starts all components, in the order in which they come to depend on each other. */
+  /** Starts all components, each after those that it depends on. */
   void start() {
     ports.heapMonitor().start();
     storeHealth.start();
@@ -221,7 +221,7 @@
     return health;
   }
 
-  /** A call whose answer shows whether the store serves this controller. */
+  /** Sends a request whose response shows whether the store serves this controller. */
   private void probeStore() {
     store.get(StoreKeys.LEADER, KeyValueStore.Urgency.URGENT, answer -> {});
   }
--- a/src/main/java/org/mulleinshift/controller/ControllerReadiness.java
+++ b/src/main/java/org/mulleinshift/controller/ControllerReadiness.java
@@ -9,14 +9,14 @@
 import org.mulleinshift.store.WatchCache;
 
 /**
- * What this controller is fit for.
+ * Whether this controller is ready to serve users, to lead, and to judge the health of others.
  *
  * @param session this controller's session in the store
- * @param storeHealth its connection to the store
+ * @param storeHealth the state of its connection to the store
  * @param controlKeys the cache of the control keys
- * @param jobsLoaded whether the active jobs were read once
- * @param catalog machine types
- * @param reachability whether it reaches its workers
+ * @param jobsLoaded whether all active jobs have been read once
+ * @param catalog the machine types, which must be known
+ * @param reachability the state of its connection to its workers
  */
 record ControllerReadiness(
     ControllerSession session,
@@ -26,17 +26,20 @@
     MachineTypeCatalog catalog,
     Supplier<WorkerReachability.State> reachability) {
 
-  /** May serve users; not while only this controller has lost the store: others can do better. */
+  /**
+   * Returns whether it may serve users. It may not while it has lost the store and a peer has not,
+   * since that peer can serve them.
+   */
   boolean canServe() {
     return isInitialized() && storeHealth.state() != StoreHealth.State.LOST;
   }
 
-  /** May stand for election: its view of the stored state is current. */
+  /** Returns whether it may stand for election, for which its view of the store must be current. */
   boolean canLead() {
     return isInitialized() && isStoreConnected() && isWatchingControlKeys();
   }
 
-  /** All its own connections work, so that it may judge those of others. */
+  /** Returns whether all its own connections work, so that it may judge those of others. */
   boolean connectionsHealthy() {
     return isStoreConnected()
         && reachability.get() == WorkerReachability.State.REACHABLE
--- a/src/main/java/org/mulleinshift/controller/ControllerStatus.java
+++ b/src/main/java/org/mulleinshift/controller/ControllerStatus.java
@@ -12,7 +12,7 @@
 import org.mulleinshift.sharding.OwnerHealth;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** The health of all controllers: this one's own, and that of the others by their heartbeats. */
+/** The health of all controllers: its own, and that of the others by their heartbeats. */
 final class ControllerStatus implements PeerStatus, OwnerHealth {
   private final NodeId self;
   private final PeerFailureDetector failureDetector;
@@ -20,12 +20,12 @@
   private final Supplier<WorkerReachability.State> ownReachability;
 
   /**
-   * The status of all controllers.
+   * Creates a view of the status of all controllers.
    *
    * @param self this controller
-   * @param failureDetector the heartbeats of the others
-   * @param storeHealth this controller's connection to the store
-   * @param ownReachability whether this controller reaches its workers
+   * @param failureDetector provides the heartbeats of the others
+   * @param storeHealth the state of this controller's connection to the store
+   * @param ownReachability the state of this controller's connection to its workers
    */
   ControllerStatus(
       NodeId self,
--- a/src/main/java/org/mulleinshift/controller/CurrentTerm.java
+++ b/src/main/java/org/mulleinshift/controller/CurrentTerm.java
@@ -10,9 +10,9 @@
 import org.mulleinshift.store.KeyValueStore;
 import org.mulleinshift.transport.EventLoop;
 
-/** Starts the leader's work when this controller is elected, and ends it with the term. */
+/** Creates and starts the leader when this controller is elected, and stops it with the term. */
 final class CurrentTerm implements LeaderElection.Listener {
-  /** After the end of a term, before this controller may stand for election again. */
+  /** Time after the end of its term before this controller may stand for election again. */
   private static final Duration CANDIDACY_DELAY = Duration.ofMillis(500);
 
   private final EventLoop loop;
@@ -23,13 +23,13 @@
   private Optional<Leader> leader = Optional.empty();
 
   /**
-   * No term yet.
+   * Creates an instance without a term.
    *
    * @param loop the event loop
-   * @param store its rate of writes depends on who leads
-   * @param rateLimits of the store
+   * @param store its write rate is set when a term begins and ends
+   * @param rateLimits provides the write rates
    * @param leaderFactory creates the leader of a term
-   * @param onCandidacyAllowed lets this controller stand for election if it can
+   * @param onCandidacyAllowed called once this controller may stand for election again
    */
   CurrentTerm(
       EventLoop loop,
@@ -60,12 +60,12 @@
     loop.after(CANDIDACY_DELAY, onCandidacyAllowed);
   }
 
-  /** Whether a term of this controller has begun and not ended. */
+  /** Returns whether a term of this controller has begun and not ended. */
   boolean exists() {
     return leader.isPresent();
   }
 
-  /** Does something with the leader if this controller leads. */
+  /** Runs the action with the leader if this controller leads; otherwise does nothing. */
   void ifLeading(Consumer<Leader> action) {
     leader.ifPresent(action);
   }
--- a/src/main/java/org/mulleinshift/controller/FrameMessenger.java
+++ b/src/main/java/org/mulleinshift/controller/FrameMessenger.java
@@ -19,19 +19,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Exchanges messages with the other controllers in frames. Where two controllers don't reach each
- * other a third that reaches both relays their frames.
+ * Exchanges messages with the other controllers in frames. If two controllers can't reach each
+ * other directly, a third one that reaches both relays their frames.
  */
 final class FrameMessenger implements PeerMessenger {
   private static final Logger LOG = LoggerFactory.getLogger(FrameMessenger.class);
 
-  /** Larger frames, in bytes, aren't relayed: their content is sent again in parts. */
+  /** Larger frames aren't relayed: their content is sent again in parts. */
   private static final int MAX_RELAYED_BYTES = 1 << 18;
 
-  /** One of so many malformed frames is logged. */
+  /** Only one in this many malformed frames is logged. */
   private static final int MALFORMED_FRAMES_PER_LOG = 100;
 
-  /** The way that a frame has come. */
+  /** How a frame reached this controller. */
   private enum Route {
     DIRECT,
     RELAYED
@@ -47,13 +47,13 @@
   private long malformedFrames;
 
   /**
-   * A messenger with nothing to send.
+   * Creates a messenger with nothing to send.
    *
-   * @param loop ends the step whose messages share a frame
-   * @param transport brings frames to other controllers
-   * @param members the controllers of the cluster; frames of others are refused
-   * @param failureDetector observes who sends frames, and knows who can relay
-   * @param receiver gets each message with its sender
+   * @param loop the event loop; messages sent to a peer within one of its steps share a frame
+   * @param transport sends frames to other controllers
+   * @param members the controllers of the cluster; frames of other senders are refused
+   * @param failureDetector is told who sends frames, and chooses relays
+   * @param receiver receives each message with its sender
    */
   FrameMessenger(
       EventLoop loop,
@@ -74,7 +74,7 @@
       receiver.accept(node, message);
       return;
     }
-    // All messages of one step of the event loop to a peer share a frame.
+    // Batches the messages that one step of the event loop sends to a peer into one frame.
     List<Object> queued = outbox.computeIfAbsent(node, key -> new ArrayList<>());
     queued.add(message);
     if (queued.size() == 1) {
@@ -96,7 +96,7 @@
   private void flush(NodeId node) {
     byte[] frame = codec.write(members.self(), outbox.remove(node));
     transport.send(node.value(), frame);
-    // A relayed frame may arrive a second time at worst: every message can be repeated.
+    // The receiver may get the frame twice, which is harmless: all messages are idempotent.
     if (frame.length <= MAX_RELAYED_BYTES) {
       failureDetector
           .relayTo(node)
@@ -109,12 +109,15 @@
     transport.send(nextHop.value(), codec.write(members.self(), List.of(relayed)));
   }
 
-  /** Receives a frame that a peer has sent to this controller itself. */
+  /** Handles a frame that a peer sent directly to this controller. */
   void onFrame(byte[] frame) {
     receive(frame, Route.DIRECT);
   }
 
-  /** A frame that is relayed to this controller, or that it is to relay; never by another hop. */
+  /**
+   * Handles a frame that was relayed to this controller, or that it should relay. The relay sends
+   * it directly to its receiver, never through a second relay.
+   */
   void onRelayedFrame(RelayedFrame relayed) {
     NodeId node = new NodeId(relayed.getReceiver());
     if (node.equals(members.self())) {
--- a/src/main/java/org/mulleinshift/controller/HeartbeatExchange.java
+++ b/src/main/java/org/mulleinshift/controller/HeartbeatExchange.java
@@ -21,30 +21,30 @@
 final class HeartbeatExchange {
   private static final Duration FOLLOWER_INTERVAL = Duration.ofSeconds(1);
 
-  /** A leader's failure has to be detected sooner than a follower's. */
+  /** Shorter than a follower's, so that a failure of the leader is detected sooner. */
   private static final Duration LEADER_INTERVAL = Duration.ofMillis(300);
 
-  /** Whether the receivers of a heartbeat are to answer it. */
+  /** When the receivers of a heartbeat should send theirs. */
   private enum RequestedReply {
     PERIODIC,
     IMMEDIATE
   }
 
   /**
-   * What heartbeats report and change.
+   * The components whose state heartbeats report, and those that use received heartbeats.
    *
    * @param loop the event loop
-   * @param store asked for its state where a peer requests an immediate reply
+   * @param store is called before an immediate reply to a peer, which shows whether it answers
    * @param members the controllers of the cluster
    * @param session this controller's session in the store
-   * @param storeHealth its connection to the store
-   * @param reachability whether it reaches its workers
-   * @param locator who leads
-   * @param election whether this controller leads
-   * @param failover which standby a leader names
-   * @param failureDetector heartbeats of the others
-   * @param leadership may end by a heartbeat
-   * @param messenger sends to the others
+   * @param storeHealth the state of its connection to the store
+   * @param reachability the state of its connection to its workers
+   * @param locator finds the leader
+   * @param election tells whether this controller leads
+   * @param failover chooses the standby if this controller leads
+   * @param failureDetector records the heartbeats of the others
+   * @param leadership resigns if a heartbeat shows a newer leader
+   * @param messenger sends heartbeats to the others
    */
   record Context(
       EventLoop loop,
@@ -62,24 +62,24 @@
 
   private final Context context;
 
-  /** An exchange that sends nothing until it starts. */
+  /** Creates an exchange, which sends nothing until {@link #start} is called. */
   HeartbeatExchange(Context context) {
     this.context = context;
   }
 
-  /** Sends now and then periodically. */
+  /** Sends a heartbeat now, and then periodically. */
   void start() {
     Duration interval = context.election().isLeading() ? LEADER_INTERVAL : FOLLOWER_INTERVAL;
     context.loop().after(interval, this::start);
     send();
   }
 
-  /** Sends a heartbeat out of turn: something that it reports has changed. */
+  /** Sends a heartbeat at once, because something that it reports has changed. */
   void send() {
     send(RequestedReply.PERIODIC);
   }
 
-  /** Sends a heartbeat that asks the others for theirs at once. */
+  /** Sends a heartbeat that asks the other controllers to send theirs at once. */
   void requestReplies() {
     send(RequestedReply.IMMEDIATE);
   }
@@ -106,11 +106,11 @@
         : "";
   }
 
-  /** Receives a heartbeat of another controller. */
+  /** Handles a heartbeat of another controller. */
   void onHeartbeat(NodeId sender, Heartbeat heartbeat) {
     context.failureDetector().onHeartbeat(sender, heartbeat);
     if (heartbeat.getReplyImmediately()) {
-      // What the sender asks is whether the store answers anybody just now.
+      // The sender wants to know whether the store answers any controller right now.
       context.store().get(StoreKeys.LEADER, KeyValueStore.Urgency.URGENT, answer -> send());
     }
     context.leadership().resignIfSuperseded();
--- a/src/main/java/org/mulleinshift/controller/LeaderLocator.java
+++ b/src/main/java/org/mulleinshift/controller/LeaderLocator.java
@@ -5,18 +5,18 @@
 import org.mulleinshift.membership.StoreHealth;
 import org.mulleinshift.model.ClusterView;
 
-/** Knows who leads, also while this controller has lost the store. */
+/** Finds the current leader, even while this controller has lost the store. */
 final class LeaderLocator {
   private final ClusterView view;
   private final StoreHealth storeHealth;
   private final PeerFailureDetector failureDetector;
 
   /**
-   * A locator.
+   * Creates a locator.
    *
-   * @param view control keys as last shown by the store
-   * @param storeHealth whether the view is kept current
-   * @param failureDetector heartbeats of the peers
+   * @param view the control keys as last read from the store
+   * @param storeHealth tells whether the view may be out of date
+   * @param failureDetector provides the heartbeats of the peers
    */
   LeaderLocator(ClusterView view, StoreHealth storeHealth, PeerFailureDetector failureDetector) {
     this.view = view;
@@ -24,17 +24,20 @@
     this.failureDetector = failureDetector;
   }
 
-  /** The leader by this controller's own view, unless the view may be out of date. */
+  /** Returns the leader in this controller's own view; empty if that may be out of date. */
   Optional<ClusterView.LeaderRecord> confirmedByStore() {
     return isStoreConnected() ? view.leader() : Optional.empty();
   }
 
-  /** The leader by the peers that the store serves; asked only where the own view doesn't count. */
+  /**
+   * Returns the leader reported by peers that the store serves; empty while this controller is
+   * connected to the store, since its own view is then used.
+   */
   Optional<ClusterView.LeaderRecord> reportedByPeers() {
     return isStoreConnected() ? Optional.empty() : failureDetector.leaderReportedByPeers();
   }
 
-  /** The leader of the newest term, by the own view or by peers. */
+  /** Returns the leader of the newest term known from this controller's view or from peers. */
   Optional<ClusterView.LeaderRecord> newest() {
     Optional<ClusterView.LeaderRecord> fromView = view.leader();
     Optional<ClusterView.LeaderRecord> fromPeers = reportedByPeers();
--- a/src/main/java/org/mulleinshift/controller/LeadershipCoordinator.java
+++ b/src/main/java/org/mulleinshift/controller/LeadershipCoordinator.java
@@ -18,17 +18,17 @@
   private static final Logger LOG = LoggerFactory.getLogger(LeadershipCoordinator.class);
 
   /**
-   * What leadership depends on.
+   * The components that the coordinator uses.
    *
    * @param self this controller
-   * @param election the election and this controller's lease of the leader's key
+   * @param election the election, with the lease that this controller's leader key is bound to
    * @param currentTerm this controller's own term, if it leads
-   * @param locator who leads
-   * @param readiness whether this controller can lead
-   * @param storeHealth this controller's connection to the store
-   * @param failureDetector heartbeats of the peers
-   * @param view control keys as last shown by the store
-   * @param messenger sends to the other controllers
+   * @param locator finds the leader
+   * @param readiness tells whether this controller can lead
+   * @param storeHealth the state of this controller's connection to the store
+   * @param failureDetector provides the heartbeats of the peers
+   * @param view the control keys as last read from the store
+   * @param messenger sends messages to the other controllers
    */
   record Context(
       NodeId self,
@@ -47,7 +47,7 @@
   private final ClusterView view;
   private final FrameMessenger messenger;
 
-  /** A coordinator for one controller. */
+  /** Creates a coordinator for one controller. */
   LeadershipCoordinator(Context context) {
     this.context = context;
     this.self = context.self();
@@ -56,12 +56,19 @@
     this.messenger = context.messenger();
   }
 
-  /** Something has changed on which it depends whether this controller leads or stands. */
+  /**
+   * Called when anything changes that decides whether this controller can stand for election or has
+   * to resign.
+   */
   void observeElection() {
     election.observe(view, context.readiness().canLead());
   }
 
-  /** A leader whose lease may have expired takes no messages, not even its own. */
+  /**
+   * Sends a message to the leader; drops it if no leader is known. While the lease of this
+   * controller's own term may have expired, it does not count as the leader, even for its own
+   * messages.
+   */
   void sendToLeader(Object message) {
     if (context.currentTerm().exists() && election.holdsValidLease()) {
       messenger.send(self, message);
@@ -74,21 +81,24 @@
     }
   }
 
-  /** Resigns if peers that the store serves see a leader of a newer term. */
+  /** Resigns if peers that the store serves report a leader of a newer term. */
   void resignIfSuperseded() {
     context
         .locator()
         .reportedByPeers()
         .filter(record -> !record.node().equals(self))
         .filter(this::supersedesOwnTerm)
-        .ifPresent(record -> election.resign("a peer sees another leader"));
+        .ifPresent(record -> election.resign("a peer reports a leader of a newer term"));
   }
 
   private boolean supersedesOwnTerm(ClusterView.LeaderRecord record) {
     return election.termLease().filter(own -> record.term().compareTo(own.term()) > 0).isPresent();
   }
 
-  /** A leader that lost the store asks the first peer that the store serves to lead. */
+  /**
+   * Called when this controller has lost the store: if it leads, it resigns and names the first
+   * peer that the store serves as its successor. Without such a peer it keeps its term.
+   */
   void transferLeadership() {
     Optional<LeaderElection.TermLease> own = election.termLease();
     List<NodeId> served = context.failureDetector().peersServedByStore();
@@ -100,11 +110,11 @@
         new LeadershipTransfer(
             own.get().term().value(), own.get().lease().value(), successor.value());
     LOG.warn("leadership transferred, term={} successor={}", own.get().term(), successor);
-    election.resign("the store is lost");
+    election.resign("connection to the store lost");
     messenger.sendToOthers(transfer);
   }
 
-  /** A leader has transferred its leadership, to this controller or to another. */
+  /** Handles the transfer of leadership from a leader that resigned to one of its peers. */
   void onLeadershipTransfer(LeadershipTransfer transfer) {
     if (context.storeHealth().state() == StoreHealth.State.CONNECTED) {
       LeaderElection.TermLease ended =
@@ -119,8 +129,8 @@
   }
 
   /**
-   * Deposes a failed leader: its lease need not expire by itself, since every write of its term is
-   * guarded by it.
+   * Deposes a failed leader by revoking its lease instead of waiting until it expires. This is safe
+   * because every write of its term is conditional on the leader key, which is bound to the lease.
    */
   void depose(LeaderElection.TermLease failed) {
     election.succeed(failed, view);
--- a/src/main/java/org/mulleinshift/controller/PeerMessageDispatcher.java
+++ b/src/main/java/org/mulleinshift/controller/PeerMessageDispatcher.java
@@ -5,16 +5,16 @@
 import java.util.function.BiConsumer;
 import org.mulleinshift.protocol.NodeId;
 
-/** Hands each peer message to the handler of its type. A message of no such type is ignored. */
+/** Passes each peer message to the handler of its type; without a handler it is ignored. */
 final class PeerMessageDispatcher {
   private final Map<Class<?>, BiConsumer<NodeId, Object>> handlers = new HashMap<>();
 
-  /** Sets the handler of a type of message; it gets the sender too. */
+  /** Registers the handler of a message type; the handler also receives the sender. */
   <T> void register(Class<T> type, BiConsumer<NodeId, T> handler) {
     handlers.put(type, (sender, message) -> handler.accept(sender, type.cast(message)));
   }
 
-  /** Delivers a message that a controller, maybe this one itself, has sent. */
+  /** Delivers a message; the sender may be this controller itself. */
   void dispatch(NodeId sender, Object message) {
     BiConsumer<NodeId, Object> handler = handlers.get(message.getClass());
     if (handler != null) {
--- a/src/main/java/org/mulleinshift/controller/PeerMessageHandlers.java
+++ b/src/main/java/org/mulleinshift/controller/PeerMessageHandlers.java
@@ -15,18 +15,18 @@
 import org.mulleinshift.protocol.peer.ShardStatusAck;
 import org.mulleinshift.protocol.peer.UnknownWorkerReport;
 
-/** Which component handles which type of peer message. */
+/** Maps each type of peer message to the component that handles it. */
 final class PeerMessageHandlers {
   private PeerMessageHandlers() {}
 
-  /** Registers the handlers of all types of messages. */
+  /** Registers the handlers of all message types. */
   static void register(PeerMessageDispatcher dispatcher, ControllerComponents components) {
     registerForController(dispatcher, components);
     registerForOwner(dispatcher, components);
     registerForLeader(dispatcher, components.currentTerm());
   }
 
-  /** Messages that concern every controller. */
+  /** Messages that every controller handles. */
   private static void registerForController(
       PeerMessageDispatcher dispatcher, ControllerComponents components) {
     dispatcher.register(Heartbeat.class, components.heartbeats()::onHeartbeat);
@@ -46,7 +46,7 @@
         JobSummary.class, (sender, summary) -> components.jobApi().onSummary(summary));
   }
 
-  /** Messages of the leader to the owners of shards. */
+  /** Messages from the leader to shard owners. */
   private static void registerForOwner(
       PeerMessageDispatcher dispatcher, ControllerComponents components) {
     dispatcher.register(
--- a/src/main/java/org/mulleinshift/controller/RequestRouter.java
+++ b/src/main/java/org/mulleinshift/controller/RequestRouter.java
@@ -10,11 +10,11 @@
 import org.mulleinshift.transport.RequestHandler;
 import org.mulleinshift.transport.Responder;
 
-/** Routes HTTP requests to their handlers by path, and refuses other methods. */
+/** Routes HTTP requests to their handlers by path; refuses unknown paths and wrong methods. */
 final class RequestRouter implements RequestHandler {
   private static final String READINESS_PATH = "/ready";
 
-  /** Below a job's path: the job is to be cancelled. */
+  /** Appended to a job's path to cancel the job. */
   private static final String CANCEL_SUFFIX = "/withdraw";
 
   private static final String GET = "GET";
@@ -25,11 +25,11 @@
   private final ReadinessProbe readiness;
 
   /**
-   * A router.
+   * Creates a router.
    *
-   * @param ownedShards answers workers
-   * @param jobApi answers users
-   * @param readiness answers the platform
+   * @param ownedShards handles heartbeats of workers
+   * @param jobApi handles requests of users
+   * @param readiness handles the load balancer's health checks
    */
   RequestRouter(OwnedShards ownedShards, JobApi jobApi, ReadinessProbe readiness) {
     this.ownedShards = ownedShards;
--- a/src/main/java/org/mulleinshift/controller/StoreRateLimits.java
+++ b/src/main/java/org/mulleinshift/controller/StoreRateLimits.java
@@ -5,24 +5,33 @@
 import org.mulleinshift.settings.PlatformSettings;
 import org.mulleinshift.store.KeyValueStore;
 
-/** How the controllers of a cluster share the store's rates of requests and writes. */
+/** Divides the store's limits of requests and writes per second between the controllers. */
 final class StoreRateLimits {
+  /** Share of the writes for the leader. */
   private static final double LEADER_WRITE_SHARE = 0.75;
+
+  /** Share of the writes for all followers together. */
   private static final double FOLLOWERS_WRITE_SHARE = 0.4;
 
-  /** Users come in bursts: a share of a few writes a second would refuse them all the time. */
+  /**
+   * Minimum share of the writes for each follower. User requests come in bursts: with only a few
+   * writes per second a follower would refuse them all the time.
+   */
   private static final double MIN_WRITE_SHARE = 0.2;
 
-  /** Each may use more than its even share of requests, since not all do at the same time. */
+  /**
+   * A controller may use this multiple of its even share of the requests, since not all controllers
+   * use theirs at the same time.
+   */
   private static final double EVEN_SHARE_MULTIPLIER = 1.4;
 
-  /** Share of the store's requests that watches may use. */
+  /** Share of the store's requests for the watches of all controllers. */
   private static final double WATCH_SHARE = 0.25;
 
-  /** Watches of one controller: active jobs and control keys. */
+  /** One for the active jobs and one for the control keys. */
   private static final double WATCHES_PER_CONTROLLER = 2;
 
-  /** Share of the store's requests that probes of all controllers' connections may use. */
+  /** Share of the store's requests for connection probes of all controllers. */
   private static final double PROBE_SHARE = 0.05;
 
   private static final Duration MIN_PROBE_INTERVAL = Duration.ofMillis(500);
@@ -31,12 +40,12 @@
 
   private final PlatformSettings.Cluster cluster;
 
-  /** The limits of a cluster's controllers. */
+  /** Creates the limits for the controllers of a cluster. */
   StoreRateLimits(PlatformSettings.Cluster cluster) {
     this.cluster = cluster;
   }
 
-  /** A client of the store that keeps to the rates of a controller that does not lead. */
+  /** Creates a client of the store that is limited to the rates of a follower. */
   KeyValueStore createClient(Controller.Ports ports, InetSocketAddress address) {
     return new KeyValueStore(
         ports.loop(),
@@ -50,19 +59,21 @@
             cluster.storeLimits().writesShareAfterReduction()));
   }
 
-  /** Requests a second of one controller. */
+  /** Returns the maximum number of requests per second of one controller. */
   double requestsPerSecond() {
     double evenShare = 1.0 / Math.max(1, cluster.size());
     return cluster.storeLimits().requestsPerSecond()
         * Math.min(1, evenShare * EVEN_SHARE_MULTIPLIER);
   }
 
-  /** Writes a second of the leader, which stores all progress of jobs and machines. */
+  /**
+   * Returns the writes per second of the leader, which stores all progress of jobs and machines.
+   */
   double leaderWritesPerSecond() {
     return cluster.storeLimits().writesPerSecond() * LEADER_WRITE_SHARE;
   }
 
-  /** Writes a second of one of the others, which accept and cancel jobs. */
+  /** Returns the writes per second of one follower; followers accept and cancel jobs. */
   double followerWritesPerSecond() {
     if (cluster.size() == 1) {
       return leaderWritesPerSecond();
@@ -73,8 +84,8 @@
   }
 
   /**
-   * Time between two requests of a watch. Every change that is watched costs each controller a
-   * request: they share a part of the rate.
+   * Returns the minimum time between two requests of a watch. Every watched change costs each
+   * controller a request, so the watches of all controllers share a part of the request rate.
    */
   Duration minWatchInterval() {
     double seconds =
@@ -84,7 +95,7 @@
     return Duration.ofMillis((long) (MILLIS_PER_SECOND * seconds));
   }
 
-  /** Time between two probes of one controller's connection to the store. */
+  /** Returns the time between two probes of one controller's connection to the store. */
   Duration probeInterval() {
     double probesPerSecond =
         PROBE_SHARE * cluster.storeLimits().requestsPerSecond() / cluster.size();
--- a/src/main/java/org/mulleinshift/memory/BoundedMap.java
+++ b/src/main/java/org/mulleinshift/memory/BoundedMap.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /**
- * A map of bounded size; one more entry evicts the one that was inserted first.
+ * A map of bounded size; when it is full, a new entry evicts the one that was inserted first.
  *
  * @param <K> the type of the keys
  * @param <V> the type of the values
@@ -16,12 +16,12 @@
 
   private final int maxSize;
 
-  /** An empty map that keeps at most {@code maxSize} entries. */
+  /** Creates an empty map that keeps at most {@code maxSize} entries. */
   public BoundedMap(int maxSize) {
     this.maxSize = maxSize;
   }
 
-  /** An empty set that keeps at most {@code maxSize} elements, and evicts in the same way. */
+  /** Returns an empty set of at most {@code maxSize} elements, with the same eviction. */
   public static <T> Set<T> set(int maxSize) {
     return Collections.newSetFromMap(new BoundedMap<>(maxSize));
   }
--- a/src/main/java/org/mulleinshift/memory/Heap.java
+++ b/src/main/java/org/mulleinshift/memory/Heap.java
@@ -1,14 +1,14 @@
 package org.mulleinshift.memory;
 
-/** The heap, where the memory of objects is allocated. */
+/** A garbage-collected heap; an interface so that tests can simulate its usage. */
 public interface Heap {
-  /** Bytes in use, those of unreachable objects included. */
+  /** Returns the number of bytes in use, including unreachable objects. */
   long usedBytes();
 
-  /** Frees unreachable objects; takes some tens of milliseconds. */
+  /** Runs a full garbage collection; blocks the caller for some tens of milliseconds. */
   void collect();
 
-  /** The heap of this process. */
+  /** Returns the heap of this process. */
   static Heap ofProcess() {
     return new Heap() {
       @Override
--- a/src/main/java/org/mulleinshift/memory/HeapMonitor.java
+++ b/src/main/java/org/mulleinshift/memory/HeapMonitor.java
@@ -8,8 +8,8 @@
 
 /**
  * Keeps the heap within the node's limit: collects garbage before the limit is reached, and reports
- * memory pressure once that no longer helps. Only what remains after a collection counts as
- * pressure; before one it is unknown how much of the heap is reachable.
+ * memory pressure if that doesn't free enough. Pressure is raised only after a collection: before
+ * it, it is unknown how much of the heap is reachable.
  */
 public final class HeapMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(HeapMonitor.class);
@@ -17,16 +17,16 @@
   private static final Duration MIN_TIME_BETWEEN_COLLECTIONS = Duration.ofSeconds(2);
   private static final Duration MIN_TIME_BETWEEN_URGENT_COLLECTIONS = Duration.ofMillis(500);
 
-  /** A collection is followed by a pause of at least this many times its duration. */
+  /** After a collection the next one waits at least this many times as long as it took. */
   private static final int COLLECTION_PAUSE_FACTOR = 20;
 
-  /** Shares of the limit: below this one the pressure is normal. */
+  /** Below this share of the limit the pressure is {@link MemoryPressure#NORMAL}. */
   private static final double HIGH_SHARE = 0.70;
 
   private static final double COLLECT_SHARE = 0.80;
   private static final double CRITICAL_SHARE = 0.85;
 
-  /** From here on a collection doesn't wait for the end of the pause. */
+  /** From this share on, a collection doesn't wait for the end of that pause. */
   private static final double URGENT_SHARE = 0.95;
 
   private static final int MIB_SHIFT = 20;
@@ -38,7 +38,7 @@
   private MonotonicTime nextCollectionAllowedAt;
   private MonotonicTime lastCollectedAt;
 
-  /** A monitor that reports no pressure until it is started. */
+  /** Creates a monitor that reports {@link MemoryPressure#NORMAL} until it is started. */
   public HeapMonitor(EventLoop loop, Heap heap, long limitBytes) {
     this.loop = loop;
     this.heap = heap;
@@ -47,13 +47,13 @@
     this.lastCollectedAt = loop.now().minus(MIN_TIME_BETWEEN_COLLECTIONS);
   }
 
-  /** Checks the heap from now on, a few times a second. */
+  /** Starts the periodic check of the heap. */
   public void start() {
     loop.after(CHECK_INTERVAL, this::start);
     check();
   }
 
-  /** The pressure by the last check. */
+  /** Returns the memory pressure that the last check found. */
   public MemoryPressure pressure() {
     return pressure;
   }
--- a/src/main/java/org/mulleinshift/memory/MemoryPressure.java
+++ b/src/main/java/org/mulleinshift/memory/MemoryPressure.java
@@ -1,11 +1,14 @@
 package org.mulleinshift.memory;
 
-/** Memory pressure. Leases, heartbeats and commands to workers are served at each level. */
+/**
+ * Level of memory pressure, which decides which requests of users are refused. Leases, heartbeats
+ * and commands to workers are served at every level.
+ */
 public enum MemoryPressure {
   /** No request is refused for lack of memory. */
   NORMAL,
-  /** Few polls may wait at a time; further ones are refused. */
+  /** Only a few polls may be pending at a time; further ones are refused. */
   HIGH,
-  /** New submissions are refused as well. */
+  /** Even fewer polls may be pending, and new submissions are refused. */
   CRITICAL
 }
--- a/src/main/java/org/mulleinshift/memory/package-info.java
+++ b/src/main/java/org/mulleinshift/memory/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Memory limits: what the process may hold, and which requests are refused when the heap is nearly
- * full.
+ * Memory limits: the memory budget of the process, and the memory pressure by which requests are
+ * refused when the heap is nearly full.
  */
 package org.mulleinshift.memory;
--- a/src/test/java/org/mulleinshift/controller/CancellationAnnouncerTest.java
+++ b/src/test/java/org/mulleinshift/controller/CancellationAnnouncerTest.java
@@ -25,7 +25,11 @@
 import org.mulleinshift.protocol.peer.JobCancellationAck;
 import org.mulleinshift.store.StoreKeys;
 
-/** A cancellation is acknowledged only once every owner of shards knows of it. */
+/**
+ * A cancellation is confirmed only once no other shard owner can start tasks of the job, since an
+ * owner that has not heard of the cancellation could still start one. Without announcements, which
+ * older controllers do not understand, it is confirmed at once.
+ */
 final class CancellationAnnouncerTest {
   private static final NodeId SELF = new NodeId("node-0");
   private static final NodeId OWNER = new NodeId("node-1");
@@ -86,7 +90,7 @@
   @Test
   void isConfirmedOnceEveryOwnerHasAcknowledged() {
     announce();
-    assertEquals(2, sent.size(), "all others are told, since any may become an owner");
+    assertEquals(2, sent.size(), "announced to all others, since any may become an owner");
     assertEquals(List.of(JOB), stopped);
     announcer.onAck(OTHER, ACK);
     assertEquals(List.of(), results);
@@ -100,7 +104,7 @@
     loop.runFor(0.5);
     assertEquals(List.of(false), results);
     announcer.onAck(OWNER, ACK);
-    assertEquals(List.of(false), results, "a late acknowledgement changes no answer");
+    assertEquals(List.of(false), results, "a late acknowledgement changes no result");
   }
 
   @Test
--- a/src/test/java/org/mulleinshift/controller/FrameMessengerTest.java
+++ b/src/test/java/org/mulleinshift/controller/FrameMessengerTest.java
@@ -14,7 +14,7 @@
 import org.mulleinshift.protocol.peer.LeadershipTransfer;
 import org.mulleinshift.protocol.peer.RelayedFrame;
 
-/** How messages share frames, and which frames are delivered, relayed or refused. */
+/** Messages are batched into frames; frames are delivered, relayed or refused. */
 final class FrameMessengerTest {
   private static final NodeId SELF = new NodeId("node-0");
   private static final NodeId PEER = new NodeId("node-1");
@@ -72,7 +72,7 @@
     messenger.broadcast(FIRST);
     loop.runFor(0);
 
-    // Then everybody gets it
+    // Then all controllers receive it
     assertEquals(List.of(new Received(SELF, FIRST)), received, "messages delivered here");
     assertEquals(
         List.of("node-1", "node-2"),
@@ -88,7 +88,7 @@
     // When it arrives
     messenger.onRelayedFrame(new RelayedFrame("node-0", frame));
 
-    // Then its sender is the one that wrote it
+    // Then its sender is the peer that wrote it, not the relay
     assertEquals(List.of(new Received(PEER, FIRST)), received, "messages delivered");
   }
 
@@ -101,7 +101,7 @@
     // When this controller is to relay it
     messenger.onRelayedFrame(toRelay);
 
-    // Then it goes to its receiver, unopened
+    // Then it is sent to its receiver unchanged, and not delivered here
     assertEquals(List.of(), received, "messages delivered here");
     assertEquals(List.of("node-2"), sent.stream().map(Sent::receiver).toList(), "receivers");
     assertEquals(
@@ -112,7 +112,7 @@
 
   @Test
   void aFrameForAControllerThatIsNoMemberIsNotRelayed() {
-    // When a frame is to be relayed to somebody unknown
+    // When a frame should be relayed to a controller that is no member
     messenger.onRelayedFrame(
         new RelayedFrame("node-9", ByteBuffer.wrap(codec.write(PEER, List.of(FIRST)))));
 
@@ -131,7 +131,7 @@
 
   @Test
   void aMalformedFrameIsRefused() {
-    // When bytes arrive that are no frame
+    // When bytes arrive that are not a frame
     messenger.onFrame(new byte[] {1, 2, 3});
 
     // Then nothing is delivered
--- a/src/test/java/org/mulleinshift/controller/PeerMessageDispatcherTest.java
+++ b/src/test/java/org/mulleinshift/controller/PeerMessageDispatcherTest.java
@@ -9,7 +9,7 @@
 import org.mulleinshift.protocol.peer.JobSummary;
 import org.mulleinshift.protocol.peer.LeadershipTransfer;
 
-/** Which handler gets a peer message. */
+/** Each peer message is passed to the handler of its type only. */
 final class PeerMessageDispatcherTest {
   private static final NodeId SENDER = new NodeId("node-1");
 
@@ -35,10 +35,10 @@
     // Given a handler of another type
     dispatcher.register(JobSummary.class, (sender, summary) -> handled.add("summary"));
 
-    // When a message arrives that nobody handles
+    // When a message without a handler arrives
     dispatcher.dispatch(SENDER, new LeadershipTransfer(3L, 4L, "node-2"));
 
-    // Then nothing happens
+    // Then no handler runs
     assertEquals(List.of(), handled, "handlers that ran");
   }
 }
