--- a/src/main/java/org/mulleinshift/controller/Controller.java
+++ b/src/main/java/org/mulleinshift/controller/Controller.java
@@ -19,7 +19,7 @@
    * @param watchClient sends the store's watches, long requests that wait for changes
    * @param cloudClient sends requests to the cloud's API
    * @param workerClient sends requests to workers
-   * @param peerTransport sends frames to the other controllers
+   * @param peers sends frames to the other controllers
    * @param heapMonitor reports memory pressure
    */
   public record Ports(
@@ -28,7 +28,7 @@
       AsyncHttpClient watchClient,
       AsyncHttpClient cloudClient,
       AsyncHttpClient workerClient,
-      PeerTransport peerTransport,
+      PeerTransport peers,
       HeapMonitor heapMonitor) {}
 
   private final ControllerComponents components;
--- a/src/main/java/org/mulleinshift/controller/ControllerComponents.java
+++ b/src/main/java/org/mulleinshift/controller/ControllerComponents.java
@@ -95,8 +95,7 @@
     this.activeJobs = createActiveJobs();
     this.failureDetector = new PeerFailureDetector(loop, members.self());
     this.messenger =
-        new FrameMessenger(
-            loop, ports.peerTransport(), members, failureDetector, dispatcher::dispatch);
+        new FrameMessenger(loop, ports.peers(), members, failureDetector, dispatcher::dispatch);
     this.storeHealth = createStoreHealth();
     this.session = createSession();
     this.election = createElection();
