--- a/src/main/java/org/mulleinshift/Main.java
+++ b/src/main/java/org/mulleinshift/Main.java
@@ -15,7 +15,7 @@
 import org.mulleinshift.memory.HeapMonitor;
 import org.mulleinshift.memory.MemoryPlan;
 import org.mulleinshift.protocol.WorkerCodec;
-import org.mulleinshift.settings.Leases;
+import org.mulleinshift.settings.LeaseDurations;
 import org.mulleinshift.settings.PlatformSettings;
 import org.mulleinshift.settings.PlatformSettingsReader;
 import org.mulleinshift.settings.SettingsException;
@@ -101,7 +101,8 @@
     try {
       settings = PlatformSettingsReader.read(config);
       tunables = tunablesFile == null ? Tunables.defaults() : TunablesReader.read(tunablesFile);
-      Leases.check(config.toString(), settings.cluster().workerTiming(), tunables);
+      LeaseDurations.checkShardLease(
+          config.toString(), settings.cluster().workerTiming(), tunables);
     } catch (SettingsException e) {
       System.err.println(e.getMessage());
       return BAD_SETTINGS;
@@ -112,8 +113,8 @@
     }
     MemoryPlan memory =
         MemoryPlan.of(
-            settings.limits().memoryMb(),
-            settings.limits().maxSockets(),
+            settings.processLimits().memoryMb(),
+            settings.processLimits().maxFileDescriptors(),
             Runtime.getRuntime().maxMemory());
     JdkHttpServer.configure(memory.idleConnections());
     try {
@@ -123,7 +124,7 @@
           "cannot listen on "
               + settings.publicAddress()
               + " and "
-              + settings.peerBind()
+              + settings.peerBindAddress()
               + ": "
               + e.getMessage());
       return CANNOT_LISTEN;
@@ -150,7 +151,7 @@
                 memory.userBodyBytes(),
                 memory.reportBodyBytes(),
                 WorkerCodec.HEARTBEAT_PATH::equals));
-    peers.start(settings.peerBind());
+    peers.start(settings.peerBindAddress());
     server.start();
     log.info(
         "controller started, label={} address={} heap_mib={}",
--- a/src/main/java/org/mulleinshift/api/CancellationHandler.java
+++ b/src/main/java/org/mulleinshift/api/CancellationHandler.java
@@ -20,31 +20,31 @@
  */
 final class CancellationHandler {
   private static final int MAX_COMMIT_ATTEMPTS = 4;
-  private static final int MAX_REMEMBERED = 4096;
+  private static final int MAX_REMEMBERED_JOBS = 4096;
 
   private final KeyValueStore store;
   private final KnownJobs knownJobs;
   private final JobStatusReader statusReader;
   private final JobResponseWriter responses;
-  private final CancellationNotice notice;
+  private final CancellationNotifier notifier;
 
   /** Cancellations that this node has stored. */
-  private final Set<JobId> storedHere = BoundedMap.set(MAX_REMEMBERED);
+  private final Set<JobId> cancelledByThisNode = BoundedMap.set(MAX_REMEMBERED_JOBS);
 
   /** Cancelled jobs of which every controller knows. */
-  private final Set<JobId> announced = BoundedMap.set(MAX_REMEMBERED);
+  private final Set<JobId> announcedJobs = BoundedMap.set(MAX_REMEMBERED_JOBS);
 
   CancellationHandler(
       KeyValueStore store,
       KnownJobs knownJobs,
       JobStatusReader statusReader,
       JobResponseWriter responses,
-      CancellationNotice notice) {
+      CancellationNotifier notifier) {
     this.store = store;
     this.knownJobs = knownJobs;
     this.statusReader = statusReader;
     this.responses = responses;
-    this.notice = notice;
+    this.notifier = notifier;
   }
 
   /** Handles a request to cancel a job. */
@@ -52,8 +52,8 @@
     cancel(id, MAX_COMMIT_ATTEMPTS, responder);
   }
 
-  private void cancel(JobId id, int attempts, Responder responder) {
-    if (attempts == 0) {
+  private void cancel(JobId id, int remainingAttempts, Responder responder) {
+    if (remainingAttempts == 0) {
       responses.respondUnavailable(responder);
       return;
     }
@@ -61,8 +61,8 @@
         id,
         status -> {
           if (status instanceof JobStatus.Active active && !active.job().cancelled()) {
-            store(active.job(), attempts, responder);
-          } else if (mayStillStart(id, status)) {
+            storeCancellation(active.job(), remainingAttempts, responder);
+          } else if (needsAnnouncement(id, status)) {
             announce(id, responder);
           } else {
             responses.respondWithStatusOrNotFound(id, status, responder);
@@ -71,7 +71,7 @@
   }
 
   /** Whether the job is cancelled, has not ended, and some controller may not know it yet. */
-  private boolean mayStillStart(JobId id, JobStatus status) {
+  private boolean needsAnnouncement(JobId id, JobStatus status) {
     JobStatus newest = knownJobs.newerOf(id, status);
     boolean cancelled =
         newest instanceof JobStatus.Active
@@ -79,11 +79,11 @@
     boolean active =
         status instanceof JobStatus.Active
             || knownJobs.findActive(id).isPresent()
-            || storedHere.contains(id);
-    return cancelled && active && !announced.contains(id);
+            || cancelledByThisNode.contains(id);
+    return cancelled && active && !announcedJobs.contains(id);
   }
 
-  private void store(JobRecord job, int attempts, Responder responder) {
+  private void storeCancellation(JobRecord job, int remainingAttempts, Responder responder) {
     JobId id = job.id();
     store.commit(
         List.of(new Compare(StoreKeys.activeJob(id), job.revision())),
@@ -92,10 +92,10 @@
         outcome -> {
           if (outcome instanceof CommitResult.Committed) {
             knownJobs.cacheTerminalPhase(id, JobPhase.CANCELLED);
-            storedHere.add(id);
+            cancelledByThisNode.add(id);
             announce(id, responder);
           } else if (outcome instanceof CommitResult.Conflict) {
-            cancel(id, attempts - 1, responder);
+            cancel(id, remainingAttempts - 1, responder);
           } else {
             responses.respondUnavailable(responder);
           }
@@ -103,11 +103,11 @@
   }
 
   private void announce(JobId id, Responder responder) {
-    notice.announce(
+    notifier.announce(
         id,
-        known -> {
-          if (known) {
-            announced.add(id);
+        acknowledged -> {
+          if (acknowledged) {
+            announcedJobs.add(id);
             responses.respondWithPhase(id, HttpStatus.OK, JobPhase.CANCELLED, responder);
           } else {
             responses.respondUnavailable(responder);
--- a/src/main/java/org/mulleinshift/api/CancellationNotice.java
+++ b/src/main/java/org/mulleinshift/api/CancellationNotifier.java
@@ -5,7 +5,7 @@
 
 /** Makes a stored cancellation known to every controller that could start tasks of the job. */
 @FunctionalInterface
-public interface CancellationNotice {
+public interface CancellationNotifier {
   /**
    * Announces that the job's cancellation is stored; it may have been announced before.
    *
--- a/src/main/java/org/mulleinshift/api/DependencyCheck.java
+++ b/src/main/java/org/mulleinshift/api/DependencyCheck.java
@@ -28,22 +28,22 @@
   DependencyVerdict verdict(JobRecord job) {
     return job.dependencies().isEmpty()
         ? new DependencyVerdict.NoneCancelled()
-        : new Search().from(job);
+        : new Search().run(job);
   }
 
   /** A search along the dependencies that are not over. */
   private final class Search {
     private final Set<JobId> visited = new HashSet<>();
-    private final Deque<JobRecord> unvisited = new ArrayDeque<>();
+    private final Deque<JobRecord> jobsToVisit = new ArrayDeque<>();
     private final Set<JobId> unreadEnds = new LinkedHashSet<>();
     private final List<JobRecord> unreadLists = new ArrayList<>();
     private boolean anyCancelling;
     private boolean anyCancelled;
 
-    DependencyVerdict from(JobRecord job) {
-      unvisited.add(job);
-      while (!unvisited.isEmpty() && !anyCancelled) {
-        visit(unvisited.poll());
+    DependencyVerdict run(JobRecord job) {
+      jobsToVisit.add(job);
+      while (!jobsToVisit.isEmpty() && !anyCancelled) {
+        visit(jobsToVisit.poll());
       }
       if (anyCancelled) {
         return new DependencyVerdict.Cancelled();
@@ -82,7 +82,7 @@
         }
       } else if (active.get() instanceof JobStatus.Active found) {
         anyCancelling |= terminal.isPresent() || found.job().cancelled();
-        unvisited.add(found.job());
+        jobsToVisit.add(found.job());
       }
     }
   }
--- a/src/main/java/org/mulleinshift/api/DependencyReader.java
+++ b/src/main/java/org/mulleinshift/api/DependencyReader.java
@@ -44,7 +44,7 @@
   private final KeyValueStore store;
   private final KnownJobs knownJobs;
   private final DependencyCheck check;
-  private final Map<JobId, Reading> readings = new HashMap<>();
+  private final Map<JobId, VerdictRead> verdictReads = new HashMap<>();
   private final Map<JobId, List<Consumer<Boolean>>> endReads = new HashMap<>();
   private final Map<JobId, List<Consumer<Boolean>>> listReads = new HashMap<>();
 
@@ -66,14 +66,14 @@
       onFinished.run();
       return;
     }
-    Reading running = readings.get(job.id());
-    Reading reading = running == null ? new Reading(job) : running;
+    VerdictRead pending = verdictReads.get(job.id());
+    VerdictRead verdictRead = pending == null ? new VerdictRead(job) : pending;
     Caller caller = new Caller(onFinished);
-    reading.callers.add(caller);
+    verdictRead.callers.add(caller);
     loop.after(MAX_WAIT, caller::finish);
-    if (running == null) {
-      readings.put(job.id(), reading);
-      reading.startRound();
+    if (pending == null) {
+      verdictReads.put(job.id(), verdictRead);
+      verdictRead.startRound();
     }
   }
 
@@ -95,7 +95,7 @@
   }
 
   /** The reads for one job's verdict. */
-  private final class Reading {
+  private final class VerdictRead {
     private final JobRecord job;
     private final List<Caller> callers = new ArrayList<>();
     private final Deque<JobId> unreadEnds = new ArrayDeque<>();
@@ -105,7 +105,7 @@
     private int readsInFlight;
     private boolean failed;
 
-    Reading(JobRecord job) {
+    VerdictRead(JobRecord job) {
       this.job = job;
     }
 
@@ -130,7 +130,7 @@
     }
 
     private void finish() {
-      readings.remove(job.id());
+      verdictReads.remove(job.id());
       callers.forEach(Caller::finish);
     }
 
@@ -163,7 +163,7 @@
   }
 
   private void readEnd(JobId ended, KeyValueStore.Urgency urgency, Consumer<Boolean> result) {
-    if (!isFirst(endReads, ended, result)) {
+    if (!addCaller(endReads, ended, result)) {
       return;
     }
     read(
@@ -172,34 +172,34 @@
         item -> {
           Optional<JobPhase> phase = item.flatMap(JobRecord::endedPhase);
           phase.ifPresent(terminal -> knownJobs.cacheTerminalPhase(ended, terminal));
-          finish(endReads, ended, phase.isPresent());
+          completeRead(endReads, ended, phase.isPresent());
         });
   }
 
   private void readLists(JobRecord job, KeyValueStore.Urgency urgency, Consumer<Boolean> result) {
-    if (isFirst(listReads, job.id(), result)) {
+    if (addCaller(listReads, job.id(), result)) {
       readLists(job, urgency, new ArrayList<>(), 0);
     }
   }
 
   private void readLists(
-      JobRecord job, KeyValueStore.Urgency urgency, List<JobId> found, int list) {
+      JobRecord job, KeyValueStore.Urgency urgency, List<JobId> collected, int listIndex) {
     JobDependencies dependencies = job.dependencies();
-    if (list == dependencies.lists()) {
-      knownJobs.onDependenciesRead(job.id(), found);
-      finish(listReads, job.id(), true);
+    if (listIndex == dependencies.lists()) {
+      knownJobs.onDependenciesRead(job.id(), collected);
+      completeRead(listReads, job.id(), true);
       return;
     }
     read(
-        StoreKeys.dependencyList(job.id(), dependencies.digest(), list),
+        StoreKeys.dependencyList(job.id(), dependencies.digest(), listIndex),
         urgency,
         item -> {
           Optional<List<JobId>> names = item.flatMap(DependencyReader::parseList);
           if (names.isPresent()) {
-            found.addAll(names.get());
-            readLists(job, urgency, found, list + 1);
+            collected.addAll(names.get());
+            readLists(job, urgency, collected, listIndex + 1);
           } else {
-            finish(listReads, job.id(), false);
+            completeRead(listReads, job.id(), false);
           }
         });
   }
@@ -238,14 +238,15 @@
   }
 
   /** Adds a caller to a read; the first one has to start it. */
-  private static boolean isFirst(
+  private static boolean addCaller(
       Map<JobId, List<Consumer<Boolean>>> reads, JobId job, Consumer<Boolean> result) {
     List<Consumer<Boolean>> callers = reads.computeIfAbsent(job, key -> new ArrayList<>());
     callers.add(result);
     return callers.size() == 1;
   }
 
-  private static void finish(Map<JobId, List<Consumer<Boolean>>> reads, JobId job, boolean known) {
+  private static void completeRead(
+      Map<JobId, List<Consumer<Boolean>>> reads, JobId job, boolean known) {
     reads.remove(job).forEach(caller -> caller.accept(known));
   }
 }
--- a/src/main/java/org/mulleinshift/api/JobApi.java
+++ b/src/main/java/org/mulleinshift/api/JobApi.java
@@ -31,11 +31,11 @@
    * @param catalog machine types, by which submissions are checked
    * @param cluster teams and limits of the store
    * @param retryAfterSeconds after which time a user should retry a request answered with 503
-   * @param currentViewCheck confirms the view of active jobs that {@link #onActive} builds
+   * @param viewFreshnessCheck confirms the view of active jobs that {@link #onActive} builds
    * @param memoryPressure how scarce the heap is: under pressure fewer requests are served
-   * @param notice makes cancellations known before they are acknowledged
-   * @param allProveDependencies whether every controller proves by the store that no dependency of
-   *     a job was cancelled before it calls the job waiting
+   * @param cancellationNotifier makes cancellations known before they are acknowledged
+   * @param allControllersVerifyDependencies whether every controller proves by the store that no
+   *     dependency of a job was cancelled before it calls the job waiting
    */
   public record Context(
       EventLoop loop,
@@ -43,10 +43,10 @@
       MachineTypeCatalog catalog,
       PlatformSettings.Cluster cluster,
       int retryAfterSeconds,
-      CurrentViewCheck currentViewCheck,
+      ViewFreshnessCheck viewFreshnessCheck,
       Supplier<MemoryPressure> memoryPressure,
-      CancellationNotice notice,
-      BooleanSupplier allProveDependencies) {}
+      CancellationNotifier cancellationNotifier,
+      BooleanSupplier allControllersVerifyDependencies) {}
 
   private final KnownJobs knownJobs = new KnownJobs();
   private final JobStatusReader statusReader;
@@ -63,17 +63,18 @@
             store,
             knownJobs,
             new DependencyReader(context.loop(), store, knownJobs, dependencyCheck),
-            context.currentViewCheck(),
+            context.viewFreshnessCheck(),
             context.memoryPressure());
     this.responses =
         new JobResponseWriter(
             knownJobs,
             dependencyCheck,
-            context.allProveDependencies(),
+            context.allControllersVerifyDependencies(),
             context.retryAfterSeconds());
     this.submissions = new SubmissionHandler(context, knownJobs, statusReader, responses);
     this.cancellations =
-        new CancellationHandler(store, knownJobs, statusReader, responses, context.notice());
+        new CancellationHandler(
+            store, knownJobs, statusReader, responses, context.cancellationNotifier());
   }
 
   /** The leader's latest task counts: it names the jobs with running or completed tasks. */
--- a/src/main/java/org/mulleinshift/api/JobResponseWriter.java
+++ b/src/main/java/org/mulleinshift/api/JobResponseWriter.java
@@ -21,23 +21,24 @@
 
   private final KnownJobs knownJobs;
   private final DependencyCheck dependencyCheck;
-  private final BooleanSupplier allProveDependencies;
+  private final BooleanSupplier allControllersVerifyDependencies;
   private final int retryAfterSeconds;
 
   /**
    * A writer.
    *
-   * @param allProveDependencies whether every controller tells by the store alone that a dependency
-   *     was cancelled; one that does not may call a job waiting that this node calls cancelled
+   * @param allControllersVerifyDependencies whether every controller tells by the store alone that
+   *     a dependency was cancelled; one that does not may call a job waiting that this node calls
+   *     cancelled
    */
   JobResponseWriter(
       KnownJobs knownJobs,
       DependencyCheck dependencyCheck,
-      BooleanSupplier allProveDependencies,
+      BooleanSupplier allControllersVerifyDependencies,
       int retryAfterSeconds) {
     this.knownJobs = knownJobs;
     this.dependencyCheck = dependencyCheck;
-    this.allProveDependencies = allProveDependencies;
+    this.allControllersVerifyDependencies = allControllersVerifyDependencies;
     this.retryAfterSeconds = retryAfterSeconds;
   }
 
@@ -72,7 +73,7 @@
     if (verdict instanceof DependencyVerdict.NoneCancelled) {
       respondWithPhase(id, HttpStatus.OK, activePhase(id), responder);
     } else if (verdict instanceof DependencyVerdict.Cancelled
-        && allProveDependencies.getAsBoolean()) {
+        && allControllersVerifyDependencies.getAsBoolean()) {
       respondWithCancelled(id, responder);
     } else {
       LOG.debug(
@@ -105,9 +106,10 @@
         phase,
         knownJobs.viewRevision(),
         counts);
-    OptionalInt done = counts.map(c -> OptionalInt.of(c.getDone())).orElse(OptionalInt.empty());
+    OptionalInt done =
+        counts.map(count -> OptionalInt.of(count.getDone())).orElse(OptionalInt.empty());
     OptionalInt running =
-        counts.map(c -> OptionalInt.of(c.getRunning())).orElse(OptionalInt.empty());
+        counts.map(count -> OptionalInt.of(count.getRunning())).orElse(OptionalInt.empty());
     responder.respond(httpStatus, JobCodec.writeStatus(id, phase, done, running));
   }
 
--- a/src/main/java/org/mulleinshift/api/JobStatusReader.java
+++ b/src/main/java/org/mulleinshift/api/JobStatusReader.java
@@ -24,7 +24,7 @@
   private final KeyValueStore store;
   private final KnownJobs knownJobs;
   private final DependencyReader dependencyReader;
-  private final CurrentViewCheck viewCheck;
+  private final ViewFreshnessCheck viewFreshnessCheck;
   private final Supplier<MemoryPressure> memoryPressure;
   private int pendingReads;
 
@@ -32,52 +32,52 @@
       KeyValueStore store,
       KnownJobs knownJobs,
       DependencyReader dependencyReader,
-      CurrentViewCheck viewCheck,
+      ViewFreshnessCheck viewFreshnessCheck,
       Supplier<MemoryPressure> memoryPressure) {
     this.store = store;
     this.knownJobs = knownJobs;
     this.dependencyReader = dependencyReader;
-    this.viewCheck = viewCheck;
+    this.viewFreshnessCheck = viewFreshnessCheck;
     this.memoryPressure = memoryPressure;
   }
 
   /**
    * Reads the status that a job has at a moment after this call.
    *
-   * @param unconfirmed runs instead of {@code result} if too many reads are pending, or if the view
-   *     could not be confirmed
+   * @param onUnconfirmed runs instead of {@code result} if too many reads are pending, or if the
+   *     view could not be confirmed
    */
-  void readCurrent(JobId id, Consumer<JobStatus> result, Runnable unconfirmed) {
+  void readCurrent(JobId id, Consumer<JobStatus> result, Runnable onUnconfirmed) {
     // Some reads are admitted whatever the memory pressure: users must get an answer in the end.
     if (pendingReads >= maxPendingReads()) {
-      unconfirmed.run();
+      onUnconfirmed.run();
       return;
     }
     pendingReads++;
     // Reads share the confirmation that the view of active jobs is as fresh as they are: one store
     // read for each would leave no capacity for submissions at the store's rate limit.
-    viewCheck.confirmCurrent(
+    viewFreshnessCheck.confirmCurrent(
         confirmed -> {
           pendingReads--;
           if (!confirmed) {
-            unconfirmed.run();
+            onUnconfirmed.run();
             return;
           }
-          readInView(id, result);
+          readFromView(id, result);
         });
   }
 
   /** The status by the view, which was confirmed; with what proves that the job still waits. */
-  private void readInView(JobId id, Consumer<JobStatus> result) {
+  private void readFromView(JobId id, Consumer<JobStatus> result) {
     if (knownJobs.findActive(id).orElse(null) instanceof JobStatus.Active active) {
       // The job may end while its dependencies are read.
-      dependencyReader.readMissing(active.job(), () -> readStatusInView(id, result));
+      dependencyReader.readMissing(active.job(), () -> readStatusFromView(id, result));
     } else {
-      readStatusInView(id, result);
+      readStatusFromView(id, result);
     }
   }
 
-  private void readStatusInView(JobId id, Consumer<JobStatus> result) {
+  private void readStatusFromView(JobId id, Consumer<JobStatus> result) {
     knownJobs.findActive(id).ifPresentOrElse(result, () -> readEnded(id, result));
   }
 
@@ -99,10 +99,10 @@
         id,
         status -> {
           if (status instanceof JobStatus.Active active && !active.job().dependencies().isEmpty()) {
-            viewCheck.confirmCurrent(
+            viewFreshnessCheck.confirmCurrent(
                 confirmed -> {
                   if (confirmed) {
-                    readInView(id, result);
+                    readFromView(id, result);
                   } else {
                     result.accept(new JobStatus.Unknown());
                   }
--- a/src/main/java/org/mulleinshift/api/ReadinessProbe.java
+++ b/src/main/java/org/mulleinshift/api/ReadinessProbe.java
@@ -16,13 +16,13 @@
   private static final Duration RECHECK_INTERVAL = Duration.ofMillis(50);
 
   private static final int MAX_RECHECKS = 14;
-  private static final int MAX_WAITING = 8;
+  private static final int MAX_WAITING_CHECKS = 8;
   private static final String EMPTY_BODY = "{}";
 
   private final EventLoop loop;
   private final BooleanSupplier ready;
   private boolean hasBeenReady;
-  private int waiting;
+  private int waitingChecks;
 
   /**
    * A probe of a process that starts.
@@ -36,19 +36,19 @@
 
   /** Responds with 200 if the node can take requests, else with 503. */
   public void respond(Responder responder) {
-    if (isStarting() && waiting < MAX_WAITING) {
-      waiting++;
+    if (isStarting() && waitingChecks < MAX_WAITING_CHECKS) {
+      waitingChecks++;
       loop.after(RECHECK_INTERVAL, () -> recheck(responder, MAX_RECHECKS - 1));
     } else {
       writeStatus(responder);
     }
   }
 
-  private void recheck(Responder responder, int remaining) {
-    if (isStarting() && remaining > 0) {
-      loop.after(RECHECK_INTERVAL, () -> recheck(responder, remaining - 1));
+  private void recheck(Responder responder, int remainingRechecks) {
+    if (isStarting() && remainingRechecks > 0) {
+      loop.after(RECHECK_INTERVAL, () -> recheck(responder, remainingRechecks - 1));
     } else {
-      waiting--;
+      waitingChecks--;
       writeStatus(responder);
     }
   }
--- a/src/main/java/org/mulleinshift/api/SubmissionHandler.java
+++ b/src/main/java/org/mulleinshift/api/SubmissionHandler.java
@@ -62,10 +62,10 @@
     this.memoryPressure = context.memoryPressure();
     this.validator = new SubmissionValidator(context.catalog(), cluster.teams());
     this.dependencyValidator = new DependencyValidator(store, knownJobs::isAccepted);
-    this.maxValueBytes = cluster.storeLimits().minValueBytes();
+    this.maxValueBytes = cluster.storeLimits().lowestMaxValueBytes();
     this.dependencyLists =
         new DependencyListWriter(
-            loop, store, maxValueBytes, cluster.storeLimits().minTransactionOperations());
+            loop, store, maxValueBytes, cluster.storeLimits().lowestMaxTransactionOperations());
   }
 
   /** A job is no longer active: it has been accepted, whatever became of it. */
@@ -191,7 +191,7 @@
         });
   }
 
-  private void store(JobId id, JsonNode record, int attempts, Responder responder) {
+  private void store(JobId id, JsonNode record, int remainingAttempts, Responder responder) {
     store.commit(
         List.of(
             new Compare(StoreKeys.activeJob(id), ABSENT),
@@ -203,9 +203,9 @@
             acknowledge(id, responder);
           } else if (outcome instanceof CommitResult.Conflict) {
             respondWithStored(id, responder);
-          } else if (outcome instanceof CommitResult.Busy && attempts > 1) {
+          } else if (outcome instanceof CommitResult.Busy && remainingAttempts > 1) {
             // Certainly not stored, and the write rate may allow it in a moment.
-            loop.after(BUSY_BACKOFF, () -> store(id, record, attempts - 1, responder));
+            loop.after(BUSY_BACKOFF, () -> store(id, record, remainingAttempts - 1, responder));
           } else {
             // Not retried here; the same id makes the user's retry harmless.
             responses.respondUnavailable(responder);
--- a/src/main/java/org/mulleinshift/api/SubmissionValidator.java
+++ b/src/main/java/org/mulleinshift/api/SubmissionValidator.java
@@ -53,8 +53,8 @@
 
   private static boolean exceedsLimit(JobSpec spec, PlatformSettings.Team team) {
     int concurrentTasks = spec.kind() == JobKind.ARRAY ? 1 : spec.tasks();
-    return exceeds(spec.perTask().cpus() * concurrentTasks, team.cpusMax())
-        || exceeds(spec.perTask().gpus() * concurrentTasks, team.gpusMax());
+    return exceeds(spec.perTask().cpus() * concurrentTasks, team.maxCpus())
+        || exceeds(spec.perTask().gpus() * concurrentTasks, team.maxGpus());
   }
 
   /** A limit of 0 means that there is none. */
--- a/src/main/java/org/mulleinshift/api/CurrentViewCheck.java
+++ b/src/main/java/org/mulleinshift/api/ViewFreshnessCheck.java
@@ -4,7 +4,7 @@
 
 /** Checks that this node's view of the active jobs is as fresh as a question about one of them. */
 @FunctionalInterface
-public interface CurrentViewCheck {
+public interface ViewFreshnessCheck {
   /**
    * Starts a check.
    *
--- a/src/main/java/org/mulleinshift/autoscaling/AutoscalerSettings.java
+++ b/src/main/java/org/mulleinshift/autoscaling/AutoscalerSettings.java
@@ -36,17 +36,18 @@
 
   /** The settings of a deployment. */
   public static AutoscalerSettings of(PlatformSettings platform, Tunables tunables) {
-    int fittingMachines = platform.cluster().storeLimits().minValueBytes() / MACHINE_RECORD_BYTES;
+    int fittingMachines =
+        platform.cluster().storeLimits().lowestMaxValueBytes() / MACHINE_RECORD_BYTES;
     return new AutoscalerSettings(
         tunables.seconds(Tunables.Key.SIMULATION_INTERVAL_S),
         tunables.count(Tunables.Key.SIMULATION_STEPS),
         tunables.number(Tunables.Key.IMMEDIATE_RESIZE_SHARE),
         tunables.seconds(Tunables.Key.PROVISIONING_BACKOFF_S),
-        tunables.number(Tunables.Key.BOOT_DEFAULT_S),
+        tunables.number(Tunables.Key.DEFAULT_BOOT_TIME_S),
         tunables.number(Tunables.Key.BOOT_ABANDONED_FACTOR),
-        tunables.number(Tunables.Key.IDLE_RELEASE_S),
-        tunables.number(Tunables.Key.MINIMUM_AGE_S),
-        tunables.number(Tunables.Key.SURPLUS_S),
+        tunables.number(Tunables.Key.IDLE_RELEASE_DELAY_S),
+        tunables.number(Tunables.Key.MIN_MACHINE_AGE_S),
+        tunables.number(Tunables.Key.SURPLUS_DRAIN_DELAY_S),
         tunables.number(Tunables.Key.LOW_PRIORITY_WAIT_S),
         Math.min(tunables.count(Tunables.Key.MAX_SHARD_MACHINES), fittingMachines));
   }
--- a/src/main/java/org/mulleinshift/controller/CancellationAnnouncer.java
+++ b/src/main/java/org/mulleinshift/controller/CancellationAnnouncer.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.mulleinshift.api.CancellationNotice;
+import org.mulleinshift.api.CancellationNotifier;
 import org.mulleinshift.compatibility.FeatureGates;
 import org.mulleinshift.memory.BoundedMap;
 import org.mulleinshift.model.ClusterView;
@@ -28,7 +28,7 @@
  * does not confirm would learn of the cancellation from the store, or may act no longer than its
  * ownership lease.
  */
-final class CancellationAnnouncer implements CancellationNotice {
+final class CancellationAnnouncer implements CancellationNotifier {
   private static final Logger LOG = LoggerFactory.getLogger(CancellationAnnouncer.class);
   private static final Duration ACK_TIMEOUT = Duration.ofMillis(500);
   private static final int MAX_PENDING = 512;
--- a/src/main/java/org/mulleinshift/controller/ControllerComponents.java
+++ b/src/main/java/org/mulleinshift/controller/ControllerComponents.java
@@ -17,7 +17,7 @@
 import org.mulleinshift.placement.MachineTypeCatalog;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.scheduling.RunTimeEstimator;
-import org.mulleinshift.settings.Leases;
+import org.mulleinshift.settings.LeaseDurations;
 import org.mulleinshift.settings.PlatformSettings;
 import org.mulleinshift.settings.Tunables;
 import org.mulleinshift.sharding.OwnedShards;
@@ -83,7 +83,7 @@
     this.ports = ports;
     this.loop = ports.loop();
     this.members = ClusterMembers.of(settings);
-    this.shardLease = Leases.shardLease(cluster.workerTiming(), tunables);
+    this.shardLease = LeaseDurations.maxShardLease(cluster.workerTiming(), tunables);
     this.estimates = new EstimateReplicator(loop, runTimes);
     this.rateLimits = new StoreRateLimits(cluster);
     this.store = rateLimits.createClient(ports, settings.storeAddress());
--- a/src/main/java/org/mulleinshift/leader/BatchLimits.java
+++ b/src/main/java/org/mulleinshift/leader/BatchLimits.java
@@ -21,7 +21,8 @@
   static BatchLimits of(PlatformSettings.StoreLimits limits) {
     // A transaction above what the store lets through at once would be refused for ever.
     int burst = (int) (limits.writesPerSecond() * limits.writesShareAfterReduction() / 2);
-    int operations = Math.min(limits.minTransactionOperations(), Math.max(MIN_OPERATIONS, burst));
+    int operations =
+        Math.min(limits.lowestMaxTransactionOperations(), Math.max(MIN_OPERATIONS, burst));
     double requests =
         limits.requestsPerSecond() * limits.requestsShareAfterReduction() * REQUEST_SHARE;
     return new BatchLimits(operations, Duration.ofNanos((long) (NANOS_PER_SECOND / requests)));
--- a/src/main/java/org/mulleinshift/leader/TermComponents.java
+++ b/src/main/java/org/mulleinshift/leader/TermComponents.java
@@ -149,10 +149,10 @@
         new TeamQuotas(settings.teams()),
         new FailureAttribution(
             tunables.count(Tunables.Key.QUARANTINE_FAILURES),
-            tunables.seconds(Tunables.Key.RETRY_BACKOFF_S)),
+            tunables.seconds(Tunables.Key.MIN_RETRY_BACKOFF_S)),
         new CapacityReservation(
             settings.objectives(),
-            tunables.number(Tunables.Key.RESERVED_JOBS),
+            tunables.number(Tunables.Key.RESERVATION_FACTOR),
             tunables.seconds(Tunables.Key.RESERVATION_DURATION_S)),
         new UnreadableJobs(),
         context.catalog(),
@@ -240,7 +240,7 @@
   }
 
   private ShardStatusHandler createShardStatusHandler() {
-    double retryBackoffSeconds = context.tunables().number(Tunables.Key.RETRY_BACKOFF_S);
+    double retryBackoffSeconds = context.tunables().number(Tunables.Key.MIN_RETRY_BACKOFF_S);
     return new ShardStatusHandler(
         cluster,
         term,
--- a/src/main/java/org/mulleinshift/progress/ProgressPersister.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressPersister.java
@@ -73,8 +73,8 @@
     this.logEnabled = settings.logEnabled();
     PlatformSettings.StoreLimits limits = settings.limits();
     // Else no build has stored anything longer than what fits.
-    this.limitsWillShrink = limits.minValueBytes() < limits.valueBytes();
-    this.valueBytes = (int) (USED_OF_VALUE * limits.minValueBytes());
+    this.limitsWillShrink = limits.lowestMaxValueBytes() < limits.maxValueBytes();
+    this.valueBytes = (int) (USED_OF_VALUE * limits.lowestMaxValueBytes());
     this.log = new ProgressLog(valueBytes);
     int maxOps = settings.maxOperations();
     int slots = Math.max(1, Math.min(maxOps / 2, LOG_BYTES_PER_TRANSACTION / valueBytes));
--- a/src/main/java/org/mulleinshift/scheduling/TeamQuotas.java
+++ b/src/main/java/org/mulleinshift/scheduling/TeamQuotas.java
@@ -47,7 +47,7 @@
     return find(id)
         .map(
             team ->
-                new Resources(limitOrNone(team.cpusMax()), limitOrNone(team.gpusMax()), NO_LIMIT))
+                new Resources(limitOrNone(team.maxCpus()), limitOrNone(team.maxGpus()), NO_LIMIT))
         .orElse(UNLIMITED);
   }
 
@@ -58,7 +58,7 @@
 
   /** The processors that a team is guaranteed. */
   double guaranteedCpus(TeamId team) {
-    return find(team).map(PlatformSettings.Team::cpus).orElse(0.0);
+    return find(team).map(PlatformSettings.Team::guaranteedCpus).orElse(0.0);
   }
 
   /** Whether the team is guaranteed so many processors; a team that is not known has 0. */
@@ -71,14 +71,15 @@
     return find(id)
         .filter(
             team ->
-                resources.cpus() <= team.cpus() + ROUNDING_TOLERANCE
-                    && resources.gpus() <= team.gpus() + ROUNDING_TOLERANCE)
+                resources.cpus() <= team.guaranteedCpus() + ROUNDING_TOLERANCE
+                    && resources.gpus() <= team.guaranteedGpus() + ROUNDING_TOLERANCE)
         .isPresent();
   }
 
   /** A team's weight in fair shares: the same for all, plus its part of all guarantees. */
   double fairShareWeight(TeamId team) {
-    double allGuaranteed = teams.values().stream().mapToDouble(PlatformSettings.Team::cpus).sum();
+    double allGuaranteed =
+        teams.values().stream().mapToDouble(PlatformSettings.Team::guaranteedCpus).sum();
     double ofGuarantees = allGuaranteed > 0 ? guaranteedCpus(team) / allGuaranteed : 0;
     return 1.0 / Math.max(1, teams.size()) + ofGuarantees;
   }
--- a/src/main/java/org/mulleinshift/settings/PlatformSettings.java
+++ b/src/main/java/org/mulleinshift/settings/PlatformSettings.java
@@ -11,23 +11,23 @@
  * @param label this controller's name
  * @param zone this controller's zone
  * @param publicAddress where users, workers and health checks connect
- * @param peerBind where other controllers connect
+ * @param peerBindAddress where other controllers connect
  * @param members the other controllers
  * @param cloudAddress address of the cloud's interface
  * @param storeAddress address of the key-value store
  * @param cluster what holds for all controllers
- * @param limits of this process
+ * @param processLimits of this process
  */
 public record PlatformSettings(
     String label,
     String zone,
     InetSocketAddress publicAddress,
-    InetSocketAddress peerBind,
+    InetSocketAddress peerBindAddress,
     List<Member> members,
     InetSocketAddress cloudAddress,
     InetSocketAddress storeAddress,
     Cluster cluster,
-    Limits limits) {
+    ProcessLimits processLimits) {
 
   /** Another controller. */
   public record Member(String label, String zone, InetSocketAddress address) {}
@@ -52,7 +52,8 @@
    * A team's quota: what it is guaranteed, and what its tasks may use at most. A maximum of 0 means
    * that there is none.
    */
-  public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
+  public record Team(
+      String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {}
 
   /**
    * A service-level objective.
@@ -83,8 +84,8 @@
   public record StoreLimits(
       double requestsPerSecond,
       double writesPerSecond,
-      int valueBytes,
-      int transactionOperations,
+      int maxValueBytes,
+      int maxTransactionOperations,
       Optional<StoreLimits> next) {
     /** Limits that stay. */
     public StoreLimits(
@@ -96,15 +97,15 @@
     }
 
     /** The longest value that fits before and after the change of limits. */
-    public int minValueBytes() {
-      return Math.min(valueBytes, next.map(StoreLimits::valueBytes).orElse(valueBytes));
+    public int lowestMaxValueBytes() {
+      return Math.min(maxValueBytes, next.map(StoreLimits::maxValueBytes).orElse(maxValueBytes));
     }
 
     /** The most writes of a transaction that fits before and after the change of limits. */
-    public int minTransactionOperations() {
+    public int lowestMaxTransactionOperations() {
       return Math.min(
-          transactionOperations,
-          next.map(StoreLimits::transactionOperations).orElse(transactionOperations));
+          maxTransactionOperations,
+          next.map(StoreLimits::maxTransactionOperations).orElse(maxTransactionOperations));
     }
 
     /** The share of the write rate that remains after the change of limits. */
@@ -131,8 +132,8 @@
   /**
    * The limits of this process.
    *
-   * @param cpu share of a processor core
-   * @param maxSockets number of open sockets and files
+   * @param cpuCores share of a processor core
+   * @param maxFileDescriptors number of open sockets and files
    */
-  public record Limits(double cpu, double memoryMb, int maxSockets) {}
+  public record ProcessLimits(double cpuCores, double memoryMb, int maxFileDescriptors) {}
 }
--- a/src/main/java/org/mulleinshift/settings/PlatformSettingsReader.java
+++ b/src/main/java/org/mulleinshift/settings/PlatformSettingsReader.java
@@ -22,18 +22,18 @@
   private static final double MIN_SECONDS = 0.01;
   private static final double MAX_SECONDS = 1e6;
   private static final double MAX_AMOUNT = 1e12;
-  private static final double MIN_CPU = 0.01;
-  private static final double MAX_CPU = 1024;
+  private static final double MIN_CPU_CORES = 0.01;
+  private static final double MAX_CPU_CORES = 1024;
   private static final double MIN_MEMORY_MB = 32;
   private static final double MAX_MEMORY_MB = 1e7;
-  private static final double MIN_SOCKETS = 32;
-  private static final double MAX_SOCKETS = 1e7;
+  private static final double MIN_FILE_DESCRIPTORS = 32;
+  private static final double MAX_FILE_DESCRIPTORS = 1e7;
   private static final double MAX_CONTROLLERS = 99;
   private static final double MIN_CLOUD_RATE = 0.1;
   private static final double MAX_RATE = 1e9;
   private static final double MIN_VALUE_KB = 0.5;
-  private static final double MAX_KB = 1e6;
-  private static final double MAX_OPERATIONS = 1e6;
+  private static final double MAX_VALUE_KB = 1e6;
+  private static final double MAX_TRANSACTION_OPERATIONS = 1e6;
   private static final int MAX_PORT = 65_535;
 
   private final String file;
@@ -60,20 +60,20 @@
     } catch (JsonProcessingException e) {
       throw new SettingsException(path + ": not valid TOML: " + firstLine(e.getOriginalMessage()));
     }
-    return new PlatformSettingsReader(path.toString()).platform(root);
+    return new PlatformSettingsReader(path.toString()).parsePlatform(root);
   }
 
   private static String firstLine(String message) {
     return message == null ? "" : message.lines().findFirst().orElse("");
   }
 
-  private PlatformSettings platform(JsonNode root) throws SettingsException {
+  private PlatformSettings parsePlatform(JsonNode root) throws SettingsException {
     JsonNode cluster = table(root, "", "cluster");
     JsonNode services = table(root, "", "services");
     JsonNode limits = table(cluster, "cluster.", "limits");
     List<PlatformSettings.Member> members = new ArrayList<>();
     for (JsonNode member : root.path("members")) {
-      members.add(member(member, "members."));
+      members.add(parseMember(member, "members."));
     }
     return new PlatformSettings(
         text(root, "", "label"),
@@ -83,23 +83,25 @@
         List.copyOf(members),
         address(services, "services.", "cloud"),
         address(services, "services.", "state"),
-        cluster(cluster, "cluster."),
-        limits(limits, "cluster.limits."));
+        parseCluster(cluster, "cluster."),
+        parseProcessLimits(limits, "cluster.limits."));
   }
 
-  private PlatformSettings.Member member(JsonNode node, String path) throws SettingsException {
+  private PlatformSettings.Member parseMember(JsonNode node, String path) throws SettingsException {
     return new PlatformSettings.Member(
         text(node, path, "label"), text(node, path, "location"), address(node, path, "address"));
   }
 
-  private PlatformSettings.Limits limits(JsonNode node, String path) throws SettingsException {
-    return new PlatformSettings.Limits(
-        number(node, path, "cpu", MIN_CPU, MAX_CPU),
+  private PlatformSettings.ProcessLimits parseProcessLimits(JsonNode node, String path)
+      throws SettingsException {
+    return new PlatformSettings.ProcessLimits(
+        number(node, path, "cpu", MIN_CPU_CORES, MAX_CPU_CORES),
         number(node, path, "ram_mb", MIN_MEMORY_MB, MAX_MEMORY_MB),
-        (int) number(node, path, "fd_limit", MIN_SOCKETS, MAX_SOCKETS));
+        (int) number(node, path, "fd_limit", MIN_FILE_DESCRIPTORS, MAX_FILE_DESCRIPTORS));
   }
 
-  private PlatformSettings.Cluster cluster(JsonNode node, String path) throws SettingsException {
+  private PlatformSettings.Cluster parseCluster(JsonNode node, String path)
+      throws SettingsException {
     JsonNode workers = table(node, path, "workers");
     JsonNode store = table(node, path, "state");
     JsonNode cloud = table(node, path, "cloud");
@@ -109,11 +111,11 @@
     }
     List<PlatformSettings.Team> teams = new ArrayList<>();
     for (JsonNode team : node.path("teams")) {
-      teams.add(team(team, path + "teams."));
+      teams.add(parseTeam(team, path + "teams."));
     }
     List<PlatformSettings.Objective> objectives = new ArrayList<>();
     for (JsonNode objective : node.path("objectives")) {
-      objectives.add(objective(objective, path + "objectives."));
+      objectives.add(parseObjective(objective, path + "objectives."));
     }
     return new PlatformSettings.Cluster(
         (int) number(node, path, "size", 1, MAX_CONTROLLERS),
@@ -121,12 +123,12 @@
         Duration.ofNanos((long) (amountOrZero(node, path, "clock_off_ms") * NANOS_PER_MILLI)),
         List.copyOf(teams),
         List.copyOf(objectives),
-        workerTiming(workers, path + "workers."),
-        storeLimits(store, path + "state."),
-        cloudLimits(cloud, path + "cloud."));
+        parseWorkerTiming(workers, path + "workers."),
+        parseStoreLimits(store, path + "state."),
+        parseCloudLimits(cloud, path + "cloud."));
   }
 
-  private PlatformSettings.Team team(JsonNode node, String path) throws SettingsException {
+  private PlatformSettings.Team parseTeam(JsonNode node, String path) throws SettingsException {
     return new PlatformSettings.Team(
         text(node, path, "name"),
         amountOrZero(node, path, "cpus"),
@@ -135,7 +137,7 @@
         amountOrZero(node, path, "gpus_max"));
   }
 
-  private PlatformSettings.Objective objective(JsonNode node, String path)
+  private PlatformSettings.Objective parseObjective(JsonNode node, String path)
       throws SettingsException {
     return new PlatformSettings.Objective(
         ObjectiveKind.fromSetting(node.path("kind").asText("")),
@@ -144,7 +146,7 @@
         amountOrZero(node, path, "times"));
   }
 
-  private PlatformSettings.WorkerTiming workerTiming(JsonNode node, String path)
+  private PlatformSettings.WorkerTiming parseWorkerTiming(JsonNode node, String path)
       throws SettingsException {
     return new PlatformSettings.WorkerTiming(
         seconds(node, path, "report_s"),
@@ -152,16 +154,16 @@
         seconds(node, path, "cancel_s"));
   }
 
-  private PlatformSettings.CloudLimits cloudLimits(JsonNode node, String path)
+  private PlatformSettings.CloudLimits parseCloudLimits(JsonNode node, String path)
       throws SettingsException {
     return new PlatformSettings.CloudLimits(
         number(node, path, "rps", MIN_CLOUD_RATE, MAX_RATE),
         Duration.ofNanos((long) (amountOrZero(node, path, "list_lag_s") * NANOS_PER_SECOND)));
   }
 
-  private PlatformSettings.StoreLimits storeLimits(JsonNode node, String path)
+  private PlatformSettings.StoreLimits parseStoreLimits(JsonNode node, String path)
       throws SettingsException {
-    PlatformSettings.StoreLimits now = storeLimits(node, node, path);
+    PlatformSettings.StoreLimits now = parseStoreLimits(node, node, path);
     if (!node.hasNonNull("next")) {
       return now;
     }
@@ -169,24 +171,35 @@
     return new PlatformSettings.StoreLimits(
         now.requestsPerSecond(),
         now.writesPerSecond(),
-        now.valueBytes(),
-        now.transactionOperations(),
-        Optional.of(storeLimits(next, node, path + "next.")));
+        now.maxValueBytes(),
+        now.maxTransactionOperations(),
+        Optional.of(parseStoreLimits(next, node, path + "next.")));
   }
 
   /** What the table leaves out is as in the fallback. */
-  private PlatformSettings.StoreLimits storeLimits(JsonNode node, JsonNode fallback, String path)
-      throws SettingsException {
+  private PlatformSettings.StoreLimits parseStoreLimits(
+      JsonNode node, JsonNode fallback, String path) throws SettingsException {
     return new PlatformSettings.StoreLimits(
-        number(tableWith(node, fallback, "rps"), path, "rps", 1, MAX_RATE),
-        number(tableWith(node, fallback, "write_rps"), path, "write_rps", 1, MAX_RATE),
+        number(tableContaining(node, fallback, "rps"), path, "rps", 1, MAX_RATE),
+        number(tableContaining(node, fallback, "write_rps"), path, "write_rps", 1, MAX_RATE),
         (int)
-            (number(tableWith(node, fallback, "value_kb"), path, "value_kb", MIN_VALUE_KB, MAX_KB)
+            (number(
+                    tableContaining(node, fallback, "value_kb"),
+                    path,
+                    "value_kb",
+                    MIN_VALUE_KB,
+                    MAX_VALUE_KB)
                 * BYTES_PER_KB),
-        (int) number(tableWith(node, fallback, "txn_ops"), path, "txn_ops", 2, MAX_OPERATIONS));
+        (int)
+            number(
+                tableContaining(node, fallback, "txn_ops"),
+                path,
+                "txn_ops",
+                2,
+                MAX_TRANSACTION_OPERATIONS));
   }
 
-  private static JsonNode tableWith(JsonNode node, JsonNode fallback, String key) {
+  private static JsonNode tableContaining(JsonNode node, JsonNode fallback, String key) {
     return node.has(key) ? node : fallback;
   }
 
--- a/src/main/java/org/mulleinshift/settings/Tunables.java
+++ b/src/main/java/org/mulleinshift/settings/Tunables.java
@@ -24,13 +24,13 @@
     /** Steps of a queue simulation over the boot time. */
     SIMULATION_STEPS("walk_steps", 10, 1, 200),
     /** Boot time before any was observed or listed. */
-    BOOT_DEFAULT_S("boot_default_s", 40, 1, 3600),
+    DEFAULT_BOOT_TIME_S("boot_default_s", 40, 1, 3600),
     /** A boot that takes so many times longer than expected is abandoned. */
     BOOT_ABANDONED_FACTOR("boot_overdue_factor", 3, 1, 20),
     /** How long a machine stays idle before it is released. */
-    IDLE_RELEASE_S("idle_return_s", 20, 0, 3600),
+    IDLE_RELEASE_DELAY_S("idle_return_s", 20, 0, 3600),
     /** A machine younger than this is not released. */
-    MINIMUM_AGE_S("minimum_held_s", 60, 0, 3600),
+    MIN_MACHINE_AGE_S("minimum_held_s", 60, 0, 3600),
     /** Backoff after the cloud had no capacity. */
     PROVISIONING_BACKOFF_S("refused_pause_s", 10, 1, 600),
     /** Most machines of one shard. */
@@ -52,9 +52,9 @@
     /** Consecutive failures after which a machine is quarantined. */
     QUARANTINE_FAILURES("faulty_after", 3, 1, 100),
     /** Shortest backoff before a failed task is retried. */
-    RETRY_BACKOFF_S("error_pause_s", 5, 0, 600),
+    MIN_RETRY_BACKOFF_S("error_pause_s", 5, 0, 600),
     /** Average jobs of a class with a start objective that capacity is reserved for. */
-    RESERVED_JOBS("headroom_jobs", 0.5, 0, 10),
+    RESERVATION_FACTOR("headroom_jobs", 0.5, 0, 10),
     /** How long after the last such job capacity stays reserved. */
     RESERVATION_DURATION_S("headroom_lasts_s", 60, 0, 3600),
     /** A task that ran longer than this is not preempted for a job of higher priority. */
@@ -77,27 +77,27 @@
     /** One of the largest jobs of a class that waited this long starts some tasks before others. */
     MAX_WAIT_S("begin_s", 120, 1, 86_400),
     /** How long a machine must have been surplus before it is drained. */
-    SURPLUS_S("spare_s", 6, 0, 3600),
+    SURPLUS_DRAIN_DELAY_S("spare_s", 6, 0, 3600),
     /** 1: progress goes to the log once all controllers read it; 0: to keys of each job. */
     PROGRESS_LOG_ENABLED("progress_log", 1, 0, 1),
     /** Threads that read requests and write responses. */
     HTTP_THREADS("http_threads", 16, 2, 256);
 
-    private final String yaml;
+    private final String yamlName;
     private final double defaultValue;
     private final double min;
     private final double max;
 
-    Key(String yaml, double defaultValue, double min, double max) {
-      this.yaml = yaml;
+    Key(String yamlName, double defaultValue, double min, double max) {
+      this.yamlName = yamlName;
       this.defaultValue = defaultValue;
       this.min = min;
       this.max = max;
     }
 
     /** The key's name in the YAML file. */
-    public String yaml() {
-      return yaml;
+    public String yamlName() {
+      return yamlName;
     }
 
     private boolean allows(double value) {
@@ -134,15 +134,15 @@
               .orElseThrow(() -> new SettingsException(file + ": " + name + ": no such setting"));
       if (!(entry.getValue() instanceof Number number) || !key.allows(number.doubleValue())) {
         throw new SettingsException(
-            file + ": " + key.yaml + ": not a number from " + key.min + " to " + key.max);
+            file + ": " + key.yamlName + ": not a number from " + key.min + " to " + key.max);
       }
       values.put(key, number.doubleValue());
     }
     return new Tunables(values);
   }
 
-  private static Optional<Key> findKey(String yaml) {
-    return Arrays.stream(Key.values()).filter(key -> key.yaml.equals(yaml)).findFirst();
+  private static Optional<Key> findKey(String yamlName) {
+    return Arrays.stream(Key.values()).filter(key -> key.yamlName.equals(yamlName)).findFirst();
   }
 
   /** A value as it stands in the file. */
--- a/src/test/java/org/mulleinshift/CommandLineTest.java
+++ b/src/test/java/org/mulleinshift/CommandLineTest.java
@@ -20,7 +20,7 @@
 
 /** What an operator meets at the command line: each fault is one line naming file and key. */
 final class CommandLineTest {
-  private static final Path GOOD = Path.of("src/test/resources/settings/controller.toml");
+  private static final Path VALID = Path.of("src/test/resources/settings/controller.toml");
 
   @TempDir private Path folder;
 
@@ -44,7 +44,7 @@
 
   @Test
   void acceptsGoodSettingsAndIgnoresUnknownFields() throws IOException {
-    Path file = write("extra.toml", "novelty = 3\n" + Files.readString(GOOD));
+    Path file = write("extra.toml", "novelty = 3\n" + Files.readString(VALID));
     Path yaml = write("ours.yaml", "cycle_ms: 200\n");
     Result result = run("--check", "--config", file.toString(), "--tunables", yaml.toString());
     assertEquals(new Result(0, ""), result);
@@ -64,12 +64,13 @@
     "'txn_ops = 12','txn_ops = 12\nnext = { txn_ops = 1 }',cluster.state.next.txn_ops",
     "'txn_ops = 12','txn_ops = 12\nnext = { value_kb = \"few\" }',cluster.state.next.value_kb",
   })
-  void namesTheFaultOfThePlatformsFile(String good, String bad, String named) throws IOException {
-    Path file = write("bad.toml", Files.readString(GOOD).replace(good, bad));
+  void reportsErrorInPlatformSettings(String valid, String invalid, String expected)
+      throws IOException {
+    Path file = write("bad.toml", Files.readString(VALID).replace(valid, invalid));
     Result result = run("--check", "--config", file.toString());
     assertEquals(2, result.code());
     assertTrue(result.errors().startsWith(file + ": "), result.errors());
-    assertTrue(result.errors().contains(named), result.errors());
+    assertTrue(result.errors().contains(expected), result.errors());
     assertEquals(1, result.errors().lines().count(), result.errors());
   }
 
@@ -81,36 +82,38 @@
     "'- renew_s',mapping",
     "'a: [',not valid YAML",
   })
-  void namesTheFaultOfTheOperatorsFile(String text, String named) throws IOException {
+  void reportsErrorInTunables(String text, String expected) throws IOException {
     Path yaml = write("ours.yaml", text + "\n");
-    Result result = run("--check", "--config", GOOD.toString(), "--tunables", yaml.toString());
+    Result result = run("--check", "--config", VALID.toString(), "--tunables", yaml.toString());
     assertEquals(2, result.code());
     assertTrue(result.errors().startsWith(yaml + ": "), result.errors());
-    assertTrue(result.errors().contains(named), result.errors());
+    assertTrue(result.errors().contains(expected), result.errors());
     assertEquals(1, result.errors().lines().count(), result.errors());
   }
 
   /** What the coming limits leave out stays; what is written fits both. */
   @Test
-  void readsTheLimitsThatCome() throws IOException, SettingsException {
-    String text = Files.readString(GOOD);
+  void readsUpcomingStoreLimits() throws IOException, SettingsException {
+    String text = Files.readString(VALID);
     Path file =
         write(
             "next.toml",
             text.replace(
                 "txn_ops = 12", "txn_ops = 12\nnext = { value_kb = 2.0, write_rps = 25.0 }"));
-    PlatformSettings.StoreLimits state = PlatformSettingsReader.read(file).cluster().storeLimits();
-    assertEquals(2048, state.minValueBytes());
-    assertEquals(12, state.minTransactionOperations());
-    assertEquals(0.25, state.writesShareAfterReduction());
-    assertEquals(1, state.requestsShareAfterReduction());
-    PlatformSettings.StoreLimits plain = PlatformSettingsReader.read(GOOD).cluster().storeLimits();
-    assertEquals(8192, plain.minValueBytes());
-    assertEquals(1, plain.writesShareAfterReduction());
+    PlatformSettings.StoreLimits changing =
+        PlatformSettingsReader.read(file).cluster().storeLimits();
+    assertEquals(2048, changing.lowestMaxValueBytes());
+    assertEquals(12, changing.lowestMaxTransactionOperations());
+    assertEquals(0.25, changing.writesShareAfterReduction());
+    assertEquals(1, changing.requestsShareAfterReduction());
+    PlatformSettings.StoreLimits unchanging =
+        PlatformSettingsReader.read(VALID).cluster().storeLimits();
+    assertEquals(8192, unchanging.lowestMaxValueBytes());
+    assertEquals(1, unchanging.writesShareAfterReduction());
   }
 
   @Test
-  void missingFileEndsWithTwo() {
+  void missingFileExitsWithCodeTwo() {
     Result result = run("--check", "--config", folder.resolve("none.toml").toString());
     assertEquals(2, result.code());
     assertTrue(result.errors().contains("cannot be read"), result.errors());
--- a/src/test/java/org/mulleinshift/api/DependentJobAnswersTest.java
+++ b/src/test/java/org/mulleinshift/api/DependentJobAnswersTest.java
@@ -32,21 +32,21 @@
   }
 
   @Test
-  void aDependentsAnswerRestsOnTheStoredEndNotOnHavingSeenIt() {
+  void dependentStatusUsesStoredEndOfDependency() {
     showActive(JOB, DEPENDENCY);
     assertEquals(TRY_AGAIN, poll(), "neither active nor ended");
     storeEnded(DEPENDENCY, JobPhase.CANCELLED);
     store.readStatus = 503;
     assertEquals(TRY_AGAIN, poll(), "end unreadable");
     store.readStatus = 200;
-    allProveDependencies = false;
+    allControllersVerifyDependencies = false;
     assertEquals(TRY_AGAIN, poll(), "beside earlier builds");
-    allProveDependencies = true;
+    allControllersVerifyDependencies = true;
     assertEquals(phase(200, "cancelled"), poll(), "end stored as cancelled");
   }
 
   @Test
-  void aDependentWaitsWhileEachDependencyIsDoneOrActive() {
+  void dependentIsPendingAfterDependencyIsDone() {
     showActive(JOB, DEPENDENCY);
     storeEnded(DEPENDENCY, JobPhase.DONE);
     assertEquals(phase(200, "pending"), poll(), "dependency done");
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void aDependentOfACancelledActiveJobIsNotAnswered() {
+  void dependentOfCancelledActiveJobIsUnavailable() {
     showActive(JOB, DEPENDENCY);
     api.onActive(DEPENDENCY, Optional.of(record(DEPENDENCY, JobDependencies.NONE, false)));
     assertEquals(phase(200, "pending"), poll(), "dependency active");
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void aDependentIsCancelledThroughAnActiveOne() {
+  void dependentIsCancelledByIndirectDependency() {
     showActive(JOB, DEPENDENCY);
     showActive(DEPENDENCY, INDIRECT);
     storeEnded(INDIRECT, JobPhase.CANCELLED);
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void dependenciesInListsAreFollowed() {
+  void dependenciesStoredInListsAreChecked() {
     api.onActive(JOB, Optional.of(record(JOB, new JobDependencies(List.of(), 2, "digest"), false)));
     storeEnded(INDIRECT, JobPhase.CANCELLED);
     storeEnded(DEPENDENCY, JobPhase.DONE);
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void aJobThatEndsWhileItsDependenciesAreReadIsCalledEnded() {
+  void jobEndingDuringDependencyReadsIsReportedAsEnded() {
     showActive(JOB, DEPENDENCY);
     storeEnded(DEPENDENCY, JobPhase.DONE);
     storeEnded(JobPhase.DONE);
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void aJobThatHadTasksNeedsNoFurtherProof() {
+  void jobWithTasksNeedsNoDependencyReads() {
     showActive(JOB, DEPENDENCY);
     api.onSummary(new JobSummary(List.of(new JobTaskCounts("run-1", 0, 2))));
     assertEquals(
@@ -106,15 +106,15 @@
   }
 
   @Test
-  void aRepeatedSubmissionOfADependentNeedsACurrentView() {
+  void resubmissionOfDependentRequiresConfirmedView() {
     store.commitStatus = 409;
     JobDependencies dependencies = JobDependencies.of(List.of(DEPENDENCY));
     store.put(StoreKeys.activeJob(JOB), JobRecord.value(SPEC, dependencies, 1, false).toString());
     storeEnded(DEPENDENCY, JobPhase.DONE);
     onConfirmation = () -> showActive(JOB, DEPENDENCY);
-    viewCurrent = false;
+    viewConfirmed = false;
     assertEquals(TRY_AGAIN, submit(), "view not confirmed");
-    viewCurrent = true;
+    viewConfirmed = true;
     assertEquals(phase(200, "pending"), submit(), "dependency done");
   }
 }
--- a/src/test/java/org/mulleinshift/api/JobApiFixture.java
+++ b/src/test/java/org/mulleinshift/api/JobApiFixture.java
@@ -123,12 +123,12 @@
               onResponse.accept(new HttpResponse(catalogStatus, CATALOG)),
           ADDRESS,
           () -> {});
-  boolean viewCurrent = true;
+  boolean viewConfirmed = true;
 
   /** What the view is shown before it is confirmed. */
   Runnable onConfirmation = () -> {};
 
-  boolean allProveDependencies = true;
+  boolean allControllersVerifyDependencies = true;
   MemoryPressure memoryPressure = MemoryPressure.NORMAL;
   JobApi api;
 
@@ -159,14 +159,14 @@
                 this::confirmCurrent,
                 () -> memoryPressure,
                 (job, result) -> result.accept(true),
-                () -> allProveDependencies));
+                () -> allControllersVerifyDependencies));
   }
 
   private void confirmCurrent(Consumer<Boolean> result) {
-    if (viewCurrent) {
+    if (viewConfirmed) {
       onConfirmation.run();
     }
-    result.accept(viewCurrent);
+    result.accept(viewConfirmed);
   }
 
   Answer answerTo(Consumer<Responder> request) {
--- a/src/test/java/org/mulleinshift/api/JobApiTest.java
+++ b/src/test/java/org/mulleinshift/api/JobApiTest.java
@@ -48,7 +48,7 @@
     "shape,\"round\",400,shape is not one of the known values",
     "pieces,0,400,pieces is missing or out of range",
   })
-  void rejectsWhatCanNeverRunUnlessItWasAccepted(
+  void rejectsInvalidSubmissionUnlessAlreadyAccepted(
       String field, String value, int status, String reason) {
     ObjectNode node = submission();
     node.remove(field);
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void rejectsWhatIsNoSubmission() {
+  void rejectsMalformedSubmission() {
     assertEquals(answer(400, "{\"error\":\"not JSON\"}"), submit("{"));
     assertEquals(answer(400, "{\"error\":\"not an object\"}"), submit("[]"));
     assertEquals(answer(400, "{\"error\":\"ref is missing or not a short text\"}"), submit("{}"));
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void cannotTakeASubmissionNow() {
+  void submissionIsTemporarilyUnavailable() {
     catalogStatus = 503;
     assertEquals(TRY_AGAIN, submit(), "machine types unknown");
     catalogStatus = 200;
@@ -96,9 +96,9 @@
         answer(200, "{\"ref\":\"run-1\",\"phase\":\"running\",\"done\":3,\"running\":13}"),
         poll(),
         "with tasks");
-    viewCurrent = false;
+    viewConfirmed = false;
     assertEquals(TRY_AGAIN, poll(), "view not confirmed");
-    viewCurrent = true;
+    viewConfirmed = true;
     api.onNoLongerActive(JOB);
     store.readStatus = 503;
     assertEquals(TRY_AGAIN, poll(), "end unreadable");
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void aDoneJobStaysDone() {
+  void cancellingDoneJobKeepsItDone() {
     storeEnded(JobPhase.DONE);
     assertEquals(phase(200, "done"), cancel());
   }
--- a/src/test/java/org/mulleinshift/api/ReadinessProbeTest.java
+++ b/src/test/java/org/mulleinshift/api/ReadinessProbeTest.java
@@ -14,7 +14,7 @@
   private static final double ALMOST_ALL_RECHECKS = 0.69;
   private static final double ALL_RECHECKS = 0.7;
   private static final double ONE_RECHECK = 0.05;
-  private static final int MAX_WAITING = 8;
+  private static final int MAX_WAITING_CHECKS = 8;
 
   private final VirtualEventLoop loop = new VirtualEventLoop();
   private final List<Integer> statuses = new ArrayList<>();
@@ -66,13 +66,13 @@
 
   @Test
   void fewChecksWaitAtATime() {
-    for (int i = 0; i < MAX_WAITING; i++) {
+    for (int i = 0; i < MAX_WAITING_CHECKS; i++) {
       probe.respond(responder);
     }
     assertEquals(List.of(), statuses, "waiting");
     probe.respond(responder);
     assertEquals(List.of(503), statuses, "one more");
     loop.runFor(1);
-    assertEquals(Collections.nCopies(MAX_WAITING + 1, 503), statuses, "all");
+    assertEquals(Collections.nCopies(MAX_WAITING_CHECKS + 1, 503), statuses, "all");
   }
 }
--- a/src/test/java/org/mulleinshift/scenario/ScenarioSettings.java
+++ b/src/test/java/org/mulleinshift/scenario/ScenarioSettings.java
@@ -23,8 +23,8 @@
   private static final Duration CLOCK_TOLERANCE = Duration.ofMillis(5);
   private static final PlatformSettings.CloudLimits CLOUD_LIMITS =
       new PlatformSettings.CloudLimits(8, Duration.ofSeconds(4));
-  private static final PlatformSettings.Limits PROCESS_LIMITS =
-      new PlatformSettings.Limits(1, 200, 500);
+  private static final PlatformSettings.ProcessLimits PROCESS_LIMITS =
+      new PlatformSettings.ProcessLimits(1, 200, 500);
 
   /** A line that names seeds with which a scenario is played besides the fixed ones. */
   static final String SEEDS = "seeds";
--- a/src/test/java/org/mulleinshift/simulation/SimulatedStore.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedStore.java
@@ -284,14 +284,14 @@
 
   private String errorIn(JsonNode transaction) {
     JsonNode writes = transaction.path("writes");
-    int maxOperations = limits.transactionOperations();
+    int maxOperations = limits.maxTransactionOperations();
     if (writes.size() > maxOperations
         || transaction.path("guards").size() > GUARDS_PER_OPERATION * maxOperations) {
       rejected++;
       return "too many operations";
     }
     for (JsonNode write : writes) {
-      if (write.path("value").toString().length() > limits.valueBytes()) {
+      if (write.path("value").toString().length() > limits.maxValueBytes()) {
         rejected++;
         return "value too long";
       }
