--- a/src/main/java/org/mulleinshift/api/CancellationHandler.java
+++ b/src/main/java/org/mulleinshift/api/CancellationHandler.java
@@ -15,8 +15,8 @@
 import org.mulleinshift.transport.Responder;
 
 /**
- * Cancels jobs. A cancellation is stored, and every controller that could start a task of the job
- * knows of it, before it is acknowledged: from the response on no task may be started.
+ * Handles cancellation requests. Before a cancellation is acknowledged, it is stored and known to
+ * every controller that could start a task of the job: no task may start after the response.
  */
 final class CancellationHandler {
   private static final int MAX_COMMIT_ATTEMPTS = 4;
@@ -28,10 +28,10 @@
   private final JobResponseWriter responses;
   private final CancellationNotifier notifier;
 
-  /** Cancellations that this node has stored. */
+  /** Jobs whose cancellation this node has stored. */
   private final Set<JobId> cancelledByThisNode = BoundedMap.set(MAX_REMEMBERED_JOBS);
 
-  /** Cancelled jobs of which every controller knows. */
+  /** Cancelled jobs of which no controller can start a task any more. */
   private final Set<JobId> announcedJobs = BoundedMap.set(MAX_REMEMBERED_JOBS);
 
   CancellationHandler(
@@ -47,7 +47,7 @@
     this.notifier = notifier;
   }
 
-  /** Handles a request to cancel a job. */
+  /** Cancels the job unless it has ended, and responds with its phase; 404 if never accepted. */
   void cancel(JobId id, Responder responder) {
     cancel(id, MAX_COMMIT_ATTEMPTS, responder);
   }
@@ -70,7 +70,10 @@
         });
   }
 
-  /** Whether the job is cancelled, has not ended, and some controller may not know it yet. */
+  /**
+   * Whether the job is cancelled but not known to be stored as ended, and the announcement of its
+   * cancellation has not been confirmed.
+   */
   private boolean needsAnnouncement(JobId id, JobStatus status) {
     JobStatus newest = knownJobs.newerOf(id, status);
     boolean cancelled =
--- a/src/main/java/org/mulleinshift/api/CancellationNotifier.java
+++ b/src/main/java/org/mulleinshift/api/CancellationNotifier.java
@@ -3,13 +3,14 @@
 import java.util.function.Consumer;
 import org.mulleinshift.protocol.JobId;
 
-/** Makes a stored cancellation known to every controller that could start tasks of the job. */
+/** Announces stored cancellations to every controller that could start tasks of the job. */
 @FunctionalInterface
 public interface CancellationNotifier {
   /**
-   * Announces that the job's cancellation is stored; it may have been announced before.
+   * Announces that the job's cancellation is stored. Repeated announcements of a job are allowed.
    *
-   * @param result gets whether no controller will order the start of a task of the job any more
+   * @param result receives true once no controller will start a task of the job any more, or false
+   *     if that could not be confirmed
    */
   void announce(JobId job, Consumer<Boolean> result);
 }
--- a/src/main/java/org/mulleinshift/api/DependencyCheck.java
+++ b/src/main/java/org/mulleinshift/api/DependencyCheck.java
@@ -13,9 +13,9 @@
 import org.mulleinshift.protocol.JobPhase;
 
 /**
- * Checks whether an active job still waits or runs, as far as the jobs that it depends on tell. The
- * verdict rests on the view of active jobs and on stored ends alone, not on what this process saw
- * happen: one that started a moment ago concludes the same.
+ * Checks whether any job that an active job depends on, directly or indirectly, was cancelled. The
+ * verdict is derived only from the view of active jobs and from stored ends, not from events that
+ * this process observed, so a process that has just started reaches the same verdict.
  */
 final class DependencyCheck {
   private final KnownJobs knownJobs;
@@ -24,14 +24,14 @@
     this.knownJobs = knownJobs;
   }
 
-  /** The verdict by what is known now; it is as fresh as the view of active jobs. */
+  /** Returns the verdict by what is known now; it is as fresh as the view of active jobs. */
   DependencyVerdict verdict(JobRecord job) {
     return job.dependencies().isEmpty()
         ? new DependencyVerdict.NoneCancelled()
         : new Search().run(job);
   }
 
-  /** A search along the dependencies that are not over. */
+  /** A search of the dependency graph. It follows active dependencies and stops at ended ones. */
   private final class Search {
     private final Set<JobId> visited = new HashSet<>();
     private final Deque<JobRecord> jobsToVisit = new ArrayDeque<>();
@@ -58,7 +58,7 @@
 
     private void visit(JobRecord job) {
       if (knownJobs.hasHadTasks(job.id())) {
-        // It was released: all that it depends on is stored as done, which never changes.
+        // Its tasks were released, so all its dependencies are stored as done, which is final.
         return;
       }
       Optional<List<JobId>> dependencies = knownJobs.dependenciesOf(job);
--- a/src/main/java/org/mulleinshift/api/DependencyReader.java
+++ b/src/main/java/org/mulleinshift/api/DependencyReader.java
@@ -21,23 +21,23 @@
 import org.mulleinshift.transport.EventLoop;
 
 /**
- * Reads from the store what {@link DependencyCheck} lacks for a verdict. What is read never changes
- * and is kept, so that each of a job's dependencies costs a node one read; callers that lack the
- * same share it. Where there is much to read it goes on after the callers were answered, so that
- * their next question finds it.
+ * Reads from the store what {@link DependencyCheck} needs for a verdict. The values read are
+ * immutable and cached, so that each dependency of a job costs a node one read; concurrent callers
+ * that need the same value share the read. Long reads continue after their callers have timed out,
+ * so that a retry finds the values.
  */
 final class DependencyReader {
   private static final int MAX_CONCURRENT_READS = 8;
 
-  /** Each round of reads may show further jobs whose lists have to be read. */
+  /** Each round of reads may find further jobs whose dependencies have to be read. */
   private static final int MAX_ROUNDS = 16;
 
-  /** Shorter than clients wait for an answer. */
+  /** Shorter than the timeout of clients. */
   private static final Duration MAX_WAIT = Duration.ofSeconds(1);
 
   private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
-  /** A key that can't be read for some seconds is left to the next question. */
+  /** After these retries, which take at least 5 s, a refused key is left to the next request. */
   private static final int MAX_RETRIES = 20;
 
   private final EventLoop loop;
@@ -57,9 +57,10 @@
   }
 
   /**
-   * Reads what is missing for a verdict on the job.
+   * Reads the values that are missing for a verdict on the job.
    *
-   * @param onFinished runs once all was read, a read has failed, or it takes too long
+   * @param onFinished runs once, when all values were read, when a read has failed, or after {@link
+   *     #MAX_WAIT}
    */
   void readMissing(JobRecord job, Runnable onFinished) {
     if (!(check.verdict(job) instanceof DependencyVerdict.Unproven)) {
@@ -77,7 +78,7 @@
     }
   }
 
-  /** Is told once, of whichever comes first. */
+  /** Runs its callback once: at the end of the reads or at the timeout, whichever comes first. */
   private static final class Caller {
     private final Runnable onFinished;
     private boolean finished;
@@ -94,7 +95,7 @@
     }
   }
 
-  /** The reads for one job's verdict. */
+  /** The reads that one job's verdict needs. */
   private final class VerdictRead {
     private final JobRecord job;
     private final List<Caller> callers = new ArrayList<>();
@@ -119,7 +120,7 @@
         return;
       }
       remainingRounds--;
-      // Many reads leave the larger part of the rate to what clients wait for.
+      // A large batch leaves most of the store's rate limit to requests that clients wait for.
       urgency =
           missing.ends().size() > MAX_CONCURRENT_READS
               ? KeyValueStore.Urgency.LOW
@@ -212,7 +213,10 @@
     }
   }
 
-  /** Reads a key once the rate allows it; empty if it is absent or was not answered. */
+  /**
+   * Reads a key, retrying while the store refuses the read; empty if the key is absent or
+   * unreadable.
+   */
   private void read(
       String key, KeyValueStore.Urgency urgency, Consumer<Optional<KeyValue>> result) {
     read(key, urgency, MAX_RETRIES, result);
@@ -237,7 +241,7 @@
         });
   }
 
-  /** Adds a caller to a read; the first one has to start it. */
+  /** Adds a caller to a read; returns true for the first caller, which has to start the read. */
   private static boolean addCaller(
       Map<JobId, List<Consumer<Boolean>>> reads, JobId job, Consumer<Boolean> result) {
     List<Consumer<Boolean>> callers = reads.computeIfAbsent(job, key -> new ArrayList<>());
--- a/src/main/java/org/mulleinshift/api/JobApi.java
+++ b/src/main/java/org/mulleinshift/api/JobApi.java
@@ -18,24 +18,26 @@
 import org.mulleinshift.transport.Responder;
 
 /**
- * The users' requests about jobs, at any node. An acceptance or a cancellation is stored before it
- * is acknowledged. An answer that can still change is at least as fresh as the question; in doubt
- * the answer is 503.
+ * Handles users' requests about jobs, on any controller. Acceptances and cancellations are stored
+ * before they are acknowledged. A response about a job that can still change is at least as fresh
+ * as the request; if that can't be guaranteed, the response is 503.
  */
 public final class JobApi {
   /**
-   * What the interface works with.
+   * Dependencies and settings of the interface.
    *
-   * @param loop owns all state
+   * @param loop the event loop on which all calls run
    * @param store holds the jobs
-   * @param catalog machine types, by which submissions are checked
-   * @param cluster teams and limits of the store
-   * @param retryAfterSeconds after which time a user should retry a request answered with 503
-   * @param viewFreshnessCheck confirms the view of active jobs that {@link #onActive} builds
-   * @param memoryPressure how scarce the heap is: under pressure fewer requests are served
-   * @param cancellationNotifier makes cancellations known before they are acknowledged
-   * @param allControllersVerifyDependencies whether every controller proves by the store that no
-   *     dependency of a job was cancelled before it calls the job waiting
+   * @param catalog machine types against which submissions are validated
+   * @param cluster the teams' quotas and the store's limits
+   * @param retryAfterSeconds value of the Retry-After header of 503 responses
+   * @param viewFreshnessCheck confirms that the view of active jobs built by {@link #onActive} is
+   *     current
+   * @param memoryPressure current memory pressure; fewer requests are admitted when it is high
+   * @param cancellationNotifier announces cancellations to other controllers before they are
+   *     acknowledged
+   * @param allControllersVerifyDependencies whether every controller, before it reports a job as
+   *     waiting, verifies with the store that none of its dependencies was cancelled
    */
   public record Context(
       EventLoop loop,
@@ -54,7 +56,7 @@
   private final SubmissionHandler submissions;
   private final CancellationHandler cancellations;
 
-  /** An interface that knows no job yet. */
+  /** Creates an interface that knows of no jobs yet. */
   public JobApi(Context context) {
     KeyValueStore store = context.store();
     DependencyCheck dependencyCheck = new DependencyCheck(knownJobs);
@@ -77,33 +79,35 @@
             store, knownJobs, statusReader, responses, context.cancellationNotifier());
   }
 
-  /** The leader's latest task counts: it names the jobs with running or completed tasks. */
+  /** Receives the leader's latest task counts, of all jobs with running or completed tasks. */
   public void onSummary(JobSummary summary) {
     knownJobs.onSummary(summary);
   }
 
-  /** An active job as the view shows it; without a record, one that this build can't read. */
+  /** Adds or updates an active job; the record is empty if this build can't read it. */
   public void onActive(JobId id, Optional<JobRecord> record) {
     knownJobs.onActive(id, record);
   }
 
-  /** The view no longer shows the job as active. */
+  /** Removes a job that is no longer active. */
   public void onNoLongerActive(JobId id) {
     knownJobs.onNoLongerActive(id);
     submissions.onNoLongerActive(id);
   }
 
-  /** All changes of active jobs up to the revision were shown. */
+  /** Called when all changes of active jobs up to the revision have been passed on. */
   public void onCaughtUp(Revision revision) {
     knownJobs.onCaughtUp(revision);
   }
 
-  /** Handles the body of a submission. */
+  /** Handles a submission, given as the request's body. */
   public void submit(String body, Responder responder) {
     submissions.submit(body, responder);
   }
 
-  /** Responds with a job's phase. */
+  /**
+   * Responds with a job's phase; 404 if it was never accepted, 503 if its phase can't be confirmed.
+   */
   public void poll(JobId id, Responder responder) {
     if (!JobCodec.isJobId(id.value())) {
       responses.respondNotFound(responder);
@@ -120,7 +124,7 @@
         () -> responses.respondUnavailable(responder));
   }
 
-  /** Cancels a job, unless it has ended. */
+  /** Cancels a job unless it has ended, and responds with its phase; 404 if never accepted. */
   public void cancel(JobId id, Responder responder) {
     if (JobCodec.isJobId(id.value())) {
       cancellations.cancel(id, responder);
--- a/src/main/java/org/mulleinshift/api/JobResponseWriter.java
+++ b/src/main/java/org/mulleinshift/api/JobResponseWriter.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the responses about jobs, with the task counts of the leader's latest summary. In doubt
- * the response is 503.
+ * Writes responses about jobs, with the task counts of the leader's latest summary. If a job's
+ * phase is not certain, the response is 503.
  */
 final class JobResponseWriter {
   private static final Logger LOG = LoggerFactory.getLogger(JobResponseWriter.class);
@@ -25,11 +25,11 @@
   private final int retryAfterSeconds;
 
   /**
-   * A writer.
+   * Creates a writer.
    *
-   * @param allControllersVerifyDependencies whether every controller tells by the store alone that
-   *     a dependency was cancelled; one that does not may call a job waiting that this node calls
-   *     cancelled
+   * @param allControllersVerifyDependencies whether every controller derives from the store alone
+   *     that a dependency was cancelled; one that does not might report a job as waiting that this
+   *     node reports as cancelled
    */
   JobResponseWriter(
       KnownJobs knownJobs,
@@ -42,7 +42,7 @@
     this.retryAfterSeconds = retryAfterSeconds;
   }
 
-  /** Responds with the newer of what was read and what is known now; 404 if never accepted. */
+  /** Responds with the newer of the status read and the status known now; 404 if never accepted. */
   void respondWithStatusOrNotFound(JobId id, JobStatus read, Responder responder) {
     if (knownJobs.newerOf(id, read) instanceof JobStatus.NeverAccepted) {
       respondNotFound(responder);
@@ -51,7 +51,7 @@
     }
   }
 
-  /** Responds with the newer of what was read and what is known now; 503 if never accepted. */
+  /** Responds with the newer of the status read and the status known now; 503 if never accepted. */
   void respondWithStatus(JobId id, JobStatus read, Responder responder) {
     JobStatus status = knownJobs.newerOf(id, read);
     if (status instanceof JobStatus.Active active) {
@@ -68,7 +68,7 @@
       respondWithCancelled(id, responder);
       return;
     }
-    // Where a job is called waiting, each job that it depends on is proved to be no cancelled one.
+    // A job is reported as pending or running only if none of its dependencies was cancelled.
     DependencyVerdict verdict = dependencyCheck.verdict(active.job());
     if (verdict instanceof DependencyVerdict.NoneCancelled) {
       respondWithPhase(id, HttpStatus.OK, activePhase(id), responder);
@@ -113,17 +113,17 @@
     responder.respond(httpStatus, JobCodec.writeStatus(id, phase, done, running));
   }
 
-  /** Responds that a request can never be carried out. */
+  /** Responds that the request is invalid or can never be fulfilled. */
   void respondRejected(int httpStatus, String reason, Responder responder) {
     responder.respond(httpStatus, JobCodec.writeError(reason));
   }
 
-  /** Responds that no such job was ever accepted. */
+  /** Responds with 404: no such job was ever accepted. */
   void respondNotFound(Responder responder) {
     responder.respond(HttpStatus.NOT_FOUND, JobCodec.writeError("no such job"));
   }
 
-  /** Responds that the user may retry later. */
+  /** Responds with 503 and a Retry-After header. */
   void respondUnavailable(Responder responder) {
     responder.respondLater(
         HttpStatus.SERVICE_UNAVAILABLE, JobCodec.writeError("try again"), retryAfterSeconds);
--- a/src/main/java/org/mulleinshift/api/JobStatus.java
+++ b/src/main/java/org/mulleinshift/api/JobStatus.java
@@ -3,15 +3,15 @@
 import org.mulleinshift.model.JobRecord;
 import org.mulleinshift.protocol.JobPhase;
 
-/** What is certain about a job at the moment it was read. */
+/** A job's status at the moment at which it was read. */
 sealed interface JobStatus {
   /** Accepted and not yet stored as ended. */
   record Active(JobRecord job) implements JobStatus {}
 
-  /** Done or cancelled; this never changes again. */
+  /** Done or cancelled; this is final. */
   record Ended(JobPhase phase) implements JobStatus {}
 
-  /** No node has accepted a job of this id. */
+  /** No controller has accepted a job with this id. */
   record NeverAccepted() implements JobStatus {}
 
   /** The status could not be read. */
--- a/src/main/java/org/mulleinshift/api/JobStatusReader.java
+++ b/src/main/java/org/mulleinshift/api/JobStatusReader.java
@@ -13,8 +13,8 @@
 import org.mulleinshift.store.StoreKeys;
 
 /**
- * Reads the status of jobs. Only terminal phases come from the cache; all else is read from the
- * store, or from a view confirmed to be as fresh as the question.
+ * Reads the status of jobs. Only terminal phases are served from the cache; any other status is
+ * read from the store, or from a view that is confirmed to be as fresh as the request.
  */
 final class JobStatusReader {
   private static final int MAX_PENDING_READS = 2000;
@@ -42,20 +42,21 @@
   }
 
   /**
-   * Reads the status that a job has at a moment after this call.
+   * Reads a status that the job has at some moment after this call.
    *
    * @param onUnconfirmed runs instead of {@code result} if too many reads are pending, or if the
    *     view could not be confirmed
    */
   void readCurrent(JobId id, Consumer<JobStatus> result, Runnable onUnconfirmed) {
-    // Some reads are admitted whatever the memory pressure: users must get an answer in the end.
+    // Some reads are admitted at any memory pressure, so that users who retry get a status
+    // eventually.
     if (pendingReads >= maxPendingReads()) {
       onUnconfirmed.run();
       return;
     }
     pendingReads++;
-    // Reads share the confirmation that the view of active jobs is as fresh as they are: one store
-    // read for each would leave no capacity for submissions at the store's rate limit.
+    // Concurrent reads share one confirmation of the view: a store read for each would use up the
+    // store's rate limit and leave no capacity for submissions.
     viewFreshnessCheck.confirmCurrent(
         confirmed -> {
           pendingReads--;
@@ -67,7 +68,7 @@
         });
   }
 
-  /** The status by the view, which was confirmed; with what proves that the job still waits. */
+  /** Reads the status from the confirmed view, and the dependencies of an active job. */
   private void readFromView(JobId id, Consumer<JobStatus> result) {
     if (knownJobs.findActive(id).orElse(null) instanceof JobStatus.Active active) {
       // The job may end while its dependencies are read.
@@ -81,7 +82,7 @@
     knownJobs.findActive(id).ifPresentOrElse(result, () -> readEnded(id, result));
   }
 
-  /** How many reads may wait for a confirmation at a time. */
+  /** The maximum number of reads that wait for a confirmation at a time. */
   private int maxPendingReads() {
     return switch (memoryPressure.get()) {
       case NORMAL -> MAX_PENDING_READS;
@@ -91,8 +92,8 @@
   }
 
   /**
-   * Reads the status from the store, and of an active job also what proves that it still waits or
-   * runs: an answer that it does needs a view as fresh as the question.
+   * Reads the status from the store. For an active job with dependencies, also confirms the view
+   * and reads the dependencies: both are needed before the job is reported as pending or running.
    */
   void readStoredWithDependencies(JobId id, Consumer<JobStatus> result) {
     readStored(
@@ -114,8 +115,8 @@
   }
 
   /**
-   * Reads the status from the store, unless the job is known to have ended. A job only ever moves
-   * from active to ended, so this order of reading cannot miss it.
+   * Reads the status from the store, unless the job is known to have ended. A job only moves from
+   * active to ended, so reading the keys in this order can't miss it.
    */
   void readStored(JobId id, Consumer<JobStatus> result) {
     Optional<JobPhase> terminal = knownJobs.terminalPhase(id);
--- a/src/main/java/org/mulleinshift/api/KnownJobs.java
+++ b/src/main/java/org/mulleinshift/api/KnownJobs.java
@@ -14,8 +14,8 @@
 import org.mulleinshift.protocol.peer.JobTaskCounts;
 
 /**
- * What this node knows of jobs without asking the store: the view of the active ones, which may lag
- * behind the store, and a bounded cache of terminal phases, which can't change any more.
+ * What this node knows about jobs without reading the store: a view of the active jobs, which may
+ * lag behind the store, and a bounded cache of terminal phases, which are final.
  */
 final class KnownJobs {
   private static final int MAX_CACHED_TERMINAL_PHASES = 20_000;
@@ -26,13 +26,15 @@
   private final Map<JobId, JobStatus> active = new HashMap<>();
   private Revision viewRevision = new Revision(0);
 
-  /** Dependencies that are stored in lists, of active jobs; others may have to be read again. */
+  /**
+   * Cached dependencies of active jobs that store them in lists; evicted entries are read again.
+   */
   private final Map<JobId, List<JobId>> listedDependencies = new BoundedMap<>(MAX_JOBS_WITH_LISTS);
 
   private Map<String, JobTaskCounts> taskCounts = Map.of();
   private boolean summaryReceived;
 
-  /** All changes up to the revision were shown. */
+  /** Called when the view has received all changes up to the revision. */
   void onCaughtUp(Revision revision) {
     viewRevision = revision;
   }
@@ -42,12 +44,15 @@
     return viewRevision;
   }
 
-  /** The view shows an active job; without a record, one that this build can't read. */
+  /** Adds or updates an active job; the record is empty if this build can't read it. */
   void onActive(JobId id, Optional<JobRecord> record) {
     active.put(id, record.<JobStatus>map(JobStatus.Active::new).orElse(new JobStatus.Unknown()));
   }
 
-  /** The view no longer shows the job as active. A cancelled record is removed only by its end. */
+  /**
+   * Removes a job that is no longer active. The record of a cancelled job is removed only when the
+   * job ends, so its final phase is known to be cancelled.
+   */
   void onNoLongerActive(JobId id) {
     listedDependencies.remove(id);
     if (active.remove(id) instanceof JobStatus.Active job && job.job().cancelled()) {
@@ -55,21 +60,25 @@
     }
   }
 
-  /** The lists of the job's dependencies were read. */
+  /** Caches the dependencies read from the job's lists. */
   void onDependenciesRead(JobId id, List<JobId> dependencies) {
     if (active.containsKey(id)) {
       listedDependencies.put(id, List.copyOf(dependencies));
     }
   }
 
-  /** The jobs that the job depends on; empty if they stand in lists that are to be read first. */
+  /**
+   * The jobs that the job depends on; empty if they are stored in lists that have to be read first.
+   */
   Optional<List<JobId>> dependenciesOf(JobRecord job) {
     return job.dependencies().lists() == 0
         ? Optional.of(job.dependencies().named())
         : Optional.ofNullable(listedDependencies.get(job.id()));
   }
 
-  /** A summary names the jobs with running or completed tasks; all others have none. */
+  /**
+   * Replaces the task counts. Jobs that the summary leaves out have no running or completed tasks.
+   */
   void onSummary(JobSummary summary) {
     Map<String, JobTaskCounts> next = new LinkedHashMap<>();
     summary.getCounts().forEach(count -> next.put(count.getJob(), count));
@@ -77,19 +86,19 @@
     summaryReceived = true;
   }
 
-  /** The job's task counts by the latest summary; empty before the first one. */
+  /** The job's task counts in the latest summary; empty before the first summary. */
   Optional<JobTaskCounts> taskCounts(JobId id) {
     return summaryReceived
         ? Optional.of(taskCounts.getOrDefault(id.value(), NO_TASKS))
         : Optional.empty();
   }
 
-  /** Whether a leader has seen a task of the job run or complete. */
+  /** Whether the latest summary reports a running or completed task of the job. */
   boolean hasHadTasks(JobId id) {
     return taskCounts.containsKey(id.value());
   }
 
-  /** Stores a phase that can't change any more. */
+  /** Caches a job's final phase. */
   void cacheTerminalPhase(JobId id, JobPhase phase) {
     terminalPhases.put(id, phase);
   }
@@ -99,26 +108,27 @@
     return active.containsKey(id) || terminalPhases.containsKey(id);
   }
 
-  /** The job's status in the view of active jobs, if it is shown there. */
+  /** The job's status in the view of active jobs; empty if the view doesn't contain it. */
   Optional<JobStatus> findActive(JobId id) {
     return Optional.ofNullable(active.get(id));
   }
 
-  /** The job's final phase, if it was cached; its end may not be stored yet. */
+  /** The job's cached final phase, if any; the end may not be stored yet. */
   Optional<JobPhase> cachedTerminalPhase(JobId id) {
     return Optional.ofNullable(terminalPhases.get(id));
   }
 
-  /** The job's final phase, if this node knows it. */
+  /** The job's final phase by the cache or a cancelled active record; empty if not known. */
   Optional<JobPhase> terminalPhase(JobId id) {
     boolean cancelled = active.get(id) instanceof JobStatus.Active job && job.job().cancelled();
     return Optional.ofNullable(cancelled ? JobPhase.CANCELLED : terminalPhases.get(id));
   }
 
   /**
-   * The newer of what was read and what this node knows at the moment of answering: never accepted,
-   * then accepted, then cancelled or done. All answers about a job pass here. What could not be
-   * read stays unknown, unless the job has ended: this node's view of an active job may be old.
+   * Returns the newer of the status read and the status known now; a job's status moves from never
+   * accepted to active to ended. Responses about jobs that can still change are based on the
+   * result. A status that could not be read stays unknown unless the job has ended, because the
+   * view of an active job may be out of date.
    */
   JobStatus newerOf(JobId id, JobStatus read) {
     Optional<JobPhase> terminal = terminalPhase(id);
--- a/src/main/java/org/mulleinshift/api/ReadinessProbe.java
+++ b/src/main/java/org/mulleinshift/api/ReadinessProbe.java
@@ -7,12 +7,13 @@
 import org.mulleinshift.transport.Responder;
 
 /**
- * Answers the load balancer's health checks. While the process starts, a check waits for a moment
- * until it is ready: two failed checks keep the node out of use for seconds, though it could serve
- * a moment later. The answer is always the state at the moment of answering.
+ * Responds to the load balancer's health checks. While the process starts, the response is delayed
+ * until the node is ready or the rechecks are used up: two failed checks would take the node out of
+ * rotation for seconds, although it might be ready a moment later. The response always reflects the
+ * state at the moment at which it is written.
  */
 public final class ReadinessProbe {
-  /** In total well below the load balancer's timeout of a second. */
+  /** All rechecks together take 0.7 s, well below the load balancer's timeout of 1 s. */
   private static final Duration RECHECK_INTERVAL = Duration.ofMillis(50);
 
   private static final int MAX_RECHECKS = 14;
@@ -25,7 +26,7 @@
   private int waitingChecks;
 
   /**
-   * A probe of a process that starts.
+   * Creates a probe of a process that is starting.
    *
    * @param ready whether the node can take requests now
    */
@@ -34,7 +35,7 @@
     this.ready = ready;
   }
 
-  /** Responds with 200 if the node can take requests, else with 503. */
+  /** Responds with 200 if the node can take requests, else with 503; possibly after a delay. */
   public void respond(Responder responder) {
     if (isStarting() && waitingChecks < MAX_WAITING_CHECKS) {
       waitingChecks++;
--- a/src/main/java/org/mulleinshift/api/SubmissionHandler.java
+++ b/src/main/java/org/mulleinshift/api/SubmissionHandler.java
@@ -29,8 +29,8 @@
 import org.mulleinshift.transport.Responder;
 
 /**
- * Takes submissions. A job is stored before its acceptance is acknowledged; the same id makes a
- * user's retry idempotent.
+ * Handles submissions. A job is stored before its acceptance is acknowledged. Retries with the same
+ * job id are idempotent.
  */
 final class SubmissionHandler {
   private static final int MAX_COMMIT_ATTEMPTS = 4;
@@ -68,12 +68,12 @@
             loop, store, maxValueBytes, cluster.storeLimits().lowestMaxTransactionOperations());
   }
 
-  /** A job is no longer active: it has been accepted, whatever became of it. */
+  /** Records that a job that is no longer active was accepted, whatever its final phase. */
   void onNoLongerActive(JobId id) {
     dependencyValidator.markAccepted(id);
   }
 
-  /** Handles the body of a submission. */
+  /** Handles a submission, given as the request's body. */
   void submit(String body, Responder responder) {
     if (memoryPressure.get() == MemoryPressure.CRITICAL) {
       responses.respondUnavailable(responder);
@@ -120,7 +120,10 @@
         });
   }
 
-  /** The outcome of an accepted job takes precedence over a retry that differs from it. */
+  /**
+   * Rejects an invalid submission, unless its job was accepted before: then it responds with that
+   * job's status.
+   */
   private void rejectUnlessAccepted(
       String body, int httpStatus, String reason, Responder responder) {
     Optional<JobId> id = findJobId(body);
@@ -155,7 +158,7 @@
       return;
     }
     if (knownJobs.findActive(id).isPresent()) {
-      // Certainly accepted: a transaction that must fail would use up some of the write rate.
+      // Known to be accepted: a transaction, which would certainly fail, would use up write rate.
       statusReader.readCurrent(
           id,
           status -> responses.respondWithStatus(id, status, responder),
@@ -204,16 +207,19 @@
           } else if (outcome instanceof CommitResult.Conflict) {
             respondWithStored(id, responder);
           } else if (outcome instanceof CommitResult.Busy && remainingAttempts > 1) {
-            // Certainly not stored, and the write rate may allow it in a moment.
+            // Not stored; the write rate limit may permit it after the backoff.
             loop.after(BUSY_BACKOFF, () -> store(id, record, remainingAttempts - 1, responder));
           } else {
-            // Not retried here; the same id makes the user's retry harmless.
+            // Not retried here: the user can safely retry with the same job id.
             responses.respondUnavailable(responder);
           }
         });
   }
 
-  /** Another node may have given the user a newer answer before this commit was answered. */
+  /**
+   * Responds with the job's newest status: another controller may have reported a newer one than
+   * pending before the response to this commit arrived.
+   */
   private void acknowledge(JobId id, Responder responder) {
     JobStatus now = knownJobs.newerOf(id, new JobStatus.Unknown());
     if (now instanceof JobStatus.Unknown) {
--- a/src/main/java/org/mulleinshift/api/SubmissionValidator.java
+++ b/src/main/java/org/mulleinshift/api/SubmissionValidator.java
@@ -10,9 +10,9 @@
 import org.mulleinshift.protocol.MachineType;
 import org.mulleinshift.settings.PlatformSettings;
 
-/** Finds submissions that can never run: they are rejected instead of waiting for ever. */
+/** Detects jobs that can never run, so that they are rejected instead of waiting forever. */
 final class SubmissionValidator {
-  /** How far above a team's limit the sum of its tasks' amounts may be by rounding. */
+  /** Tolerated excess over a team's limit, for rounding errors in sums over a job's tasks. */
   private static final double ROUNDING_TOLERANCE = 1e-6;
 
   private final MachineTypeCatalog catalog;
@@ -23,12 +23,12 @@
     teams.forEach(team -> this.teams.put(team.name(), team));
   }
 
-  /** Whether the machine types are known; without them nothing can be decided. */
+  /** Whether the machine types are loaded; {@link #findViolation} requires them. */
   boolean isReady() {
     return catalog.isLoaded();
   }
 
-  /** Why the job can never run, if so. */
+  /** Returns the reason why the job can never run; empty if it can. */
   Optional<String> findViolation(JobSpec spec) {
     PlatformSettings.Team team = teams.get(spec.team().value());
     if (team == null) {
@@ -46,7 +46,10 @@
         .anyMatch(type -> isOffered(type, spec));
   }
 
-  /** Whether the type is offered in a zone that the job allows, as far as the catalog says. */
+  /**
+   * Whether the type is offered in a zone that the job allows; a type that lists no zones counts as
+   * offered in all.
+   */
   private static boolean isOffered(MachineType type, JobSpec spec) {
     return type.zones().isEmpty() || type.zones().stream().anyMatch(spec::allowsZone);
   }
@@ -57,7 +60,7 @@
         || exceeds(spec.perTask().gpus() * concurrentTasks, team.maxGpus());
   }
 
-  /** A limit of 0 means that there is none. */
+  /** A limit of 0 means unlimited. */
   private static boolean exceeds(double amount, double limit) {
     return limit > 0 && amount > limit + ROUNDING_TOLERANCE;
   }
--- a/src/main/java/org/mulleinshift/api/package-info.java
+++ b/src/main/java/org/mulleinshift/api/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The HTTP interface for users: submissions, queries and cancellations at any controller, and the
- * readiness check. Answers about jobs that can still change are confirmed to be current first.
+ * The HTTP interface for users: submission, status and cancellation of jobs on any controller, and
+ * the readiness check. A response about a job that can still change is confirmed to be current
+ * first.
  */
 package org.mulleinshift.api;
--- a/src/main/java/org/mulleinshift/settings/LeaseDurations.java
+++ b/src/main/java/org/mulleinshift/settings/LeaseDurations.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 
 /**
- * Divides the time in which a cancelled job must be gone between the leases that may have to expire
- * for it.
+ * Derives the shard lease from the time within which the tasks of a cancelled job must have
+ * stopped: a shard lease and a worker lease may have to expire within it, one after the other.
  */
 public final class LeaseDurations {
   private static final Duration MIN_SHARD_LEASE = Duration.ofSeconds(2);
@@ -12,8 +12,9 @@
   private LeaseDurations() {}
 
   /**
-   * The longest shard lease with which a cancelled job's tasks are certainly gone in time: an owner
-   * that is cut off acts until its lease expires, and its workers run on for a worker lease.
+   * The longest shard lease with which a cancelled job's tasks are sure to stop in time: a
+   * partitioned owner acts until its lease expires, and its workers run on for another worker
+   * lease.
    */
   public static Duration maxShardLease(PlatformSettings.WorkerTiming workers, Tunables tunables) {
     return workers
@@ -23,11 +24,11 @@
   }
 
   /**
-   * Checks that there is time enough for a shard lease: else a cancelled task could run on when an
-   * owner is cut off.
+   * Checks that enough time is left for a shard lease; otherwise a cancelled task could run on for
+   * too long when its owner is partitioned.
    *
-   * @param file names the platform's file in errors
-   * @throws SettingsException if there is not
+   * @param file path of the platform's settings file, for the error message
+   * @throws SettingsException if the time left is too short
    */
   public static void checkShardLease(
       String file, PlatformSettings.WorkerTiming workers, Tunables tunables)
--- a/src/main/java/org/mulleinshift/settings/ObjectiveKind.java
+++ b/src/main/java/org/mulleinshift/settings/ObjectiveKind.java
@@ -2,13 +2,15 @@
 
 import java.util.Arrays;
 
-/** What a service-level objective measures, as far as the scheduler acts on it. */
+/** What a service-level objective measures. */
 public enum ObjectiveKind {
   /** Time until a job of a class starts. */
   WAIT("wait"),
   /** Time until work within a team's guarantee starts. */
   GUARANTEE("guarantee"),
-  /** Anything else; the scheduler does not act on it. */
+  /**
+   * Any other kind; the scheduler uses only its {@link PlatformSettings.Objective#deadlineFactor}.
+   */
   OTHER("");
 
   private final String setting;
@@ -17,7 +19,7 @@
     this.setting = setting;
   }
 
-  /** The kind that a settings file names; names that this build doesn't know count as other. */
+  /** Parses the kind's name in a settings file; unknown names yield {@link #OTHER}. */
   public static ObjectiveKind fromSetting(String name) {
     return Arrays.stream(values())
         .filter(kind -> kind.setting.equals(name))
--- a/src/main/java/org/mulleinshift/settings/PlatformSettings.java
+++ b/src/main/java/org/mulleinshift/settings/PlatformSettings.java
@@ -6,17 +6,17 @@
 import java.util.Optional;
 
 /**
- * The settings that the platform gives to every controller.
+ * The settings that the platform provides to a controller.
  *
  * @param label this controller's name
  * @param zone this controller's zone
- * @param publicAddress where users, workers and health checks connect
- * @param peerBindAddress where other controllers connect
+ * @param publicAddress address to which users, workers and health checks connect
+ * @param peerBindAddress listen address for connections from other controllers
  * @param members the other controllers
- * @param cloudAddress address of the cloud's interface
+ * @param cloudAddress address of the cloud's API
  * @param storeAddress address of the key-value store
- * @param cluster what holds for all controllers
- * @param processLimits of this process
+ * @param cluster settings shared by all controllers
+ * @param processLimits resource limits of this process
  */
 public record PlatformSettings(
     String label,
@@ -33,10 +33,10 @@
   public record Member(String label, String zone, InetSocketAddress address) {}
 
   /**
-   * What holds for all controllers.
+   * Settings shared by all controllers.
    *
    * @param size number of controllers
-   * @param maxClockError how far the time of day may be off
+   * @param maxClockError maximum error of the wall clock
    */
   public record Cluster(
       int size,
@@ -48,10 +48,7 @@
       StoreLimits storeLimits,
       CloudLimits cloudLimits) {}
 
-  /**
-   * A team's quota: what it is guaranteed, and what its tasks may use at most. A maximum of 0 means
-   * that there is none.
-   */
+  /** A team's quota: guaranteed and maximum CPUs and GPUs. A maximum of 0 means unlimited. */
   public record Team(
       String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {}
 
@@ -59,27 +56,27 @@
    * A service-level objective.
    *
    * @param kind what is measured
-   * @param jobClass the class of jobs that it holds for; empty: all
-   * @param withinSeconds time allowed; 0: not given
-   * @param deadlineFactor of kind {@code deadline}: how many times its deadline a job may take; 0:
-   *     not given
+   * @param jobClass the job class to which it applies; empty: all classes
+   * @param withinSeconds target time; 0: not set
+   * @param deadlineFactor for kind {@code deadline}: the multiple of the time until its deadline
+   *     that a job may take; 0: not set
    */
   public record Objective(
       ObjectiveKind kind, Optional<String> jobClass, double withinSeconds, double deadlineFactor) {}
 
   /**
-   * Times that workers keep.
+   * Intervals and timeouts of workers.
    *
-   * @param heartbeatInterval between two heartbeats
-   * @param lease after which a worker without a response kills its tasks
-   * @param cancelWithin within which the tasks of a cancelled job must be gone
+   * @param heartbeatInterval time between two heartbeats
+   * @param lease time without a response after which a worker kills its tasks
+   * @param cancelWithin time within which the tasks of a cancelled job must have stopped
    */
   public record WorkerTiming(Duration heartbeatInterval, Duration lease, Duration cancelWithin) {}
 
   /**
    * The limits of the key-value store.
    *
-   * @param next the limits that it will have from some moment on, which is not announced
+   * @param next limits that will replace these at a time that is not announced in advance, if any
    */
   public record StoreLimits(
       double requestsPerSecond,
@@ -87,7 +84,7 @@
       int maxValueBytes,
       int maxTransactionOperations,
       Optional<StoreLimits> next) {
-    /** Limits that stay. */
+    /** Limits without an upcoming change. */
     public StoreLimits(
         double requestsPerSecond,
         double writesPerSecond,
@@ -96,25 +93,32 @@
       this(requestsPerSecond, writesPerSecond, valueBytes, transactionOperations, Optional.empty());
     }
 
-    /** The longest value that fits before and after the change of limits. */
+    /** The maximum length of a value that is allowed both before and after the change of limits. */
     public int lowestMaxValueBytes() {
       return Math.min(maxValueBytes, next.map(StoreLimits::maxValueBytes).orElse(maxValueBytes));
     }
 
-    /** The most writes of a transaction that fits before and after the change of limits. */
+    /**
+     * The maximum number of operations in a transaction that is allowed both before and after the
+     * change of limits.
+     */
     public int lowestMaxTransactionOperations() {
       return Math.min(
           maxTransactionOperations,
           next.map(StoreLimits::maxTransactionOperations).orElse(maxTransactionOperations));
     }
 
-    /** The share of the write rate that remains after the change of limits. */
+    /**
+     * The fraction of the current write rate that remains after the change of limits; at most 1.
+     */
     public double writesShareAfterReduction() {
       return Math.min(
           1, next.map(StoreLimits::writesPerSecond).orElse(writesPerSecond) / writesPerSecond);
     }
 
-    /** The share of the request rate that remains after the change of limits. */
+    /**
+     * The fraction of the current request rate that remains after the change of limits; at most 1.
+     */
     public double requestsShareAfterReduction() {
       return Math.min(
           1,
@@ -123,17 +127,17 @@
   }
 
   /**
-   * The limits of the cloud's interface.
+   * The limits of the cloud's API.
    *
-   * @param listLag how far the machine list usually lags behind
+   * @param listLag typical delay until the machine list shows a change
    */
   public record CloudLimits(double requestsPerSecond, Duration listLag) {}
 
   /**
-   * The limits of this process.
+   * The resource limits of this process.
    *
-   * @param cpuCores share of a processor core
-   * @param maxFileDescriptors number of open sockets and files
+   * @param cpuCores number of processor cores; may be a fraction
+   * @param maxFileDescriptors maximum number of open sockets and files
    */
   public record ProcessLimits(double cpuCores, double memoryMb, int maxFileDescriptors) {}
 }
--- a/src/main/java/org/mulleinshift/settings/PlatformSettingsReader.java
+++ b/src/main/java/org/mulleinshift/settings/PlatformSettingsReader.java
@@ -12,13 +12,13 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Reads and checks the platform's TOML file. Unknown fields are ignored. */
+/** Reads and validates the platform's TOML file. Unknown fields are ignored. */
 public final class PlatformSettingsReader {
   private static final double NANOS_PER_SECOND = 1e9;
   private static final double NANOS_PER_MILLI = 1e6;
   private static final int BYTES_PER_KB = 1024;
 
-  // Ranges beyond which a value is taken for a mistake.
+  // Values outside these ranges are rejected as mistakes.
   private static final double MIN_SECONDS = 0.01;
   private static final double MAX_SECONDS = 1e6;
   private static final double MAX_AMOUNT = 1e12;
@@ -43,7 +43,7 @@
   }
 
   /**
-   * Reads a file.
+   * Reads the settings from a file.
    *
    * @throws SettingsException if it can't be read, or a setting is missing or invalid
    */
@@ -176,7 +176,7 @@
         Optional.of(parseStoreLimits(next, node, path + "next.")));
   }
 
-  /** What the table leaves out is as in the fallback. */
+  /** Parses store limits; keys that the table omits are taken from the fallback table. */
   private PlatformSettings.StoreLimits parseStoreLimits(
       JsonNode node, JsonNode fallback, String path) throws SettingsException {
     return new PlatformSettings.StoreLimits(
@@ -214,7 +214,7 @@
   private String text(JsonNode parent, String path, String key) throws SettingsException {
     JsonNode node = parent.path(key);
     if (!node.isTextual() || node.asText().isBlank()) {
-      throw invalid(path + key, "missing or not a text");
+      throw invalid(path + key, "missing, blank or not a string");
     }
     return node.asText();
   }
--- a/src/main/java/org/mulleinshift/settings/SettingsException.java
+++ b/src/main/java/org/mulleinshift/settings/SettingsException.java
@@ -1,10 +1,13 @@
 package org.mulleinshift.settings;
 
-/** A settings file that cannot be used; the message names the file and the key. */
+/**
+ * Thrown when a settings file is unreadable or invalid; the message names the file and, for an
+ * invalid setting, its key.
+ */
 public final class SettingsException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** An error with a message for the operators. */
+  /** Creates an exception whose message is shown to the operators. */
   public SettingsException(String message) {
     super(message);
   }
--- a/src/main/java/org/mulleinshift/settings/TunablesReader.java
+++ b/src/main/java/org/mulleinshift/settings/TunablesReader.java
@@ -8,14 +8,15 @@
 import org.snakeyaml.engine.v2.api.LoadSettings;
 import org.snakeyaml.engine.v2.exceptions.YamlEngineException;
 
-/** Reads and checks the operators' YAML file. */
+/** Reads and validates the operators' YAML file. */
 public final class TunablesReader {
   private TunablesReader() {}
 
   /**
-   * Reads a file; an empty one leaves all defaults.
+   * Reads the settings from a file; an empty file yields the defaults.
    *
-   * @throws SettingsException if the file can't be read, or holds an unknown key or invalid value
+   * @throws SettingsException if the file can't be read, or contains an unknown key or an invalid
+   *     value
    */
   public static Tunables read(Path path) throws SettingsException {
     String text;
--- a/src/main/java/org/mulleinshift/settings/package-info.java
+++ b/src/main/java/org/mulleinshift/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's settings file and the operators' own tunables, checked and typed. */
+/** Typed, validated settings: the platform's settings file and the operators' tunables. */
 package org.mulleinshift.settings;
--- a/src/test/java/org/mulleinshift/CommandLineTest.java
+++ b/src/test/java/org/mulleinshift/CommandLineTest.java
@@ -18,7 +18,7 @@
 import org.mulleinshift.settings.SettingsException;
 import picocli.CommandLine;
 
-/** What an operator meets at the command line: each fault is one line naming file and key. */
+/** Settings checks at the command line: each error is one line that names the file and the key. */
 final class CommandLineTest {
   private static final Path VALID = Path.of("src/test/resources/settings/controller.toml");
 
@@ -91,7 +91,7 @@
     assertEquals(1, result.errors().lines().count(), result.errors());
   }
 
-  /** What the coming limits leave out stays; what is written fits both. */
+  /** Limits that the upcoming ones omit stay as they are; the derived limits satisfy both. */
   @Test
   void readsUpcomingStoreLimits() throws IOException, SettingsException {
     String text = Files.readString(VALID);
--- a/src/test/java/org/mulleinshift/api/DependentJobAnswersTest.java
+++ b/src/test/java/org/mulleinshift/api/DependentJobAnswersTest.java
@@ -16,7 +16,7 @@
 import org.mulleinshift.protocol.peer.JobTaskCounts;
 import org.mulleinshift.store.StoreKeys;
 
-/** What users are told of a job that depends on others, by what is stored of these. */
+/** Responses about a job with dependencies, depending on what the store holds about these. */
 final class DependentJobAnswersTest extends JobApiFixture {
   private static final JobId DEPENDENCY = new JobId("run-2");
   private static final JobId INDIRECT = new JobId("run-3");
@@ -40,7 +40,7 @@
     assertEquals(TRY_AGAIN, poll(), "end unreadable");
     store.readStatus = 200;
     allControllersVerifyDependencies = false;
-    assertEquals(TRY_AGAIN, poll(), "beside earlier builds");
+    assertEquals(TRY_AGAIN, poll(), "some controllers run an older build");
     allControllersVerifyDependencies = true;
     assertEquals(phase(200, "cancelled"), poll(), "end stored as cancelled");
   }
@@ -51,7 +51,7 @@
     storeEnded(DEPENDENCY, JobPhase.DONE);
     assertEquals(phase(200, "pending"), poll(), "dependency done");
     store.readStatus = 503;
-    assertEquals(phase(200, "pending"), poll(), "done is remembered");
+    assertEquals(phase(200, "pending"), poll(), "final phase is cached");
   }
 
   @Test
--- a/src/test/java/org/mulleinshift/api/JobApiFixture.java
+++ b/src/test/java/org/mulleinshift/api/JobApiFixture.java
@@ -31,7 +31,7 @@
 import org.mulleinshift.transport.HttpStatus;
 import org.mulleinshift.transport.Responder;
 
-/** An interface for users over a store whose keys and refusals a test sets. */
+/** A {@link JobApi} over a stub store whose keys and failures a test sets. */
 abstract class JobApiFixture {
   private static final InetSocketAddress ADDRESS = InetSocketAddress.createUnresolved("host", 1);
   private static final int RETRY_AFTER_SECONDS = 7;
@@ -48,7 +48,7 @@
       new Answer(503, "{\"error\":\"try again\"}", Optional.of(RETRY_AFTER_SECONDS));
   static final Answer NOT_FOUND = answer(404, "{\"error\":\"no such job\"}");
 
-  /** What a user gets. */
+  /** A response to a user. */
   record Answer(int status, String body, Optional<Integer> retryAfterSeconds) {}
 
   static Answer answer(int status, String body) {
@@ -59,7 +59,7 @@
     return answer(status, "{\"ref\":\"run-1\",\"phase\":\"" + phase + "\"}");
   }
 
-  /** Keeps the only answer to a request. */
+  /** Records the response to a request and fails if there is more than one. */
   private static final class AnswerRecorder implements Responder {
     private Optional<Answer> answer = Optional.empty();
 
@@ -74,12 +74,12 @@
     }
 
     private void record(Answer next) {
-      assertEquals(Optional.empty(), answer, "an earlier answer");
+      assertEquals(Optional.empty(), answer, "more than one response");
       answer = Optional.of(next);
     }
   }
 
-  /** A store whose keys and refusals the test sets. */
+  /** A store whose keys and failures the test sets. */
   final class StoreStub implements AsyncHttpClient {
     private final Map<String, String> items = new HashMap<>();
     int readStatus = HttpStatus.OK;
@@ -125,7 +125,7 @@
           () -> {});
   boolean viewConfirmed = true;
 
-  /** What the view is shown before it is confirmed. */
+  /** Updates the view just before it is confirmed. */
   Runnable onConfirmation = () -> {};
 
   boolean allControllersVerifyDependencies = true;
--- a/src/test/java/org/mulleinshift/api/JobApiTest.java
+++ b/src/test/java/org/mulleinshift/api/JobApiTest.java
@@ -13,7 +13,7 @@
 import org.mulleinshift.protocol.peer.JobSummary;
 import org.mulleinshift.protocol.peer.JobTaskCounts;
 
-/** Status, Retry-After and body of each answer to a user. */
+/** Status, Retry-After and body of each response to a user. */
 final class JobApiTest extends JobApiFixture {
   @Test
   void acceptsANewJob() {
@@ -78,7 +78,7 @@
     assertEquals(TRY_AGAIN, submit(), "store unavailable");
     store.commitStatus = 200;
     memoryPressure = MemoryPressure.CRITICAL;
-    assertEquals(TRY_AGAIN, submit(), "memory");
+    assertEquals(TRY_AGAIN, submit(), "critical memory pressure");
   }
 
   @Test
@@ -119,7 +119,7 @@
     assertEquals(NOT_FOUND, cancel(), "never accepted");
     storeActive(false);
     store.commitStatus = 409;
-    assertEquals(TRY_AGAIN, cancel(), "record changes again and again");
+    assertEquals(TRY_AGAIN, cancel(), "every commit attempt conflicts");
     store.commitStatus = 503;
     assertEquals(TRY_AGAIN, cancel(), "store unavailable");
     store.commitStatus = 200;
--- a/src/test/java/org/mulleinshift/api/ReadinessProbeTest.java
+++ b/src/test/java/org/mulleinshift/api/ReadinessProbeTest.java
@@ -9,7 +9,7 @@
 import org.mulleinshift.membership.VirtualEventLoop;
 import org.mulleinshift.transport.Responder;
 
-/** Status and time of the answers to health checks. */
+/** Status and delay of the responses to health checks. */
 final class ReadinessProbeTest {
   private static final double ALMOST_ALL_RECHECKS = 0.69;
   private static final double ALL_RECHECKS = 0.7;
@@ -31,7 +31,7 @@
 
         @Override
         public void respondLater(int status, String body, int retryAfterSeconds) {
-          throw new AssertionError("a health check is not told when to retry");
+          throw new AssertionError("response to a health check has a Retry-After header");
         }
       };
 
