--- a/src/main/java/org/mulleinshift/leader/JobLifecycle.java
+++ b/src/main/java/org/mulleinshift/leader/JobLifecycle.java
@@ -186,7 +186,7 @@
     }
     boolean over = job.state() == Job.State.ACTIVE ? job.complete() : job.drained();
     if (over) {
-      progress.end(job);
+      progress.storeJobEnd(job);
     }
   }
 
--- a/src/main/java/org/mulleinshift/progress/ChunkKeyWriter.java
+++ b/src/main/java/org/mulleinshift/progress/ChunkKeyWriter.java
@@ -24,7 +24,7 @@
   /** What the writer needs of the other ways in which progress is stored. */
   interface Listener {
     /** Whether a write of the chunk to the log may still be carried out. */
-    boolean isUncertainInLog(String chunkName);
+    boolean hasUncertainLogWrite(String chunkName);
 
     /** Chunks of the update are stored under their keys. */
     void onStored(ChunkUpdate update);
@@ -66,7 +66,7 @@
   }
 
   /** Whether a write of the chunk under its own key may still be carried out. */
-  boolean isUncertain(String chunkName) {
+  boolean hasUncertainWrite(String chunkName) {
     return uncertain.containsKey(chunkName);
   }
 
@@ -82,7 +82,7 @@
 
   /** Has a chunk deleted that is no longer read, wherever it is stored. */
   void delete(Job job, Chunk chunk) {
-    log.release(new ProgressLog.ChunkImage(job.spec().id(), chunk));
+    log.release(new ProgressLog.ChunkId(job.spec().id(), chunk));
     String key = ChunkKey.format(job.spec().id(), chunk);
     if (batcher.hasRevision(key)) {
       // Nobody reads it any more: it need not compete with what tasks wait for.
@@ -102,7 +102,7 @@
   }
 
   /** Forgets uncertain writes of a job that has ended: nobody reads them. */
-  void forget(Job job) {
+  void forgetUncertainWrites(Job job) {
     for (Chunk chunk : job.chunks().live()) {
       uncertain.remove(ChunkUpdate.name(job, chunk.number()));
     }
@@ -123,7 +123,7 @@
 
     @Override
     public List<Write> writes() {
-      if (listener.isUncertainInLog(update.name())) {
+      if (listener.hasUncertainLogWrite(update.name())) {
         // The log's next write takes it along.
         return List.of();
       }
@@ -146,7 +146,7 @@
     public void onCommitted(Revision revision) {
       markCertain();
       for (Chunk chunk : update.sentChunks()) {
-        log.release(new ProgressLog.ChunkImage(jobId(), chunk));
+        log.release(new ProgressLog.ChunkId(jobId(), chunk));
       }
       update.onStored(revision);
       listener.onStored(update);
--- a/src/main/java/org/mulleinshift/progress/ChunkUpdate.java
+++ b/src/main/java/org/mulleinshift/progress/ChunkUpdate.java
@@ -131,7 +131,7 @@
   }
 
   /** Whether more has changed since it was sent. */
-  boolean hasPending() {
+  boolean hasPendingChunks() {
     return !job.chunks().pending(chunkNumber).isEmpty();
   }
 
--- a/src/main/java/org/mulleinshift/progress/JobEndMutation.java
+++ b/src/main/java/org/mulleinshift/progress/JobEndMutation.java
@@ -87,7 +87,7 @@
     List.copyOf(job.chunks().stored()).forEach(chunk -> keyWriter.delete(job, chunk));
     deleteDependencyLists(id);
     log.release(id);
-    keyWriter.forget(job);
+    keyWriter.forgetUncertainWrites(job);
     job.finishEnding();
     batcher.forgetRevision(StoreKeys.endedJob(id));
     listener.onJobEnded(job, remaining, endedMillis);
--- a/src/main/java/org/mulleinshift/progress/LogSegment.java
+++ b/src/main/java/org/mulleinshift/progress/LogSegment.java
@@ -55,7 +55,7 @@
   }
 
   /** Bytes that remain for entries in a value of that length. */
-  public static int capacity(int valueBytes) {
+  public static int entryCapacityBytes(int valueBytes) {
     return valueBytes - EMPTY_BYTES;
   }
 
@@ -108,7 +108,7 @@
   }
 
   /** The jobs in a segment of another form; empty if not even these can be read. */
-  public static Optional<List<JobId>> jobsNamed(JsonNode value) {
+  public static Optional<List<JobId>> readJobIds(JsonNode value) {
     if (!value.path(ENTRIES).isArray()) {
       return Optional.empty();
     }
--- a/src/main/java/org/mulleinshift/progress/PendingEnds.java
+++ b/src/main/java/org/mulleinshift/progress/PendingJobEnds.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /** The jobs of a term whose end waits to be stored; logs when they wait for long. */
-final class PendingEnds {
-  private static final Logger LOG = LoggerFactory.getLogger(PendingEnds.class);
+final class PendingJobEnds {
+  private static final Logger LOG = LoggerFactory.getLogger(PendingJobEnds.class);
   private static final Duration LOGGED_AGE = Duration.ofSeconds(2);
   private static final Duration LOG_INTERVAL = Duration.ofSeconds(10);
 
@@ -29,7 +29,7 @@
 
   private MonotonicTime loggedAt;
 
-  PendingEnds(EventLoop loop, Revision term) {
+  PendingJobEnds(EventLoop loop, Revision term) {
     this.loop = loop;
     this.term = term;
     this.loggedAt = loop.now().minus(LOG_INTERVAL);
@@ -41,7 +41,7 @@
   }
 
   /** Logs how many ends wait, and for how long, if the oldest one has waited for some time. */
-  void logDelay() {
+  void logIfDelayed() {
     ends.values().removeIf(end -> end.job().state() == Job.State.ENDED);
     MonotonicTime now = loop.now();
     if (ends.isEmpty() || now.since(loggedAt).compareTo(LOG_INTERVAL) < 0) {
--- a/src/main/java/org/mulleinshift/progress/ProgressLoader.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressLoader.java
@@ -77,7 +77,7 @@
         continue;
       }
       batcher.recordRevision(item.key(), item.revision());
-      log.onFound(number.getAsInt());
+      log.registerSlot(number.getAsInt());
       try {
         LogSegment.read(item.value()).forEach(entry -> onEntry(entry, item, number.getAsInt()));
       } catch (MalformedMessageException e) {
@@ -105,7 +105,7 @@
 
   /** Nothing of a job whose newest progress may be in the segment is started, ended or deleted. */
   private void quarantineJobsIn(KeyValue segment, String reason) {
-    Optional<List<JobId>> named = LogSegment.jobsNamed(segment.value());
+    Optional<List<JobId>> named = LogSegment.readJobIds(segment.value());
     List<Job> concerned =
         named.isPresent()
             ? named.get().stream().flatMap(id -> jobs.findJob(id).stream()).distinct().toList()
@@ -183,7 +183,7 @@
       }
       LogSegment.Entry image =
           LogSegment.Entry.of(job.spec().id(), entry.getKey(), found.progress());
-      found.slot().ifPresent(slot -> log.onFound(slot, image));
+      found.slot().ifPresent(slot -> log.registerEntry(slot, image));
     }
   }
 
--- a/src/main/java/org/mulleinshift/progress/ProgressLog.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressLog.java
@@ -42,11 +42,11 @@
   private static final int NAMES_BYTES = 160;
 
   /** A chunk of a job whose progress is in the log. */
-  public record ChunkImage(JobId job, Chunk chunk) {}
+  public record ChunkId(JobId job, Chunk chunk) {}
 
   private static final class Slot {
     private final int number;
-    private final Map<ChunkImage, Integer> live = new LinkedHashMap<>();
+    private final Map<ChunkId, Integer> live = new LinkedHashMap<>();
     private int liveBytes;
     private boolean pinned;
     private long writtenAt;
@@ -59,13 +59,13 @@
       return live.isEmpty() && !pinned;
     }
 
-    void add(ChunkImage image, int bytes) {
+    void add(ChunkId image, int bytes) {
       live.put(image, bytes);
       liveBytes += bytes;
     }
 
     /** Removes an image and returns its length. */
-    int remove(ChunkImage image) {
+    int remove(ChunkId image) {
       int bytes = live.remove(image);
       liveBytes -= bytes;
       return bytes;
@@ -74,8 +74,8 @@
 
   private int slotBytes;
   private final Map<Integer, Slot> slots = new TreeMap<>();
-  private final Map<ChunkImage, Slot> slotByImage = new HashMap<>();
-  private final Map<JobId, Set<ChunkImage>> byJob = new HashMap<>();
+  private final Map<ChunkId, Slot> slotByImage = new HashMap<>();
+  private final Map<JobId, Set<ChunkId>> byJob = new HashMap<>();
   private final Set<Integer> uncertainSlots = new TreeSet<>();
   private long writes;
   private int liveBytes;
@@ -86,7 +86,7 @@
    * @param valueBytes maximum length of a value
    */
   public ProgressLog(int valueBytes) {
-    this.slotBytes = LogSegment.capacity(valueBytes);
+    this.slotBytes = LogSegment.entryCapacityBytes(valueBytes);
   }
 
   /** What one transaction writes to the log. */
@@ -132,7 +132,7 @@
     }
 
     /** Whether it would write nothing. */
-    public boolean empty() {
+    public boolean isEmpty() {
       return taken.isEmpty();
     }
 
@@ -163,27 +163,27 @@
    *
    * @param maxSlots maximum number of slots, unless more are uncertain
    */
-  public Batch begin(int maxSlots) {
+  public Batch beginBatch(int maxSlots) {
     return new Batch(maxSlots);
   }
 
   /** Values are at most half as long from now on. */
-  public void shorten() {
+  public void halveSegmentLength() {
     slotBytes /= 2;
   }
 
   /** Maximum length of a chunk's progress that surely fits into an entry. */
-  public int longestProgress() {
+  public int maxProgressBytes() {
     return slotBytes - NAMES_BYTES;
   }
 
   /** Maximum length of an entry. */
-  public int longestEntry() {
+  public int maxEntryBytes() {
     return slotBytes;
   }
 
   /** The batch is stored: its images are the newest, and earlier ones are no longer needed. */
-  public void stored(Batch batch) {
+  public void markStored(Batch batch) {
     uncertainSlots.clear();
     writes++;
     for (Slot slot : batch.taken) {
@@ -193,7 +193,7 @@
   }
 
   private void addImage(Slot slot, LogSegment.Entry entry) {
-    ChunkImage image = new ChunkImage(entry.job(), entry.chunk());
+    ChunkId image = new ChunkId(entry.job(), entry.chunk());
     release(image);
     int bytes = entry.bytes();
     slot.add(image, bytes);
@@ -203,13 +203,13 @@
   }
 
   /** The image is stored elsewhere by now, or nobody needs it. */
-  public void release(ChunkImage image) {
+  public void release(ChunkId image) {
     Slot slot = slotByImage.remove(image);
     if (slot == null) {
       return;
     }
     liveBytes -= slot.remove(image);
-    Set<ChunkImage> images = byJob.get(image.job());
+    Set<ChunkId> images = byJob.get(image.job());
     images.remove(image);
     if (images.isEmpty()) {
       byJob.remove(image.job());
@@ -222,12 +222,12 @@
   }
 
   /** A slot that was found in the store. */
-  public void onFound(int number) {
+  public void registerSlot(int number) {
     slots.computeIfAbsent(number, Slot::new);
   }
 
   /** An image that was found to be the newest of its chunk. */
-  public void onFound(int number, LogSegment.Entry newest) {
+  public void registerEntry(int number, LogSegment.Entry newest) {
     addImage(slots.computeIfAbsent(number, Slot::new), newest);
   }
 
@@ -237,7 +237,7 @@
   }
 
   /** Nobody may rewrite the image: its slot is left as it is. */
-  public void pinSlotOf(ChunkImage image) {
+  public void pinSlotOf(ChunkId image) {
     Optional.ofNullable(slotByImage.get(image)).ifPresent(slot -> slot.pinned = true);
   }
 
@@ -245,12 +245,12 @@
    * Live images of several slots that fit into one: rewritten together they free more slots than
    * they take.
    */
-  public List<ChunkImage> toCompact() {
+  public List<ChunkId> chunksToCompact() {
     int needed = liveBytes / Math.max(1, slotBytes) + 1;
     if (inUse() <= Math.max(MIN_SLOTS_TO_COMPACT, SLACK * needed) || isCrowded()) {
       return List.of();
     }
-    List<ChunkImage> images = new ArrayList<>();
+    List<ChunkId> images = new ArrayList<>();
     int bytes = 0;
     int emptied = 0;
     for (Slot slot : occupied(Comparator.comparingInt(slot -> slot.liveBytes))) {
@@ -265,7 +265,7 @@
   }
 
   /** Live images that should move to keys of their own: the log is too full to compact it. */
-  public List<ChunkImage> toMoveOut() {
+  public List<ChunkId> chunksToMigrate() {
     if (!isCrowded()) {
       return List.of();
     }
@@ -293,17 +293,17 @@
   }
 
   /** All chunks whose newest image is in the log. */
-  public List<ChunkImage> live() {
+  public List<ChunkId> liveChunks() {
     return List.copyOf(slotByImage.keySet());
   }
 
   /** Whether no image in the log is needed, and no write to it may still be carried out. */
-  public boolean idle() {
+  public boolean isUnused() {
     return inUse() == 0 && uncertainSlots.isEmpty();
   }
 
   /** Keys of the slots that are known. */
-  public List<String> keys() {
+  public List<String> slotKeys() {
     return slots.keySet().stream().map(StoreKeys::logSegment).toList();
   }
 }
--- a/src/main/java/org/mulleinshift/progress/ProgressLogWriter.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressLogWriter.java
@@ -25,10 +25,10 @@
   /** What the writer needs of the other ways in which progress is stored. */
   interface Listener {
     /** Whether the chunk has to be written under its own keys for now. */
-    boolean mustUseKeys(String chunkName);
+    boolean mustUseChunkKeys(String chunkName);
 
     /** Has a chunk written under its own keys. */
-    void writeToKeys(ChunkUpdate update);
+    void writeToChunkKeys(ChunkUpdate update);
 
     /** The changes of these chunks are stored. */
     void onStored(List<ChunkUpdate> updates);
@@ -86,7 +86,7 @@
   }
 
   /** Whether a write of the chunk to the log may still be carried out. */
-  boolean uncertain(String chunkName) {
+  boolean hasUncertainWrite(String chunkName) {
     return uncertain.contains(chunkName);
   }
 
@@ -102,16 +102,16 @@
 
   @Override
   public List<Write> writes() {
-    batch = log.begin(maxSlots);
+    batch = log.beginBatch(maxSlots);
     sent = new ArrayList<>();
     for (ChunkUpdate update : urgentFirst()) {
-      if (listener.mustUseKeys(update.name())) {
+      if (listener.mustUseChunkKeys(update.name())) {
         moveToKeys(update);
       } else if (!addToBatch(update)) {
         break;
       }
     }
-    if (batch.empty()) {
+    if (batch.isEmpty()) {
       // No slot is free: what waits must not wait for one.
       urgentFirst().forEach(this::moveToKeys);
     }
@@ -121,7 +121,7 @@
 
   private void moveToKeys(ChunkUpdate update) {
     pending.remove(update.name());
-    listener.writeToKeys(update);
+    listener.writeToChunkKeys(update);
   }
 
   private List<ChunkUpdate> urgentFirst() {
@@ -136,9 +136,9 @@
     List<ChunkUpdate.EncodedChunk> chosen = new ArrayList<>();
     boolean full = false;
     boolean tooLong = false;
-    for (ChunkUpdate.EncodedChunk encoded : update.encode(log.longestProgress(), true)) {
+    for (ChunkUpdate.EncodedChunk encoded : update.encode(log.maxProgressBytes(), true)) {
       LogSegment.Entry entry = entry(update, encoded);
-      boolean fits = entry.bytes() <= log.longestEntry();
+      boolean fits = entry.bytes() <= log.maxEntryBytes();
       boolean added = fits && batch.add(entry);
       if (added) {
         chosen.add(encoded);
@@ -149,10 +149,10 @@
     update.markSent(chosen);
     if (!chosen.isEmpty()) {
       sent.add(update);
-    } else if (!full && !uncertain(update.name())) {
+    } else if (!full && !hasUncertainWrite(update.name())) {
       pending.remove(update.name());
       if (tooLong) {
-        listener.writeToKeys(update);
+        listener.writeToChunkKeys(update);
       }
     }
     return !full;
@@ -166,19 +166,19 @@
   /** The store accepts less than its limits say: the values of the log become shorter. */
   @Override
   public void onRejected() {
-    log.shorten();
+    log.halveSegmentLength();
     batcher.submit(StoreKeys.PROGRESS_LOG, this);
   }
 
   @Override
   public void onCommitted(Revision revision) {
-    log.stored(batch);
+    log.markStored(batch);
     uncertain.clear();
     List<ChunkUpdate> stored = sent;
     sent = List.of();
     for (ChunkUpdate update : stored) {
       update.onStored(revision);
-      if (!update.hasPending()) {
+      if (!update.hasPendingChunks()) {
         pending.remove(update.name());
       }
     }
--- a/src/main/java/org/mulleinshift/progress/ProgressPersister.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressPersister.java
@@ -50,7 +50,7 @@
   private final ProgressLogWriter logWriter;
   private final ChunkKeyWriter keyWriter;
   private final ProgressLoader loader;
-  private final PendingEnds pendingEnds;
+  private final PendingJobEnds pendingEnds;
   private final boolean logEnabled;
   private boolean useLog;
 
@@ -80,7 +80,7 @@
     int slots = Math.max(1, Math.min(maxOps / 2, LOG_BYTES_PER_TRANSACTION / valueBytes));
     this.logWriter = new ProgressLogWriter(loop, batcher, log, slots, new LogListener());
     this.keyWriter = new ChunkKeyWriter(batcher, log, valueBytes, maxOps, new KeyListener());
-    this.pendingEnds = new PendingEnds(loop, batcher.term());
+    this.pendingEnds = new PendingJobEnds(loop, batcher.term());
     this.loader = new ProgressLoader(jobs, shards, unreadable, batcher, log, keyWriter::deleteKey);
   }
 
@@ -106,14 +106,14 @@
     if (!logEnabled) {
       migrateFromLog();
     }
-    pendingEnds.logDelay();
+    pendingEnds.logIfDelayed();
   }
 
   /** The way back to an earlier build, which does not read the log. */
   private void migrateFromLog() {
-    migrateToKeys(log.live());
-    if (log.idle()) {
-      List<String> remaining = log.keys().stream().filter(batcher::hasRevision).toList();
+    migrateToKeys(log.liveChunks());
+    if (log.isUnused()) {
+      List<String> remaining = log.slotKeys().stream().filter(batcher::hasRevision).toList();
       remaining.forEach(keyWriter::deleteKey);
       if (!remaining.isEmpty()) {
         LOG.info("progress log removed, slots={}", remaining.size());
@@ -163,7 +163,7 @@
   }
 
   private void store(ChunkUpdate update) {
-    if (useLog && !keyWriter.isUncertain(update.name())) {
+    if (useLog && !keyWriter.hasUncertainWrite(update.name())) {
       logWriter.add(update);
     } else {
       keyWriter.write(update);
@@ -178,17 +178,17 @@
 
   /** Keeps the log short: what a new leader reads is bounded by what is live in it. */
   private void compact() {
-    rewrite(log.toCompact(), (job, chunk) -> store(updateOf(job, chunk)));
-    migrateToKeys(log.toMoveOut());
+    rewrite(log.chunksToCompact(), (job, chunk) -> store(updateOf(job, chunk)));
+    migrateToKeys(log.chunksToMigrate());
   }
 
-  private void migrateToKeys(List<ProgressLog.ChunkImage> images) {
+  private void migrateToKeys(List<ProgressLog.ChunkId> images) {
     rewrite(images, this::writeWhenIdle);
   }
 
   /** Images of jobs that this build can't read any more stay where they are. */
-  private void rewrite(List<ProgressLog.ChunkImage> images, BiConsumer<Job, Chunk> writer) {
-    for (ProgressLog.ChunkImage image : images) {
+  private void rewrite(List<ProgressLog.ChunkId> images, BiConsumer<Job, Chunk> writer) {
+    for (ProgressLog.ChunkId image : images) {
       Optional<Job> job = jobs.findJob(image.job());
       if (job.isPresent()) {
         job.get().chunks().markDirty(image.chunk());
@@ -215,7 +215,7 @@
   }
 
   /** Has the end of a job stored, whose state allows it. */
-  public void end(Job job) {
+  public void storeJobEnd(Job job) {
     recordRevision(job);
     batcher.submit(
         StoreKeys.endedJob(job.spec().id()),
@@ -227,12 +227,12 @@
   /** Connects the log's writer with the keys. */
   private final class LogListener implements ProgressLogWriter.Listener {
     @Override
-    public boolean mustUseKeys(String chunkName) {
-      return keyWriter.isUncertain(chunkName);
+    public boolean mustUseChunkKeys(String chunkName) {
+      return keyWriter.hasUncertainWrite(chunkName);
     }
 
     @Override
-    public void writeToKeys(ChunkUpdate update) {
+    public void writeToChunkKeys(ChunkUpdate update) {
       keyWriter.write(update);
     }
 
@@ -246,13 +246,13 @@
   /** Connects the writer of keys with the log. */
   private final class KeyListener implements ChunkKeyWriter.Listener {
     @Override
-    public boolean isUncertainInLog(String chunkName) {
-      return logWriter.uncertain(chunkName);
+    public boolean hasUncertainLogWrite(String chunkName) {
+      return logWriter.hasUncertainWrite(chunkName);
     }
 
     @Override
     public void onStored(ChunkUpdate update) {
-      if (update.hasPending()) {
+      if (update.hasPendingChunks()) {
         store(update);
       }
       cleanUp(update);
--- a/src/test/java/org/mulleinshift/progress/ProgressLogTest.java
+++ b/src/test/java/org/mulleinshift/progress/ProgressLogTest.java
@@ -64,12 +64,12 @@
     }
 
     /** The image of each chunk with the highest revision, as a new leader reads it. */
-    Map<ProgressLog.ChunkImage, String> newest() throws MalformedMessageException {
-      Map<ProgressLog.ChunkImage, Integer> at = new HashMap<>();
-      Map<ProgressLog.ChunkImage, String> found = new HashMap<>();
+    Map<ProgressLog.ChunkId, String> newest() throws MalformedMessageException {
+      Map<ProgressLog.ChunkId, Integer> at = new HashMap<>();
+      Map<ProgressLog.ChunkId, String> found = new HashMap<>();
       for (Stored stored : keys.values()) {
         for (LogSegment.Entry entry : LogSegment.read(stored.value())) {
-          ProgressLog.ChunkImage image = new ProgressLog.ChunkImage(entry.job(), entry.chunk());
+          ProgressLog.ChunkId image = new ProgressLog.ChunkId(entry.job(), entry.chunk());
           if (stored.revision() > at.getOrDefault(image, 0)) {
             at.put(image, stored.revision());
             found.put(image, entry.progress().path("done").asText());
@@ -85,8 +85,8 @@
     return LogSegment.Entry.of(new JobId("run-" + job), Chunk.whole(0), progress);
   }
 
-  private static ProgressLog.ChunkImage image(LogSegment.Entry entry) {
-    return new ProgressLog.ChunkImage(entry.job(), entry.chunk());
+  private static ProgressLog.ChunkId image(LogSegment.Entry entry) {
+    return new ProgressLog.ChunkId(entry.job(), entry.chunk());
   }
 
   /**
@@ -95,12 +95,12 @@
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void whatIsStoredIsReadAfterLateWrites(int seed) throws MalformedMessageException {
+  void acknowledgedProgressIsReadAfterLateWrites(int seed) throws MalformedMessageException {
     LateWrites play = new LateWrites(seed);
     for (int round = 0; round < ROUNDS; round++) {
       play.round(round);
     }
-    assertTrue(play.log.keys().size() < ProgressLog.MAX_SLOTS, "the log uses all of its slots");
+    assertTrue(play.log.slotKeys().size() < ProgressLog.MAX_SLOTS, "the log uses all of its slots");
   }
 
   static IntStream seeds() {
@@ -113,7 +113,7 @@
     private final Random random;
     private final Store store = new Store();
     private final ProgressLog log = new ProgressLog(VALUE_BYTES);
-    private final Map<ProgressLog.ChunkImage, String> acknowledged = new HashMap<>();
+    private final Map<ProgressLog.ChunkId, String> acknowledged = new HashMap<>();
     private final Map<Integer, String> pending = new TreeMap<>();
     private final Set<Integer> ended = new HashSet<>();
 
@@ -127,7 +127,7 @@
       if (random.nextInt(3) == 0) {
         endJob(round / 10 + random.nextInt(JOBS));
       }
-      ProgressLog.Batch batch = log.begin(2);
+      ProgressLog.Batch batch = log.beginBatch(2);
       List<LogSegment.Entry> added = addPending(batch);
       Store.Transaction transaction = store.transaction(batch.writes());
       switch (random.nextInt(4)) {
@@ -170,7 +170,7 @@
     }
 
     private void acknowledge(ProgressLog.Batch batch, List<LogSegment.Entry> added) {
-      log.stored(batch);
+      log.markStored(batch);
       for (LogSegment.Entry entry : added) {
         acknowledged.put(image(entry), entry.progress().path("done").asText());
         pending.remove(number(entry.job()));
@@ -186,7 +186,7 @@
 
     private void assertAcknowledgedIsRead(int round) throws MalformedMessageException {
       acknowledged.keySet().removeIf(image -> ended.contains(number(image.job())));
-      Map<ProgressLog.ChunkImage, String> newest = store.newest();
+      Map<ProgressLog.ChunkId, String> newest = store.newest();
       newest.keySet().removeIf(image -> ended.contains(number(image.job())));
       assertEquals(acknowledged, newest, "seed " + seed + ", round " + round);
     }
@@ -197,17 +197,17 @@
   }
 
   @Test
-  void liveImagesAreNotOverwritten() {
+  void liveEntriesAreNotOverwritten() {
     ProgressLog log = new ProgressLog(VALUE_BYTES);
     for (int job = 0; job < ProgressLog.MAX_SLOTS; job++) {
-      ProgressLog.Batch batch = log.begin(1);
+      ProgressLog.Batch batch = log.beginBatch(1);
       assertTrue(batch.add(entry(job, "0")));
       assertEquals(List.of("l/" + job), batch.writes().stream().map(Write::key).toList());
-      log.stored(batch);
+      log.markStored(batch);
     }
-    assertFalse(log.begin(1).add(entry(ProgressLog.MAX_SLOTS, "0")), "no slot is free");
+    assertFalse(log.beginBatch(1).add(entry(ProgressLog.MAX_SLOTS, "0")), "no slot is free");
     log.release(new JobId("run-7"));
-    ProgressLog.Batch batch = log.begin(1);
+    ProgressLog.Batch batch = log.beginBatch(1);
     assertTrue(batch.add(entry(99, "0")));
     assertEquals("l/7", batch.writes().get(0).key());
   }
@@ -216,65 +216,65 @@
   void aSparseLogIsCompacted() {
     ProgressLog log = new ProgressLog(VALUE_BYTES);
     for (int job = 0; job < 20; job++) {
-      ProgressLog.Batch batch = log.begin(1);
+      ProgressLog.Batch batch = log.beginBatch(1);
       batch.add(entry(job, "0"));
-      log.stored(batch);
+      log.markStored(batch);
     }
     int moved = 0;
-    for (int step = 0; step < 10 && !log.toCompact().isEmpty(); step++) {
-      ProgressLog.Batch batch = log.begin(1);
-      for (ProgressLog.ChunkImage image : log.toCompact()) {
+    for (int step = 0; step < 10 && !log.chunksToCompact().isEmpty(); step++) {
+      ProgressLog.Batch batch = log.beginBatch(1);
+      for (ProgressLog.ChunkId image : log.chunksToCompact()) {
         assertTrue(batch.add(LogSegment.Entry.of(image.job(), image.chunk(), Json.object())));
         moved++;
       }
-      log.stored(batch);
+      log.markStored(batch);
     }
     assertTrue(moved > 0 && moved <= 40, "moved " + moved);
-    assertEquals(List.of(), log.toCompact(), "compaction ends");
-    assertEquals(20, log.live().size());
+    assertEquals(List.of(), log.chunksToCompact(), "compaction ends");
+    assertEquals(20, log.liveChunks().size());
   }
 
   @Test
   void pinnedSlotsAreNotCompacted() {
     ProgressLog log = new ProgressLog(VALUE_BYTES);
     for (int job = 0; job < 20; job++) {
-      ProgressLog.Batch batch = log.begin(1);
+      ProgressLog.Batch batch = log.beginBatch(1);
       batch.add(entry(job, "0"));
-      log.stored(batch);
+      log.markStored(batch);
     }
-    List<ProgressLog.ChunkImage> first = log.toCompact();
+    List<ProgressLog.ChunkId> first = log.chunksToCompact();
     assertFalse(first.isEmpty());
     first.forEach(log::pinSlotOf);
-    assertTrue(log.toCompact().stream().noneMatch(first::contains));
+    assertTrue(log.chunksToCompact().stream().noneMatch(first::contains));
   }
 
   @Test
-  void aFullLogMovesImagesOut() {
+  void aFullLogMigratesItsOldestSlot() {
     ProgressLog log = new ProgressLog(VALUE_BYTES);
     for (int job = 0; job < ProgressLog.MAX_SLOTS; job++) {
-      ProgressLog.Batch batch = log.begin(1);
+      ProgressLog.Batch batch = log.beginBatch(1);
       batch.add(entry(job, "x".repeat(400)));
-      log.stored(batch);
+      log.markStored(batch);
     }
-    assertEquals(List.of(), log.toCompact());
-    assertEquals("run-0", log.toMoveOut().get(0).job().value(), "the oldest goes first");
+    assertEquals(List.of(), log.chunksToCompact());
+    assertEquals("run-0", log.chunksToMigrate().get(0).job().value(), "the oldest goes first");
   }
 
   @Test
   void aPinnedSlotIsNotOverwritten() {
     ProgressLog log = new ProgressLog(VALUE_BYTES);
     log.pin(0);
-    ProgressLog.Batch batch = log.begin(1);
+    ProgressLog.Batch batch = log.beginBatch(1);
     batch.add(entry(1, "0"));
     assertEquals("l/1", batch.writes().get(0).key());
-    assertFalse(log.idle());
+    assertFalse(log.isUnused());
   }
 
   /** What is counted for a segment is no less than what it takes. */
   @Test
   void entriesAreNotLongerThanCounted() {
     List<LogSegment.Entry> entries = new ArrayList<>();
-    int counted = VALUE_BYTES - LogSegment.capacity(VALUE_BYTES);
+    int counted = VALUE_BYTES - LogSegment.entryCapacityBytes(VALUE_BYTES);
     for (int job = 0; job < 50; job++) {
       entries.add(entry(job * 7919, "0-" + job));
       counted += entries.get(job).bytes();
@@ -307,7 +307,7 @@
     assertThrows(
         MalformedMessageException.class,
         () -> LogSegment.read(Json.parseObject("{\"entries\":[]}")));
-    assertEquals(List.of(), LogSegment.jobsNamed(Json.parseObject("{\"entries\":[]}")).get());
-    assertTrue(LogSegment.jobsNamed(Json.parseObject("{\"form\":2}")).isEmpty());
+    assertEquals(List.of(), LogSegment.readJobIds(Json.parseObject("{\"entries\":[]}")).get());
+    assertTrue(LogSegment.readJobIds(Json.parseObject("{\"form\":2}")).isEmpty());
   }
 }
