--- a/src/main/java/org/mulleinshift/progress/ChunkKeyWriter.java
+++ b/src/main/java/org/mulleinshift/progress/ChunkKeyWriter.java
@@ -15,18 +15,19 @@
 import org.mulleinshift.store.TransactionBatcher;
 
 /**
- * Writes chunks of progress under keys of their own, and deletes such keys.
+ * Writes chunks of progress under their own keys, and deletes such keys.
  *
- * <p>A chunk whose last write has no certain outcome stays with its key until that is known: a late
- * copy could otherwise appear with a higher revision than an image in the log.
+ * <p>While the outcome of a chunk's last write under its key is uncertain, the chunk is not written
+ * to the log: the write could still be carried out and would then have a higher revision than the
+ * log entry.
  */
 final class ChunkKeyWriter {
-  /** What the writer needs of the other ways in which progress is stored. */
+  /** Connects this writer with the progress log. */
   interface Listener {
-    /** Whether a write of the chunk to the log may still be carried out. */
+    /** Whether the outcome of a write of the chunk to the log is uncertain. */
     boolean hasUncertainLogWrite(String chunkName);
 
-    /** Chunks of the update are stored under their keys. */
+    /** Called when chunks of the update are stored under their keys. */
     void onStored(ChunkUpdate update);
   }
 
@@ -36,13 +37,13 @@
   private final int maxOps;
   private final Listener listener;
 
-  /** By name, the chunks whose last write under a key of their own may still be carried out. */
-  private final Map<String, Set<Chunk>> uncertain = new HashMap<>();
+  /** The chunks whose last write under their own key is uncertain, by name of the whole chunk. */
+  private final Map<String, Set<Chunk>> uncertainChunks = new HashMap<>();
 
   private boolean splitAllowed;
 
   /**
-   * A writer for one term.
+   * Creates a writer for one term.
    *
    * @param valueBytes maximum length of a value; longer chunks are split if that is allowed
    * @param maxOps maximum number of writes of a transaction
@@ -56,7 +57,7 @@
     this.listener = listener;
   }
 
-  /** All controllers read split chunks from now on. */
+  /** Allows chunks to be split from now on, since all controllers can read split chunks. */
   void allowSplitting() {
     splitAllowed = true;
   }
@@ -65,34 +66,34 @@
     return splitAllowed;
   }
 
-  /** Whether a write of the chunk under its own key may still be carried out. */
+  /** Whether the outcome of a write of the chunk under its own key is uncertain. */
   boolean hasUncertainWrite(String chunkName) {
-    return uncertain.containsKey(chunkName);
+    return uncertainChunks.containsKey(chunkName);
   }
 
-  /** Has the pending chunks of the update written. */
+  /** Submits the pending chunks of the update. */
   void write(ChunkUpdate update) {
     batcher.submit(update.name(), new ChunkMutation(update));
   }
 
-  /** Has the pending chunks of the update written when nothing else waits. */
+  /** Submits the pending chunks of the update, to be written when nothing else is pending. */
   void writeWhenIdle(ChunkUpdate update) {
     batcher.submitWhenIdle(update.name(), new ChunkMutation(update));
   }
 
-  /** Has a chunk deleted that is no longer read, wherever it is stored. */
+  /** Removes a chunk that is no longer read, whether it is in the log or under its own key. */
   void delete(Job job, Chunk chunk) {
     log.release(new ProgressLog.ChunkId(job.spec().id(), chunk));
     String key = ChunkKey.format(job.spec().id(), chunk);
     if (batcher.hasRevision(key)) {
-      // Nobody reads it any more: it need not compete with what tasks wait for.
+      // The key is no longer read, so its deletion need not delay writes that tasks wait for.
       deleteKey(key, () -> job.chunks().onDeleted(chunk));
     } else {
       job.chunks().onDeleted(chunk);
     }
   }
 
-  /** Has a key deleted that nobody reads any more. */
+  /** Submits the deletion of a key that is no longer read, for when nothing else is pending. */
   void deleteKey(String key) {
     deleteKey(key, () -> {});
   }
@@ -101,14 +102,14 @@
     batcher.submitWhenIdle(key, new DeleteKeyMutation(key, onDeleted));
   }
 
-  /** Forgets uncertain writes of a job that has ended: nobody reads them. */
+  /** Forgets the uncertain writes of a job that has ended: its progress is no longer read. */
   void forgetUncertainWrites(Job job) {
     for (Chunk chunk : job.chunks().live()) {
-      uncertain.remove(ChunkUpdate.name(job, chunk.number()));
+      uncertainChunks.remove(ChunkUpdate.name(job, chunk.number()));
     }
   }
 
-  /** Changed chunks, each under a key of its own. */
+  /** Writes the changed parts of a chunk, each under its own key. */
   private final class ChunkMutation implements TransactionBatcher.Mutation {
     private final ChunkUpdate update;
 
@@ -124,7 +125,7 @@
     @Override
     public List<Write> writes() {
       if (listener.hasUncertainLogWrite(update.name())) {
-        // The log's next write takes it along.
+        // The next write to the log includes this chunk.
         return List.of();
       }
       List<ChunkUpdate.EncodedChunk> chosen =
@@ -132,7 +133,7 @@
       update.markSent(chosen);
       List<Write> writes = new ArrayList<>();
       for (ChunkUpdate.EncodedChunk encoded : chosen) {
-        uncertain.computeIfAbsent(update.name(), key -> new HashSet<>()).add(encoded.chunk());
+        uncertainChunks.computeIfAbsent(update.name(), key -> new HashSet<>()).add(encoded.chunk());
         writes.add(Write.put(ChunkKey.format(jobId(), encoded.chunk()), encoded.progress()));
       }
       return writes;
@@ -144,7 +145,7 @@
 
     @Override
     public void onCommitted(Revision revision) {
-      markCertain();
+      removeCertainWrites();
       for (Chunk chunk : update.sentChunks()) {
         log.release(new ProgressLog.ChunkId(jobId(), chunk));
       }
@@ -152,13 +153,16 @@
       listener.onStored(update);
     }
 
-    /** The outcome of what was written is known; a chunk that was split since is never read. */
-    private void markCertain() {
-      Set<Chunk> remaining = uncertain.getOrDefault(update.name(), new HashSet<>());
+    /**
+     * Removes the chunks whose outcome is now known from the uncertain ones, and those that were
+     * split since: the progress of their parts takes precedence.
+     */
+    private void removeCertainWrites() {
+      Set<Chunk> remaining = uncertainChunks.getOrDefault(update.name(), new HashSet<>());
       remaining.removeAll(update.sentChunks());
       remaining.removeIf(chunk -> !update.job().chunks().live().contains(chunk));
       if (remaining.isEmpty()) {
-        uncertain.remove(update.name());
+        uncertainChunks.remove(update.name());
       }
     }
   }
--- a/src/main/java/org/mulleinshift/progress/ChunkUpdate.java
+++ b/src/main/java/org/mulleinshift/progress/ChunkUpdate.java
@@ -15,9 +15,9 @@
 import org.mulleinshift.sharding.ShardTable;
 import org.mulleinshift.transport.EventLoop;
 
-/** The changed parts of one chunk of a job's progress, on their way to the store. */
+/** The changed parts of one chunk of a job's progress, pending or being written to the store. */
 final class ChunkUpdate {
-  /** The stored form of a chunk, and its length. */
+  /** A chunk in its stored form, with its encoded length. */
   record EncodedChunk(Chunk chunk, JsonNode progress, int bytes) {}
 
   private final ShardTable shards;
@@ -42,7 +42,7 @@
     return job;
   }
 
-  /** The name of its mutations: one for all parts of a chunk. */
+  /** The name of the mutations that write it: the key of the whole chunk, for all of its parts. */
   String name() {
     return name(job, chunkNumber);
   }
@@ -51,22 +51,22 @@
     return ChunkKey.format(job.spec().id(), Chunk.whole(chunkNumber));
   }
 
-  /** Whether a task waits for the progress to be stored. */
+  /** Whether a task's start waits for the chunk to be stored. */
   boolean urgent() {
     return job.chunks().urgent(chunkNumber);
   }
 
-  /** Whether nothing of the job's progress is to be written any more. */
+  /** Whether the job's progress is no longer written: the job is ending, ended or quarantined. */
   boolean obsolete() {
     boolean ending = job.state() == Job.State.ENDING || job.state() == Job.State.ENDED;
     return ending || unreadable.contains(job.spec().id());
   }
 
   /**
-   * The stored forms of all pending chunks.
+   * Returns all pending chunks in their stored form; empty if the update is obsolete.
    *
-   * @param maxBytes length from which on a chunk is split first
-   * @param splitAllowed whether it may be split
+   * @param maxBytes maximum encoded length; a longer chunk is split first, if that is allowed
+   * @param splitAllowed whether chunks may be split
    */
   List<EncodedChunk> encode(int maxBytes, boolean splitAllowed) {
     if (obsolete()) {
@@ -95,7 +95,7 @@
     return false;
   }
 
-  /** These are sent to the store now. */
+  /** Records that these chunks, with the assignments in them, are being sent to the store. */
   void markSent(List<EncodedChunk> chosen) {
     sent = new ArrayList<>();
     for (EncodedChunk encoded : chosen) {
@@ -113,29 +113,32 @@
         .toList();
   }
 
-  /** What was sent last. */
+  /** The chunks that were sent last. */
   List<Chunk> sentChunks() {
     return sent;
   }
 
-  /** What was sent last is stored: only now may it be published to owners. */
+  /**
+   * Records that the chunks sent last are stored. Only now may their assignments be published to
+   * the owners of shards.
+   */
   void onStored(Revision revision) {
     job.chunks().stored(sent);
     job.stored(written, ended, revision);
     if (!written.isEmpty()) {
       job.markFirstAssigned(loop.wallMillis());
     }
-    // Ends first: a task that returns to the same shard is published as a new one.
+    // Retractions first, so that a task assigned to the same shard again is published as new.
     ended.forEach(shards::retract);
     written.forEach(shards::publish);
   }
 
-  /** Whether more has changed since it was sent. */
+  /** Whether parts of the chunk wait to be written, or were sent and not confirmed. */
   boolean hasPendingChunks() {
     return !job.chunks().pending(chunkNumber).isEmpty();
   }
 
-  /** Parts of the chunk in the store that are no longer read. */
+  /** Parts of the chunk that are in the store but no longer read, because they were split. */
   List<Chunk> obsoleteChunks() {
     return job.chunks().obsolete(chunkNumber);
   }
--- a/src/main/java/org/mulleinshift/progress/DeleteKeyMutation.java
+++ b/src/main/java/org/mulleinshift/progress/DeleteKeyMutation.java
@@ -8,7 +8,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Deletes a key that nobody reads any more.
+ * Deletes a key that is no longer read.
  *
  * @param onDeleted called once the deletion is stored
  */
--- a/src/main/java/org/mulleinshift/progress/JobEndMutation.java
+++ b/src/main/java/org/mulleinshift/progress/JobEndMutation.java
@@ -19,8 +19,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stores the end of a job: once it is committed, users are answered done or cancelled, and jobs
- * that depend on it may start.
+ * Stores the end of a job and deletes its record as an active job. Once this is committed, users
+ * are told that the job is done or cancelled, and jobs that depend on it may start.
  */
 final class JobEndMutation implements TransactionBatcher.Mutation {
   private static final Logger LOG = LoggerFactory.getLogger(JobEndMutation.class);
@@ -67,7 +67,7 @@
     return writes;
   }
 
-  /** A cancellation that was stored meanwhile decides how the job ends. */
+  /** Adopts a cancellation that was stored in the meantime: the job then ends as cancelled. */
   @Override
   public void onReread(String key, Optional<KeyValue> item) {
     if (key.equals(StoreKeys.activeJob(job.spec().id()))) {
--- a/src/main/java/org/mulleinshift/progress/PendingJobEnds.java
+++ b/src/main/java/org/mulleinshift/progress/PendingJobEnds.java
@@ -12,20 +12,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The jobs of a term whose end waits to be stored; logs when they wait for long. */
+/** The jobs of a term whose end waits to be stored; logs when the wait is long. */
 final class PendingJobEnds {
   private static final Logger LOG = LoggerFactory.getLogger(PendingJobEnds.class);
-  private static final Duration LOGGED_AGE = Duration.ofSeconds(2);
+  private static final Duration MIN_LOGGED_AGE = Duration.ofSeconds(2);
   private static final Duration LOG_INTERVAL = Duration.ofSeconds(10);
 
-  /** A job, and since when its end waits. */
-  private record PendingEnd(Job job, MonotonicTime since) {}
+  /** A job, and the time since which its end waits to be stored. */
+  private record PendingJobEnd(Job job, MonotonicTime since) {}
 
   private final EventLoop loop;
   private final Revision term;
 
-  /** The longest waiting one first. */
-  private final Map<JobId, PendingEnd> ends = new LinkedHashMap<>();
+  /** In the order in which they were added, the oldest first. */
+  private final Map<JobId, PendingJobEnd> ends = new LinkedHashMap<>();
 
   private MonotonicTime loggedAt;
 
@@ -35,20 +35,23 @@
     this.loggedAt = loop.now().minus(LOG_INTERVAL);
   }
 
-  /** The end of the job is to be stored. */
+  /** Adds a job whose end is to be stored; a job that waits already keeps its time. */
   void add(Job job) {
-    ends.putIfAbsent(job.spec().id(), new PendingEnd(job, loop.now()));
+    ends.putIfAbsent(job.spec().id(), new PendingJobEnd(job, loop.now()));
   }
 
-  /** Logs how many ends wait, and for how long, if the oldest one has waited for some time. */
+  /**
+   * Logs how many ends wait and the age of the oldest one if that age is high, at most once per log
+   * interval.
+   */
   void logIfDelayed() {
     ends.values().removeIf(end -> end.job().state() == Job.State.ENDED);
     MonotonicTime now = loop.now();
     if (ends.isEmpty() || now.since(loggedAt).compareTo(LOG_INTERVAL) < 0) {
       return;
     }
-    PendingEnd oldest = ends.values().iterator().next();
-    if (now.since(oldest.since()).compareTo(LOGGED_AGE) < 0) {
+    PendingJobEnd oldest = ends.values().iterator().next();
+    if (now.since(oldest.since()).compareTo(MIN_LOGGED_AGE) < 0) {
       return;
     }
     loggedAt = now;
@@ -56,16 +59,16 @@
         "job ends wait to be stored, term={} {} with_dependency: {}",
         term,
         describe(ends.values(), now),
-        describe(cancelledWithDependency(), now));
+        describe(cancelledWithDependencies(), now));
   }
 
-  private Collection<PendingEnd> cancelledWithDependency() {
+  private Collection<PendingJobEnd> cancelledWithDependencies() {
     return ends.values().stream()
         .filter(end -> end.job().cancelled() && !end.job().dependencies().isEmpty())
         .toList();
   }
 
-  private static String describe(Collection<PendingEnd> waiting, MonotonicTime now) {
+  private static String describe(Collection<PendingJobEnd> waiting, MonotonicTime now) {
     return waiting.stream()
         .findFirst()
         .map(
--- a/src/main/java/org/mulleinshift/progress/ProgressListener.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressListener.java
@@ -5,19 +5,19 @@
 import org.mulleinshift.model.JobRecord;
 import org.mulleinshift.model.TaskAssignment;
 
-/** Receives what has been stored of jobs. */
+/** Is notified when the progress or the end of a job is stored, or its record is read again. */
 public interface ProgressListener {
-  /** The job's stored record was read again; it may have changed. */
+  /** Called when the job's stored record is read again; it may have changed. */
   void onRecordRead(Job job, JobRecord record);
 
-  /** Progress of the job is stored: it may end, and its tasks may be assigned anew. */
+  /** Called when progress of the job is stored: it may end now, or its tasks be assigned again. */
   void onProgressStored(Job job);
 
   /**
-   * The end of the job is stored.
+   * Called when the end of the job is stored.
    *
-   * @param remaining assignments that were still stored
-   * @param atMillis time of day of the end
+   * @param remaining assignments that the job still had
+   * @param endedMillis wall-clock time of the end
    */
-  void onJobEnded(Job job, List<TaskAssignment> remaining, long atMillis);
+  void onJobEnded(Job job, List<TaskAssignment> remaining, long endedMillis);
 }
--- a/src/main/java/org/mulleinshift/progress/ProgressLoader.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressLoader.java
@@ -27,18 +27,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads stored progress at the start of a term: first the log, then the keys of chunks. Of a chunk
- * that is in both, or several times in the log, the image with the highest revision counts; an
- * image of a chunk that was split gives way to those of its halves.
+ * Reads stored progress at the start of a term: first the log, then the chunk keys. If a chunk is
+ * stored in both, or several times in the log, the copy with the highest revision is used; copies
+ * of the halves of a chunk take precedence over one from before the split.
  *
- * <p>What cannot be read is never deleted or acted on: its job is quarantined and its slots are
- * pinned.
+ * <p>Data that can't be read is never deleted or acted on: its job is quarantined and its log slots
+ * are pinned.
  */
 public final class ProgressLoader {
   private static final Logger LOG = LoggerFactory.getLogger(ProgressLoader.class);
 
-  /** The newest image of a chunk that was found, and its slot if it is in the log. */
-  private record FoundImage(Revision revision, JsonNode progress, OptionalInt slot) {}
+  /** The newest stored copy of a chunk found so far, and its slot if it is in the log. */
+  private record StoredChunk(Revision revision, JsonNode progress, OptionalInt slot) {}
 
   private static final Comparator<Chunk> WHOLE_FIRST =
       Comparator.<Chunk>comparingInt(Chunk::number).thenComparing(Chunk::path);
@@ -50,8 +50,11 @@
   private final TransactionBatcher batcher;
   private final ProgressLog log;
 
-  /** Images of jobs that are in the log; those of other jobs are loaded page by page. */
-  private final Map<JobId, Map<Chunk, FoundImage>> loggedImages = new HashMap<>();
+  /**
+   * Chunks of jobs that have entries in the log. Chunks of other jobs are loaded at once from each
+   * page of chunk keys.
+   */
+  private final Map<JobId, Map<Chunk, StoredChunk>> chunksOfLoggedJobs = new HashMap<>();
 
   ProgressLoader(
       JobDirectory jobs,
@@ -68,7 +71,7 @@
     this.log = log;
   }
 
-  /** Loads a page of the log; all of the log comes before the keys of chunks. */
+  /** Loads a page of the log; all of its pages are loaded before the first page of chunk keys. */
   public void loadSegments(StoreCodec.Range page) {
     for (KeyValue item : page.items()) {
       OptionalInt number = StoreKeys.logSegmentNumber(item.key());
@@ -79,7 +82,7 @@
       batcher.recordRevision(item.key(), item.revision());
       log.registerSlot(number.getAsInt());
       try {
-        LogSegment.read(item.value()).forEach(entry -> onEntry(entry, item, number.getAsInt()));
+        LogSegment.read(item.value()).forEach(entry -> addEntry(entry, item, number.getAsInt()));
       } catch (MalformedMessageException e) {
         log.pin(number.getAsInt());
         quarantineJobsIn(item, e.getMessage());
@@ -87,39 +90,46 @@
     }
   }
 
-  private void onEntry(LogSegment.Entry entry, KeyValue item, int slot) {
+  private void addEntry(LogSegment.Entry entry, KeyValue item, int slot) {
     if (unreadable.contains(entry.job())) {
       unreadable.addProgress(entry.progress());
       log.pin(slot);
     } else if (jobs.findJob(entry.job()).isPresent()) {
-      FoundImage found = new FoundImage(item.revision(), entry.progress(), OptionalInt.of(slot));
-      loggedImages
+      StoredChunk found = new StoredChunk(item.revision(), entry.progress(), OptionalInt.of(slot));
+      chunksOfLoggedJobs
           .computeIfAbsent(entry.job(), key -> new TreeMap<>(WHOLE_FIRST))
           .merge(entry.chunk(), found, ProgressLoader::newer);
     }
   }
 
-  private static FoundImage newer(FoundImage one, FoundImage other) {
+  private static StoredChunk newer(StoredChunk one, StoredChunk other) {
     return one.revision().compareTo(other.revision()) >= 0 ? one : other;
   }
 
-  /** Nothing of a job whose newest progress may be in the segment is started, ended or deleted. */
+  /**
+   * Quarantines the jobs whose newest progress may be in a segment that can't be read. If not even
+   * its job ids can be read, these are all active jobs that may have an entry in it.
+   */
   private void quarantineJobsIn(KeyValue segment, String reason) {
     Optional<List<JobId>> named = LogSegment.readJobIds(segment.value());
-    List<Job> concerned =
+    List<Job> affected =
         named.isPresent()
             ? named.get().stream().flatMap(id -> jobs.findJob(id).stream()).distinct().toList()
-            : jobs.activeJobs().stream().filter(job -> mayBeIn(job, segment)).toList();
+            : jobs.activeJobs().stream().filter(job -> mayHaveEntryIn(job, segment)).toList();
     LOG.warn(
         "progress log segment unreadable, key={} reason={} jobs={}",
         segment.key(),
         reason,
-        concerned.size());
-    concerned.forEach(job -> quarantine(job, segment.value(), reason));
+        affected.size());
+    affected.forEach(job -> quarantine(job, segment.value(), reason));
   }
 
-  /** A cancellation rewrites a job's record, so that its revision does not show its age. */
-  private static boolean mayBeIn(Job job, KeyValue segment) {
+  /**
+   * Whether the segment may hold progress of the job. A job accepted after the segment was written
+   * is not in it; a cancellation rewrites the job's record, whose revision then doesn't show when
+   * the job was accepted.
+   */
+  private static boolean mayHaveEntryIn(Job job, KeyValue segment) {
     return job.cancelled() || job.revision().compareTo(segment.revision()) < 0;
   }
 
@@ -129,7 +139,7 @@
     unreadable.addProgress(progress);
   }
 
-  /** Loads a page of the keys of chunks; a whole chunk comes before its halves. */
+  /** Loads a page of chunk keys; in their order a chunk comes before its halves. */
   public void loadChunks(StoreCodec.Range page) {
     for (KeyValue item : page.items()) {
       Optional<ChunkKey> key = ChunkKey.parse(item.key());
@@ -145,11 +155,11 @@
       batcher.recordRevision(item.key(), item.revision());
       Job job = jobs.findJob(id).orElse(null);
       if (job == null) {
-        // Of a job that has ended: nobody reads it.
+        // The job has ended: the key is no longer read.
         deleteKey.accept(item.key());
-      } else if (loggedImages.containsKey(id)) {
-        FoundImage found = new FoundImage(item.revision(), item.value(), OptionalInt.empty());
-        loggedImages.get(id).merge(key.get().chunk(), found, ProgressLoader::newer);
+      } else if (chunksOfLoggedJobs.containsKey(id)) {
+        StoredChunk found = new StoredChunk(item.revision(), item.value(), OptionalInt.empty());
+        chunksOfLoggedJobs.get(id).merge(key.get().chunk(), found, ProgressLoader::newer);
       } else {
         load(job, key.get().chunk(), item.value());
       }
@@ -166,28 +176,29 @@
     }
   }
 
-  /** All was read: loads the progress of the jobs that have images in the log. */
+  /** Loads the progress of the jobs that have entries in the log, once everything was read. */
   public void finish() {
-    loggedImages.forEach((id, images) -> jobs.findJob(id).ifPresent(job -> restore(job, images)));
-    loggedImages.entrySet().removeIf(entry -> !unreadable.contains(entry.getKey()));
-    // Of jobs quarantined meanwhile nothing may be overwritten.
-    loggedImages.values().forEach(images -> images.values().forEach(this::pin));
-    loggedImages.clear();
+    chunksOfLoggedJobs.forEach(
+        (id, chunks) -> jobs.findJob(id).ifPresent(job -> loadAll(job, chunks)));
+    chunksOfLoggedJobs.entrySet().removeIf(entry -> !unreadable.contains(entry.getKey()));
+    // Entries of jobs that were quarantined in the meantime must not be overwritten.
+    chunksOfLoggedJobs.values().forEach(chunks -> chunks.values().forEach(this::pin));
+    chunksOfLoggedJobs.clear();
   }
 
-  private void restore(Job job, Map<Chunk, FoundImage> images) {
-    for (Map.Entry<Chunk, FoundImage> entry : new ArrayList<>(images.entrySet())) {
-      FoundImage found = entry.getValue();
+  private void loadAll(Job job, Map<Chunk, StoredChunk> chunks) {
+    for (Map.Entry<Chunk, StoredChunk> entry : new ArrayList<>(chunks.entrySet())) {
+      StoredChunk found = entry.getValue();
       if (!load(job, entry.getKey(), found.progress())) {
         return;
       }
-      LogSegment.Entry image =
+      LogSegment.Entry logEntry =
           LogSegment.Entry.of(job.spec().id(), entry.getKey(), found.progress());
-      found.slot().ifPresent(slot -> log.registerEntry(slot, image));
+      found.slot().ifPresent(slot -> log.registerEntry(slot, logEntry));
     }
   }
 
-  private void pin(FoundImage found) {
+  private void pin(StoredChunk found) {
     unreadable.addProgress(found.progress());
     found.slot().ifPresent(log::pin);
   }
--- a/src/main/java/org/mulleinshift/progress/ProgressLog.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressLog.java
@@ -17,81 +17,81 @@
 import org.mulleinshift.store.StoreKeys;
 
 /**
- * Where the newest stored image of each chunk of a job's progress is in the log.
+ * Tracks which slot of the log holds the newest entry of each chunk of progress.
  *
  * <p>The log is a bounded set of slots, each a key that is overwritten and never deleted while the
- * log is in use: a late copy of an earlier write always meets a revision that has moved on. A slot
- * may be overwritten once it holds no live image: each of its images has a newer one that is stored
- * elsewhere, or its job has ended. A write without a certain outcome is uncertain: the next write
- * overwrites its slots first, so that nothing of it can appear later.
+ * log is in use: a delayed copy of an earlier write always fails, because the key's revision has
+ * changed since. A slot may be overwritten once it holds no live entry: each of its entries has a
+ * newer copy stored elsewhere, or its job has ended. A write whose outcome is unknown is uncertain:
+ * the next write overwrites its slots first, so that it can't take effect later.
  */
 public final class ProgressLog {
-  /** Bounds what a new leader reads: so many values at most. */
+  /** Maximum number of slots, which bounds how many values a new leader reads. */
   public static final int MAX_SLOTS = 256;
 
-  /** A log with at most so many slots in use is never compacted. */
+  /** A log with no more slots in use than this is never compacted. */
   private static final int MIN_SLOTS_TO_COMPACT = 8;
 
-  /** Slots in use are kept below this many times what the live images need. */
-  private static final int SLACK = 3;
+  /** The log is compacted if it uses more than this many times the slots that live entries need. */
+  private static final int MAX_SPACE_AMPLIFICATION = 3;
 
-  /** Above this share of all slots live images are moved to keys of their own. */
+  /** If live entries take more than this share of the log, some are moved to chunk keys. */
   private static final double MAX_LIVE_SHARE = 0.5;
 
-  /** Bytes of an entry for the names of its job and chunk. */
-  private static final int NAMES_BYTES = 160;
+  /** Upper bound of an entry's bytes besides the progress: its names of job, chunk and fields. */
+  private static final int ENTRY_OVERHEAD_BYTES = 160;
 
-  /** A chunk of a job whose progress is in the log. */
+  /** Identifies a chunk of a job's progress. */
   public record ChunkId(JobId job, Chunk chunk) {}
 
   private static final class Slot {
     private final int number;
-    private final Map<ChunkId, Integer> live = new LinkedHashMap<>();
+    private final Map<ChunkId, Integer> liveEntries = new LinkedHashMap<>();
     private int liveBytes;
     private boolean pinned;
-    private long writtenAt;
+    private long lastWriteNumber;
 
     Slot(int number) {
       this.number = number;
     }
 
     boolean free() {
-      return live.isEmpty() && !pinned;
+      return liveEntries.isEmpty() && !pinned;
     }
 
-    void add(ChunkId image, int bytes) {
-      live.put(image, bytes);
+    void add(ChunkId chunkId, int bytes) {
+      liveEntries.put(chunkId, bytes);
       liveBytes += bytes;
     }
 
-    /** Removes an image and returns its length. */
-    int remove(ChunkId image) {
-      int bytes = live.remove(image);
+    /** Removes a chunk's entry and returns its length in bytes. */
+    int remove(ChunkId chunkId) {
+      int bytes = liveEntries.remove(chunkId);
       liveBytes -= bytes;
       return bytes;
     }
   }
 
-  private int slotBytes;
+  private int slotCapacityBytes;
   private final Map<Integer, Slot> slots = new TreeMap<>();
-  private final Map<ChunkId, Slot> slotByImage = new HashMap<>();
-  private final Map<JobId, Set<ChunkId>> byJob = new HashMap<>();
+  private final Map<ChunkId, Slot> slotByChunk = new HashMap<>();
+  private final Map<JobId, Set<ChunkId>> chunksByJob = new HashMap<>();
   private final Set<Integer> uncertainSlots = new TreeSet<>();
-  private long writes;
+  private long writeCount;
   private int liveBytes;
 
   /**
-   * An empty log.
+   * Creates an empty log.
    *
    * @param valueBytes maximum length of a value
    */
   public ProgressLog(int valueBytes) {
-    this.slotBytes = LogSegment.entryCapacityBytes(valueBytes);
+    this.slotCapacityBytes = LogSegment.entryCapacityBytes(valueBytes);
   }
 
-  /** What one transaction writes to the log. */
+  /** The entries that one transaction writes to the log, and the slots that it overwrites. */
   public final class Batch {
-    private final List<Slot> taken = new ArrayList<>();
+    private final List<Slot> batchSlots = new ArrayList<>();
     private final Map<Slot, List<LogSegment.Entry>> entries = new LinkedHashMap<>();
     private final Map<Slot, Integer> bytes = new HashMap<>();
     private final int maxSlots;
@@ -102,12 +102,12 @@
     }
 
     private void addSlot(Slot slot) {
-      taken.add(slot);
+      batchSlots.add(slot);
       entries.put(slot, new ArrayList<>());
       bytes.put(slot, 0);
     }
 
-    /** Adds an entry; false if the batch has no capacity for it. */
+    /** Adds an entry; returns false if no slot of the batch and no free slot can take it. */
     public boolean add(LogSegment.Entry entry) {
       int size = entry.bytes();
       Optional<Slot> slot = capacityFor(size);
@@ -120,26 +120,28 @@
     }
 
     private Optional<Slot> capacityFor(int size) {
-      for (Slot slot : taken) {
-        if (bytes.get(slot) + size <= slotBytes) {
+      for (Slot slot : batchSlots) {
+        if (bytes.get(slot) + size <= slotCapacityBytes) {
           return Optional.of(slot);
         }
       }
       Optional<Slot> free =
-          size <= slotBytes && taken.size() < maxSlots ? freeSlot(taken) : Optional.empty();
+          size <= slotCapacityBytes && batchSlots.size() < maxSlots
+              ? freeSlot(batchSlots)
+              : Optional.empty();
       free.ifPresent(this::addSlot);
       return free;
     }
 
-    /** Whether it would write nothing. */
+    /** Whether the batch writes no slot. */
     public boolean isEmpty() {
-      return taken.isEmpty();
+      return batchSlots.isEmpty();
     }
 
-    /** The transaction's writes; from now on its slots are uncertain. */
+    /** Returns the writes of the batch; its slots are uncertain until it is marked as stored. */
     public List<Write> writes() {
       List<Write> writes = new ArrayList<>();
-      for (Slot slot : taken) {
+      for (Slot slot : batchSlots) {
         uncertainSlots.add(slot.number);
         writes.add(
             Write.put(StoreKeys.logSegment(slot.number), LogSegment.write(entries.get(slot))));
@@ -148,10 +150,10 @@
     }
   }
 
-  private Optional<Slot> freeSlot(List<Slot> taken) {
+  private Optional<Slot> freeSlot(List<Slot> excluded) {
     for (int number = 0; number < MAX_SLOTS; number++) {
       Slot slot = slots.computeIfAbsent(number, Slot::new);
-      if (slot.free() && !taken.contains(slot)) {
+      if (slot.free() && !excluded.contains(slot)) {
         return Optional.of(slot);
       }
     }
@@ -159,7 +161,7 @@
   }
 
   /**
-   * Begins a write; slots whose last write is uncertain are part of it.
+   * Begins a batch, which overwrites all slots whose last write is uncertain.
    *
    * @param maxSlots maximum number of slots, unless more are uncertain
    */
@@ -167,119 +169,127 @@
     return new Batch(maxSlots);
   }
 
-  /** Values are at most half as long from now on. */
+  /** Halves the maximum length of the segments that are written from now on. */
   public void halveSegmentLength() {
-    slotBytes /= 2;
+    slotCapacityBytes /= 2;
   }
 
-  /** Maximum length of a chunk's progress that surely fits into an entry. */
+  /** Maximum length of progress that fits into an entry of any job and chunk. */
   public int maxProgressBytes() {
-    return slotBytes - NAMES_BYTES;
+    return slotCapacityBytes - ENTRY_OVERHEAD_BYTES;
   }
 
-  /** Maximum length of an entry. */
+  /** Maximum length of an entry, which then fills a segment alone. */
   public int maxEntryBytes() {
-    return slotBytes;
+    return slotCapacityBytes;
   }
 
-  /** The batch is stored: its images are the newest, and earlier ones are no longer needed. */
+  /**
+   * Records that the batch is stored: its entries replace the earlier ones of their chunks as live
+   * entries, and no write is uncertain any more.
+   */
   public void markStored(Batch batch) {
     uncertainSlots.clear();
-    writes++;
-    for (Slot slot : batch.taken) {
-      slot.writtenAt = writes;
-      batch.entries.get(slot).forEach(entry -> addImage(slot, entry));
+    writeCount++;
+    for (Slot slot : batch.batchSlots) {
+      slot.lastWriteNumber = writeCount;
+      batch.entries.get(slot).forEach(entry -> addLiveEntry(slot, entry));
     }
   }
 
-  private void addImage(Slot slot, LogSegment.Entry entry) {
-    ChunkId image = new ChunkId(entry.job(), entry.chunk());
-    release(image);
+  private void addLiveEntry(Slot slot, LogSegment.Entry entry) {
+    ChunkId chunkId = new ChunkId(entry.job(), entry.chunk());
+    release(chunkId);
     int bytes = entry.bytes();
-    slot.add(image, bytes);
+    slot.add(chunkId, bytes);
     liveBytes += bytes;
-    slotByImage.put(image, slot);
-    byJob.computeIfAbsent(image.job(), key -> new LinkedHashSet<>()).add(image);
+    slotByChunk.put(chunkId, slot);
+    chunksByJob.computeIfAbsent(chunkId.job(), key -> new LinkedHashSet<>()).add(chunkId);
   }
 
-  /** The image is stored elsewhere by now, or nobody needs it. */
-  public void release(ChunkId image) {
-    Slot slot = slotByImage.remove(image);
+  /** Drops the live entry of a chunk, if any: the chunk is stored elsewhere or no longer read. */
+  public void release(ChunkId chunkId) {
+    Slot slot = slotByChunk.remove(chunkId);
     if (slot == null) {
       return;
     }
-    liveBytes -= slot.remove(image);
-    Set<ChunkId> images = byJob.get(image.job());
-    images.remove(image);
-    if (images.isEmpty()) {
-      byJob.remove(image.job());
+    liveBytes -= slot.remove(chunkId);
+    Set<ChunkId> chunkIds = chunksByJob.get(chunkId.job());
+    chunkIds.remove(chunkId);
+    if (chunkIds.isEmpty()) {
+      chunksByJob.remove(chunkId.job());
     }
   }
 
-  /** The job has ended: none of its images is needed. */
+  /** Drops all live entries of a job that has ended. */
   public void release(JobId job) {
-    List.copyOf(byJob.getOrDefault(job, Set.of())).forEach(this::release);
+    List.copyOf(chunksByJob.getOrDefault(job, Set.of())).forEach(this::release);
   }
 
-  /** A slot that was found in the store. */
+  /** Adds a slot that was found in the store. */
   public void registerSlot(int number) {
     slots.computeIfAbsent(number, Slot::new);
   }
 
-  /** An image that was found to be the newest of its chunk. */
+  /** Adds an entry that was found in the store and is the newest copy of its chunk. */
   public void registerEntry(int number, LogSegment.Entry newest) {
-    addImage(slots.computeIfAbsent(number, Slot::new), newest);
+    addLiveEntry(slots.computeIfAbsent(number, Slot::new), newest);
   }
 
-  /** The slot holds what this build can't read, or may not touch: it is left as it is. */
+  /** Pins a slot with data that this build can't read or must not change: it is left as it is. */
   public void pin(int number) {
     slots.computeIfAbsent(number, Slot::new).pinned = true;
   }
 
-  /** Nobody may rewrite the image: its slot is left as it is. */
-  public void pinSlotOf(ChunkId image) {
-    Optional.ofNullable(slotByImage.get(image)).ifPresent(slot -> slot.pinned = true);
+  /** Pins the slot that holds the live entry of a chunk, if any, which must not be rewritten. */
+  public void pinSlotOf(ChunkId chunkId) {
+    Optional.ofNullable(slotByChunk.get(chunkId)).ifPresent(slot -> slot.pinned = true);
   }
 
   /**
-   * Live images of several slots that fit into one: rewritten together they free more slots than
-   * they take.
+   * Returns chunks whose live entries are in several slots and fit into one: rewriting them
+   * together frees more slots than it takes. Empty if the log needs no compaction or is too full
+   * for it.
    */
   public List<ChunkId> chunksToCompact() {
-    int needed = liveBytes / Math.max(1, slotBytes) + 1;
-    if (inUse() <= Math.max(MIN_SLOTS_TO_COMPACT, SLACK * needed) || isCrowded()) {
+    int needed = liveBytes / Math.max(1, slotCapacityBytes) + 1;
+    if (inUse() <= Math.max(MIN_SLOTS_TO_COMPACT, MAX_SPACE_AMPLIFICATION * needed)
+        || isTooFull()) {
       return List.of();
     }
-    List<ChunkId> images = new ArrayList<>();
+    List<ChunkId> chunkIds = new ArrayList<>();
     int bytes = 0;
     int emptied = 0;
     for (Slot slot : occupied(Comparator.comparingInt(slot -> slot.liveBytes))) {
       bytes += slot.liveBytes;
-      if (bytes > slotBytes) {
+      if (bytes > slotCapacityBytes) {
         break;
       }
-      images.addAll(slot.live.keySet());
+      chunkIds.addAll(slot.liveEntries.keySet());
       emptied++;
     }
-    return emptied > 1 ? images : List.of();
+    return emptied > 1 ? chunkIds : List.of();
   }
 
-  /** Live images that should move to keys of their own: the log is too full to compact it. */
+  /**
+   * Returns the chunks in the slot written longest ago if the log is too full to be compacted: they
+   * should move to their own keys. Empty if the log is not that full.
+   */
   public List<ChunkId> chunksToMigrate() {
-    if (!isCrowded()) {
+    if (!isTooFull()) {
       return List.of();
     }
-    List<Slot> oldestFirst = occupied(Comparator.comparingLong(slot -> slot.writtenAt));
-    return oldestFirst.isEmpty() ? List.of() : List.copyOf(oldestFirst.get(0).live.keySet());
+    List<Slot> oldestFirst = occupied(Comparator.comparingLong(slot -> slot.lastWriteNumber));
+    return oldestFirst.isEmpty() ? List.of() : List.copyOf(oldestFirst.get(0).liveEntries.keySet());
   }
 
-  private boolean isCrowded() {
-    return liveBytes > MAX_LIVE_SHARE * MAX_SLOTS * slotBytes;
+  private boolean isTooFull() {
+    return liveBytes > MAX_LIVE_SHARE * MAX_SLOTS * slotCapacityBytes;
   }
 
   private List<Slot> occupied(Comparator<Slot> order) {
     return slots.values().stream()
-        .filter(slot -> !slot.pinned && !slot.live.isEmpty())
+        .filter(slot -> !slot.pinned && !slot.liveEntries.isEmpty())
         .sorted(order)
         .toList();
   }
@@ -292,17 +302,17 @@
     return count;
   }
 
-  /** All chunks whose newest image is in the log. */
+  /** Returns all chunks that have a live entry. */
   public List<ChunkId> liveChunks() {
-    return List.copyOf(slotByImage.keySet());
+    return List.copyOf(slotByChunk.keySet());
   }
 
-  /** Whether no image in the log is needed, and no write to it may still be carried out. */
+  /** Whether no slot holds a live entry or is pinned, and no write to the log is uncertain. */
   public boolean isUnused() {
     return inUse() == 0 && uncertainSlots.isEmpty();
   }
 
-  /** Keys of the slots that are known. */
+  /** Returns the keys of all known slots, also of those that were not written yet. */
   public List<String> slotKeys() {
     return slots.keySet().stream().map(StoreKeys::logSegment).toList();
   }
--- a/src/main/java/org/mulleinshift/progress/ProgressLogWriter.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressLogWriter.java
@@ -15,22 +15,25 @@
 import org.mulleinshift.transport.EventLoop;
 
 /**
- * Group commit of progress: the changes of all jobs go into few values of the log. What nobody
- * waits for is delayed for a moment, so that it shares a value with what comes next.
+ * Group commit of progress: writes the changes of all jobs to few values of the log. Changes that
+ * no task waits for are delayed briefly, so that they share a value with later ones.
  */
 final class ProgressLogWriter implements TransactionBatcher.Mutation {
-  /** Less than a scheduling cycle: what ends is stored with what the next cycle starts. */
+  /**
+   * Delay of changes that no task waits for. Shorter than a scheduling cycle: task ends are stored
+   * together with the assignments of the next cycle.
+   */
   private static final Duration GROUP_DELAY = Duration.ofMillis(100);
 
-  /** What the writer needs of the other ways in which progress is stored. */
+  /** Connects this writer with the writer of chunk keys. */
   interface Listener {
-    /** Whether the chunk has to be written under its own keys for now. */
+    /** Whether the chunk must be written under its own keys for now. */
     boolean mustUseChunkKeys(String chunkName);
 
-    /** Has a chunk written under its own keys. */
+    /** Submits a chunk to be written under its own keys. */
     void writeToChunkKeys(ChunkUpdate update);
 
-    /** The changes of these chunks are stored. */
+    /** Called when the changes of these chunks are stored. */
     void onStored(List<ChunkUpdate> updates);
   }
 
@@ -40,13 +43,13 @@
   private final int maxSlots;
   private final Listener listener;
   private final Map<String, ChunkUpdate> pending = new LinkedHashMap<>();
-  private final Set<String> uncertain = new HashSet<>();
+  private final Set<String> uncertainChunks = new HashSet<>();
   private List<ChunkUpdate> sent = List.of();
   private ProgressLog.Batch batch;
-  private boolean submitPlanned;
+  private boolean submitScheduled;
 
   /**
-   * A writer for one term.
+   * Creates a writer for one term.
    *
    * @param maxSlots maximum number of log values of a transaction
    */
@@ -63,21 +66,21 @@
     this.listener = listener;
   }
 
-  /** Has the changes of a chunk stored. */
+  /** Queues the changes of a chunk for the next write to the log. */
   void add(ChunkUpdate update) {
     pending.putIfAbsent(update.name(), update);
-    plan();
+    scheduleSubmit();
   }
 
-  private void plan() {
+  private void scheduleSubmit() {
     if (urgent()) {
       batcher.submit(StoreKeys.PROGRESS_LOG, this);
-    } else if (!submitPlanned && !pending.isEmpty()) {
-      submitPlanned = true;
+    } else if (!submitScheduled && !pending.isEmpty()) {
+      submitScheduled = true;
       loop.after(
           GROUP_DELAY,
           () -> {
-            submitPlanned = false;
+            submitScheduled = false;
             if (!pending.isEmpty()) {
               batcher.submit(StoreKeys.PROGRESS_LOG, this);
             }
@@ -85,9 +88,9 @@
     }
   }
 
-  /** Whether a write of the chunk to the log may still be carried out. */
+  /** Whether the outcome of a write of the chunk to the log is uncertain. */
   boolean hasUncertainWrite(String chunkName) {
-    return uncertain.contains(chunkName);
+    return uncertainChunks.contains(chunkName);
   }
 
   @Override
@@ -112,10 +115,10 @@
       }
     }
     if (batch.isEmpty()) {
-      // No slot is free: what waits must not wait for one.
+      // No slot is free: pending chunks go to their own keys rather than wait for one.
       urgentFirst().forEach(this::moveToKeys);
     }
-    sent.forEach(update -> uncertain.add(update.name()));
+    sent.forEach(update -> uncertainChunks.add(update.name()));
     return batch.writes();
   }
 
@@ -131,7 +134,7 @@
     return order;
   }
 
-  /** Adds the pending chunks of an update; false if the batch is full. */
+  /** Adds the pending chunks of an update; returns false if the batch is full. */
   private boolean addToBatch(ChunkUpdate update) {
     List<ChunkUpdate.EncodedChunk> chosen = new ArrayList<>();
     boolean full = false;
@@ -163,7 +166,7 @@
     return LogSegment.Entry.of(job, encoded.chunk(), encoded.progress(), encoded.bytes());
   }
 
-  /** The store accepts less than its limits say: the values of the log become shorter. */
+  /** Retries with shorter values: the store accepts less than its stated limits. */
   @Override
   public void onRejected() {
     log.halveSegmentLength();
@@ -173,7 +176,7 @@
   @Override
   public void onCommitted(Revision revision) {
     log.markStored(batch);
-    uncertain.clear();
+    uncertainChunks.clear();
     List<ChunkUpdate> stored = sent;
     sent = List.of();
     for (ChunkUpdate update : stored) {
@@ -183,6 +186,6 @@
       }
     }
     listener.onStored(stored);
-    plan();
+    scheduleSubmit();
   }
 }
--- a/src/main/java/org/mulleinshift/progress/ProgressPersister.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressPersister.java
@@ -19,23 +19,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The stored progress and ends of jobs, as the leader writes them.
+ * Stores the progress and the ends of jobs for the leader.
  *
- * <p>Progress goes to the log once all controllers have published a feature level that reads it;
- * before that, and where the log does not serve, to keys of each job, in chunks as every build
- * reads them. A chunk too long for a value is split, but only once all controllers read split
- * chunks: an older build would take a job's done tasks in them for waiting ones.
+ * <p>Progress goes to the log once all controllers have published a feature level that reads it.
+ * Before that, and where the log can't be used, it goes to the keys of each job's chunks, in a form
+ * that every build reads. A chunk too long for a value is split, but only once all controllers read
+ * split chunks: an older build would take a job's done tasks in them for waiting ones.
  */
 public final class ProgressPersister {
   private static final Logger LOG = LoggerFactory.getLogger(ProgressPersister.class);
 
   /**
-   * Used share of a value's maximum length: the store may count its bytes in a form with spaces.
+   * Used share of a value's maximum length: the store may count the bytes of an encoding with
+   * spaces.
    */
-  private static final double USED_OF_VALUE = 0.85;
+  private static final double USED_VALUE_SHARE = 0.85;
 
-  /** Bytes that one transaction writes to the log at most; the rest is for its other writes. */
-  private static final int LOG_BYTES_PER_TRANSACTION = 44_000;
+  /** Maximum bytes that a transaction writes to the log, so that other writes fit into it too. */
+  private static final int MAX_LOG_BYTES_PER_TRANSACTION = 44_000;
 
   private final EventLoop loop;
   private final JobDirectory jobs;
@@ -50,11 +51,11 @@
   private final ProgressLogWriter logWriter;
   private final ChunkKeyWriter keyWriter;
   private final ProgressLoader loader;
-  private final PendingJobEnds pendingEnds;
+  private final PendingJobEnds pendingJobEnds;
   private final boolean logEnabled;
   private boolean useLog;
 
-  /** A persister for one term. */
+  /** Creates a persister for one term. */
   public ProgressPersister(
       EventLoop loop,
       TransactionBatcher batcher,
@@ -72,28 +73,29 @@
     this.featureGates = settings.featureGates();
     this.logEnabled = settings.logEnabled();
     PlatformSettings.StoreLimits limits = settings.limits();
-    // Else no build has stored anything longer than what fits.
+    // If the limits don't shrink, no build has stored a value longer than they allow.
     this.limitsWillShrink = limits.minValueBytes() < limits.valueBytes();
-    this.valueBytes = (int) (USED_OF_VALUE * limits.minValueBytes());
+    this.valueBytes = (int) (USED_VALUE_SHARE * limits.minValueBytes());
     this.log = new ProgressLog(valueBytes);
     int maxOps = settings.maxOperations();
-    int slots = Math.max(1, Math.min(maxOps / 2, LOG_BYTES_PER_TRANSACTION / valueBytes));
+    int slots = Math.max(1, Math.min(maxOps / 2, MAX_LOG_BYTES_PER_TRANSACTION / valueBytes));
     this.logWriter = new ProgressLogWriter(loop, batcher, log, slots, new LogListener());
     this.keyWriter = new ChunkKeyWriter(batcher, log, valueBytes, maxOps, new KeyListener());
-    this.pendingEnds = new PendingJobEnds(loop, batcher.term());
+    this.pendingJobEnds = new PendingJobEnds(loop, batcher.term());
     this.loader = new ProgressLoader(jobs, shards, unreadable, batcher, log, keyWriter::deleteKey);
   }
 
-  /** Reads what is stored, before anything is written. */
+  /** Returns the loader that reads the stored progress before anything is written. */
   public ProgressLoader loader() {
     return loader;
   }
 
   /**
-   * Adopts what all controllers support by now. Once they read split chunks, what an older build
-   * stored longer than the coming limits allow is rewritten in parts, when nothing else waits. Once
-   * they read the log, progress goes there, unless the operators have switched it off: then what is
-   * there moves back to keys. The cluster may stay at any of these steps.
+   * Adopts the stored forms that all controllers support by now, and logs job ends that wait for
+   * long. Once all controllers read split chunks, values of an older build that are longer than the
+   * coming limits allow are rewritten in parts, when nothing else is pending. Once they read the
+   * log, progress goes there, unless the operators have switched it off: then what is there moves
+   * back to chunk keys. A cluster may stay at any of these steps.
    */
   public void maintain() {
     if (!keyWriter.isSplittingAllowed() && featureGates.allSupport(FeatureGates.SPLIT_CHUNKS)) {
@@ -106,12 +108,15 @@
     if (!logEnabled) {
       migrateFromLog();
     }
-    pendingEnds.logIfDelayed();
+    pendingJobEnds.logIfDelayed();
   }
 
-  /** The way back to an earlier build, which does not read the log. */
+  /**
+   * Moves progress from the log to chunk keys, then deletes the log: prepares the return to an
+   * earlier build, which does not read it.
+   */
   private void migrateFromLog() {
-    migrateToKeys(log.liveChunks());
+    migrateToChunkKeys(log.liveChunks());
     if (log.isUnused()) {
       List<String> remaining = log.slotKeys().stream().filter(batcher::hasRevision).toList();
       remaining.forEach(keyWriter::deleteKey);
@@ -124,9 +129,10 @@
   private void rewriteOversized(Job job) {
     List<Chunk> oversized = new ArrayList<>(job.chunks().uncovered());
     for (Chunk chunk : List.copyOf(job.chunks().live())) {
-      // Also what could not be stored before.
-      boolean waits = job.assignments(chunk).stream().anyMatch(ProgressPersister::isUnstored);
-      if (waits
+      // Also rewrites chunks with changes that could not be stored before.
+      boolean hasUnstoredChanges =
+          job.assignments(chunk).stream().anyMatch(ProgressPersister::isUnstored);
+      if (hasUnstoredChanges
           || (limitsWillShrink && StoreCodec.encodedLength(job.progress(chunk)) > valueBytes)) {
         oversized.add(chunk);
       }
@@ -148,14 +154,14 @@
     return new ChunkUpdate(shards, unreadable, loop, job, chunk.number());
   }
 
-  /** Has the progress of a task stored; nothing waits for it. */
+  /** Submits the progress of a task to be stored; nothing waits for it. */
   public void store(Job job, int taskIndex) {
     Chunk chunk = job.chunkOf(taskIndex);
     job.chunks().markDirty(chunk);
     store(updateOf(job, chunk));
   }
 
-  /** Has the progress of a task stored, whose start waits for that. */
+  /** Submits the progress of a task to be stored urgently: the start of the task waits for it. */
   public void storeUrgently(Job job, int taskIndex) {
     Chunk chunk = job.chunkOf(taskIndex);
     job.chunks().markDirtyUrgently(chunk);
@@ -170,39 +176,39 @@
     }
   }
 
-  /** After chunks were stored: what is no longer read is deleted, and the job may end. */
+  /** Deletes chunks that those just stored made obsolete; then the job may end. */
   private void cleanUp(ChunkUpdate update) {
     update.obsoleteChunks().forEach(chunk -> keyWriter.delete(update.job(), chunk));
     listener.onProgressStored(update.job());
   }
 
-  /** Keeps the log short: what a new leader reads is bounded by what is live in it. */
+  /** Compacts the log, so that its live entries bound how much a new leader reads. */
   private void compact() {
     rewrite(log.chunksToCompact(), (job, chunk) -> store(updateOf(job, chunk)));
-    migrateToKeys(log.chunksToMigrate());
+    migrateToChunkKeys(log.chunksToMigrate());
   }
 
-  private void migrateToKeys(List<ProgressLog.ChunkId> images) {
-    rewrite(images, this::writeWhenIdle);
+  private void migrateToChunkKeys(List<ProgressLog.ChunkId> chunkIds) {
+    rewrite(chunkIds, this::writeWhenIdle);
   }
 
-  /** Images of jobs that this build can't read any more stay where they are. */
-  private void rewrite(List<ProgressLog.ChunkId> images, BiConsumer<Job, Chunk> writer) {
-    for (ProgressLog.ChunkId image : images) {
-      Optional<Job> job = jobs.findJob(image.job());
+  /** Rewrites chunks that are in the log; those of quarantined jobs stay, in pinned slots. */
+  private void rewrite(List<ProgressLog.ChunkId> chunkIds, BiConsumer<Job, Chunk> writer) {
+    for (ProgressLog.ChunkId chunkId : chunkIds) {
+      Optional<Job> job = jobs.findJob(chunkId.job());
       if (job.isPresent()) {
-        job.get().chunks().markDirty(image.chunk());
-        writer.accept(job.get(), image.chunk());
+        job.get().chunks().markDirty(chunkId.chunk());
+        writer.accept(job.get(), chunkId.chunk());
       } else {
-        log.pinSlotOf(image);
+        log.pinSlotOf(chunkId);
       }
     }
   }
 
   /**
-   * The record of a job was changed, by a cancellation: an end that waits to be stored demands the
-   * new revision. With the old one its whole transaction would fail, and the store counts the
-   * writes of a transaction that fails.
+   * Makes a job end that waits to be stored expect the new revision of the job's record, after a
+   * cancellation changed the record. With the old revision its whole transaction would fail, and
+   * the store counts the writes of a failed transaction too.
    */
   public void onRecordChanged(Job job) {
     if (job.state() == Job.State.ENDING) {
@@ -214,17 +220,17 @@
     batcher.recordRevision(StoreKeys.activeJob(job.spec().id()), job.revision());
   }
 
-  /** Has the end of a job stored, whose state allows it. */
+  /** Submits the end of a job to be stored; the caller has checked that the job may end. */
   public void storeJobEnd(Job job) {
     recordRevision(job);
     batcher.submit(
         StoreKeys.endedJob(job.spec().id()),
         new JobEndMutation(loop, batcher, unreadable, log, keyWriter, listener, job));
-    pendingEnds.add(job);
+    pendingJobEnds.add(job);
     job.beginEnding();
   }
 
-  /** Connects the log's writer with the keys. */
+  /** Connects the writer of the log with the chunk keys. */
   private final class LogListener implements ProgressLogWriter.Listener {
     @Override
     public boolean mustUseChunkKeys(String chunkName) {
@@ -243,7 +249,7 @@
     }
   }
 
-  /** Connects the writer of keys with the log. */
+  /** Connects the writer of chunk keys with the log. */
   private final class KeyListener implements ChunkKeyWriter.Listener {
     @Override
     public boolean hasUncertainLogWrite(String chunkName) {
--- a/src/main/java/org/mulleinshift/progress/ProgressSettings.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressSettings.java
@@ -4,12 +4,12 @@
 import org.mulleinshift.settings.PlatformSettings;
 
 /**
- * What decides where and how progress is stored.
+ * Settings and limits that decide where and in which form progress is stored.
  *
- * @param limits of the store
+ * @param limits limits of the key-value store
  * @param maxOperations maximum number of writes of a transaction
- * @param featureGates which stored forms all controllers can read
- * @param logEnabled whether the operators allow the progress log
+ * @param featureGates tell which stored forms all controllers can read
+ * @param logEnabled whether the operators' settings allow the progress log
  */
 public record ProgressSettings(
     PlatformSettings.StoreLimits limits,
--- a/src/main/java/org/mulleinshift/progress/package-info.java
+++ b/src/main/java/org/mulleinshift/progress/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Persistence of job progress: chunks under keys of their own, or group commit to a log of bounded
- * size.
+ * Persistence of job progress, in chunks under their own keys or by group commit to a log of
+ * bounded size.
  */
 package org.mulleinshift.progress;
--- a/src/test/java/org/mulleinshift/progress/ProgressLogTest.java
+++ b/src/test/java/org/mulleinshift/progress/ProgressLogTest.java
@@ -25,20 +25,20 @@
 import org.mulleinshift.protocol.StoreCodec;
 import org.mulleinshift.protocol.StoreCodec.Write;
 
-/** The state of the progress log: which slots may be overwritten, and which writes are certain. */
+/** Tests which slots of the progress log may be overwritten and which writes are uncertain. */
 class ProgressLogTest {
   private static final int VALUE_BYTES = 600;
   private static final int JOBS = 12;
   private static final int ROUNDS = 400;
 
-  /** A key-value store that may carry out a transaction late. */
+  /** A key-value store that may apply a transaction late. */
   private static final class Store {
     private record Stored(JsonNode value, int revision) {}
 
     private record Transaction(List<Write> writes, Map<String, Integer> guards) {}
 
     private final Map<String, Stored> keys = new TreeMap<>();
-    private final List<Transaction> late = new ArrayList<>();
+    private final List<Transaction> lateTransactions = new ArrayList<>();
     private int revision;
 
     Transaction transaction(List<Write> writes) {
@@ -63,16 +63,16 @@
       }
     }
 
-    /** The image of each chunk with the highest revision, as a new leader reads it. */
+    /** The progress of each chunk with the highest revision, as a new leader reads it. */
     Map<ProgressLog.ChunkId, String> newest() throws MalformedMessageException {
-      Map<ProgressLog.ChunkId, Integer> at = new HashMap<>();
+      Map<ProgressLog.ChunkId, Integer> revisions = new HashMap<>();
       Map<ProgressLog.ChunkId, String> found = new HashMap<>();
       for (Stored stored : keys.values()) {
         for (LogSegment.Entry entry : LogSegment.read(stored.value())) {
-          ProgressLog.ChunkId image = new ProgressLog.ChunkId(entry.job(), entry.chunk());
-          if (stored.revision() > at.getOrDefault(image, 0)) {
-            at.put(image, stored.revision());
-            found.put(image, entry.progress().path("done").asText());
+          ProgressLog.ChunkId chunkId = new ProgressLog.ChunkId(entry.job(), entry.chunk());
+          if (stored.revision() > revisions.getOrDefault(chunkId, 0)) {
+            revisions.put(chunkId, stored.revision());
+            found.put(chunkId, entry.progress().path("done").asText());
           }
         }
       }
@@ -85,29 +85,30 @@
     return LogSegment.Entry.of(new JobId("run-" + job), Chunk.whole(0), progress);
   }
 
-  private static ProgressLog.ChunkId image(LogSegment.Entry entry) {
+  private static ProgressLog.ChunkId chunkId(LogSegment.Entry entry) {
     return new ProgressLog.ChunkId(entry.job(), entry.chunk());
   }
 
   /**
-   * Transactions are refused, carried out without an answer, or carried out much later, in any
-   * order: what was acknowledged as stored is what a new leader reads.
+   * Transactions are answered, applied without an answer, or applied late if none of their keys has
+   * changed since: a new leader must read exactly what was acknowledged as stored. Guards against a
+   * delayed write that brings back older progress.
    */
   @ParameterizedTest
   @MethodSource("seeds")
   void acknowledgedProgressIsReadAfterLateWrites(int seed) throws MalformedMessageException {
-    LateWrites play = new LateWrites(seed);
+    LateWrites run = new LateWrites(seed);
     for (int round = 0; round < ROUNDS; round++) {
-      play.round(round);
+      run.round(round);
     }
-    assertTrue(play.log.slotKeys().size() < ProgressLog.MAX_SLOTS, "the log uses all of its slots");
+    assertTrue(run.log.slotKeys().size() < ProgressLog.MAX_SLOTS, "the log uses all of its slots");
   }
 
   static IntStream seeds() {
     return IntStream.rangeClosed(1, 30);
   }
 
-  /** A log whose transactions have random outcomes. */
+  /** A log whose transactions have random outcomes: applied, unanswered or late. */
   private static final class LateWrites {
     private final int seed;
     private final Random random;
@@ -131,7 +132,7 @@
       List<LogSegment.Entry> added = addPending(batch);
       Store.Transaction transaction = store.transaction(batch.writes());
       switch (random.nextInt(4)) {
-        case 0 -> store.late.add(transaction);
+        case 0 -> store.lateTransactions.add(transaction);
         case 1 -> store.apply(transaction);
         default -> {
           store.apply(transaction);
@@ -151,7 +152,7 @@
       }
     }
 
-    /** The end of a job is stored: its slot may become free. */
+    /** Releases the entries of a job whose end is stored, which may free its slot. */
     private void endJob(int job) {
       ended.add(job);
       pending.remove(job);
@@ -172,22 +173,22 @@
     private void acknowledge(ProgressLog.Batch batch, List<LogSegment.Entry> added) {
       log.markStored(batch);
       for (LogSegment.Entry entry : added) {
-        acknowledged.put(image(entry), entry.progress().path("done").asText());
+        acknowledged.put(chunkId(entry), entry.progress().path("done").asText());
         pending.remove(number(entry.job()));
       }
     }
 
     private void applyLateWrites() throws MalformedMessageException {
-      for (Store.Transaction old : store.late) {
+      for (Store.Transaction old : store.lateTransactions) {
         store.apply(old);
       }
-      store.late.clear();
+      store.lateTransactions.clear();
     }
 
     private void assertAcknowledgedIsRead(int round) throws MalformedMessageException {
-      acknowledged.keySet().removeIf(image -> ended.contains(number(image.job())));
+      acknowledged.keySet().removeIf(chunkId -> ended.contains(number(chunkId.job())));
       Map<ProgressLog.ChunkId, String> newest = store.newest();
-      newest.keySet().removeIf(image -> ended.contains(number(image.job())));
+      newest.keySet().removeIf(chunkId -> ended.contains(number(chunkId.job())));
       assertEquals(acknowledged, newest, "seed " + seed + ", round " + round);
     }
   }
@@ -223,8 +224,8 @@
     int moved = 0;
     for (int step = 0; step < 10 && !log.chunksToCompact().isEmpty(); step++) {
       ProgressLog.Batch batch = log.beginBatch(1);
-      for (ProgressLog.ChunkId image : log.chunksToCompact()) {
-        assertTrue(batch.add(LogSegment.Entry.of(image.job(), image.chunk(), Json.object())));
+      for (ProgressLog.ChunkId chunkId : log.chunksToCompact()) {
+        assertTrue(batch.add(LogSegment.Entry.of(chunkId.job(), chunkId.chunk(), Json.object())));
         moved++;
       }
       log.markStored(batch);
@@ -270,7 +271,7 @@
     assertFalse(log.isUnused());
   }
 
-  /** What is counted for a segment is no less than what it takes. */
+  /** The length counted for a segment must be no less than its encoded length. */
   @Test
   void entriesAreNotLongerThanCounted() {
     List<LogSegment.Entry> entries = new ArrayList<>();
@@ -282,7 +283,7 @@
     assertTrue(StoreCodec.encodedLength(LogSegment.write(entries)) <= counted);
   }
 
-  /** Anything that a segment may hold is read as it was written, or refused as a whole. */
+  /** A damaged segment is either read as a whole, and written again the same, or refused. */
   @Test
   void damagedSegmentsAreRefused() throws MalformedMessageException {
     List<LogSegment.Entry> entries = List.of(entry(1, "0-4"), entry(2, "7"));
