--- a/src/main/java/org/mulleinshift/api/DependencyReader.java
+++ b/src/main/java/org/mulleinshift/api/DependencyReader.java
@@ -21,30 +21,30 @@
 import org.mulleinshift.transport.EventLoop;
 
 /**
- * Reads from the store what {@link DependencyCheck} lacks for a verdict. What is read never changes
- * and is kept, so that each of a job's dependencies costs a node one read; callers that lack the
- * same share it. Where there is much to read it goes on after the callers were answered, so that
- * their next question finds it.
+ * Reads from the store what {@link DependencyCheck} needs for a verdict. The values read are
+ * immutable and cached, so that each dependency of a job costs a node one read; concurrent callers
+ * that need the same value share the read. Long reads continue after their callers have timed out,
+ * so that a retry finds the values.
  */
 final class DependencyReader {
   private static final int MAX_CONCURRENT_READS = 8;
 
-  /** Each round of reads may show further jobs whose lists have to be read. */
+  /** Each round of reads may find further jobs whose dependencies have to be read. */
   private static final int MAX_ROUNDS = 16;
 
-  /** Shorter than clients wait for an answer. */
+  /** Shorter than the timeout of clients. */
   private static final Duration MAX_WAIT = Duration.ofSeconds(1);
 
   private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
-  /** A key that can't be read for some seconds is left to the next question. */
+  /** After these retries, which take at least 5 s, a refused key is left to the next request. */
   private static final int MAX_RETRIES = 20;
 
   private final EventLoop loop;
   private final KeyValueStore store;
   private final KnownJobs knownJobs;
   private final DependencyCheck check;
-  private final Map<JobId, Reading> readings = new HashMap<>();
+  private final Map<JobId, VerdictRead> verdictReads = new HashMap<>();
   private final Map<JobId, List<Consumer<Boolean>>> endReads = new HashMap<>();
   private final Map<JobId, List<Consumer<Boolean>>> listReads = new HashMap<>();
 
@@ -57,27 +57,28 @@
   }
 
   /**
-   * Reads what is missing for a verdict on the job.
+   * Reads the values that are missing for a verdict on the job.
    *
-   * @param onFinished runs once all was read, a read has failed, or it takes too long
+   * @param onFinished runs once, when all values were read, when a read has failed, or after {@link
+   *     #MAX_WAIT}
    */
   void readMissing(JobRecord job, Runnable onFinished) {
     if (!(check.verdict(job) instanceof DependencyVerdict.Unproven)) {
       onFinished.run();
       return;
     }
-    Reading running = readings.get(job.id());
-    Reading reading = running == null ? new Reading(job) : running;
+    VerdictRead pending = verdictReads.get(job.id());
+    VerdictRead verdictRead = pending == null ? new VerdictRead(job) : pending;
     Caller caller = new Caller(onFinished);
-    reading.callers.add(caller);
+    verdictRead.callers.add(caller);
     loop.after(MAX_WAIT, caller::finish);
-    if (running == null) {
-      readings.put(job.id(), reading);
-      reading.startRound();
+    if (pending == null) {
+      verdictReads.put(job.id(), verdictRead);
+      verdictRead.startRound();
     }
   }
 
-  /** Is told once, of whichever comes first. */
+  /** Runs its callback once: at the end of the reads or at the timeout, whichever comes first. */
   private static final class Caller {
     private final Runnable onFinished;
     private boolean finished;
@@ -94,8 +95,8 @@
     }
   }
 
-  /** The reads for one job's verdict. */
-  private final class Reading {
+  /** The reads that one job's verdict needs. */
+  private final class VerdictRead {
     private final JobRecord job;
     private final List<Caller> callers = new ArrayList<>();
     private final Deque<JobId> unreadEnds = new ArrayDeque<>();
@@ -105,7 +106,7 @@
     private int readsInFlight;
     private boolean failed;
 
-    Reading(JobRecord job) {
+    VerdictRead(JobRecord job) {
       this.job = job;
     }
 
@@ -119,7 +120,7 @@
         return;
       }
       remainingRounds--;
-      // Many reads leave the larger part of the rate to what clients wait for.
+      // A large batch leaves most of the store's rate limit to requests that clients wait for.
       urgency =
           missing.ends().size() > MAX_CONCURRENT_READS
               ? KeyValueStore.Urgency.LOW
@@ -130,7 +131,7 @@
     }
 
     private void finish() {
-      readings.remove(job.id());
+      verdictReads.remove(job.id());
       callers.forEach(Caller::finish);
     }
 
@@ -163,7 +164,7 @@
   }
 
   private void readEnd(JobId ended, KeyValueStore.Urgency urgency, Consumer<Boolean> result) {
-    if (!isFirst(endReads, ended, result)) {
+    if (!addCaller(endReads, ended, result)) {
       return;
     }
     read(
@@ -172,34 +173,34 @@
         item -> {
           Optional<JobPhase> phase = item.flatMap(JobRecord::endedPhase);
           phase.ifPresent(terminal -> knownJobs.cacheTerminalPhase(ended, terminal));
-          finish(endReads, ended, phase.isPresent());
+          completeRead(endReads, ended, phase.isPresent());
         });
   }
 
   private void readLists(JobRecord job, KeyValueStore.Urgency urgency, Consumer<Boolean> result) {
-    if (isFirst(listReads, job.id(), result)) {
+    if (addCaller(listReads, job.id(), result)) {
       readLists(job, urgency, new ArrayList<>(), 0);
     }
   }
 
   private void readLists(
-      JobRecord job, KeyValueStore.Urgency urgency, List<JobId> found, int list) {
+      JobRecord job, KeyValueStore.Urgency urgency, List<JobId> collected, int listIndex) {
     JobDependencies dependencies = job.dependencies();
-    if (list == dependencies.lists()) {
-      knownJobs.onDependenciesRead(job.id(), found);
-      finish(listReads, job.id(), true);
+    if (listIndex == dependencies.lists()) {
+      knownJobs.onDependenciesRead(job.id(), collected);
+      completeRead(listReads, job.id(), true);
       return;
     }
     read(
-        StoreKeys.dependencyList(job.id(), dependencies.digest(), list),
+        StoreKeys.dependencyList(job.id(), dependencies.digest(), listIndex),
         urgency,
         item -> {
           Optional<List<JobId>> names = item.flatMap(DependencyReader::parseList);
           if (names.isPresent()) {
-            found.addAll(names.get());
-            readLists(job, urgency, found, list + 1);
+            collected.addAll(names.get());
+            readLists(job, urgency, collected, listIndex + 1);
           } else {
-            finish(listReads, job.id(), false);
+            completeRead(listReads, job.id(), false);
           }
         });
   }
@@ -212,7 +213,10 @@
     }
   }
 
-  /** Reads a key once the rate allows it; empty if it is absent or was not answered. */
+  /**
+   * Reads a key, retrying while the store refuses the read; empty if the key is absent or
+   * unreadable.
+   */
   private void read(
       String key, KeyValueStore.Urgency urgency, Consumer<Optional<KeyValue>> result) {
     read(key, urgency, MAX_RETRIES, result);
@@ -237,15 +241,16 @@
         });
   }
 
-  /** Adds a caller to a read; the first one has to start it. */
-  private static boolean isFirst(
+  /** Adds a caller to a read; returns true for the first caller, which has to start the read. */
+  private static boolean addCaller(
       Map<JobId, List<Consumer<Boolean>>> reads, JobId job, Consumer<Boolean> result) {
     List<Consumer<Boolean>> callers = reads.computeIfAbsent(job, key -> new ArrayList<>());
     callers.add(result);
     return callers.size() == 1;
   }
 
-  private static void finish(Map<JobId, List<Consumer<Boolean>>> reads, JobId job, boolean known) {
+  private static void completeRead(
+      Map<JobId, List<Consumer<Boolean>>> reads, JobId job, boolean known) {
     reads.remove(job).forEach(caller -> caller.accept(known));
   }
 }
--- a/src/main/java/org/mulleinshift/compatibility/UnreadableJobs.java
+++ b/src/main/java/org/mulleinshift/compatibility/UnreadableJobs.java
@@ -16,71 +16,75 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Jobs whose stored form this build can't read: a newer build wrote them, or they are damaged. This
- * build can't judge them: nothing stored of them is deleted or written, none of their tasks is
- * started, stopped or forgotten, and the resources that they may use count as used. They stay
+ * Quarantined jobs: this build can't read their stored records, because a newer build wrote them or
+ * they are corrupt. Their stored data is neither changed nor deleted, none of their tasks is
+ * started, stopped or dropped, and the resources that they may use count as used. They stay
  * quarantined until the next term.
  */
 public final class UnreadableJobs {
   private static final Logger LOG = LoggerFactory.getLogger(UnreadableJobs.class);
 
-  private final Map<JobId, Footprint> jobs = new LinkedHashMap<>();
-  private final Set<ShardId> shards = new HashSet<>();
-  private boolean shardsUnknown;
+  private final Map<JobId, Footprint> footprints = new LinkedHashMap<>();
+  private final Set<ShardId> possibleShards = new HashSet<>();
+  private boolean mayHaveTasksAnywhere;
 
   /**
-   * Quarantines a job; logged once for each.
+   * Quarantines a job; logs it the first time.
    *
    * @param record the stored record
-   * @param reason what can't be read, for the log
+   * @param reason why it can't be read, for the log
    */
-  public void add(JobId job, JsonNode record, String reason) {
-    if (jobs.putIfAbsent(job, JobRecord.footprint(record)) == null) {
+  public void quarantine(JobId job, JsonNode record, String reason) {
+    if (footprints.putIfAbsent(job, JobRecord.footprint(record)) == null) {
       LOG.warn("job quarantined as unreadable, job={} reason={}", job, reason);
     }
   }
 
-  /** Records where a quarantined job may have tasks, by a chunk of its stored progress. */
-  public void addProgress(JsonNode chunk) {
+  /**
+   * Adds the shards in which a quarantined job may have tasks, according to a chunk of its stored
+   * progress. If the chunk doesn't show them, the job may have tasks in any shard.
+   */
+  public void addShardsFromProgress(JsonNode chunk) {
     JsonNode assignments = chunk.path("at");
     if (!assignments.isArray()) {
-      shardsUnknown = true;
+      mayHaveTasksAnywhere = true;
       return;
     }
     for (JsonNode assignment : assignments) {
       if (assignment.path("b").isTextual()) {
         addShard(new ShardId(assignment.path("b").asText()));
       } else {
-        shardsUnknown = true;
+        mayHaveTasksAnywhere = true;
       }
     }
   }
 
-  /** A quarantined job may have tasks in that shard. */
+  /** Adds a shard in which a quarantined job may have tasks. */
   public void addShard(ShardId shard) {
-    shards.add(shard);
+    possibleShards.add(shard);
   }
 
-  /** Whether the job is quarantined. */
+  /** Returns whether the job is quarantined. */
   public boolean contains(JobId job) {
-    return jobs.containsKey(job);
+    return footprints.containsKey(job);
   }
 
-  /** All quarantined jobs. */
+  /** Returns an unmodifiable view of all quarantined jobs. */
   public Set<JobId> jobs() {
-    return Collections.unmodifiableSet(jobs.keySet());
+    return Collections.unmodifiableSet(footprints.keySet());
   }
 
   /**
-   * Whether tasks of quarantined jobs, which must not be stopped, may be on the shard's machines.
+   * Returns whether the shard's machines may run tasks of quarantined jobs, which must not be
+   * stopped.
    */
-  public boolean mayOccupy(ShardId shard) {
-    return !jobs.isEmpty() && (shardsUnknown || shards.contains(shard));
+  public boolean mayHaveTasksIn(ShardId shard) {
+    return !footprints.isEmpty() && (mayHaveTasksAnywhere || possibleShards.contains(shard));
   }
 
-  /** Adds what the quarantined jobs may use to the usage of their teams. */
+  /** Adds the maximum resources of the quarantined jobs to their teams' usage. */
   public void addUsage(Map<TeamId, Resources> usage) {
-    for (Footprint footprint : jobs.values()) {
+    for (Footprint footprint : footprints.values()) {
       footprint.team().ifPresent(team -> usage.merge(team, footprint.maximum(), Resources::plus));
     }
   }
--- a/src/main/java/org/mulleinshift/controller/CancellationAnnouncer.java
+++ b/src/main/java/org/mulleinshift/controller/CancellationAnnouncer.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.mulleinshift.api.CancellationNotice;
+import org.mulleinshift.api.CancellationNotifier;
 import org.mulleinshift.compatibility.FeatureGates;
 import org.mulleinshift.memory.BoundedMap;
 import org.mulleinshift.model.ClusterView;
@@ -23,23 +23,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells the other controllers of a stored cancellation before it is acknowledged to its user, and
- * waits until every owner of shards has confirmed that it starts no task of the job. An owner that
- * does not confirm would learn of the cancellation from the store, or may act no longer than its
- * ownership lease.
+ * Announces a stored cancellation to the other controllers before it is acknowledged to the user,
+ * and waits until every shard owner has confirmed that it starts no more tasks of the job. An owner
+ * that does not confirm either learns of the cancellation from the store or loses its ownership
+ * lease.
  */
-final class CancellationAnnouncer implements CancellationNotice {
+final class CancellationAnnouncer implements CancellationNotifier {
   private static final Logger LOG = LoggerFactory.getLogger(CancellationAnnouncer.class);
   private static final Duration ACK_TIMEOUT = Duration.ofMillis(500);
   private static final int MAX_PENDING = 512;
-  private static final int MAX_REMEMBERED = 4096;
+  private static final int MAX_REMEMBERED_ANNOUNCEMENTS = 4096;
 
-  /** An announcement that some owners have not acknowledged. */
-  private static final class Pending {
+  /** An announcement that has not been acknowledged by all owners. */
+  private static final class PendingAnnouncement {
     private final Set<NodeId> unacknowledged;
-    private final List<Consumer<Boolean>> results = new ArrayList<>();
+    private final List<Consumer<Boolean>> callbacks = new ArrayList<>();
 
-    Pending(Set<NodeId> owners) {
+    PendingAnnouncement(Set<NodeId> owners) {
       this.unacknowledged = owners;
     }
   }
@@ -51,18 +51,19 @@
   private final FrameMessenger messenger;
   private final CancelledJobs cancelledJobs;
   private final Duration ownershipLease;
-  private final Map<JobId, Pending> pending = new HashMap<>();
-  private final Map<JobId, MonotonicTime> firstAnnouncedAt = new BoundedMap<>(MAX_REMEMBERED);
+  private final Map<JobId, PendingAnnouncement> pending = new HashMap<>();
+  private final Map<JobId, MonotonicTime> firstAnnouncedAt =
+      new BoundedMap<>(MAX_REMEMBERED_ANNOUNCEMENTS);
 
   /**
-   * Nothing is announced yet.
+   * Creates an announcer without pending announcements.
    *
    * @param members the controllers of the cluster
-   * @param view who owns shards
-   * @param featureGates whether all controllers understand the announcement
-   * @param messenger sends to the others
-   * @param cancelledJobs the cancelled jobs that this controller knows
-   * @param ownershipLease an owner that does not know the cancellation acts no longer than this
+   * @param view provides the owners of shards
+   * @param featureGates tell whether all controllers understand announcements
+   * @param messenger sends the announcements
+   * @param cancelledJobs the cancelled jobs known to this controller
+   * @param ownershipLease for how long an owner may act without knowing the cancellation
    */
   CancellationAnnouncer(
       EventLoop loop,
@@ -82,30 +83,30 @@
   }
 
   @Override
-  public void announce(JobId job, Consumer<Boolean> result) {
+  public void announce(JobId job, Consumer<Boolean> callback) {
     cancelledJobs.add(job);
     Set<NodeId> owners = otherOwners();
-    if (owners.isEmpty() || isKnownByAll(job)) {
-      result.accept(true);
+    if (owners.isEmpty() || needsNoAnnouncement(job)) {
+      callback.accept(true);
       return;
     }
-    Pending waiting = pending.get(job);
-    if (waiting != null) {
-      waiting.results.add(result);
+    PendingAnnouncement existing = pending.get(job);
+    if (existing != null) {
+      existing.callbacks.add(callback);
       return;
     }
     if (pending.size() >= MAX_PENDING) {
-      result.accept(false);
+      callback.accept(false);
       return;
     }
-    Pending next = new Pending(owners);
-    next.results.add(result);
+    PendingAnnouncement next = new PendingAnnouncement(owners);
+    next.callbacks.add(callback);
     pending.put(job, next);
     messenger.sendToOthers(new JobCancellation(job.value()));
     loop.after(ACK_TIMEOUT, () -> expire(job, next));
   }
 
-  /** Controllers other than this one that own shards. */
+  /** Returns the controllers other than this one that own shards. */
   private Set<NodeId> otherOwners() {
     Set<NodeId> owners = new HashSet<>();
     view.grants().values().stream().map(GrantRecord::owner).forEach(owners::add);
@@ -113,39 +114,42 @@
     return owners;
   }
 
-  /** Whether nothing is gained by an announcement, or it would not be understood. */
-  private boolean isKnownByAll(JobId job) {
+  /**
+   * Returns whether no owner can act without knowing the cancellation any more, since a full
+   * ownership lease has passed, or some controller doesn't understand announcements yet.
+   */
+  private boolean needsNoAnnouncement(JobId job) {
     MonotonicTime now = loop.now();
     MonotonicTime first = firstAnnouncedAt.computeIfAbsent(job, key -> now);
     return now.since(first).compareTo(ownershipLease) >= 0
         || !featureGates.allSupport(FeatureGates.CANCELLATION_NOTICES);
   }
 
-  private void expire(JobId job, Pending expired) {
+  private void expire(JobId job, PendingAnnouncement expired) {
     if (pending.remove(job, expired)) {
       LOG.info("cancellation not acknowledged, job={} controllers={}", job, expired.unacknowledged);
-      expired.results.forEach(result -> result.accept(false));
+      expired.callbacks.forEach(callback -> callback.accept(false));
     }
   }
 
-  /** Another controller has stored or found a cancellation. */
+  /** Another controller announces a cancellation, which it has stored or found in the store. */
   void onAnnouncement(NodeId sender, JobCancellation announcement) {
     JobId job = new JobId(announcement.getJob());
-    cancelledJobs.announce(job);
+    cancelledJobs.addAnnounced(job);
     messenger.send(sender, new JobCancellationAck(job.value()));
   }
 
-  /** Another controller starts no task of the job any more. */
+  /** Another controller confirms that it starts no more tasks of the job. */
   void onAck(NodeId sender, JobCancellationAck ack) {
     JobId job = new JobId(ack.getJob());
-    Pending waiting = pending.get(job);
-    if (waiting == null) {
+    PendingAnnouncement existing = pending.get(job);
+    if (existing == null) {
       return;
     }
-    waiting.unacknowledged.remove(sender);
-    if (waiting.unacknowledged.isEmpty()) {
+    existing.unacknowledged.remove(sender);
+    if (existing.unacknowledged.isEmpty()) {
       pending.remove(job);
-      waiting.results.forEach(result -> result.accept(true));
+      existing.callbacks.forEach(callback -> callback.accept(true));
     }
   }
 }
--- a/src/main/java/org/mulleinshift/controller/ControllerComponents.java
+++ b/src/main/java/org/mulleinshift/controller/ControllerComponents.java
@@ -17,7 +17,7 @@
 import org.mulleinshift.placement.MachineTypeCatalog;
 import org.mulleinshift.protocol.Revision;
 import org.mulleinshift.scheduling.RunTimeEstimator;
-import org.mulleinshift.settings.Leases;
+import org.mulleinshift.settings.LeaseDurations;
 import org.mulleinshift.settings.PlatformSettings;
 import org.mulleinshift.settings.Tunables;
 import org.mulleinshift.sharding.OwnedShards;
@@ -29,11 +29,11 @@
 import org.mulleinshift.transport.RequestHandler;
 
 /**
- * Builds the components of one controller and joins them. A component that works with one built
- * later gets a callback, which isn't called before {@link #start}.
+ * Builds the components of one controller and connects them. A component that uses one built later
+ * gets a callback, which isn't called before {@link #start}.
  */
 final class ControllerComponents {
-  /** A session's lease is renewed at least so often while it lasts. */
+  /** A session lease is renewed at least this many times within its duration. */
   private static final int RENEWALS_PER_LEASE = 5;
 
   private final PlatformSettings settings;
@@ -47,7 +47,7 @@
   private final RunTimeEstimator runTimes = new RunTimeEstimator();
   private final ComponentEvents events = new ComponentEvents(this);
   private final PeerMessageDispatcher dispatcher = new PeerMessageDispatcher();
-  private final EstimateReplicator estimates;
+  private final EstimateReplicator estimateReplicator;
   private final StoreRateLimits rateLimits;
   private final KeyValueStore store;
   private final CancelledJobs cancelledJobs;
@@ -66,16 +66,16 @@
   private final ControllerStatus status;
   private final OwnedShards ownedShards;
   private final FeatureGates featureGates;
-  private final CancellationAnnouncer cancellations;
+  private final CancellationAnnouncer cancellationAnnouncer;
   private final JobApi jobApi;
   private final CloudClient cloud;
   private final ControllerReadiness readiness;
-  private final LeaderLocator locator;
+  private final LeaderLocator leaderLocator;
   private final LeadershipCoordinator leadership;
   private final HeartbeatExchange heartbeats;
   private final RequestRouter router;
 
-  /** Builds each component after those that it works with from its start. */
+  /** Builds each component after those that its constructor needs. */
   ControllerComponents(PlatformSettings settings, Tunables tunables, Controller.Ports ports) {
     this.settings = settings;
     this.cluster = settings.cluster();
@@ -83,13 +83,13 @@
     this.ports = ports;
     this.loop = ports.loop();
     this.members = ClusterMembers.of(settings);
-    this.shardLease = Leases.shardLease(cluster.workerTiming(), tunables);
-    this.estimates = new EstimateReplicator(loop, runTimes);
+    this.shardLease = LeaseDurations.maxShardLease(cluster.workerTiming(), tunables);
+    this.estimateReplicator = new EstimateReplicator(loop, runTimes);
     this.rateLimits = new StoreRateLimits(cluster);
     this.store = rateLimits.createClient(ports, settings.storeAddress());
     this.cancelledJobs = new CancelledJobs(events::onJobCancelled);
     this.currentTerm =
-        new CurrentTerm(loop, store, rateLimits, this::createLeader, events::onCandidacyChange);
+        new CurrentTerm(loop, store, rateLimits, this::createLeader, events::onCandidacyAllowed);
     this.controlKeys = createControlKeys();
     this.activeJobsListener = new ActiveJobsListener(cancelledJobs, currentTerm, events);
     this.activeJobs = createActiveJobs();
@@ -105,11 +105,11 @@
     this.status = createStatus();
     this.ownedShards = createOwnedShards();
     this.featureGates = new FeatureGates(loop, store, members.self(), members.all(), view);
-    this.cancellations = createCancellations();
+    this.cancellationAnnouncer = createCancellationAnnouncer();
     this.jobApi = createJobApi();
     this.cloud = createCloudClient();
     this.readiness = createReadiness();
-    this.locator = new LeaderLocator(view, storeHealth, failureDetector);
+    this.leaderLocator = new LeaderLocator(view, storeHealth, failureDetector);
     this.leadership = createLeadership();
     this.heartbeats = createHeartbeats();
     this.router =
@@ -117,72 +117,72 @@
     PeerMessageHandlers.register(dispatcher, this);
   }
 
-  /** Handles HTTP requests. */
+  /** Returns the handler of all HTTP requests. */
   RequestHandler router() {
     return router;
   }
 
-  /** Exchanges frames with the other controllers. */
+  /** Returns the messenger, which exchanges frames with the other controllers. */
   FrameMessenger messenger() {
     return messenger;
   }
 
-  /** The leader, while this controller leads. */
+  /** Returns the current term, which provides the leader while this controller leads. */
   CurrentTerm currentTerm() {
     return currentTerm;
   }
 
-  /** Keeps this controller's copy of the active jobs. */
+  /** Returns this controller's copy of the active jobs in the store. */
   PrefixWatcher activeJobs() {
     return activeJobs;
   }
 
-  /** Knows from which controllers heartbeats arrive. */
+  /** Returns the failure detector for the other controllers. */
   PeerFailureDetector failureDetector() {
     return failureDetector;
   }
 
-  /** Holds this controller's lease of its shards. */
+  /** Returns this controller's session in the store, which its ownership of shards depends on. */
   ControllerSession session() {
     return session;
   }
 
-  /** Renews leases by way of other controllers. */
+  /** Returns the component that renews leases through other controllers. */
   IndirectLeaseRenewal indirectRenewal() {
     return indirectRenewal;
   }
 
-  /** The shards that this controller owns. */
+  /** Returns the shards that this controller owns. */
   OwnedShards ownedShards() {
     return ownedShards;
   }
 
-  /** Announces cancellations to the other controllers. */
-  CancellationAnnouncer cancellations() {
-    return cancellations;
+  /** Returns the component that announces cancellations to the other controllers. */
+  CancellationAnnouncer cancellationAnnouncer() {
+    return cancellationAnnouncer;
   }
 
-  /** Answers users. */
+  /** Returns the handler of users' requests. */
   JobApi jobApi() {
     return jobApi;
   }
 
-  /** What this controller learns from leaders. */
-  EstimateReplicator estimates() {
-    return estimates;
+  /** Returns the replicator of estimates that leaders learn. */
+  EstimateReplicator estimateReplicator() {
+    return estimateReplicator;
   }
 
-  /** Decides when this controller stands for election or resigns. */
+  /** Returns the component that decides when this controller stands for election or resigns. */
   LeadershipCoordinator leadership() {
     return leadership;
   }
 
-  /** Exchanges heartbeats. */
+  /** Returns the exchange of heartbeats with the other controllers. */
   HeartbeatExchange heartbeats() {
     return heartbeats;
   }
 
-  /** Starts all components, in the order in which they come to depend on each other. */
+  /** Starts all components, each after those that it depends on. */
   void start() {
     ports.heapMonitor().start();
     storeHealth.start();
@@ -199,13 +199,14 @@
 
   private PrefixWatcher createControlKeys() {
     ControlKeysListener listener =
-        new ControlKeysListener(view, events::onGrantsChange, events::onViewChange);
-    return new PrefixWatcher(loop, store, StoreKeys.CONTROL, rateLimits.watchSpacing(), listener);
+        new ControlKeysListener(view, events::onGrantsChange, events::onControlKeysChanged);
+    return new PrefixWatcher(
+        loop, store, StoreKeys.CONTROL, rateLimits.minWatchInterval(), listener);
   }
 
   private PrefixWatcher createActiveJobs() {
     return new PrefixWatcher(
-        loop, store, StoreKeys.ACTIVE_JOBS, rateLimits.watchSpacing(), activeJobsListener);
+        loop, store, StoreKeys.ACTIVE_JOBS, rateLimits.minWatchInterval(), activeJobsListener);
   }
 
   private StoreHealth createStoreHealth() {
@@ -213,14 +214,14 @@
         new StoreHealth(
             loop,
             tunables.seconds(Tunables.Key.STORE_TIMEOUT_S),
-            rateLimits.probeSpacing(),
+            rateLimits.probeInterval(),
             this::probeStore,
             events);
     store.setCallObserver(health);
     return health;
   }
 
-  /** A call whose answer shows whether the store serves this controller. */
+  /** Sends a request whose response shows whether the store serves this controller. */
   private void probeStore() {
     store.get(StoreKeys.LEADER, KeyValueStore.Urgency.URGENT, answer -> {});
   }
@@ -284,7 +285,7 @@
     ShardOwner.Context context =
         new ShardOwner.Context(
             loop,
-            ports.workers(),
+            ports.workerClient(),
             catalog,
             cluster.workerTiming(),
             shardLease,
@@ -301,17 +302,20 @@
 
   private MachineTypeCatalog createCatalog() {
     return new MachineTypeCatalog(
-        loop, ports.cloud(), settings.cloudAddress(), events::onPreconditionChange);
+        loop, ports.cloudClient(), settings.cloudAddress(), events::onPreconditionChange);
   }
 
-  private CancellationAnnouncer createCancellations() {
+  private CancellationAnnouncer createCancellationAnnouncer() {
     return new CancellationAnnouncer(
         loop, members, view, featureGates, messenger, cancelledJobs, shardLease);
   }
 
   private CloudClient createCloudClient() {
     return CloudClient.withRateLimit(
-        loop, ports.cloud(), settings.cloudAddress(), cluster.cloudLimits().requestsPerSecond());
+        loop,
+        ports.cloudClient(),
+        settings.cloudAddress(),
+        cluster.cloudLimits().requestsPerSecond());
   }
 
   private JobApi createJobApi() {
@@ -324,8 +328,8 @@
             tunables.count(Tunables.Key.RETRY_AFTER_S),
             activeJobs::confirmCurrent,
             ports.heapMonitor()::pressure,
-            cancellations,
-            () -> featureGates.allSupport(FeatureGates.DEPENDENCY_PROOFS)));
+            cancellationAnnouncer,
+            () -> featureGates.allSupport(FeatureGates.DEPENDENCY_VERIFICATION)));
   }
 
   private ControllerReadiness createReadiness() {
@@ -344,7 +348,7 @@
             members.self(),
             election,
             currentTerm,
-            locator,
+            leaderLocator,
             readiness,
             storeHealth,
             failureDetector,
@@ -361,7 +365,7 @@
             session,
             storeHealth,
             ownedShards::reachability,
-            locator,
+            leaderLocator,
             election,
             failover,
             failureDetector,
@@ -380,7 +384,7 @@
             view,
             catalog,
             runTimes,
-            estimates,
+            estimateReplicator,
             featureGates,
             failover,
             status,
--- a/src/main/java/org/mulleinshift/leader/BatchLimits.java
+++ b/src/main/java/org/mulleinshift/leader/BatchLimits.java
@@ -22,7 +22,8 @@
     // The store would refuse a transaction that exceeds its burst limit however often it is
     // retried, so the size is limited to half a second's writes at the reduced rate.
     int burst = (int) (limits.writesPerSecond() * limits.writesShareAfterReduction() / 2);
-    int operations = Math.min(limits.minTransactionOperations(), Math.max(MIN_OPERATIONS, burst));
+    int operations =
+        Math.min(limits.lowestMaxTransactionOperations(), Math.max(MIN_OPERATIONS, burst));
     double requests =
         limits.requestsPerSecond() * limits.requestsShareAfterReduction() * REQUEST_SHARE;
     return new BatchLimits(operations, Duration.ofNanos((long) (NANOS_PER_SECOND / requests)));
--- a/src/main/java/org/mulleinshift/scheduling/ClusterState.java
+++ b/src/main/java/org/mulleinshift/scheduling/ClusterState.java
@@ -59,7 +59,7 @@
    * count, too.
    */
   public boolean mayHaveTasks(MachineId machine, ShardId shard) {
-    return allocations.mayHaveTasks(machine, shard) || unreadable.mayOccupy(shard);
+    return allocations.mayHaveTasks(machine, shard) || unreadable.mayHaveTasksIn(shard);
   }
 
   /**
--- a/src/main/java/org/mulleinshift/scheduling/TeamQuotas.java
+++ b/src/main/java/org/mulleinshift/scheduling/TeamQuotas.java
@@ -54,7 +54,7 @@
     return find(id)
         .map(
             team ->
-                new Resources(limitOrNone(team.cpusMax()), limitOrNone(team.gpusMax()), NO_LIMIT))
+                new Resources(limitOrNone(team.maxCpus()), limitOrNone(team.maxGpus()), NO_LIMIT))
         .orElse(UNLIMITED);
   }
 
@@ -65,7 +65,7 @@
 
   /** The number of CPUs that a team is guaranteed; 0 if the team is not configured. */
   double guaranteedCpus(TeamId team) {
-    return find(team).map(PlatformSettings.Team::cpus).orElse(0.0);
+    return find(team).map(PlatformSettings.Team::guaranteedCpus).orElse(0.0);
   }
 
   /**
@@ -82,8 +82,8 @@
     return find(id)
         .filter(
             team ->
-                resources.cpus() <= team.cpus() + ROUNDING_TOLERANCE
-                    && resources.gpus() <= team.gpus() + ROUNDING_TOLERANCE)
+                resources.cpus() <= team.guaranteedCpus() + ROUNDING_TOLERANCE
+                    && resources.gpus() <= team.guaranteedGpus() + ROUNDING_TOLERANCE)
         .isPresent();
   }
 
@@ -92,7 +92,8 @@
    * guaranteed CPUs.
    */
   double fairShareWeight(TeamId team) {
-    double allGuaranteed = teams.values().stream().mapToDouble(PlatformSettings.Team::cpus).sum();
+    double allGuaranteed =
+        teams.values().stream().mapToDouble(PlatformSettings.Team::guaranteedCpus).sum();
     double shareOfGuarantees = allGuaranteed > 0 ? guaranteedCpus(team) / allGuaranteed : 0;
     return 1.0 / Math.max(1, teams.size()) + shareOfGuarantees;
   }
--- a/src/test/java/org/mulleinshift/api/JobApiTest.java
+++ b/src/test/java/org/mulleinshift/api/JobApiTest.java
@@ -13,7 +13,7 @@
 import org.mulleinshift.protocol.peer.JobSummary;
 import org.mulleinshift.protocol.peer.JobTaskCounts;
 
-/** Status, Retry-After and body of each answer to a user. */
+/** Status, Retry-After and body of each response to a user. */
 final class JobApiTest extends JobApiFixture {
   @Test
   void acceptsANewJob() {
@@ -48,7 +48,7 @@
     "shape,\"round\",400,shape is not one of the known values",
     "pieces,0,400,pieces is missing or out of range",
   })
-  void rejectsWhatCanNeverRunUnlessItWasAccepted(
+  void rejectsInvalidSubmissionUnlessAlreadyAccepted(
       String field, String value, int status, String reason) {
     ObjectNode node = submission();
     node.remove(field);
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void rejectsWhatIsNoSubmission() {
+  void rejectsMalformedSubmission() {
     assertEquals(answer(400, "{\"error\":\"not JSON\"}"), submit("{"));
     assertEquals(answer(400, "{\"error\":\"not an object\"}"), submit("[]"));
     assertEquals(answer(400, "{\"error\":\"ref is missing or not a short text\"}"), submit("{}"));
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void cannotTakeASubmissionNow() {
+  void submissionIsTemporarilyUnavailable() {
     catalogStatus = 503;
     assertEquals(TRY_AGAIN, submit(), "machine types unknown");
     catalogStatus = 200;
@@ -78,7 +78,7 @@
     assertEquals(TRY_AGAIN, submit(), "store unavailable");
     store.commitStatus = 200;
     memoryPressure = MemoryPressure.CRITICAL;
-    assertEquals(TRY_AGAIN, submit(), "memory");
+    assertEquals(TRY_AGAIN, submit(), "critical memory pressure");
   }
 
   @Test
@@ -96,9 +96,9 @@
         answer(200, "{\"ref\":\"run-1\",\"phase\":\"running\",\"done\":3,\"running\":13}"),
         poll(),
         "with tasks");
-    viewCurrent = false;
+    viewConfirmed = false;
     assertEquals(TRY_AGAIN, poll(), "view not confirmed");
-    viewCurrent = true;
+    viewConfirmed = true;
     api.onNoLongerActive(JOB);
     store.readStatus = 503;
     assertEquals(TRY_AGAIN, poll(), "end unreadable");
@@ -119,7 +119,7 @@
     assertEquals(NOT_FOUND, cancel(), "never accepted");
     storeActive(false);
     store.commitStatus = 409;
-    assertEquals(TRY_AGAIN, cancel(), "record changes again and again");
+    assertEquals(TRY_AGAIN, cancel(), "every commit attempt conflicts");
     store.commitStatus = 503;
     assertEquals(TRY_AGAIN, cancel(), "store unavailable");
     store.commitStatus = 200;
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void aDoneJobStaysDone() {
+  void cancellingDoneJobKeepsItDone() {
     storeEnded(JobPhase.DONE);
     assertEquals(phase(200, "done"), cancel());
   }
--- a/src/test/java/org/mulleinshift/progress/ProgressLogTest.java
+++ b/src/test/java/org/mulleinshift/progress/ProgressLogTest.java
@@ -25,20 +25,20 @@
 import org.mulleinshift.protocol.StoreCodec;
 import org.mulleinshift.protocol.StoreCodec.Write;
 
-/** The state of the progress log: which slots may be overwritten, and which writes are certain. */
+/** Tests which slots of the progress log may be overwritten and which writes are uncertain. */
 class ProgressLogTest {
   private static final int VALUE_BYTES = 600;
   private static final int JOBS = 12;
   private static final int ROUNDS = 400;
 
-  /** A key-value store that may carry out a transaction late. */
+  /** A key-value store that may apply a transaction late. */
   private static final class Store {
     private record Stored(JsonNode value, int revision) {}
 
     private record Transaction(List<Write> writes, Map<String, Integer> guards) {}
 
     private final Map<String, Stored> keys = new TreeMap<>();
-    private final List<Transaction> late = new ArrayList<>();
+    private final List<Transaction> lateTransactions = new ArrayList<>();
     private int revision;
 
     Transaction transaction(List<Write> writes) {
@@ -63,16 +63,16 @@
       }
     }
 
-    /** The image of each chunk with the highest revision, as a new leader reads it. */
-    Map<ProgressLog.ChunkImage, String> newest() throws MalformedMessageException {
-      Map<ProgressLog.ChunkImage, Integer> at = new HashMap<>();
-      Map<ProgressLog.ChunkImage, String> found = new HashMap<>();
+    /** The progress of each chunk with the highest revision, as a new leader reads it. */
+    Map<ProgressLog.ChunkId, String> newest() throws MalformedMessageException {
+      Map<ProgressLog.ChunkId, Integer> revisions = new HashMap<>();
+      Map<ProgressLog.ChunkId, String> found = new HashMap<>();
       for (Stored stored : keys.values()) {
         for (LogSegment.Entry entry : LogSegment.read(stored.value())) {
-          ProgressLog.ChunkImage image = new ProgressLog.ChunkImage(entry.job(), entry.chunk());
-          if (stored.revision() > at.getOrDefault(image, 0)) {
-            at.put(image, stored.revision());
-            found.put(image, entry.progress().path("done").asText());
+          ProgressLog.ChunkId chunkId = new ProgressLog.ChunkId(entry.job(), entry.chunk());
+          if (stored.revision() > revisions.getOrDefault(chunkId, 0)) {
+            revisions.put(chunkId, stored.revision());
+            found.put(chunkId, entry.progress().path("done").asText());
           }
         }
       }
@@ -85,35 +85,36 @@
     return LogSegment.Entry.of(new JobId("run-" + job), Chunk.whole(0), progress);
   }
 
-  private static ProgressLog.ChunkImage image(LogSegment.Entry entry) {
-    return new ProgressLog.ChunkImage(entry.job(), entry.chunk());
+  private static ProgressLog.ChunkId chunkId(LogSegment.Entry entry) {
+    return new ProgressLog.ChunkId(entry.job(), entry.chunk());
   }
 
   /**
-   * Transactions are refused, carried out without an answer, or carried out much later, in any
-   * order: what was acknowledged as stored is what a new leader reads.
+   * Transactions are answered, applied without an answer, or applied late if none of their keys has
+   * changed since: a new leader must read exactly what was acknowledged as stored. Guards against a
+   * delayed write that brings back older progress.
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void whatIsStoredIsReadAfterLateWrites(int seed) throws MalformedMessageException {
-    LateWrites play = new LateWrites(seed);
+  void acknowledgedProgressIsReadAfterLateWrites(int seed) throws MalformedMessageException {
+    LateWrites run = new LateWrites(seed);
     for (int round = 0; round < ROUNDS; round++) {
-      play.round(round);
+      run.round(round);
     }
-    assertTrue(play.log.keys().size() < ProgressLog.MAX_SLOTS, "the log uses all of its slots");
+    assertTrue(run.log.slotKeys().size() < ProgressLog.MAX_SLOTS, "the log uses all of its slots");
   }
 
   static IntStream seeds() {
     return IntStream.rangeClosed(1, 30);
   }
 
-  /** A log whose transactions have random outcomes. */
+  /** A log whose transactions have random outcomes: applied, unanswered or late. */
   private static final class LateWrites {
     private final int seed;
     private final Random random;
     private final Store store = new Store();
     private final ProgressLog log = new ProgressLog(VALUE_BYTES);
-    private final Map<ProgressLog.ChunkImage, String> acknowledged = new HashMap<>();
+    private final Map<ProgressLog.ChunkId, String> acknowledged = new HashMap<>();
     private final Map<Integer, String> pending = new TreeMap<>();
     private final Set<Integer> ended = new HashSet<>();
 
@@ -127,11 +128,11 @@
       if (random.nextInt(3) == 0) {
         endJob(round / 10 + random.nextInt(JOBS));
       }
-      ProgressLog.Batch batch = log.begin(2);
+      ProgressLog.Batch batch = log.beginBatch(2);
       List<LogSegment.Entry> added = addPending(batch);
       Store.Transaction transaction = store.transaction(batch.writes());
       switch (random.nextInt(4)) {
-        case 0 -> store.late.add(transaction);
+        case 0 -> store.lateTransactions.add(transaction);
         case 1 -> store.apply(transaction);
         default -> {
           store.apply(transaction);
@@ -151,7 +152,7 @@
       }
     }
 
-    /** The end of a job is stored: its slot may become free. */
+    /** Releases the entries of a job whose end is stored, which may free its slot. */
     private void endJob(int job) {
       ended.add(job);
       pending.remove(job);
@@ -170,24 +171,24 @@
     }
 
     private void acknowledge(ProgressLog.Batch batch, List<LogSegment.Entry> added) {
-      log.stored(batch);
+      log.markStored(batch);
       for (LogSegment.Entry entry : added) {
-        acknowledged.put(image(entry), entry.progress().path("done").asText());
+        acknowledged.put(chunkId(entry), entry.progress().path("done").asText());
         pending.remove(number(entry.job()));
       }
     }
 
     private void applyLateWrites() throws MalformedMessageException {
-      for (Store.Transaction old : store.late) {
+      for (Store.Transaction old : store.lateTransactions) {
         store.apply(old);
       }
-      store.late.clear();
+      store.lateTransactions.clear();
     }
 
     private void assertAcknowledgedIsRead(int round) throws MalformedMessageException {
-      acknowledged.keySet().removeIf(image -> ended.contains(number(image.job())));
-      Map<ProgressLog.ChunkImage, String> newest = store.newest();
-      newest.keySet().removeIf(image -> ended.contains(number(image.job())));
+      acknowledged.keySet().removeIf(chunkId -> ended.contains(number(chunkId.job())));
+      Map<ProgressLog.ChunkId, String> newest = store.newest();
+      newest.keySet().removeIf(chunkId -> ended.contains(number(chunkId.job())));
       assertEquals(acknowledged, newest, "seed " + seed + ", round " + round);
     }
   }
@@ -197,17 +198,17 @@
   }
 
   @Test
-  void liveImagesAreNotOverwritten() {
+  void liveEntriesAreNotOverwritten() {
     ProgressLog log = new ProgressLog(VALUE_BYTES);
     for (int job = 0; job < ProgressLog.MAX_SLOTS; job++) {
-      ProgressLog.Batch batch = log.begin(1);
+      ProgressLog.Batch batch = log.beginBatch(1);
       assertTrue(batch.add(entry(job, "0")));
       assertEquals(List.of("l/" + job), batch.writes().stream().map(Write::key).toList());
-      log.stored(batch);
+      log.markStored(batch);
     }
-    assertFalse(log.begin(1).add(entry(ProgressLog.MAX_SLOTS, "0")), "no slot is free");
+    assertFalse(log.beginBatch(1).add(entry(ProgressLog.MAX_SLOTS, "0")), "no slot is free");
     log.release(new JobId("run-7"));
-    ProgressLog.Batch batch = log.begin(1);
+    ProgressLog.Batch batch = log.beginBatch(1);
     assertTrue(batch.add(entry(99, "0")));
     assertEquals("l/7", batch.writes().get(0).key());
   }
@@ -216,65 +217,65 @@
   void aSparseLogIsCompacted() {
     ProgressLog log = new ProgressLog(VALUE_BYTES);
     for (int job = 0; job < 20; job++) {
-      ProgressLog.Batch batch = log.begin(1);
+      ProgressLog.Batch batch = log.beginBatch(1);
       batch.add(entry(job, "0"));
-      log.stored(batch);
+      log.markStored(batch);
     }
     int moved = 0;
-    for (int step = 0; step < 10 && !log.toCompact().isEmpty(); step++) {
-      ProgressLog.Batch batch = log.begin(1);
-      for (ProgressLog.ChunkImage image : log.toCompact()) {
-        assertTrue(batch.add(LogSegment.Entry.of(image.job(), image.chunk(), Json.object())));
+    for (int step = 0; step < 10 && !log.chunksToCompact().isEmpty(); step++) {
+      ProgressLog.Batch batch = log.beginBatch(1);
+      for (ProgressLog.ChunkId chunkId : log.chunksToCompact()) {
+        assertTrue(batch.add(LogSegment.Entry.of(chunkId.job(), chunkId.chunk(), Json.object())));
         moved++;
       }
-      log.stored(batch);
+      log.markStored(batch);
     }
     assertTrue(moved > 0 && moved <= 40, "moved " + moved);
-    assertEquals(List.of(), log.toCompact(), "compaction ends");
-    assertEquals(20, log.live().size());
+    assertEquals(List.of(), log.chunksToCompact(), "compaction ends");
+    assertEquals(20, log.liveChunks().size());
   }
 
   @Test
   void pinnedSlotsAreNotCompacted() {
     ProgressLog log = new ProgressLog(VALUE_BYTES);
     for (int job = 0; job < 20; job++) {
-      ProgressLog.Batch batch = log.begin(1);
+      ProgressLog.Batch batch = log.beginBatch(1);
       batch.add(entry(job, "0"));
-      log.stored(batch);
+      log.markStored(batch);
     }
-    List<ProgressLog.ChunkImage> first = log.toCompact();
+    List<ProgressLog.ChunkId> first = log.chunksToCompact();
     assertFalse(first.isEmpty());
     first.forEach(log::pinSlotOf);
-    assertTrue(log.toCompact().stream().noneMatch(first::contains));
+    assertTrue(log.chunksToCompact().stream().noneMatch(first::contains));
   }
 
   @Test
-  void aFullLogMovesImagesOut() {
+  void aFullLogMigratesItsOldestSlot() {
     ProgressLog log = new ProgressLog(VALUE_BYTES);
     for (int job = 0; job < ProgressLog.MAX_SLOTS; job++) {
-      ProgressLog.Batch batch = log.begin(1);
+      ProgressLog.Batch batch = log.beginBatch(1);
       batch.add(entry(job, "x".repeat(400)));
-      log.stored(batch);
+      log.markStored(batch);
     }
-    assertEquals(List.of(), log.toCompact());
-    assertEquals("run-0", log.toMoveOut().get(0).job().value(), "the oldest goes first");
+    assertEquals(List.of(), log.chunksToCompact());
+    assertEquals("run-0", log.chunksToMigrate().get(0).job().value(), "the oldest goes first");
   }
 
   @Test
   void aPinnedSlotIsNotOverwritten() {
     ProgressLog log = new ProgressLog(VALUE_BYTES);
     log.pin(0);
-    ProgressLog.Batch batch = log.begin(1);
+    ProgressLog.Batch batch = log.beginBatch(1);
     batch.add(entry(1, "0"));
     assertEquals("l/1", batch.writes().get(0).key());
-    assertFalse(log.idle());
+    assertFalse(log.isUnused());
   }
 
-  /** What is counted for a segment is no less than what it takes. */
+  /** The length counted for a segment must be no less than its encoded length. */
   @Test
   void entriesAreNotLongerThanCounted() {
     List<LogSegment.Entry> entries = new ArrayList<>();
-    int counted = VALUE_BYTES - LogSegment.capacity(VALUE_BYTES);
+    int counted = VALUE_BYTES - LogSegment.entryCapacityBytes(VALUE_BYTES);
     for (int job = 0; job < 50; job++) {
       entries.add(entry(job * 7919, "0-" + job));
       counted += entries.get(job).bytes();
@@ -282,7 +283,7 @@
     assertTrue(StoreCodec.encodedLength(LogSegment.write(entries)) <= counted);
   }
 
-  /** Anything that a segment may hold is read as it was written, or refused as a whole. */
+  /** A damaged segment is either read as a whole, and written again the same, or refused. */
   @Test
   void damagedSegmentsAreRefused() throws MalformedMessageException {
     List<LogSegment.Entry> entries = List.of(entry(1, "0-4"), entry(2, "7"));
@@ -307,7 +308,7 @@
     assertThrows(
         MalformedMessageException.class,
         () -> LogSegment.read(Json.parseObject("{\"entries\":[]}")));
-    assertEquals(List.of(), LogSegment.jobsNamed(Json.parseObject("{\"entries\":[]}")).get());
-    assertTrue(LogSegment.jobsNamed(Json.parseObject("{\"form\":2}")).isEmpty());
+    assertEquals(List.of(), LogSegment.readJobIds(Json.parseObject("{\"entries\":[]}")).get());
+    assertTrue(LogSegment.readJobIds(Json.parseObject("{\"form\":2}")).isEmpty());
   }
 }
