--- a/src/main/java/org/mulleinshift/api/SubmissionValidator.java
+++ b/src/main/java/org/mulleinshift/api/SubmissionValidator.java
@@ -52,7 +52,7 @@
   }
 
   private static boolean exceedsLimit(JobSpec spec, PlatformSettings.Team team) {
-    int concurrentTasks = spec.kind() == JobKind.ARRAY ? 1 : spec.tasks();
+    int concurrentTasks = spec.kind() == JobKind.ARRAY ? 1 : spec.taskCount();
     return exceeds(spec.perTask().cpus() * concurrentTasks, team.cpusMax())
         || exceeds(spec.perTask().gpus() * concurrentTasks, team.gpusMax());
   }
--- a/src/main/java/org/mulleinshift/autoscaling/BootTimeEstimator.java
+++ b/src/main/java/org/mulleinshift/autoscaling/BootTimeEstimator.java
@@ -117,7 +117,7 @@
   }
 
   private double listed(MachineType type) {
-    double seconds = type.boot().toMillis() / MILLIS_PER_SECOND;
+    double seconds = type.bootTime().toMillis() / MILLIS_PER_SECOND;
     return seconds > 0 ? seconds : defaultSeconds;
   }
 
--- a/src/main/java/org/mulleinshift/autoscaling/CloudInventory.java
+++ b/src/main/java/org/mulleinshift/autoscaling/CloudInventory.java
@@ -51,7 +51,7 @@
       return;
     }
     cloud.call(
-        HttpRequest.get(CloudCodec.listPath(after), REQUEST_TIMEOUT),
+        HttpRequest.get(CloudCodec.machineListPath(after), REQUEST_TIMEOUT),
         response -> {
           if (response.isOk() && term.isActive()) {
             onPage(response.body());
@@ -61,7 +61,7 @@
 
   private void onPage(String body) {
     try {
-      CloudCodec.Page page = CloudCodec.parseList(body);
+      CloudCodec.Page page = CloudCodec.parseMachineList(body);
       page.machines().forEach(onListed);
       if (page.more() && !page.machines().isEmpty()) {
         list(Optional.of(page.machines().get(page.machines().size() - 1).id()));
--- a/src/main/java/org/mulleinshift/autoscaling/MachineReleaser.java
+++ b/src/main/java/org/mulleinshift/autoscaling/MachineReleaser.java
@@ -70,7 +70,8 @@
 
   private void delete(List<MachineId> batch) {
     cloud.call(
-        HttpRequest.post(CloudCodec.DELETE_PATH, CloudCodec.writeDeletion(batch), REQUEST_TIMEOUT),
+        HttpRequest.post(
+            CloudCodec.DELETE_PATH, CloudCodec.writeDeletionRequest(batch), REQUEST_TIMEOUT),
         response -> {
           inFlight = false;
           // Only a 200 confirms that the machines and all on them are gone.
--- a/src/main/java/org/mulleinshift/autoscaling/OfferSelector.java
+++ b/src/main/java/org/mulleinshift/autoscaling/OfferSelector.java
@@ -100,7 +100,7 @@
     Offer best = null;
     double bestCost = Double.MAX_VALUE;
     for (MachineType type : catalog.types().values()) {
-      int fitting = Math.min(group.count(), request.perTask().countIn(type.size()));
+      int fitting = Math.min(group.count(), request.perTask().countFittingInto(type.size()));
       if (fitting == 0) {
         continue;
       }
@@ -141,7 +141,7 @@
   /** Cost of one task. Large machines are kept for large tasks unless they cost far less. */
   private static double cost(
       ResourceRequest request, MachineType type, Offer offer, int fitting, int machinesInZone) {
-    double oversize = MAX_OVERSIZE_FACTOR - request.perTask().shareOf(type.size());
+    double oversize = MAX_OVERSIZE_FACTOR - request.perTask().dominantShareOf(type.size());
     return type.price(offer.spot())
         / fitting
         * oversize
--- a/src/main/java/org/mulleinshift/autoscaling/Provisioner.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Provisioner.java
@@ -157,7 +157,7 @@
     }
     if (response.isOk()) {
       try {
-        onProvisioned(request, CloudCodec.parseProvisioned(response.body()));
+        onProvisioned(request, CloudCodec.parseProvisioningResponse(response.body()));
         return;
       } catch (MalformedMessageException e) {
         LOG.warn(
--- a/src/main/java/org/mulleinshift/leader/TaskStatusHandler.java
+++ b/src/main/java/org/mulleinshift/leader/TaskStatusHandler.java
@@ -83,7 +83,7 @@
     state.failures().onFailure(job, machine, now);
     state.shards().markChanged(assignment.shard());
     job.countFailure();
-    double failuresPerTask = job.failures() / (double) job.spec().tasks();
+    double failuresPerTask = job.failures() / (double) job.spec().taskCount();
     double delaySeconds =
         retryBackoffSeconds * Math.min(MAX_BACKOFF_FACTOR, Math.max(1, failuresPerTask));
     returnTask(
--- a/src/main/java/org/mulleinshift/leader/TermLoader.java
+++ b/src/main/java/org/mulleinshift/leader/TermLoader.java
@@ -74,8 +74,8 @@
     private void onPage(StoreCodec.Range page) {
       keyCount += page.items().size();
       onPage.accept(page);
-      if (page.next().isPresent()) {
-        readPage(page.next());
+      if (page.nextPageAfter().isPresent()) {
+        readPage(page.nextPageAfter());
         return;
       }
       LOG.info(
--- a/src/main/java/org/mulleinshift/model/ChunkProgress.java
+++ b/src/main/java/org/mulleinshift/model/ChunkProgress.java
@@ -90,7 +90,7 @@
   static ChunkProgress read(
       JobSpec spec, Chunk chunk, JsonNode value, Function<ShardId, ZoneId> zones)
       throws MalformedMessageException {
-    int size = Math.min(chunk.size(), spec.tasks() - chunk.firstTask());
+    int size = Math.min(chunk.size(), spec.taskCount() - chunk.firstTask());
     if (size <= 0) {
       throw new MalformedMessageException("progress of a chunk that the job does not have");
     }
--- a/src/main/java/org/mulleinshift/model/Job.java
+++ b/src/main/java/org/mulleinshift/model/Job.java
@@ -65,7 +65,7 @@
   public Job(JobRecord record) {
     this.spec = record.spec();
     this.dependencies = record.dependencies();
-    this.chunks = new ChunkLayout(spec.tasks());
+    this.chunks = new ChunkLayout(spec.taskCount());
     this.tasks = new JobTasks(spec);
     this.timeline = new JobTimeline(record.acceptedMillis());
     this.revision = record.revision();
--- a/src/main/java/org/mulleinshift/model/JobRecord.java
+++ b/src/main/java/org/mulleinshift/model/JobRecord.java
@@ -99,7 +99,7 @@
   /** What can be read of an unreadable record: which team's quota its tasks count against. */
   public static Footprint footprint(JsonNode value) {
     JsonNode spec = value.path(SPEC);
-    return new Footprint(JobCodec.findTeam(spec), JobCodec.maximumResources(spec));
+    return new Footprint(JobCodec.findTeam(spec), JobCodec.totalResources(spec));
   }
 
   /**
--- a/src/main/java/org/mulleinshift/model/JobTasks.java
+++ b/src/main/java/org/mulleinshift/model/JobTasks.java
@@ -130,7 +130,7 @@
   }
 
   boolean allDone() {
-    return done.cardinality() == spec.tasks();
+    return done.cardinality() == spec.taskCount();
   }
 
   /** Whether provably no task is on any machine. */
@@ -169,7 +169,7 @@
   }
 
   int waitingCount() {
-    return spec.tasks() - unavailable.cardinality();
+    return spec.taskCount() - unavailable.cardinality();
   }
 
   int runningCount() {
@@ -182,10 +182,10 @@
 
   /** Up to {@code limit} tasks that may be assigned now. */
   int[] waiting(int limit, MonotonicTime now) {
-    int[] found = new int[Math.min(limit, spec.tasks())];
+    int[] found = new int[Math.min(limit, spec.taskCount())];
     int count = 0;
     for (int index = unavailable.nextClearBit(0);
-        index < spec.tasks() && count < found.length;
+        index < spec.taskCount() && count < found.length;
         index = unavailable.nextClearBit(index + 1)) {
       MonotonicTime notBefore = retryAfter.get(index);
       if (notBefore == null || !notBefore.isAfter(now)) {
--- a/src/main/java/org/mulleinshift/model/JobTimeline.java
+++ b/src/main/java/org/mulleinshift/model/JobTimeline.java
@@ -67,7 +67,7 @@
     return String.format(
         Locale.ROOT,
         "tasks=%d class=%s wait=%s duration=%ds deadline=%s%s",
-        spec.tasks(),
+        spec.taskCount(),
         spec.jobClass(),
         startedMillis.isPresent() ? secondsUntilStart(startedMillis.getAsLong()) + "s" : "unknown",
         (nowMillis - acceptedMillis) / MILLIS_PER_SECOND,
--- a/src/main/java/org/mulleinshift/placement/MachineCapacity.java
+++ b/src/main/java/org/mulleinshift/placement/MachineCapacity.java
@@ -69,7 +69,7 @@
     this.zone = zone;
     this.type = type;
     this.spot = spot;
-    this.relativePrice = type.relativePrice(spot);
+    this.relativePrice = type.markupOverSpot(spot);
     this.size = type.size();
     this.available = available;
     this.cachedImages = cachedImages;
@@ -86,7 +86,7 @@
 
   /** How many such tasks fit and may be here. */
   int countOf(ResourceRequest request) {
-    return allowedFor(request) ? request.perTask().countIn(available) : 0;
+    return allowedFor(request) ? request.perTask().countFittingInto(available) : 0;
   }
 
   /** Allocates capacity to one task. */
@@ -116,7 +116,7 @@
    */
   double score(ResourceRequest request) {
     double score =
-        PRICE_WEIGHT * relativePrice + SIZE_WEIGHT * (1 - request.perTask().shareOf(size));
+        PRICE_WEIGHT * relativePrice + SIZE_WEIGHT * (1 - request.perTask().dominantShareOf(size));
     score += size.cpus() > 0 ? (available.cpus() - request.perTask().cpus()) : 0;
     score += size.gpus() > 0 ? GPU_WEIGHT * (available.gpus() - request.perTask().gpus()) : 0;
     score +=
--- a/src/main/java/org/mulleinshift/placement/PlacementConstraints.java
+++ b/src/main/java/org/mulleinshift/placement/PlacementConstraints.java
@@ -26,7 +26,7 @@
 
   /** A job that is spread has at most half of its tasks, rounded up, in one zone. */
   private static int maxPerZoneIfSpread(Job job) {
-    return (job.spec().tasks() + 1) / 2;
+    return (job.spec().taskCount() + 1) / 2;
   }
 
   /**
@@ -40,7 +40,7 @@
       List<MachineCapacity> capacities,
       int allowed,
       MonotonicTime now) {
-    int tasks = job.spec().tasks() - job.doneCount();
+    int tasks = job.spec().taskCount() - job.doneCount();
     if (job.assignedCount() > 0 || allowed < tasks || job.waiting(tasks, now).length < tasks) {
       return false;
     }
--- a/src/main/java/org/mulleinshift/protocol/CloudCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/CloudCodec.java
@@ -29,7 +29,7 @@
   public static final int MAX_MACHINES_PER_DELETION = 100;
 
   /** The most machines of one page of the list. */
-  public static final int LIST_LIMIT = 500;
+  public static final int MAX_MACHINES_PER_PAGE = 500;
 
   private static final int MILLIS_PER_SECOND = 1000;
 
@@ -66,14 +66,14 @@
       zones.add(new ZoneId(zone.asText()));
     }
     return new MachineType(
-        new MachineTypeId(Json.text(item, WireNames.CATALOG_TYPE)),
+        new MachineTypeId(Json.text(item, WireNames.MACHINE_TYPE_NAME)),
         new Resources(
             Json.amount(item, WireNames.CPUS),
             Json.amount(item, WireNames.GPUS),
             Json.amount(item, WireNames.MEMORY_GB)),
         Json.amount(item, WireNames.IMAGE_CACHE_GB),
         Json.amount(item, WireNames.FETCH_GB_PER_SECOND),
-        Json.amount(item, WireNames.PRICE),
+        Json.amount(item, WireNames.ON_DEMAND_PRICE),
         Json.amount(item, WireNames.SPOT_PRICE),
         duration(Json.amount(item, WireNames.BOOT_SECONDS)),
         List.copyOf(zones));
@@ -91,7 +91,7 @@
     node.put(WireNames.MACHINE_TYPE, type.value());
     node.put(WireNames.ZONE, zone.value());
     node.put(WireNames.SPOT, spot);
-    node.put(WireNames.COUNT, count);
+    node.put(WireNames.MACHINE_COUNT, count);
     return Json.write(node);
   }
 
@@ -100,7 +100,8 @@
    *
    * @throws MalformedMessageException if the body is something else
    */
-  public static List<MachineId> parseProvisioned(String body) throws MalformedMessageException {
+  public static List<MachineId> parseProvisioningResponse(String body)
+      throws MalformedMessageException {
     List<MachineId> machines = new ArrayList<>();
     for (JsonNode item : list(Json.parseObject(body), WireNames.MACHINES)) {
       if (!item.isTextual()) {
@@ -112,7 +113,7 @@
   }
 
   /** Writes a deletion request. */
-  public static String writeDeletion(Collection<MachineId> machines) {
+  public static String writeDeletionRequest(Collection<MachineId> machines) {
     ObjectNode node = Json.object();
     ArrayNode list = node.putArray(WireNames.MACHINES);
     machines.forEach(machine -> list.add(machine.value()));
@@ -120,9 +121,9 @@
   }
 
   /** The path of the page that starts after a machine, or of the first page. */
-  public static String listPath(Optional<MachineId> after) {
+  public static String machineListPath(Optional<MachineId> after) {
     String from = after.map(machine -> "from=" + machine.value() + "&").orElse("");
-    return MACHINES_PATH + "?" + from + "limit=" + LIST_LIMIT;
+    return MACHINES_PATH + "?" + from + "limit=" + MAX_MACHINES_PER_PAGE;
   }
 
   /**
@@ -130,7 +131,7 @@
    *
    * @throws MalformedMessageException if the body is something else
    */
-  public static Page parseList(String body) throws MalformedMessageException {
+  public static Page parseMachineList(String body) throws MalformedMessageException {
     JsonNode node = Json.parseObject(body);
     List<CloudMachine> machines = new ArrayList<>();
     for (JsonNode item : list(node, WireNames.MACHINES)) {
--- a/src/main/java/org/mulleinshift/protocol/HeartbeatParser.java
+++ b/src/main/java/org/mulleinshift/protocol/HeartbeatParser.java
@@ -116,8 +116,8 @@
     }
     TaskId task = null;
     long attempt = NOT_GIVEN;
-    WorkerHeartbeat.State state = null;
-    WorkerHeartbeat.Cause cause = null;
+    WorkerHeartbeat.TaskState state = null;
+    WorkerHeartbeat.ExitCause cause = null;
     for (String key = in.nextFieldName(); key != null; key = in.nextFieldName()) {
       in.nextToken();
       switch (key) {
@@ -126,7 +126,7 @@
           requireNotGiven(attempt, key);
           attempt = count(key);
         }
-        case WireNames.PHASE -> state = unset(state, WorkerCodec.state(text(key)), key);
+        case WireNames.PHASE -> state = unset(state, WorkerCodec.parseState(text(key)), key);
         case WireNames.EXIT_CAUSE -> cause = unset(cause, causeOf(key), key);
         default -> in.skipChildren();
       }
@@ -135,13 +135,14 @@
         given(task, WireNames.TASK),
         new Attempt(given(attempt, WireNames.ATTEMPT)),
         given(state, WireNames.PHASE),
-        cause == null ? WorkerHeartbeat.Cause.NONE : cause);
+        cause == null ? WorkerHeartbeat.ExitCause.NONE : cause);
   }
 
-  private WorkerHeartbeat.Cause causeOf(String key) throws IOException, MalformedMessageException {
+  private WorkerHeartbeat.ExitCause causeOf(String key)
+      throws IOException, MalformedMessageException {
     return in.hasToken(JsonToken.VALUE_NULL)
-        ? WorkerHeartbeat.Cause.NONE
-        : WorkerCodec.cause(text(key));
+        ? WorkerHeartbeat.ExitCause.NONE
+        : WorkerCodec.parseExitCause(text(key));
   }
 
   private static TaskId taskId(String name) throws MalformedMessageException {
--- a/src/main/java/org/mulleinshift/protocol/HeartbeatVersion.java
+++ b/src/main/java/org/mulleinshift/protocol/HeartbeatVersion.java
@@ -8,7 +8,7 @@
  */
 public record HeartbeatVersion(long epoch, long sequence) implements Comparable<HeartbeatVersion> {
   /** Older than every message. */
-  public static final HeartbeatVersion NEVER = new HeartbeatVersion(0, 0);
+  public static final HeartbeatVersion NONE = new HeartbeatVersion(0, 0);
 
   /** Whether a message of this version is newer. */
   public boolean isAfter(HeartbeatVersion other) {
--- a/src/main/java/org/mulleinshift/protocol/JobCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/JobCodec.java
@@ -46,7 +46,7 @@
   }
 
   /** What all tasks of a submission use together; fields that are missing or invalid count as 0. */
-  public static Resources maximumResources(JsonNode submission) {
+  public static Resources totalResources(JsonNode submission) {
     Resources task =
         new Resources(
             Math.max(0, submission.path(WireNames.CPUS).asDouble()),
@@ -82,11 +82,11 @@
         Json.amount(node, WireNames.IMAGE_GB),
         machineTypes(node),
         zone(node),
-        Json.flag(node, WireNames.ONE_ZONE),
+        Json.flag(node, WireNames.SINGLE_ZONE),
         Json.flag(node, WireNames.SPREAD),
         Json.flag(node, WireNames.SPOT),
         Json.amount(node, WireNames.ESTIMATE_SECONDS),
-        Json.amount(node, WireNames.CHECKPOINT_SECONDS),
+        Json.amount(node, WireNames.CHECKPOINT_INTERVAL_SECONDS),
         Json.amount(node, WireNames.SAVE_SECONDS),
         node.hasNonNull(WireNames.DEADLINE_SECONDS)
             ? OptionalDouble.of(Json.amount(node, WireNames.DEADLINE_SECONDS))
@@ -168,7 +168,7 @@
     node.put(WireNames.TEAM, spec.team().value());
     node.put(WireNames.JOB_KIND, spec.kind().wireName());
     node.put(WireNames.PRIORITY, spec.priority().wireName());
-    node.put(WireNames.TASKS, spec.tasks());
+    node.put(WireNames.TASKS, spec.taskCount());
     node.put(WireNames.CPUS, spec.perTask().cpus());
     node.put(WireNames.GPUS, spec.perTask().gpus());
     node.put(WireNames.MEMORY_GB, spec.perTask().memoryGb());
@@ -181,11 +181,11 @@
               types.forEach(type -> list.add(type.value()));
             });
     spec.zone().ifPresent(zone -> node.put(WireNames.ZONE, zone.value()));
-    node.put(WireNames.ONE_ZONE, spec.requiresSingleZone());
+    node.put(WireNames.SINGLE_ZONE, spec.requiresSingleZone());
     node.put(WireNames.SPREAD, spec.requiresSpread());
     node.put(WireNames.SPOT, spec.spotAllowed());
     node.put(WireNames.ESTIMATE_SECONDS, spec.estimateSeconds());
-    node.put(WireNames.CHECKPOINT_SECONDS, spec.checkpointSeconds());
+    node.put(WireNames.CHECKPOINT_INTERVAL_SECONDS, spec.checkpointIntervalSeconds());
     node.put(WireNames.SAVE_SECONDS, spec.saveSeconds());
     spec.deadlineSeconds().ifPresent(deadline -> node.put(WireNames.DEADLINE_SECONDS, deadline));
     return node;
--- a/src/main/java/org/mulleinshift/protocol/JobSpec.java
+++ b/src/main/java/org/mulleinshift/protocol/JobSpec.java
@@ -12,7 +12,7 @@
  * @param team whose quota its tasks count against
  * @param kind what becomes of its tasks
  * @param priority decides which tasks it may preempt
- * @param tasks number of tasks
+ * @param taskCount number of tasks
  * @param perTask resources of each task
  * @param image that a machine must have before a task can start
  * @param imageGb size of the image
@@ -22,7 +22,7 @@
  * @param requiresSpread whether at most half of the tasks, rounded up, may be in one zone
  * @param spotAllowed whether the tasks may run on spot machines
  * @param estimateSeconds the user's estimate of a task's run time
- * @param checkpointSeconds progress between two checkpoints; 0: a task saves none
+ * @param checkpointIntervalSeconds progress between two checkpoints; 0: a task saves none
  * @param saveSeconds time that a task needs to save when it is stopped
  * @param deadlineSeconds from submission to completion; empty: no deadline
  */
@@ -32,7 +32,7 @@
     TeamId team,
     JobKind kind,
     Priority priority,
-    int tasks,
+    int taskCount,
     Resources perTask,
     String image,
     double imageGb,
@@ -42,7 +42,7 @@
     boolean requiresSpread,
     boolean spotAllowed,
     double estimateSeconds,
-    double checkpointSeconds,
+    double checkpointIntervalSeconds,
     double saveSeconds,
     OptionalDouble deadlineSeconds) {
 
--- a/src/main/java/org/mulleinshift/protocol/Resources.java
+++ b/src/main/java/org/mulleinshift/protocol/Resources.java
@@ -43,7 +43,7 @@
   }
 
   /** The largest share that this takes of any amount of the whole. */
-  public double shareOf(Resources whole) {
+  public double dominantShareOf(Resources whole) {
     double share = 0;
     share = whole.cpus > 0 ? Math.max(share, cpus / whole.cpus) : share;
     share = whole.gpus > 0 ? Math.max(share, gpus / whole.gpus) : share;
@@ -52,7 +52,7 @@
   }
 
   /** How many times this fits into the capacity, up to a million. */
-  public int countIn(Resources capacity) {
+  public int countFittingInto(Resources capacity) {
     double count = MAX_COUNT;
     count = cpus > 0 ? Math.min(count, (capacity.cpus + ROUNDING_TOLERANCE) / cpus) : count;
     count = gpus > 0 ? Math.min(count, (capacity.gpus + ROUNDING_TOLERANCE) / gpus) : count;
--- a/src/main/java/org/mulleinshift/protocol/StoreCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/StoreCodec.java
@@ -19,7 +19,7 @@
   public static final String LEASES_PATH = "/holds";
 
   /** The most keys of one page: their values fit into a response. */
-  public static final int RANGE_LIMIT = 250;
+  public static final int MAX_KEYS_PER_PAGE = 250;
 
   /** A key with its value and the revision of its last change. */
   public record KeyValue(String key, JsonNode value, Revision revision) {}
@@ -32,7 +32,7 @@
    */
   public record Range(List<KeyValue> items, boolean more, Revision revision) {
     /** The key after which the next page starts, if there is one. */
-    public Optional<String> next() {
+    public Optional<String> nextPageAfter() {
       return more && !items.isEmpty()
           ? Optional.of(items.get(items.size() - 1).key())
           : Optional.empty();
@@ -74,7 +74,7 @@
     }
 
     /** What the store counts against its limit of a value. */
-    public int bytes() {
+    public int valueBytes() {
       return value.map(text -> StoreCodec.encodedLength(text)).orElse(0);
     }
 
@@ -111,7 +111,7 @@
         + prefix
         + after.map(key -> "&from=" + key).orElse("")
         + "&limit="
-        + RANGE_LIMIT;
+        + MAX_KEYS_PER_PAGE;
   }
 
   /**
@@ -168,7 +168,7 @@
    *
    * @throws MalformedMessageException if the body is something else
    */
-  public static LeaseId parseLease(String body) throws MalformedMessageException {
+  public static LeaseId parseLeaseId(String body) throws MalformedMessageException {
     return new LeaseId(Json.count(Json.parseObject(body), WireNames.LEASE, 0, Long.MAX_VALUE));
   }
 
@@ -177,7 +177,7 @@
    *
    * @throws MalformedMessageException if the body is something else
    */
-  public static KeyValue parseItem(String body) throws MalformedMessageException {
+  public static KeyValue parseKeyValue(String body) throws MalformedMessageException {
     return item(Json.parseObject(body));
   }
 
--- a/src/main/java/org/mulleinshift/protocol/WireNames.java
+++ b/src/main/java/org/mulleinshift/protocol/WireNames.java
@@ -47,7 +47,7 @@
   static final String ZONE = "yard";
 
   /** Whether all tasks of a job must be in one zone. */
-  static final String ONE_ZONE = "same_place";
+  static final String SINGLE_ZONE = "same_place";
 
   /** Whether at most half of a job's tasks may be in one zone. */
   static final String SPREAD = "spread";
@@ -59,7 +59,7 @@
   static final String ESTIMATE_SECONDS = "guess_s";
 
   /** Interval between a task's checkpoints; 0: it has none. */
-  static final String CHECKPOINT_SECONDS = "snapshot_s";
+  static final String CHECKPOINT_INTERVAL_SECONDS = "snapshot_s";
 
   /** Time that a task needs to save when it is stopped. */
   static final String SAVE_SECONDS = "flush_s";
@@ -129,7 +129,7 @@
   // The cloud.
 
   /** Name of a machine type in the catalog. */
-  static final String CATALOG_TYPE = "label";
+  static final String MACHINE_TYPE_NAME = "label";
 
   /** Zones in which a machine type is offered. */
   static final String ZONES = "yards";
@@ -141,7 +141,7 @@
   static final String FETCH_GB_PER_SECOND = "pull_gb_per_s";
 
   /** Price of an on-demand machine per hour. */
-  static final String PRICE = "rate";
+  static final String ON_DEMAND_PRICE = "rate";
 
   /** Price of a spot machine per hour. */
   static final String SPOT_PRICE = "market_price";
@@ -153,7 +153,7 @@
   static final String PROVISIONING_REQUEST = "hire";
 
   /** Number of machines to provision. */
-  static final String COUNT = "how_many";
+  static final String MACHINE_COUNT = "how_many";
 
   /** A list of machines. */
   static final String MACHINES = "hosts";
--- a/src/main/java/org/mulleinshift/protocol/WorkerCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/WorkerCodec.java
@@ -29,27 +29,27 @@
     return HeartbeatParser.parse(body);
   }
 
-  static WorkerHeartbeat.State state(String wire) throws MalformedMessageException {
+  static WorkerHeartbeat.TaskState parseState(String wire) throws MalformedMessageException {
     return switch (wire) {
-      case "fetching" -> WorkerHeartbeat.State.FETCHING;
-      case "waiting" -> WorkerHeartbeat.State.WAITING;
-      case "running" -> WorkerHeartbeat.State.RUNNING;
-      case "saving" -> WorkerHeartbeat.State.SAVING;
-      case "exited" -> WorkerHeartbeat.State.EXITED;
+      case "fetching" -> WorkerHeartbeat.TaskState.FETCHING;
+      case "waiting" -> WorkerHeartbeat.TaskState.WAITING;
+      case "running" -> WorkerHeartbeat.TaskState.RUNNING;
+      case "saving" -> WorkerHeartbeat.TaskState.SAVING;
+      case "exited" -> WorkerHeartbeat.TaskState.EXITED;
       default -> throw new MalformedMessageException("phase is not one of the known values");
     };
   }
 
   /** An unknown cause counts as a failure: the task is retried. */
-  static WorkerHeartbeat.Cause cause(String wire) {
+  static WorkerHeartbeat.ExitCause parseExitCause(String wire) {
     return switch (wire) {
-      case "done" -> WorkerHeartbeat.Cause.DONE;
-      case "halted" -> WorkerHeartbeat.Cause.STOPPED;
-      case "full" -> WorkerHeartbeat.Cause.INSUFFICIENT_RESOURCES;
-      case "in_use" -> WorkerHeartbeat.Cause.BUSY;
-      case "peers", "incomplete" -> WorkerHeartbeat.Cause.GANG_BROKEN;
-      case "no_such" -> WorkerHeartbeat.Cause.UNKNOWN;
-      default -> WorkerHeartbeat.Cause.ERROR;
+      case "done" -> WorkerHeartbeat.ExitCause.DONE;
+      case "halted" -> WorkerHeartbeat.ExitCause.STOPPED;
+      case "full" -> WorkerHeartbeat.ExitCause.INSUFFICIENT_RESOURCES;
+      case "in_use" -> WorkerHeartbeat.ExitCause.OTHER_ATTEMPT_PRESENT;
+      case "peers", "incomplete" -> WorkerHeartbeat.ExitCause.GANG_FAILED;
+      case "no_such" -> WorkerHeartbeat.ExitCause.NO_SUCH_TASK;
+      default -> WorkerHeartbeat.ExitCause.ERROR;
     };
   }
 
--- a/src/main/java/org/mulleinshift/protocol/WorkerHeartbeat.java
+++ b/src/main/java/org/mulleinshift/protocol/WorkerHeartbeat.java
@@ -29,7 +29,7 @@
     List<ReportedTask> tasks) {
 
   /** What a task on a machine does. */
-  public enum State {
+  public enum TaskState {
     /** Waits for its image. */
     FETCHING,
     /** Has its image and waits for the other tasks of its gang. */
@@ -37,12 +37,12 @@
     RUNNING,
     /** Was told to stop, and saves a checkpoint. */
     SAVING,
-    /** Has ended, see its {@link Cause}. */
+    /** Has ended, see its {@link ExitCause}. */
     EXITED
   }
 
   /** Why a task has ended. */
-  public enum Cause {
+  public enum ExitCause {
     /** It has not ended. */
     NONE,
     /** Completed. */
@@ -54,23 +54,23 @@
     /** Not started: the machine has too few free resources. */
     INSUFFICIENT_RESOURCES,
     /** Not started: another attempt of the task is on the machine. */
-    BUSY,
+    OTHER_ATTEMPT_PRESENT,
     /** The tasks of its gang did not all start in time, or one of them was lost. */
-    GANG_BROKEN,
+    GANG_FAILED,
     /** Not started: no such job or task has been submitted. */
-    UNKNOWN
+    NO_SUCH_TASK
   }
 
   /**
    * One task on the machine. Why {@code equals} and {@code hashCode} are written out: see {@link
    * TextId}.
    */
-  public record ReportedTask(TaskId task, Attempt attempt, State state, Cause cause) {
+  public record ReportedTask(TaskId task, Attempt attempt, TaskState state, ExitCause exitCause) {
     @Override
     public boolean equals(Object other) {
       return other instanceof ReportedTask entry
           && entry.state == state
-          && entry.cause == cause
+          && entry.exitCause == exitCause
           && entry.attempt.equals(attempt)
           && entry.task.equals(task);
     }
--- a/src/main/java/org/mulleinshift/scheduling/CapacityReservation.java
+++ b/src/main/java/org/mulleinshift/scheduling/CapacityReservation.java
@@ -72,8 +72,8 @@
       ClassDemand demand = demandByClass.computeIfAbsent(spec.jobClass(), key -> new ClassDemand());
       demand.meanTasks =
           demand.latestRequest == null
-              ? spec.tasks()
-              : demand.meanTasks * (1 - LATEST_WEIGHT) + spec.tasks() * LATEST_WEIGHT;
+              ? spec.taskCount()
+              : demand.meanTasks * (1 - LATEST_WEIGHT) + spec.taskCount() * LATEST_WEIGHT;
       demand.latestRequest = ResourceRequest.of(spec);
       demand.latestArrival = now;
     }
--- a/src/main/java/org/mulleinshift/scheduling/FailureAttribution.java
+++ b/src/main/java/org/mulleinshift/scheduling/FailureAttribution.java
@@ -156,7 +156,7 @@
       return Integer.MAX_VALUE;
     }
     boolean due = job.assignedCount() == 0 && !jobFailures.nextAttemptAt.isAfter(now);
-    int tasks = job.spec().kind() == JobKind.GANG ? job.spec().tasks() : 1;
+    int tasks = job.spec().kind() == JobKind.GANG ? job.spec().taskCount() : 1;
     return due ? tasks : 0;
   }
 
--- a/src/main/java/org/mulleinshift/scheduling/JobRanking.java
+++ b/src/main/java/org/mulleinshift/scheduling/JobRanking.java
@@ -79,7 +79,7 @@
   private static boolean countAgainstGuarantee(
       Job job, Map<TeamId, Resources> requestedByTeam, TeamQuotas quotas) {
     TeamId team = job.spec().team();
-    int remainingTasks = job.spec().tasks() - job.doneCount();
+    int remainingTasks = job.spec().taskCount() - job.doneCount();
     Resources requested =
         requestedByTeam.merge(team, job.spec().perTask().times(remainingTasks), Resources::plus);
     return quotas.isWithinGuarantee(team, requested);
--- a/src/main/java/org/mulleinshift/scheduling/MinimumShares.java
+++ b/src/main/java/org/mulleinshift/scheduling/MinimumShares.java
@@ -89,7 +89,7 @@
   }
 
   private JobShares sharesOf(Job job, Map<TeamId, Resources> usageByTeam, MonotonicTime now) {
-    double share = job.spec().perTask().shareOf(capacity.total());
+    double share = job.spec().perTask().dominantShareOf(capacity.total());
     double waiting = 0;
     if (job.state() == Job.State.ACTIVE && job.waitingCount() > 0) {
       Resources used = usageByTeam.getOrDefault(job.spec().team(), Resources.ZERO);
@@ -120,7 +120,7 @@
     EntityTotals totals =
         teams.computeIfAbsent(
             team.value(), key -> new EntityTotals(state.quotas().fairShareWeight(team)));
-    totals.limit = state.quotas().limit(team).shareOf(capacity.total());
+    totals.limit = state.quotas().limit(team).dominantShareOf(capacity.total());
     totals.add(shares);
   }
 
--- a/src/main/java/org/mulleinshift/scheduling/Preemption.java
+++ b/src/main/java/org/mulleinshift/scheduling/Preemption.java
@@ -108,7 +108,7 @@
     int missing = wanted;
     PriorityQueue<RankedGroup> rankedGroups = new PriorityQueue<>();
     for (PreemptionCandidates.Group group : candidates.groups()) {
-      int tasksPerVictim = request.perTask().countIn(group.job().spec().perTask());
+      int tasksPerVictim = request.perTask().countFittingInto(group.job().spec().perTask());
       if (tasksPerVictim > 0 && policy.mayPreempt(group.job()) && usable.test(group.location())) {
         // Tasks that are already stopping will release their capacity soon.
         missing -= group.stopping() * tasksPerVictim;
--- a/src/main/java/org/mulleinshift/scheduling/SchedulingCycle.java
+++ b/src/main/java/org/mulleinshift/scheduling/SchedulingCycle.java
@@ -109,7 +109,7 @@
    */
   private void startStarvedJobs(CycleState cycle) {
     for (Job job : starvation.jobsToStart(state.jobs().all(), loop.now(), loop.wallMillis())) {
-      int maxTasks = (job.spec().tasks() + STARVED_JOB_DIVISOR - 1) / STARVED_JOB_DIVISOR;
+      int maxTasks = (job.spec().taskCount() + STARVED_JOB_DIVISOR - 1) / STARVED_JOB_DIVISOR;
       assigner.assign(job, maxTasks, cycle);
     }
   }
--- a/src/main/java/org/mulleinshift/scheduling/ShareSnapshot.java
+++ b/src/main/java/org/mulleinshift/scheduling/ShareSnapshot.java
@@ -13,6 +13,6 @@
 record ShareSnapshot(Resources clusterCapacity, List<EntityGroup> groups) {
   /** The share of the cluster that one task of the job takes. */
   double shareOfTask(Job job) {
-    return job.spec().perTask().shareOf(clusterCapacity);
+    return job.spec().perTask().dominantShareOf(clusterCapacity);
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/StarvationPrevention.java
+++ b/src/main/java/org/mulleinshift/scheduling/StarvationPrevention.java
@@ -24,7 +24,7 @@
   private static final int MILLIS_PER_SECOND = 1000;
 
   private static final Comparator<Job> LARGEST_FIRST =
-      Comparator.comparingInt((Job job) -> -job.spec().tasks())
+      Comparator.comparingInt((Job job) -> -job.spec().taskCount())
           .thenComparingLong(Job::readyMillis)
           .thenComparing(job -> job.spec().id());
 
--- a/src/main/java/org/mulleinshift/scheduling/TeamQuotas.java
+++ b/src/main/java/org/mulleinshift/scheduling/TeamQuotas.java
@@ -44,7 +44,9 @@
   /** How many more of the job's tasks its team's limit allows; 0 if the team is not configured. */
   public int tasksWithinLimit(Job job, Resources used) {
     TeamId team = job.spec().team();
-    return find(team).isEmpty() ? 0 : job.spec().perTask().countIn(limit(team).minus(used));
+    return find(team).isEmpty()
+        ? 0
+        : job.spec().perTask().countFittingInto(limit(team).minus(used));
   }
 
   /**
--- a/src/main/java/org/mulleinshift/sharding/AssignmentWriter.java
+++ b/src/main/java/org/mulleinshift/sharding/AssignmentWriter.java
@@ -124,7 +124,7 @@
         request.perTask().memoryGb(),
         request.image(),
         request.imageGb(),
-        spec.checkpointSeconds() > 0 ? spec.saveSeconds() : 0,
+        spec.checkpointIntervalSeconds() > 0 ? spec.saveSeconds() : 0,
         request.types().stream().map(type -> type.value()).toList(),
         request.spotAllowed(),
         rank.applyAsInt(spec.id()),
--- a/src/main/java/org/mulleinshift/sharding/CommandPlanner.java
+++ b/src/main/java/org/mulleinshift/sharding/CommandPlanner.java
@@ -40,7 +40,7 @@
     List<WorkerCommand> stops = new ArrayList<>();
     List<WorkerCommand> others = new ArrayList<>();
     for (WorkerHeartbeat.ReportedTask entry : machine.unassignedTasks()) {
-      boolean exited = entry.state() == WorkerHeartbeat.State.EXITED;
+      boolean exited = entry.state() == WorkerHeartbeat.TaskState.EXITED;
       if (!exited && assignments.mustStopUnassigned(entry.task().job())) {
         stops.add(new WorkerCommand.Stop(entry.task(), entry.attempt(), Duration.ZERO));
       } else if (exited && mayForget(machine, entry)) {
--- a/src/main/java/org/mulleinshift/sharding/HeartbeatReconciler.java
+++ b/src/main/java/org/mulleinshift/sharding/HeartbeatReconciler.java
@@ -143,7 +143,8 @@
   }
 
   private void recordImage(OwnedMachine machine, OwnedTask task) {
-    double cacheGb = catalog.type(machine.record().type()).map(MachineType::cacheGb).orElse(0.0);
+    double cacheGb =
+        catalog.type(machine.record().type()).map(MachineType::imageCacheGb).orElse(0.0);
     if (machine.recordImageUse(task.request().image(), task.request().imageGb(), cacheGb)) {
       state.markChanged(machine.id());
     }
--- a/src/main/java/org/mulleinshift/sharding/OwnedMachine.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedMachine.java
@@ -34,7 +34,7 @@
   private MachineRecord record;
   private MachinePhase phase = MachinePhase.UNSEEN;
   private MachineLiveness liveness = MachineLiveness.ALIVE;
-  private HeartbeatVersion lastHeartbeatVersion = HeartbeatVersion.NEVER;
+  private HeartbeatVersion lastHeartbeatVersion = HeartbeatVersion.NONE;
   private MonotonicTime newestHeartbeatAt;
   private String address = "";
   private Optional<MonotonicTime> lastResponseAt = Optional.empty();
@@ -267,7 +267,7 @@
     boolean before = hasUnreadableTasks;
     hasUnreadableTasks =
         unassignedTasks.stream()
-            .filter(entry -> entry.state() != WorkerHeartbeat.State.EXITED)
+            .filter(entry -> entry.state() != WorkerHeartbeat.TaskState.EXITED)
             .anyMatch(entry -> unreadableJobs.contains(entry.task().job()));
     return before != hasUnreadableTasks;
   }
--- a/src/main/java/org/mulleinshift/sharding/TaskPhase.java
+++ b/src/main/java/org/mulleinshift/sharding/TaskPhase.java
@@ -63,10 +63,11 @@
       case RUNNING -> RUNNING;
       case SAVING -> SAVING;
       case EXITED ->
-          switch (entry.cause()) {
+          switch (entry.exitCause()) {
             case DONE -> DONE;
             case STOPPED -> STOPPED;
-            case INSUFFICIENT_RESOURCES, BUSY, GANG_BROKEN, UNKNOWN -> REJECTED;
+            case INSUFFICIENT_RESOURCES, OTHER_ATTEMPT_PRESENT, GANG_FAILED, NO_SUCH_TASK ->
+                REJECTED;
             case NONE, ERROR -> FAILED;
           };
     };
--- a/src/main/java/org/mulleinshift/sharding/TaskPlacer.java
+++ b/src/main/java/org/mulleinshift/sharding/TaskPlacer.java
@@ -156,6 +156,6 @@
         && !machine.hasInterruptionNotice()
         && liveness.livenessOf(machine, now) == MachineLiveness.ALIVE
         && machine.unassignedTasks().stream()
-            .allMatch(entry -> entry.state() == WorkerHeartbeat.State.EXITED);
+            .allMatch(entry -> entry.state() == WorkerHeartbeat.TaskState.EXITED);
   }
 }
--- a/src/main/java/org/mulleinshift/store/KeyValueStore.java
+++ b/src/main/java/org/mulleinshift/store/KeyValueStore.java
@@ -172,7 +172,7 @@
     call(
         HttpRequest.get(StoreCodec.keyPath(key), DEADLINE),
         urgency,
-        StoreCodec::parseItem,
+        StoreCodec::parseKeyValue,
         callback);
   }
 
@@ -209,8 +209,8 @@
           found.addAll(range.items());
           // The oldest page's revision: a watch from there misses nothing.
           Revision revision = firstRevision.orElse(range.revision());
-          if (range.next().isPresent()) {
-            readAllFrom(prefix, range.next(), found, Optional.of(revision), callback);
+          if (range.nextPageAfter().isPresent()) {
+            readAllFrom(prefix, range.nextPageAfter(), found, Optional.of(revision), callback);
           } else {
             callback.accept(new ReadResult.Found<>(new StoreCodec.Range(found, false, revision)));
           }
@@ -236,7 +236,7 @@
     call(
         HttpRequest.post(StoreCodec.LEASES_PATH, StoreCodec.writeLeaseRequest(ttl), DEADLINE),
         Urgency.URGENT,
-        StoreCodec::parseLease,
+        StoreCodec::parseLeaseId,
         callback);
   }
 
--- a/src/main/java/org/mulleinshift/store/WatchCache.java
+++ b/src/main/java/org/mulleinshift/store/WatchCache.java
@@ -105,8 +105,8 @@
           applyPage(page.items(), unseenKeys);
           // The oldest page's revision: a watch from there misses nothing.
           ReadStart start = firstPage.orElse(new ReadStart(page.revision(), requestedAt));
-          if (page.next().isPresent()) {
-            readPage(page.next(), Optional.of(start), unseenKeys);
+          if (page.nextPageAfter().isPresent()) {
+            readPage(page.nextPageAfter(), Optional.of(start), unseenKeys);
           } else {
             onReadComplete(start, unseenKeys);
             watch();
--- a/src/test/java/org/mulleinshift/protocol/CloudMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/CloudMessageGoldenTest.java
@@ -33,7 +33,7 @@
     messages.put("rent-spot", CloudCodec.writeProvisioningRequest("r-417-1", TYPE, ZONE, true, 12));
     messages.put(
         "rent-ordinary", CloudCodec.writeProvisioningRequest("r-417-2", TYPE, ZONE, false, 50));
-    messages.put("delete", CloudCodec.writeDeletion(MACHINES));
+    messages.put("delete", CloudCodec.writeDeletionRequest(MACHINES));
     messages.put("catalog", catalog());
     messages.put("rented", provisioned());
     messages.put("list", list());
@@ -76,12 +76,12 @@
 
   @ParameterizedTest
   @MethodSource("messageNames")
-  void messagesAreWrittenAsBefore(String name) {
+  void messagesMatchGoldenFiles(String name) {
     GoldenFile.assertHolds(file(name), messages().get(name));
   }
 
   @Test
-  void pathsAreAsBefore() {
+  void pathsMatchGoldenFile() {
     GoldenFile.assertHolds(
         DIRECTORY + "paths.txt",
         String.join(
@@ -89,12 +89,12 @@
             CloudCodec.CATALOG_PATH,
             CloudCodec.MACHINES_PATH,
             CloudCodec.DELETE_PATH,
-            CloudCodec.listPath(Optional.empty()),
-            CloudCodec.listPath(Optional.of(MACHINES.get(0)))));
+            CloudCodec.machineListPath(Optional.empty()),
+            CloudCodec.machineListPath(Optional.of(MACHINES.get(0)))));
   }
 
   @Test
-  void theCatalogIsReadAsItWasMeant() throws MalformedMessageException {
+  void parsesGoldenCatalog() throws MalformedMessageException {
     MachineType expected =
         new MachineType(
             TYPE,
@@ -109,19 +109,20 @@
   }
 
   @Test
-  void provisionedMachinesAreReadAsTheyWereMeant() throws MalformedMessageException {
-    assertEquals(MACHINES, CloudCodec.parseProvisioned(GoldenFile.text(file("rented"))));
+  void parsesGoldenProvisioningResponse() throws MalformedMessageException {
+    assertEquals(MACHINES, CloudCodec.parseProvisioningResponse(GoldenFile.text(file("rented"))));
   }
 
   @Test
-  void theMachineListIsReadAsItWasMeant() throws MalformedMessageException {
+  void parsesGoldenMachineList() throws MalformedMessageException {
     List<CloudMachine> expected =
         List.of(
             machine("i-booting", false, Phase.BOOTING),
             machine("i-running", true, Phase.RUNNING),
             machine("i-failed", false, Phase.FAILED));
     assertEquals(
-        new CloudCodec.Page(expected, true), CloudCodec.parseList(GoldenFile.text(file("list"))));
+        new CloudCodec.Page(expected, true),
+        CloudCodec.parseMachineList(GoldenFile.text(file("list"))));
   }
 
   private static CloudMachine machine(String id, boolean spot, Phase phase) {
--- a/src/test/java/org/mulleinshift/protocol/JobMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/JobMessageGoldenTest.java
@@ -44,20 +44,20 @@
 
   @ParameterizedTest
   @MethodSource("submissions")
-  void submissionsAreWrittenAsBefore(String name) {
+  void submissionsMatchGoldenFiles(String name) {
     GoldenFile.assertHolds(file(name), Json.write(JobCodec.writeSubmission(specs().get(name))));
   }
 
   @ParameterizedTest
   @MethodSource("submissions")
-  void submissionsAreReadAsTheyWereMeant(String name) throws MalformedMessageException {
+  void parsesGoldenSubmissions(String name) throws MalformedMessageException {
     JsonNode submission = Json.parseObject(GoldenFile.text(file(name)));
     assertEquals(specs().get(name), JobCodec.parseSubmission(submission));
     assertEquals(List.of(), JobCodec.parseDependencies(submission));
   }
 
   @Test
-  void aSubmissionWithDependenciesIsWrittenAsBefore() {
+  void submissionWithDependenciesMatchesGoldenFile() {
     ObjectNode submission =
         JobCodec.writeSubmission(JobSpecSamples.withoutOptionalFields(JOB, TASKS));
     submission.putNull("builds").putNull("yard").putNull("due_s").put("colour", "red");
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void aSubmissionWithDependenciesIsReadAsItWasMeant() throws MalformedMessageException {
+  void parsesGoldenSubmissionWithDependencies() throws MalformedMessageException {
     JsonNode submission = Json.parseObject(GoldenFile.text(file("submission-awaiting")));
     assertEquals(
         JobSpecSamples.withoutOptionalFields(JOB, TASKS), JobCodec.parseSubmission(submission));
@@ -94,7 +94,7 @@
 
   @ParameterizedTest
   @MethodSource("responseNames")
-  void responsesAreWrittenAsBefore(String name) {
+  void responsesMatchGoldenFiles(String name) {
     GoldenFile.assertHolds(file(name), responses().get(name));
   }
 }
--- a/src/test/java/org/mulleinshift/protocol/StoreMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/StoreMessageGoldenTest.java
@@ -83,12 +83,12 @@
 
   @ParameterizedTest
   @MethodSource("messageNames")
-  void messagesAreWrittenAsBefore(String name) {
+  void messagesMatchGoldenFiles(String name) {
     GoldenFile.assertHolds(file(name), messages().get(name));
   }
 
   @Test
-  void pathsAreAsBefore() {
+  void pathsMatchGoldenFile() {
     GoldenFile.assertHolds(
         DIRECTORY + "paths.txt",
         String.join(
@@ -104,23 +104,23 @@
   }
 
   @Test
-  void aLeaseIsReadAsItWasMeant() throws MalformedMessageException {
-    assertEquals(LEASE, StoreCodec.parseLease(GoldenFile.text(file("lease"))));
+  void parsesGoldenLease() throws MalformedMessageException {
+    assertEquals(LEASE, StoreCodec.parseLeaseId(GoldenFile.text(file("lease"))));
   }
 
   @Test
-  void aRevisionIsReadAsItWasMeant() throws MalformedMessageException {
+  void parsesGoldenRevision() throws MalformedMessageException {
     assertEquals(REVISION, StoreCodec.parseRevision(GoldenFile.text(file("committed"))));
   }
 
   @Test
-  void aKeyIsReadAsItWasMeant() throws MalformedMessageException {
+  void parsesGoldenKey() throws MalformedMessageException {
     KeyValue expected = new KeyValue("a/b", stored(), new Revision(412));
-    assertEquals(expected, StoreCodec.parseItem(GoldenFile.text(file("key"))));
+    assertEquals(expected, StoreCodec.parseKeyValue(GoldenFile.text(file("key"))));
   }
 
   @Test
-  void aPageOfKeysIsReadAsItWasMeant() throws MalformedMessageException {
+  void parsesGoldenPageOfKeys() throws MalformedMessageException {
     List<KeyValue> items =
         List.of(
             new KeyValue("a/b", stored(), new Revision(412)),
@@ -130,7 +130,7 @@
   }
 
   @Test
-  void changesAreReadAsTheyWereMeant() throws MalformedMessageException {
+  void parsesGoldenChanges() throws MalformedMessageException {
     List<Change> expected =
         List.of(
             new Change("c/9", Optional.of(stored()), REVISION),
--- a/src/test/java/org/mulleinshift/protocol/WorkerMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/WorkerMessageGoldenTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.mulleinshift.GoldenFile;
-import org.mulleinshift.protocol.WorkerHeartbeat.Cause;
-import org.mulleinshift.protocol.WorkerHeartbeat.State;
+import org.mulleinshift.protocol.WorkerHeartbeat.ExitCause;
+import org.mulleinshift.protocol.WorkerHeartbeat.TaskState;
 
 /** Heartbeats are read, and commands are written, as by an earlier build. */
 class WorkerMessageGoldenTest {
@@ -26,24 +26,24 @@
   private static final FencingToken TOKEN = new FencingToken(417L << 20);
 
   /** A task's state and cause as workers name them, and as they are understood. */
-  private record TaskSample(String phase, String cause, State state, Cause exitCause) {}
+  private record TaskSample(String phase, String cause, TaskState state, ExitCause exitCause) {}
 
   private static final List<TaskSample> TASKS =
       List.of(
-          new TaskSample("fetching", null, State.FETCHING, Cause.NONE),
-          new TaskSample("waiting", null, State.WAITING, Cause.NONE),
-          new TaskSample("running", null, State.RUNNING, Cause.NONE),
-          new TaskSample("saving", null, State.SAVING, Cause.NONE),
-          new TaskSample("exited", null, State.EXITED, Cause.NONE),
-          new TaskSample("exited", "done", State.EXITED, Cause.DONE),
-          new TaskSample("exited", "halted", State.EXITED, Cause.STOPPED),
-          new TaskSample("exited", "error", State.EXITED, Cause.ERROR),
-          new TaskSample("exited", "full", State.EXITED, Cause.INSUFFICIENT_RESOURCES),
-          new TaskSample("exited", "in_use", State.EXITED, Cause.BUSY),
-          new TaskSample("exited", "peers", State.EXITED, Cause.GANG_BROKEN),
-          new TaskSample("exited", "incomplete", State.EXITED, Cause.GANG_BROKEN),
-          new TaskSample("exited", "no_such", State.EXITED, Cause.UNKNOWN),
-          new TaskSample("exited", "unheard-of", State.EXITED, Cause.ERROR));
+          new TaskSample("fetching", null, TaskState.FETCHING, ExitCause.NONE),
+          new TaskSample("waiting", null, TaskState.WAITING, ExitCause.NONE),
+          new TaskSample("running", null, TaskState.RUNNING, ExitCause.NONE),
+          new TaskSample("saving", null, TaskState.SAVING, ExitCause.NONE),
+          new TaskSample("exited", null, TaskState.EXITED, ExitCause.NONE),
+          new TaskSample("exited", "done", TaskState.EXITED, ExitCause.DONE),
+          new TaskSample("exited", "halted", TaskState.EXITED, ExitCause.STOPPED),
+          new TaskSample("exited", "error", TaskState.EXITED, ExitCause.ERROR),
+          new TaskSample("exited", "full", TaskState.EXITED, ExitCause.INSUFFICIENT_RESOURCES),
+          new TaskSample("exited", "in_use", TaskState.EXITED, ExitCause.OTHER_ATTEMPT_PRESENT),
+          new TaskSample("exited", "peers", TaskState.EXITED, ExitCause.GANG_FAILED),
+          new TaskSample("exited", "incomplete", TaskState.EXITED, ExitCause.GANG_FAILED),
+          new TaskSample("exited", "no_such", TaskState.EXITED, ExitCause.NO_SUCH_TASK),
+          new TaskSample("exited", "unheard-of", TaskState.EXITED, ExitCause.ERROR));
 
   private static String file(String name) {
     return DIRECTORY + name + ".json";
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void aHeartbeatWithAllTaskStatesIsWrittenAsBefore() {
+  void heartbeatWithAllTaskStatesMatchesGoldenFile() {
     ObjectNode heartbeat = heartbeatJson(null);
     ArrayNode tasks = heartbeat.putArray("pieces");
     for (int i = 0; i < TASKS.size(); i++) {
@@ -72,14 +72,14 @@
   }
 
   @Test
-  void aHeartbeatOfAnInterruptedMachineIsWrittenAsBefore() {
+  void heartbeatOfInterruptedMachineMatchesGoldenFile() {
     ObjectNode heartbeat = heartbeatJson(27.5);
     heartbeat.putArray("pieces");
     GoldenFile.assertHolds(INTERRUPTED, Json.write(heartbeat));
   }
 
   @Test
-  void aHeartbeatWithAllTaskStatesIsReadAsItWasMeant() throws MalformedMessageException {
+  void parsesGoldenHeartbeatWithAllTaskStates() throws MalformedMessageException {
     WorkerHeartbeat heartbeat = WorkerCodec.parseHeartbeat(GoldenFile.text(HEARTBEAT));
     assertEquals(expected(Optional.empty(), heartbeat.tasks()), heartbeat);
     assertEquals(TASKS.size(), heartbeat.tasks().size());
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void aHeartbeatOfAnInterruptedMachineIsReadAsItWasMeant() throws MalformedMessageException {
+  void parsesGoldenHeartbeatOfInterruptedMachine() throws MalformedMessageException {
     WorkerHeartbeat heartbeat = WorkerCodec.parseHeartbeat(GoldenFile.text(INTERRUPTED));
     assertEquals(expected(Optional.of(Duration.ofMillis(27_500)), List.of()), heartbeat);
   }
@@ -135,7 +135,7 @@
 
   @ParameterizedTest
   @MethodSource("messageNames")
-  void commandsAreWrittenAsBefore(String name) {
+  void commandsMatchGoldenFiles(String name) {
     GoldenFile.assertHolds(file(name), messages().get(name));
   }
 }
--- a/src/test/java/org/mulleinshift/sharding/PeerPhaseGoldenTest.java
+++ b/src/test/java/org/mulleinshift/sharding/PeerPhaseGoldenTest.java
@@ -56,8 +56,8 @@
         new WorkerHeartbeat.ReportedTask(
             new TaskId(job, 0),
             new Attempt(1),
-            WorkerHeartbeat.State.RUNNING,
-            WorkerHeartbeat.Cause.NONE);
+            WorkerHeartbeat.TaskState.RUNNING,
+            WorkerHeartbeat.ExitCause.NONE);
     machine.unassignedTasks(List.of(unassignedTask));
     machine.updateUnreadableTasks(Set.of(job));
     return machine;
