--- a/src/main/java/org/mulleinshift/protocol/Attempt.java
+++ b/src/main/java/org/mulleinshift/protocol/Attempt.java
@@ -1,6 +1,6 @@
 package org.mulleinshift.protocol;
 
-/** The number of an attempt to run a task; a later attempt has a larger number. */
+/** The number of an attempt to run a task; later attempts have larger numbers. */
 public record Attempt(long value) implements NumericId<Attempt> {
   @Override
   public String toString() {
--- a/src/main/java/org/mulleinshift/protocol/CloudCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/CloudCodec.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Messages of the cloud's interface. */
+/** Writes the requests to the cloud API and parses its responses. */
 public final class CloudCodec {
-  /** Path of the catalog of machine types. */
+  /** Path of the machine type catalog. */
   public static final String CATALOG_PATH = "/catalog";
 
   /** Path of the machine list and of provisioning requests. */
@@ -22,13 +22,13 @@
   /** Path of deletion requests. */
   public static final String DELETE_PATH = "/rentals/delete";
 
-  /** The most machines of one provisioning request. */
+  /** Maximum number of machines in one provisioning request. */
   public static final int MAX_MACHINES_PER_REQUEST = 50;
 
-  /** The most machines of one deletion request. */
+  /** Maximum number of machines in one deletion request. */
   public static final int MAX_MACHINES_PER_DELETION = 100;
 
-  /** The most machines of one page of the list. */
+  /** Maximum number of machines on one page of the list. */
   public static final int MAX_MACHINES_PER_PAGE = 500;
 
   private static final int MILLIS_PER_SECOND = 1000;
@@ -43,9 +43,10 @@
   private CloudCodec() {}
 
   /**
-   * Reads the machine types in the catalog's order.
+   * Parses the machine type catalog; the result keeps its order.
    *
-   * @throws MalformedMessageException if there are none, or one is incomplete
+   * @throws MalformedMessageException if the catalog is empty, or a type lacks a field or has an
+   *     invalid one
    */
   public static Map<MachineTypeId, MachineType> parseCatalog(String body)
       throws MalformedMessageException {
@@ -82,7 +83,7 @@
   /**
    * Writes a provisioning request.
    *
-   * @param name makes the request idempotent; a name must never be reused
+   * @param name idempotency key of the request; must not be reused for another request
    */
   public static String writeProvisioningRequest(
       String name, MachineTypeId type, ZoneId zone, boolean spot, int count) {
@@ -96,23 +97,23 @@
   }
 
   /**
-   * Reads the names of the machines that a request provisioned.
+   * Parses the response to a provisioning request: the names of the new machines.
    *
-   * @throws MalformedMessageException if the body is something else
+   * @throws MalformedMessageException if the body is not a list of names
    */
   public static List<MachineId> parseProvisioningResponse(String body)
       throws MalformedMessageException {
     List<MachineId> machines = new ArrayList<>();
     for (JsonNode item : list(Json.parseObject(body), WireNames.MACHINES)) {
       if (!item.isTextual()) {
-        throw new MalformedMessageException("hosts holds something else than names");
+        throw new MalformedMessageException("hosts contains a value that is not a name");
       }
       machines.add(new MachineId(item.asText()));
     }
     return machines;
   }
 
-  /** Writes a deletion request. */
+  /** Writes a request that deletes the machines. */
   public static String writeDeletionRequest(Collection<MachineId> machines) {
     ObjectNode node = Json.object();
     ArrayNode list = node.putArray(WireNames.MACHINES);
@@ -120,16 +121,21 @@
     return Json.write(node);
   }
 
-  /** The path of the page that starts after a machine, or of the first page. */
+  /**
+   * Returns the path of a page of the machine list.
+   *
+   * @param after the last machine of the previous page; empty: the first page
+   */
   public static String machineListPath(Optional<MachineId> after) {
     String from = after.map(machine -> "from=" + machine.value() + "&").orElse("");
     return MACHINES_PATH + "?" + from + "limit=" + MAX_MACHINES_PER_PAGE;
   }
 
   /**
-   * Reads a page of the machine list.
+   * Parses a page of the machine list.
    *
-   * @throws MalformedMessageException if the body is something else
+   * @throws MalformedMessageException if the list is missing, or a machine lacks a required field
+   *     or is in an unknown phase
    */
   public static Page parseMachineList(String body) throws MalformedMessageException {
     JsonNode node = Json.parseObject(body);
@@ -155,8 +161,8 @@
     return Duration.ofMillis((long) (seconds * MILLIS_PER_SECOND));
   }
 
-  private static CloudMachine.Phase phase(String wire) throws MalformedMessageException {
-    return switch (wire) {
+  private static CloudMachine.Phase phase(String wireName) throws MalformedMessageException {
+    return switch (wireName) {
       case "booting" -> CloudMachine.Phase.BOOTING;
       case "running" -> CloudMachine.Phase.RUNNING;
       case "failed" -> CloudMachine.Phase.FAILED;
--- a/src/main/java/org/mulleinshift/protocol/CloudMachine.java
+++ b/src/main/java/org/mulleinshift/protocol/CloudMachine.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /**
- * A machine in the cloud's list, which lags behind what is the case.
+ * A machine as the cloud lists it. The list lags behind the actual state of the machines.
  *
- * @param address of its worker; may be empty while it boots
- * @param age time since it was requested, as of the moment that the list describes
+ * @param address address of its worker; may be empty while the machine boots
+ * @param age time since the machine was requested, at the time that the list describes
  */
 public record CloudMachine(
     MachineId id,
@@ -16,13 +16,13 @@
     boolean spot,
     Phase phase,
     Duration age) {
-  /** What the cloud knows of a machine. */
+  /** The phase of a machine according to the cloud. */
   public enum Phase {
-    /** Not up yet. */
+    /** Requested, but not up yet. */
     BOOTING,
     /** Up. */
     RUNNING,
-    /** Stopped by itself; stays listed until it is deleted. */
+    /** Stopped without a deletion request; remains listed until it is deleted. */
     FAILED
   }
 }
--- a/src/main/java/org/mulleinshift/protocol/FencingToken.java
+++ b/src/main/java/org/mulleinshift/protocol/FencingToken.java
@@ -1,6 +1,9 @@
 package org.mulleinshift.protocol;
 
-/** Identifies who may command a machine: a worker obeys only the highest token that it has seen. */
+/**
+ * Decides whose commands a worker obeys: it ignores commands whose token is lower than the highest
+ * that it has seen.
+ */
 public record FencingToken(long value) implements NumericId<FencingToken> {
   @Override
   public String toString() {
--- a/src/main/java/org/mulleinshift/protocol/HeartbeatParser.java
+++ b/src/main/java/org/mulleinshift/protocol/HeartbeatParser.java
@@ -11,8 +11,9 @@
 import java.util.Set;
 
 /**
- * Reads one worker's heartbeat token by token. Heartbeats are what a controller reads most, so no
- * tree is built of them. Unknown fields are skipped; a field that occurs twice is an error.
+ * Parses a worker's heartbeat from a stream of JSON tokens. Heartbeats are the most frequent
+ * messages that a controller receives, so no tree is built for them. Unknown fields are skipped; a
+ * field that occurs twice is an error.
  */
 final class HeartbeatParser {
   private static final double MAX_NOTICE_SECONDS = 1e9;
@@ -21,8 +22,8 @@
   /** Initial capacity of the list of tasks. */
   private static final int EXPECTED_TASKS = 8;
 
-  /** Stands for a number that the heartbeat did not give: the valid ones are not negative. */
-  private static final long NOT_GIVEN = -1;
+  /** Value of a numeric field that has not been read; valid numbers are not negative. */
+  private static final long UNSET = -1;
 
   private final JsonParser in;
   private final Set<String> seenFields = new HashSet<>();
@@ -31,9 +32,9 @@
   private String type;
   private String zone;
   private Boolean spot;
-  private long epoch = NOT_GIVEN;
-  private long sequence = NOT_GIVEN;
-  private long token = NOT_GIVEN;
+  private long epoch = UNSET;
+  private long sequence = UNSET;
+  private long token = UNSET;
   private Optional<Duration> interruptionNotice = Optional.empty();
   private List<WorkerHeartbeat.ReportedTask> tasks;
 
@@ -42,26 +43,26 @@
   }
 
   /**
-   * Reads a heartbeat.
+   * Parses a heartbeat.
    *
    * @throws MalformedMessageException if a field is missing or invalid
    */
   static WorkerHeartbeat parse(String body) throws MalformedMessageException {
     try (JsonParser in = Json.parser(body)) {
-      return new HeartbeatParser(in).heartbeat();
+      return new HeartbeatParser(in).parseHeartbeat();
     } catch (IOException e) {
       throw new MalformedMessageException("not JSON");
     }
   }
 
-  private WorkerHeartbeat heartbeat() throws IOException, MalformedMessageException {
+  private WorkerHeartbeat parseHeartbeat() throws IOException, MalformedMessageException {
     if (in.nextToken() != JsonToken.START_OBJECT) {
       throw new MalformedMessageException("not an object");
     }
     for (String key = in.nextFieldName(); key != null; key = in.nextFieldName()) {
       in.nextToken();
       readField(key);
-      requireFirst(key);
+      requireNotSeen(key);
     }
     if (!in.hasToken(JsonToken.END_OBJECT) || in.nextToken() != null) {
       throw new MalformedMessageException("not JSON");
@@ -70,14 +71,15 @@
       throw new MalformedMessageException("pieces is missing");
     }
     return new WorkerHeartbeat(
-        new MachineId(given(machine, WireNames.MACHINE)),
-        given(address, WireNames.ADDRESS),
-        new MachineTypeId(given(type, WireNames.MACHINE_TYPE)),
-        new ZoneId(given(zone, WireNames.ZONE)),
-        given(spot, WireNames.SPOT),
+        new MachineId(requireGiven(machine, WireNames.MACHINE)),
+        requireGiven(address, WireNames.ADDRESS),
+        new MachineTypeId(requireGiven(type, WireNames.MACHINE_TYPE)),
+        new ZoneId(requireGiven(zone, WireNames.ZONE)),
+        requireGiven(spot, WireNames.SPOT),
         new HeartbeatVersion(
-            given(epoch, WireNames.WORKER_EPOCH), given(sequence, WireNames.HEARTBEAT_SEQUENCE)),
-        new FencingToken(given(token, WireNames.FENCING_TOKEN)),
+            requireGiven(epoch, WireNames.WORKER_EPOCH),
+            requireGiven(sequence, WireNames.HEARTBEAT_SEQUENCE)),
+        new FencingToken(requireGiven(token, WireNames.FENCING_TOKEN)),
         interruptionNotice,
         tasks);
   }
@@ -92,60 +94,60 @@
       case WireNames.WORKER_EPOCH -> epoch = count(key);
       case WireNames.HEARTBEAT_SEQUENCE -> sequence = count(key);
       case WireNames.FENCING_TOKEN -> token = count(key);
-      case WireNames.INTERRUPTION_SECONDS -> interruptionNotice = interruptionNotice(key);
-      case WireNames.TASKS -> tasks = entries();
+      case WireNames.INTERRUPTION_SECONDS -> interruptionNotice = parseInterruptionNotice(key);
+      case WireNames.TASKS -> tasks = parseTasks();
       default -> in.skipChildren();
     }
   }
 
-  private List<WorkerHeartbeat.ReportedTask> entries()
+  private List<WorkerHeartbeat.ReportedTask> parseTasks()
       throws IOException, MalformedMessageException {
     if (!in.hasToken(JsonToken.START_ARRAY)) {
       throw new MalformedMessageException("pieces is missing");
     }
-    List<WorkerHeartbeat.ReportedTask> found = new ArrayList<>(EXPECTED_TASKS);
+    List<WorkerHeartbeat.ReportedTask> parsed = new ArrayList<>(EXPECTED_TASKS);
     while (in.nextToken() != JsonToken.END_ARRAY) {
-      found.add(entry());
+      parsed.add(parseTask());
     }
-    return found;
+    return parsed;
   }
 
-  private WorkerHeartbeat.ReportedTask entry() throws IOException, MalformedMessageException {
+  private WorkerHeartbeat.ReportedTask parseTask() throws IOException, MalformedMessageException {
     if (!in.hasToken(JsonToken.START_OBJECT)) {
       throw new MalformedMessageException("piece is missing or not a short text");
     }
     TaskId task = null;
-    long attempt = NOT_GIVEN;
+    long attempt = UNSET;
     WorkerHeartbeat.TaskState state = null;
     WorkerHeartbeat.ExitCause cause = null;
     for (String key = in.nextFieldName(); key != null; key = in.nextFieldName()) {
       in.nextToken();
       switch (key) {
-        case WireNames.TASK -> task = unset(task, taskId(text(key)), key);
+        case WireNames.TASK -> task = requireUnset(task, parseTaskId(text(key)), key);
         case WireNames.ATTEMPT -> {
-          requireNotGiven(attempt, key);
+          requireUnset(attempt, key);
           attempt = count(key);
         }
-        case WireNames.PHASE -> state = unset(state, WorkerCodec.parseState(text(key)), key);
-        case WireNames.EXIT_CAUSE -> cause = unset(cause, causeOf(key), key);
+        case WireNames.PHASE -> state = requireUnset(state, WorkerCodec.parseState(text(key)), key);
+        case WireNames.EXIT_CAUSE -> cause = requireUnset(cause, parseExitCause(key), key);
         default -> in.skipChildren();
       }
     }
     return new WorkerHeartbeat.ReportedTask(
-        given(task, WireNames.TASK),
-        new Attempt(given(attempt, WireNames.ATTEMPT)),
-        given(state, WireNames.PHASE),
+        requireGiven(task, WireNames.TASK),
+        new Attempt(requireGiven(attempt, WireNames.ATTEMPT)),
+        requireGiven(state, WireNames.PHASE),
         cause == null ? WorkerHeartbeat.ExitCause.NONE : cause);
   }
 
-  private WorkerHeartbeat.ExitCause causeOf(String key)
+  private WorkerHeartbeat.ExitCause parseExitCause(String key)
       throws IOException, MalformedMessageException {
     return in.hasToken(JsonToken.VALUE_NULL)
         ? WorkerHeartbeat.ExitCause.NONE
         : WorkerCodec.parseExitCause(text(key));
   }
 
-  private static TaskId taskId(String name) throws MalformedMessageException {
+  private static TaskId parseTaskId(String name) throws MalformedMessageException {
     int slash = name.lastIndexOf('/');
     int index;
     try {
@@ -159,7 +161,7 @@
     return new TaskId(new JobId(name.substring(0, slash)), index);
   }
 
-  private Optional<Duration> interruptionNotice(String key)
+  private Optional<Duration> parseInterruptionNotice(String key)
       throws IOException, MalformedMessageException {
     if (in.hasToken(JsonToken.VALUE_NULL)) {
       return Optional.empty();
@@ -195,34 +197,35 @@
     return in.hasToken(JsonToken.VALUE_TRUE);
   }
 
-  private void requireFirst(String key) throws MalformedMessageException {
+  private void requireNotSeen(String key) throws MalformedMessageException {
     if (!seenFields.add(key)) {
       throw new MalformedMessageException(key + " is given twice");
     }
   }
 
-  private static void requireNotGiven(long before, String key) throws MalformedMessageException {
-    if (before != NOT_GIVEN) {
+  private static void requireUnset(long previous, String key) throws MalformedMessageException {
+    if (previous != UNSET) {
       throw new MalformedMessageException(key + " is given twice");
     }
   }
 
-  private static <T> T unset(T before, T now, String key) throws MalformedMessageException {
-    if (before != null) {
+  private static <T> T requireUnset(T previous, T value, String key)
+      throws MalformedMessageException {
+    if (previous != null) {
       throw new MalformedMessageException(key + " is given twice");
     }
-    return now;
+    return value;
   }
 
-  private static <T> T given(T value, String key) throws MalformedMessageException {
+  private static <T> T requireGiven(T value, String key) throws MalformedMessageException {
     if (value == null) {
       throw new MalformedMessageException(key + " is missing");
     }
     return value;
   }
 
-  private static long given(long value, String key) throws MalformedMessageException {
-    if (value == NOT_GIVEN) {
+  private static long requireGiven(long value, String key) throws MalformedMessageException {
+    if (value == UNSET) {
       throw new MalformedMessageException(key + " is missing or out of range");
     }
     return value;
--- a/src/main/java/org/mulleinshift/protocol/HeartbeatVersion.java
+++ b/src/main/java/org/mulleinshift/protocol/HeartbeatVersion.java
@@ -1,16 +1,17 @@
 package org.mulleinshift.protocol;
 
 /**
- * Orders a worker's messages: the one with the larger version is the newer one.
+ * Orders the messages of a worker: a newer message has a larger version. Versions compare by epoch,
+ * then by sequence.
  *
- * @param epoch rises each time the worker's lease expires
- * @param sequence rises with each message
+ * @param epoch the worker's epoch; increases each time its lease expires
+ * @param sequence increases with each message
  */
 public record HeartbeatVersion(long epoch, long sequence) implements Comparable<HeartbeatVersion> {
-  /** Older than every message. */
+  /** Stands for no message: older than every message that a worker sends. */
   public static final HeartbeatVersion NONE = new HeartbeatVersion(0, 0);
 
-  /** Whether a message of this version is newer. */
+  /** Whether a message of this version is newer than one of the other version. */
   public boolean isAfter(HeartbeatVersion other) {
     return compareTo(other) > 0;
   }
--- a/src/main/java/org/mulleinshift/protocol/JobCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/JobCodec.java
@@ -18,7 +18,7 @@
  * form of its submission.
  */
 public final class JobCodec {
-  /** Path of submissions; that of a job adds a slash and its id. */
+  /** Path of submissions; the path of a job appends a slash and its id. */
   public static final String JOBS_PATH = "/v2/runs";
 
   private static final Pattern ID = Pattern.compile("run-[0-9A-Za-z_.-]{1,64}");
@@ -32,20 +32,29 @@
     return ID.matcher(text).matches();
   }
 
-  /** The job id of a submission whose other fields may be invalid. */
+  /**
+   * Returns the job id of a submission whose other fields may be invalid; empty if the id is
+   * missing or invalid.
+   */
   public static Optional<JobId> findJobId(JsonNode submission) {
     String id = submission.path(WireNames.ID).asText("");
     return isJobId(id) ? Optional.of(new JobId(id)) : Optional.empty();
   }
 
-  /** The team of a submission whose other fields may be invalid. */
+  /**
+   * Returns the team of a submission whose other fields may be invalid; empty if it is missing or
+   * not a text.
+   */
   public static Optional<TeamId> findTeam(JsonNode submission) {
     return Optional.of(submission.path(WireNames.TEAM))
         .filter(JsonNode::isTextual)
         .map(team -> new TeamId(team.asText()));
   }
 
-  /** What all tasks of a submission use together; fields that are missing or invalid count as 0. */
+  /**
+   * Returns the resources of all tasks of a submission together; missing and invalid fields count
+   * as 0.
+   */
   public static Resources totalResources(JsonNode submission) {
     Resources task =
         new Resources(
@@ -56,7 +65,7 @@
   }
 
   /**
-   * Reads a submission, without its dependencies.
+   * Parses a submission without its dependencies, see {@link #parseDependencies}.
    *
    * @throws MalformedMessageException if a field is missing or invalid
    */
@@ -94,9 +103,10 @@
   }
 
   /**
-   * Reads the jobs that a submission depends on, each once.
+   * Parses the jobs that a submission depends on; empty if the field is missing. Duplicates are
+   * dropped.
    *
-   * @throws MalformedMessageException if the field is something else than a list of job ids
+   * @throws MalformedMessageException if the field is not a list of job ids
    */
   public static List<JobId> parseDependencies(JsonNode node) throws MalformedMessageException {
     if (!node.hasNonNull(WireNames.DEPENDENCIES)) {
@@ -106,9 +116,9 @@
   }
 
   /**
-   * Reads a list of job ids, each once.
+   * Parses a list of job ids, in its order and without duplicates.
    *
-   * @throws MalformedMessageException if it is something else
+   * @throws MalformedMessageException if the node is not a list of job ids
    */
   public static List<JobId> parseJobIds(JsonNode list) throws MalformedMessageException {
     if (!list.isArray()) {
@@ -160,7 +170,7 @@
         : Optional.empty();
   }
 
-  /** The inverse of {@link #parseSubmission(JsonNode)}. */
+  /** Writes a submission that {@link #parseSubmission(JsonNode)} parses to the same spec. */
   public static ObjectNode writeSubmission(JobSpec spec) {
     ObjectNode node = Json.object();
     node.put(WireNames.ID, spec.id().value());
@@ -191,7 +201,7 @@
     return node;
   }
 
-  /** Writes a job's status; the counts of completed and running tasks are left out if unknown. */
+  /** Writes a job's status; counts of completed and running tasks are omitted if unknown. */
   public static String writeStatus(
       JobId id, JobPhase phase, OptionalInt done, OptionalInt running) {
     ObjectNode node = Json.object();
@@ -202,7 +212,7 @@
     return Json.write(node);
   }
 
-  /** Writes the reason of a rejection. */
+  /** Writes the body of an error response. */
   public static String writeError(String reason) {
     return Json.write(Json.object().put(WireNames.ERROR, reason));
   }
--- a/src/main/java/org/mulleinshift/protocol/JobId.java
+++ b/src/main/java/org/mulleinshift/protocol/JobId.java
@@ -1,6 +1,6 @@
 package org.mulleinshift.protocol;
 
-/** A job's id, chosen by its user. */
+/** The id of a job, chosen by the user who submits it. */
 public record JobId(String value) implements TextId<JobId> {
   @Override
   public String toString() {
--- a/src/main/java/org/mulleinshift/protocol/JobKind.java
+++ b/src/main/java/org/mulleinshift/protocol/JobKind.java
@@ -1,18 +1,18 @@
 package org.mulleinshift.protocol;
 
-/** What becomes of a job's tasks. */
+/** How the tasks of a job are started and when they end. */
 public enum JobKind {
-  /** Each task runs to completion. */
+  /** Tasks are independent; each runs to completion. */
   ARRAY("batch"),
   /** All tasks run at the same time, each to completion. */
   GANG("gang"),
-  /** The tasks run until the job is cancelled. */
+  /** Tasks run until the job is cancelled. */
   SERVICE("standing");
 
   private final String wireName;
 
-  JobKind(String wire) {
-    this.wireName = wire;
+  JobKind(String wireName) {
+    this.wireName = wireName;
   }
 
   /** The name of this kind in submissions. */
--- a/src/main/java/org/mulleinshift/protocol/JobPhase.java
+++ b/src/main/java/org/mulleinshift/protocol/JobPhase.java
@@ -1,6 +1,6 @@
 package org.mulleinshift.protocol;
 
-/** The phase of a job as its user sees it. */
+/** The phase of a job as reported to its user. */
 public enum JobPhase {
   PENDING("pending"),
   RUNNING("running"),
@@ -9,8 +9,8 @@
 
   private final String wireName;
 
-  JobPhase(String wire) {
-    this.wireName = wire;
+  JobPhase(String wireName) {
+    this.wireName = wireName;
   }
 
   /** The name of this phase in responses and in stored records. */
@@ -18,7 +18,7 @@
     return wireName;
   }
 
-  /** Whether a job stays in this phase for ever. */
+  /** Whether a job never leaves this phase. */
   public boolean isTerminal() {
     return this == DONE || this == CANCELLED;
   }
--- a/src/main/java/org/mulleinshift/protocol/Json.java
+++ b/src/main/java/org/mulleinshift/protocol/Json.java
@@ -11,9 +11,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 
-/** Writes JSON, and reads JSON objects with checked fields. */
+/** Writes JSON, and parses JSON objects with validated fields. */
 public final class Json {
-  /** The longest name, text or id that a message may hold. */
+  /** Maximum length of a name, text or id in a message, in characters. */
   static final int MAX_NAME_LENGTH = 200;
 
   private static final int MAX_NESTING_DEPTH = 64;
@@ -29,12 +29,12 @@
 
   private Json() {}
 
-  /** A new, empty object. */
+  /** Returns a new, empty object. */
   public static ObjectNode object() {
     return JsonNodeFactory.instance.objectNode();
   }
 
-  /** The tree as JSON without white space. */
+  /** Returns the tree as JSON text without white space. */
   public static String write(JsonNode node) {
     try {
       return MAPPER.writeValueAsString(node);
@@ -43,15 +43,15 @@
     }
   }
 
-  /** Reads the text token by token. */
+  /** Returns a streaming parser of the text. */
   static JsonParser parser(String text) throws IOException {
     return MAPPER.getFactory().createParser(text);
   }
 
   /**
-   * Reads one JSON object. A field that occurs twice is an error.
+   * Parses a JSON object. Duplicate fields and text after the object are errors.
    *
-   * @throws MalformedMessageException if the text is anything else
+   * @throws MalformedMessageException if the text is not a single valid JSON object
    */
   public static JsonNode parseObject(String text) throws MalformedMessageException {
     JsonNode node;
@@ -67,9 +67,9 @@
   }
 
   /**
-   * A field that must be a text of 1 to 200 characters.
+   * Returns a field that must be a text of 1 to 200 characters.
    *
-   * @throws MalformedMessageException if it is missing or something else
+   * @throws MalformedMessageException if it is missing or invalid
    */
   public static String text(JsonNode parent, String key) throws MalformedMessageException {
     JsonNode node = parent.path(key);
@@ -80,9 +80,9 @@
   }
 
   /**
-   * A field that must be a number from 0 to 1e9.
+   * Returns a field that must be a number from 0 to 1e9.
    *
-   * @throws MalformedMessageException if it is missing or something else
+   * @throws MalformedMessageException if it is missing or invalid
    */
   public static double amount(JsonNode parent, String key) throws MalformedMessageException {
     JsonNode node = parent.path(key);
@@ -94,11 +94,11 @@
   }
 
   /**
-   * A field that must be an integer within bounds.
+   * Returns a field that must be an integer within bounds.
    *
-   * @param min the smallest valid value
-   * @param max the largest valid value
-   * @throws MalformedMessageException if it is missing or something else
+   * @param min the smallest valid value, inclusive
+   * @param max the largest valid value, inclusive
+   * @throws MalformedMessageException if it is missing or invalid
    */
   public static long count(JsonNode parent, String key, long min, long max)
       throws MalformedMessageException {
@@ -113,9 +113,9 @@
   }
 
   /**
-   * A field that must be a boolean.
+   * Returns a field that must be a boolean.
    *
-   * @throws MalformedMessageException if it is missing or something else
+   * @throws MalformedMessageException if it is missing or invalid
    */
   public static boolean flag(JsonNode parent, String key) throws MalformedMessageException {
     JsonNode node = parent.path(key);
--- a/src/main/java/org/mulleinshift/protocol/MachineId.java
+++ b/src/main/java/org/mulleinshift/protocol/MachineId.java
@@ -1,6 +1,6 @@
 package org.mulleinshift.protocol;
 
-/** A machine's name, given by the cloud. */
+/** The name of a machine, assigned by the cloud. */
 public record MachineId(String value) implements TextId<MachineId> {
   @Override
   public String toString() {
--- a/src/main/java/org/mulleinshift/protocol/MachineType.java
+++ b/src/main/java/org/mulleinshift/protocol/MachineType.java
@@ -7,12 +7,12 @@
  * A machine type of the cloud's catalog.
  *
  * @param id its name
- * @param size resources of one machine
- * @param imageCacheGb space for images on a machine
+ * @param size the resources of a machine
+ * @param imageCacheGb size of a machine's image cache
  * @param fetchGbPerSecond rate at which a machine fetches images
- * @param pricePerHour of an on-demand machine per hour
- * @param spotPricePerHour of a spot machine per hour
- * @param bootTime usual time from the request until a machine is up
+ * @param onDemandPricePerHour price of an on-demand machine
+ * @param spotPricePerHour price of a spot machine
+ * @param bootTime typical time from the provisioning request until a machine is up
  * @param zones where the type is offered
  */
 public record MachineType(
@@ -24,12 +24,15 @@
     double spotPricePerHour,
     Duration bootTime,
     List<ZoneId> zones) {
-  /** By what share of the spot price a machine costs more than a spot machine of this type. */
+  /**
+   * The extra cost of a machine over a spot machine of this type, as a fraction of the spot price.
+   * 0 for a spot machine, or if the spot price is 0.
+   */
   public double markupOverSpot(boolean spot) {
     return spot || spotPricePerHour <= 0 ? 0 : onDemandPricePerHour / spotPricePerHour - 1;
   }
 
-  /** The price of a spot or on-demand machine per hour. */
+  /** The price per hour of a spot machine, or of an on-demand machine. */
   public double price(boolean spot) {
     return spot ? spotPricePerHour : onDemandPricePerHour;
   }
--- a/src/main/java/org/mulleinshift/protocol/MalformedMessageException.java
+++ b/src/main/java/org/mulleinshift/protocol/MalformedMessageException.java
@@ -1,10 +1,10 @@
 package org.mulleinshift.protocol;
 
-/** A message does not follow the protocol; the text says why in a few words. */
+/** Thrown when a received message does not follow the protocol; the text names the error. */
 public final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** An error without a stack trace: its cause is in the message, not in this program. */
+  /** Creates an exception without a stack trace: the fault is in the message, not in this code. */
   public MalformedMessageException(String message) {
     super(message, null, false, false);
   }
--- a/src/main/java/org/mulleinshift/protocol/NodeId.java
+++ b/src/main/java/org/mulleinshift/protocol/NodeId.java
@@ -1,6 +1,6 @@
 package org.mulleinshift.protocol;
 
-/** The label of a controller node. */
+/** The name of a controller node. */
 public record NodeId(String value) implements TextId<NodeId> {
   @Override
   public String toString() {
--- a/src/main/java/org/mulleinshift/protocol/NumericId.java
+++ b/src/main/java/org/mulleinshift/protocol/NumericId.java
@@ -1,14 +1,14 @@
 package org.mulleinshift.protocol;
 
 /**
- * An id that is a number, as a type of its own, so that numbers of different things can't be mixed
- * up. Records that are compared often write out {@code equals} and {@code hashCode} for the reason
+ * A numeric id with a type of its own, so that the compiler rejects an id of another kind. Records
+ * that are often compared define {@code equals} and {@code hashCode} explicitly, for the reason
  * given at {@link TextId}.
  *
- * @param <T> the record itself
+ * @param <T> the implementing record
  */
 public interface NumericId<T extends NumericId<T>> extends Comparable<T> {
-  /** The number as it stands in messages and in the store. */
+  /** The number as written in messages and in the store. */
   long value();
 
   @Override
--- a/src/main/java/org/mulleinshift/protocol/PeerCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/PeerCodec.java
@@ -11,19 +11,19 @@
 import org.apache.avro.specific.SpecificDatumWriter;
 import org.mulleinshift.protocol.peer.PeerFrame;
 
-/** Encodes the frames between controllers in Avro's binary form of the peer schema. */
+/** Encodes and decodes the frames between controllers in Avro binary form, see peer.avsc. */
 public final class PeerCodec {
   private static final int INITIAL_BUFFER_BYTES = 512;
 
   static {
-    // Avro creates objects only of classes in trusted packages.
+    // Avro instantiates only classes of trusted packages.
     System.setProperty("org.apache.avro.SERIALIZABLE_PACKAGES", PeerFrame.class.getPackageName());
   }
 
   private final SpecificDatumWriter<PeerFrame> writer = new SpecificDatumWriter<>(PeerFrame.class);
   private final SpecificDatumReader<PeerFrame> reader = new SpecificDatumReader<>(PeerFrame.class);
 
-  /** Encodes a frame with some of the bodies that the schema names. */
+  /** Encodes a frame with the given bodies, which must be messages of the peer schema. */
   public byte[] write(NodeId sender, List<Object> bodies) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
     BinaryEncoder encoder = EncoderFactory.get().directBinaryEncoder(out, null);
@@ -39,7 +39,7 @@
   /**
    * Decodes a frame.
    *
-   * @throws MalformedMessageException if the bytes are not a frame
+   * @throws MalformedMessageException if the bytes are not a valid frame
    */
   public PeerFrame read(byte[] frame) throws MalformedMessageException {
     try {
--- a/src/main/java/org/mulleinshift/protocol/Priority.java
+++ b/src/main/java/org/mulleinshift/protocol/Priority.java
@@ -1,6 +1,6 @@
 package org.mulleinshift.protocol;
 
-/** How urgent a job is; the most urgent one comes first. */
+/** Scheduling priority of a job, from the highest to the lowest. */
 public enum Priority {
   PRODUCTION("production", 0),
   HIGH("urgent", 1),
@@ -10,8 +10,8 @@
   private final String wireName;
   private final int rank;
 
-  Priority(String wire, int rank) {
-    this.wireName = wire;
+  Priority(String wireName, int rank) {
+    this.wireName = wireName;
     this.rank = rank;
   }
 
@@ -20,12 +20,12 @@
     return wireName;
   }
 
-  /** Its place in the order of priorities; 0 is the most urgent. */
+  /** The position in the order of priorities; 0 is the highest priority. */
   public int rank() {
     return rank;
   }
 
-  /** Whether this is more urgent than the other. */
+  /** Whether this is a higher priority than the other. */
   public boolean isAbove(Priority other) {
     return rank < other.rank;
   }
--- a/src/main/java/org/mulleinshift/protocol/Resources.java
+++ b/src/main/java/org/mulleinshift/protocol/Resources.java
@@ -1,48 +1,51 @@
 package org.mulleinshift.protocol;
 
 /**
- * Amounts that a task takes or a machine has. Amounts are compared with a small tolerance, since
- * sums of them are rounded.
+ * Amounts of resources that a task requires or a machine has. Amounts are compared with a small
+ * tolerance, since sums of them have rounding errors.
  */
 public record Resources(double cpus, double gpus, double memoryGb) {
-  /** Nothing. */
+  /** No resources. */
   public static final Resources ZERO = new Resources(0, 0, 0);
 
-  /** More than anything takes. */
+  /** Infinite resources: everything fits into them. */
   public static final Resources UNBOUNDED =
       new Resources(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
 
   private static final double ROUNDING_TOLERANCE = 1e-6;
   private static final double MAX_COUNT = 1e6;
 
-  /** The sum of both. */
+  /** Returns the sum of both. */
   public Resources plus(Resources other) {
     return new Resources(cpus + other.cpus, gpus + other.gpus, memoryGb + other.memoryGb);
   }
 
-  /** This without the other; may be negative. */
+  /** Returns the difference; amounts may be negative. */
   public Resources minus(Resources other) {
     return new Resources(cpus - other.cpus, gpus - other.gpus, memoryGb - other.memoryGb);
   }
 
-  /** This many times. */
+  /** Returns all amounts multiplied by the count. */
   public Resources times(double count) {
     return new Resources(cpus * count, gpus * count, memoryGb * count);
   }
 
-  /** Whether the capacity has enough of everything, but for rounding. */
+  /** Whether the capacity is sufficient in each amount, within the rounding tolerance. */
   public boolean fitsInto(Resources capacity) {
     return cpus <= capacity.cpus + ROUNDING_TOLERANCE
         && gpus <= capacity.gpus + ROUNDING_TOLERANCE
         && memoryGb <= capacity.memoryGb + ROUNDING_TOLERANCE;
   }
 
-  /** No more of anything than the other; exact, unlike {@link #fitsInto}. */
+  /** Whether no amount is larger than the other's; exact, unlike {@link #fitsInto}. */
   public boolean isAtMost(Resources other) {
     return cpus <= other.cpus && gpus <= other.gpus && memoryGb <= other.memoryGb;
   }
 
-  /** The largest share that this takes of any amount of the whole. */
+  /**
+   * The dominant share: the largest fraction, over all amounts, that this is of the whole. At most
+   * 1; amounts of which the whole has none are left out.
+   */
   public double dominantShareOf(Resources whole) {
     double share = 0;
     share = whole.cpus > 0 ? Math.max(share, cpus / whole.cpus) : share;
@@ -51,7 +54,7 @@
     return Math.min(1, share);
   }
 
-  /** How many times this fits into the capacity, up to a million. */
+  /** How many times this fits into the capacity, within the tolerance; at most 1,000,000. */
   public int countFittingInto(Resources capacity) {
     double count = MAX_COUNT;
     count = cpus > 0 ? Math.min(count, (capacity.cpus + ROUNDING_TOLERANCE) / cpus) : count;
--- a/src/main/java/org/mulleinshift/protocol/ShardId.java
+++ b/src/main/java/org/mulleinshift/protocol/ShardId.java
@@ -1,6 +1,6 @@
 package org.mulleinshift.protocol;
 
-/** The name of a shard: a set of machines of one zone with one owner at a time. */
+/** The name of a shard: a set of machines in one zone that has at most one owner at a time. */
 public record ShardId(String value) implements TextId<ShardId> {
   @Override
   public String toString() {
--- a/src/main/java/org/mulleinshift/protocol/StoreCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/StoreCodec.java
@@ -10,15 +10,15 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Messages of the key-value store's interface. */
+/** Writes the requests to the key-value store and parses its responses. */
 public final class StoreCodec {
   /** Path of transactions. */
   public static final String COMMIT_PATH = "/commit";
 
-  /** Path of lease grants; that of a lease adds a slash and its id. */
+  /** Path of lease requests; the path of a lease appends a slash and its id. */
   public static final String LEASES_PATH = "/holds";
 
-  /** The most keys of one page: their values fit into a response. */
+  /** Maximum number of keys on one page, so that their values fit into a response. */
   public static final int MAX_KEYS_PER_PAGE = 250;
 
   /** A key with its value and the revision of its last change. */
@@ -28,10 +28,10 @@
    * One page of keys.
    *
    * @param more whether there are further pages
-   * @param revision of the store when it was read
+   * @param revision revision of the store when the page was read
    */
   public record Range(List<KeyValue> items, boolean more, Revision revision) {
-    /** The key after which the next page starts, if there is one. */
+    /** The key after which the next page starts; empty if this is the last page. */
     public Optional<String> nextPageAfter() {
       return more && !items.isEmpty()
           ? Optional.of(items.get(items.size() - 1).key())
@@ -40,45 +40,46 @@
   }
 
   /**
-   * A change that a watch returned.
+   * A change of a key that a watch returned.
    *
-   * @param value empty: the key was deleted
+   * @param value the new value; empty: the key was deleted
+   * @param revision revision of the change
    */
   public record Change(String key, Optional<JsonNode> value, Revision revision) {}
 
   /**
    * The changes that a watch returned.
    *
-   * @param revision up to which they are complete
+   * @param revision the revision up to which the changes are complete
    */
   public record Changes(List<Change> changes, Revision revision) {}
 
-  /** A condition: the key was last changed at this revision; 0: it does not exist. */
+  /** A condition: the key was last changed at this revision; 0: the key does not exist. */
   public record Compare(String key, Revision revision) {}
 
   /**
-   * A put or delete.
+   * A put or a delete of a key.
    *
-   * @param value JSON text, so that it is encoded once; empty: the key is deleted
-   * @param lease that the key is attached to, if any
+   * @param value JSON text, encoded only once; empty: the key is deleted
+   * @param lease the lease that the key is attached to, if any
    */
   public record Write(String key, Optional<String> value, Optional<LeaseId> lease) {
-    /** Puts a key that is attached to no lease. */
+    /** Returns a put of a key that is not attached to a lease. */
     public static Write put(String key, JsonNode value) {
       return new Write(key, Optional.of(Json.write(value)), Optional.empty());
     }
 
-    /** Puts a key that is removed when the lease ends. */
+    /** Returns a put of a key that the store deletes when the lease ends. */
     public static Write put(String key, JsonNode value, LeaseId lease) {
       return new Write(key, Optional.of(Json.write(value)), Optional.of(lease));
     }
 
-    /** What the store counts against its limit of a value. */
+    /** The length in bytes that the store compares with its limit for values; 0 for a delete. */
     public int valueBytes() {
       return value.map(text -> StoreCodec.encodedLength(text)).orElse(0);
     }
 
-    /** Deletes a key. */
+    /** Returns a delete of a key. */
     public static Write delete(String key) {
       return new Write(key, Optional.empty(), Optional.empty());
     }
@@ -86,25 +87,25 @@
 
   private StoreCodec() {}
 
-  /** The length of a value as the store counts it. */
+  /** The length of a value's JSON text in UTF-8 bytes, as the store counts it. */
   public static int encodedLength(JsonNode value) {
     return encodedLength(Json.write(value));
   }
 
-  /** The length of a text as the store counts it. */
+  /** The length of a text in UTF-8 bytes, as the store counts it. */
   public static int encodedLength(String text) {
     return text.getBytes(StandardCharsets.UTF_8).length;
   }
 
-  /** The path that reads one key. */
+  /** Returns the path that reads one key. */
   public static String keyPath(String key) {
     return "/keys/" + key;
   }
 
   /**
-   * The path that reads a page of the keys with a prefix.
+   * Returns the path that reads a page of the keys with a prefix.
    *
-   * @param after the key after which the page starts; empty: the first page
+   * @param after the last key of the previous page; empty: the first page
    */
   public static String rangePath(String prefix, Optional<String> after) {
     return "/keys?starts="
@@ -115,31 +116,31 @@
   }
 
   /**
-   * The path of a watch.
+   * Returns the path of a watch of the keys with a prefix.
    *
-   * @param from the revision after which changes are returned
-   * @param wait how long the store waits for a change
+   * @param after the revision after which changes are returned
+   * @param wait maximum time that the store waits for a change
    */
-  public static String watchPath(String prefix, Revision from, Duration wait) {
-    return "/changes?starts=" + prefix + "&from=" + from + "&hold_ms=" + wait.toMillis();
+  public static String watchPath(String prefix, Revision after, Duration wait) {
+    return "/changes?starts=" + prefix + "&from=" + after + "&hold_ms=" + wait.toMillis();
   }
 
-  /** The path that renews a lease. */
+  /** Returns the path that renews a lease. */
   public static String renewLeasePath(LeaseId lease) {
     return LEASES_PATH + "/" + lease + "/renew";
   }
 
-  /** The path of a lease, which ends it when it is deleted. */
+  /** Returns the path of a lease; deleting it ends the lease. */
   public static String leasePath(LeaseId lease) {
     return LEASES_PATH + "/" + lease;
   }
 
-  /** Writes a request for a lease. */
+  /** Writes a request for a lease with this time to live. */
   public static String writeLeaseRequest(Duration ttl) {
     return Json.write(Json.object().put(WireNames.TTL_MILLIS, ttl.toMillis()));
   }
 
-  /** Writes a transaction: all writes take place if all conditions hold, else none. */
+  /** Writes a transaction: all writes are applied if all conditions hold, otherwise none. */
   public static String writeTransaction(List<Compare> compares, List<Write> writes) {
     ObjectNode node = Json.object();
     ArrayNode compareItems = node.putArray(WireNames.COMPARES);
@@ -164,36 +165,36 @@
   }
 
   /**
-   * Reads the id of a granted lease.
+   * Parses the response to a lease request: the id of the lease.
    *
-   * @throws MalformedMessageException if the body is something else
+   * @throws MalformedMessageException if the id is missing or invalid
    */
   public static LeaseId parseLeaseId(String body) throws MalformedMessageException {
     return new LeaseId(Json.count(Json.parseObject(body), WireNames.LEASE, 0, Long.MAX_VALUE));
   }
 
   /**
-   * Reads one key.
+   * Parses the response to a read of one key.
    *
-   * @throws MalformedMessageException if the body is something else
+   * @throws MalformedMessageException if the key or its revision is missing or invalid
    */
   public static KeyValue parseKeyValue(String body) throws MalformedMessageException {
     return item(Json.parseObject(body));
   }
 
   /**
-   * Reads the revision of the store after a transaction.
+   * Parses the response to a transaction: the revision of the store after it.
    *
-   * @throws MalformedMessageException if the body is something else
+   * @throws MalformedMessageException if the revision is missing or invalid
    */
   public static Revision parseRevision(String body) throws MalformedMessageException {
     return revision(Json.parseObject(body), WireNames.STORE_REVISION);
   }
 
   /**
-   * Reads a page of keys.
+   * Parses a page of keys.
    *
-   * @throws MalformedMessageException if the body is something else
+   * @throws MalformedMessageException if a key or a revision is missing or invalid
    */
   public static Range parseRange(String body) throws MalformedMessageException {
     JsonNode node = Json.parseObject(body);
@@ -208,9 +209,9 @@
   }
 
   /**
-   * Reads the changes that a watch returned.
+   * Parses the changes that a watch returned.
    *
-   * @throws MalformedMessageException if the body is something else
+   * @throws MalformedMessageException if a key or a revision is missing or invalid
    */
   public static Changes parseChanges(String body) throws MalformedMessageException {
     JsonNode node = Json.parseObject(body);
--- a/src/main/java/org/mulleinshift/protocol/TaskId.java
+++ b/src/main/java/org/mulleinshift/protocol/TaskId.java
@@ -1,9 +1,10 @@
 package org.mulleinshift.protocol;
 
 /**
- * One task of a job. Why {@code equals} and {@code hashCode} are written out: see {@link TextId}.
+ * The id of a task. {@code equals} and {@code hashCode} are explicit for the reason given at {@link
+ * TextId}.
  *
- * @param index counts a job's tasks from 0
+ * @param index index of the task in its job, from 0
  */
 public record TaskId(JobId job, int index) implements Comparable<TaskId> {
   @Override
--- a/src/main/java/org/mulleinshift/protocol/TeamId.java
+++ b/src/main/java/org/mulleinshift/protocol/TeamId.java
@@ -1,6 +1,6 @@
 package org.mulleinshift.protocol;
 
-/** The name of a team. */
+/** The name of a team; quotas apply to teams. */
 public record TeamId(String value) implements TextId<TeamId> {
   @Override
   public String toString() {
--- a/src/main/java/org/mulleinshift/protocol/TextId.java
+++ b/src/main/java/org/mulleinshift/protocol/TextId.java
@@ -1,16 +1,16 @@
 package org.mulleinshift.protocol;
 
 /**
- * An id that is a text, as a type of its own, so that ids of different things can't be mixed up.
+ * A text id with a type of its own, so that the compiler rejects an id of another kind.
  *
- * <p>The records write out {@code equals} and {@code hashCode}, with the results that a record has
- * by itself: they are keys of large maps, and a record's own methods go through method handles,
- * which costs more in the scheduling cycle.
+ * <p>The records define {@code equals} and {@code hashCode} explicitly, with the same results as
+ * the generated methods: the ids are keys of large maps, and the generated methods use method
+ * handles, which are slower in the scheduling cycle.
  *
- * @param <T> the record itself
+ * @param <T> the implementing record
  */
 public interface TextId<T extends TextId<T>> extends Comparable<T> {
-  /** The id as it stands in messages and in the store. */
+  /** The id as written in messages and in the store. */
   String value();
 
   @Override
--- a/src/main/java/org/mulleinshift/protocol/WireNames.java
+++ b/src/main/java/org/mulleinshift/protocol/WireNames.java
@@ -1,8 +1,8 @@
 package org.mulleinshift.protocol;
 
 /**
- * Field names of the JSON messages. They are given by the interfaces that controllers serve and
- * use; everywhere else the field goes by the name of its constant.
+ * Field names of the JSON messages. They are fixed by the APIs that controllers serve and call; the
+ * rest of the code uses the term in the name of the constant.
  */
 final class WireNames {
   // Jobs, as users submit and query them.
@@ -10,37 +10,37 @@
   /** Id of a job or name of a machine. */
   static final String ID = "ref";
 
-  /** Class of jobs that a job belongs to. */
+  /** Class of a job: jobs of a class share service-level objectives. */
   static final String JOB_CLASS = "lane";
 
-  /** Team whose quota applies. */
+  /** Team whose quota a job counts against. */
   static final String TEAM = "crew";
 
-  /** What becomes of a job's tasks, see {@link JobKind}. */
+  /** A job's {@link JobKind}. */
   static final String JOB_KIND = "shape";
 
   /** A job's {@link Priority}. */
   static final String PRIORITY = "urgency";
 
-  /** Number of a job's tasks; in a heartbeat the list of tasks on the machine. */
+  /** Number of a job's tasks; in a heartbeat, the list of tasks on the machine. */
   static final String TASKS = "pieces";
 
-  /** Processor cores. */
+  /** Number of CPU cores. */
   static final String CPUS = "cpus";
 
-  /** Graphics processors. */
+  /** Number of GPUs. */
   static final String GPUS = "cards";
 
-  /** Main memory in GB. */
+  /** Memory in GB. */
   static final String MEMORY_GB = "ram_gb";
 
-  /** Image that a machine must have before a task can start. */
+  /** Image that must be on a machine before a task can start there. */
   static final String IMAGE = "bundle";
 
   /** Size of the image in GB. */
   static final String IMAGE_GB = "pull_gb";
 
-  /** Machine types: those a job allows, or those of the catalog. */
+  /** Machine types: those that a job allows, or those of the catalog. */
   static final String MACHINE_TYPES = "builds";
 
   /** Zone: the only one that a job allows, or that of a machine. */
@@ -55,19 +55,19 @@
   /** Whether a job may use spot machines, or a machine is one. */
   static final String SPOT = "loaner";
 
-  /** The owner's estimate of a task's run time. */
+  /** The user's estimate of a task's run time. */
   static final String ESTIMATE_SECONDS = "guess_s";
 
-  /** Interval between a task's checkpoints; 0: it has none. */
+  /** Interval between a task's checkpoints; 0: it saves none. */
   static final String CHECKPOINT_INTERVAL_SECONDS = "snapshot_s";
 
-  /** Time that a task needs to save when it is stopped. */
+  /** Time that a task needs to save a checkpoint when it is stopped. */
   static final String SAVE_SECONDS = "flush_s";
 
-  /** Deadline, from the submission on. */
+  /** Deadline, relative to the submission. */
   static final String DEADLINE_SECONDS = "due_s";
 
-  /** Jobs that must be done before this one starts. */
+  /** Jobs that must complete before this one starts. */
   static final String DEPENDENCIES = "awaits";
 
   /** Phase of a job, a task or a machine. */
@@ -93,22 +93,22 @@
   /** Type of a machine. */
   static final String MACHINE_TYPE = "build";
 
-  /** A worker's epoch: rises each time its lease expires. */
+  /** A worker's epoch; increases each time its lease expires. */
   static final String WORKER_EPOCH = "shift";
 
-  /** Rises with each of a worker's messages. */
+  /** Increases with each message of a worker. */
   static final String HEARTBEAT_SEQUENCE = "tick";
 
-  /** Fencing token: the highest that a worker has seen, or that of a command. */
+  /** Fencing token: the highest that a worker has seen, or that of the sender of commands. */
   static final String FENCING_TOKEN = "baton";
 
-  /** Time until the cloud takes a spot machine away. */
+  /** Time until the cloud reclaims a spot machine. */
   static final String INTERRUPTION_SECONDS = "recall_s";
 
   /** Id of a task. */
   static final String TASK = "piece";
 
-  /** Attempt of a task. */
+  /** Number of an attempt to run a task. */
   static final String ATTEMPT = "try";
 
   /** Why a task ended. */
@@ -117,10 +117,10 @@
   /** Commands to a worker. */
   static final String COMMANDS = "orders";
 
-  /** What a command does. */
+  /** Kind of a command. */
   static final String COMMAND_KIND = "verb";
 
-  /** Time that a task has to save before it is stopped. */
+  /** Grace period in which a stopped task can save a checkpoint. */
   static final String GRACE_SECONDS = "wind_down_s";
 
   /** Controller that a worker should send its heartbeats to. */
@@ -134,7 +134,7 @@
   /** Zones in which a machine type is offered. */
   static final String ZONES = "yards";
 
-  /** Space for images on a machine. */
+  /** Size of a machine's image cache in GB. */
   static final String IMAGE_CACHE_GB = "local_gb";
 
   /** Rate at which a machine fetches images. */
@@ -146,10 +146,10 @@
   /** Price of a spot machine per hour. */
   static final String SPOT_PRICE = "market_price";
 
-  /** Usual boot time. */
+  /** Typical time from the provisioning request until a machine is up. */
   static final String BOOT_SECONDS = "startup_s";
 
-  /** Name of a provisioning request, which makes it idempotent. */
+  /** Idempotency key of a provisioning request. */
   static final String PROVISIONING_REQUEST = "hire";
 
   /** Number of machines to provision. */
@@ -172,10 +172,10 @@
   /** The value of a key. */
   static final String VALUE = "value";
 
-  /** Revision of a key's last change; 0: it does not exist. */
+  /** Revision of a key's last change; 0: the key does not exist. */
   static final String KEY_REVISION = "stamp";
 
-  /** A lease, or the one that a key is attached to. */
+  /** Id of a lease, or of the lease that a key is attached to. */
   static final String LEASE = "hold";
 
   /** Revision of the whole store. */
@@ -193,7 +193,7 @@
   /** Writes of a transaction. */
   static final String WRITES = "writes";
 
-  /** Key that is put. */
+  /** Key that is written. */
   static final String PUT = "set";
 
   /** Key that is deleted. */
--- a/src/main/java/org/mulleinshift/protocol/WorkerCodec.java
+++ b/src/main/java/org/mulleinshift/protocol/WorkerCodec.java
@@ -5,15 +5,15 @@
 import java.time.Duration;
 import java.util.List;
 
-/** Messages of the workers' interface: reads heartbeats and writes commands. */
+/** Parses the heartbeats of workers, and writes the responses and commands to them. */
 public final class WorkerCodec {
-  /** Path at a controller that takes heartbeats. */
+  /** Path at which a controller accepts heartbeats. */
   public static final String HEARTBEAT_PATH = "/checkin";
 
-  /** Path at a worker that returns its status. */
+  /** Path at which a worker returns its status. */
   public static final String STATUS_PATH = "/status";
 
-  /** Path at a worker that takes commands. */
+  /** Path at which a worker accepts commands. */
   public static final String COMMANDS_PATH = "/orders";
 
   private static final double MILLIS_PER_SECOND = 1000.0;
@@ -21,7 +21,8 @@
   private WorkerCodec() {}
 
   /**
-   * Reads a worker's heartbeat, or its status in response to commands.
+   * Parses a worker's heartbeat, or the status that it returns to a status request or to commands;
+   * both have the same form.
    *
    * @throws MalformedMessageException if a field is missing or invalid
    */
@@ -29,8 +30,8 @@
     return HeartbeatParser.parse(body);
   }
 
-  static WorkerHeartbeat.TaskState parseState(String wire) throws MalformedMessageException {
-    return switch (wire) {
+  static WorkerHeartbeat.TaskState parseState(String wireName) throws MalformedMessageException {
+    return switch (wireName) {
       case "fetching" -> WorkerHeartbeat.TaskState.FETCHING;
       case "waiting" -> WorkerHeartbeat.TaskState.WAITING;
       case "running" -> WorkerHeartbeat.TaskState.RUNNING;
@@ -40,9 +41,9 @@
     };
   }
 
-  /** An unknown cause counts as a failure: the task is retried. */
-  static WorkerHeartbeat.ExitCause parseExitCause(String wire) {
-    return switch (wire) {
+  /** Parses an exit cause; an unknown one counts as a failure, so the task is retried. */
+  static WorkerHeartbeat.ExitCause parseExitCause(String wireName) {
+    return switch (wireName) {
       case "done" -> WorkerHeartbeat.ExitCause.DONE;
       case "halted" -> WorkerHeartbeat.ExitCause.STOPPED;
       case "full" -> WorkerHeartbeat.ExitCause.INSUFFICIENT_RESOURCES;
@@ -53,40 +54,40 @@
     };
   }
 
-  /** Writes the response to a heartbeat; the worker drops it if it has seen a higher token. */
+  /** Writes the response to a heartbeat; a worker that has seen a higher token ignores it. */
   public static String writeHeartbeatResponse(FencingToken token, List<WorkerCommand> commands) {
     if (commands.isEmpty()) {
-      // Most heartbeats get no commands: the short form needs no tree.
+      // Most heartbeats get no commands; writing the text directly avoids building a tree.
       return "{\"baton\":" + token.value() + ",\"orders\":[]}";
     }
     ObjectNode node = Json.object();
     node.put(WireNames.FENCING_TOKEN, token.value());
-    node.set(WireNames.COMMANDS, write(commands));
+    node.set(WireNames.COMMANDS, commandArray(commands));
     return Json.write(node);
   }
 
   /**
-   * Writes a request that commands a worker directly; it is dropped if the worker has seen a higher
-   * token or is in another epoch.
+   * Writes a request that sends commands to a worker directly. The worker ignores it if it has seen
+   * a higher token or is in another epoch.
    */
   public static String writeCommands(FencingToken token, long epoch, List<WorkerCommand> commands) {
     ObjectNode node = Json.object();
     node.put(WireNames.FENCING_TOKEN, token.value());
     node.put(WireNames.WORKER_EPOCH, epoch);
-    node.set(WireNames.COMMANDS, write(commands));
+    node.set(WireNames.COMMANDS, commandArray(commands));
     return Json.write(node);
   }
 
-  /** Writes the response that sends a worker to another controller. */
+  /** Writes the heartbeat response that redirects a worker to another controller. */
   public static String writeRedirect(NodeId node) {
     return Json.write(Json.object().put(WireNames.REDIRECT_NODE, node.value()));
   }
 
-  private static ArrayNode write(List<WorkerCommand> commands) {
+  private static ArrayNode commandArray(List<WorkerCommand> commands) {
     ArrayNode list = Json.object().putArray(WireNames.COMMANDS);
     for (WorkerCommand command : commands) {
       ObjectNode item = list.addObject();
-      item.put(WireNames.COMMAND_KIND, kindOf(command));
+      item.put(WireNames.COMMAND_KIND, wireNameOf(command));
       item.put(WireNames.TASK, command.task().toString());
       item.put(WireNames.ATTEMPT, command.attempt().value());
       if (command instanceof WorkerCommand.Stop stop) {
@@ -96,7 +97,7 @@
     return list;
   }
 
-  private static String kindOf(WorkerCommand command) {
+  private static String wireNameOf(WorkerCommand command) {
     if (command instanceof WorkerCommand.Run) {
       return "run";
     }
--- a/src/main/java/org/mulleinshift/protocol/WorkerHeartbeat.java
+++ b/src/main/java/org/mulleinshift/protocol/WorkerHeartbeat.java
@@ -5,17 +5,18 @@
 import java.util.Optional;
 
 /**
- * The status that a worker sends with each heartbeat, and in response to commands.
+ * The status that a worker sends as a heartbeat, and in response to status requests and commands.
  *
  * @param machine the machine's name
- * @param address where the worker takes commands
- * @param type of the machine
- * @param zone of the machine
+ * @param address address at which the worker accepts commands
+ * @param type the machine's type
+ * @param zone the machine's zone
  * @param spot whether it is a spot machine
  * @param version orders the worker's messages
  * @param highestToken the highest fencing token that the worker has seen
- * @param interruptionNotice time until the cloud takes the machine away, if announced
- * @param tasks all tasks on the machine, including exited ones that it was not told to forget
+ * @param interruptionNotice time until the cloud reclaims the machine, if it has announced that
+ * @param tasks all tasks on the machine, including exited ones that the worker has not been told to
+ *     forget
  */
 public record WorkerHeartbeat(
     MachineId machine,
@@ -28,16 +29,16 @@
     Optional<Duration> interruptionNotice,
     List<ReportedTask> tasks) {
 
-  /** What a task on a machine does. */
+  /** The state of a task on a machine. */
   public enum TaskState {
-    /** Waits for its image. */
+    /** The machine fetches its image. */
     FETCHING,
-    /** Has its image and waits for the other tasks of its gang. */
+    /** Its image is present; it waits for the other tasks of its gang. */
     WAITING,
     RUNNING,
-    /** Was told to stop, and saves a checkpoint. */
+    /** It was told to stop and is saving a checkpoint. */
     SAVING,
-    /** Has ended, see its {@link ExitCause}. */
+    /** It has ended; {@link ExitCause} says why. */
     EXITED
   }
 
@@ -49,11 +50,11 @@
     DONE,
     /** Stopped by a command. */
     STOPPED,
-    /** Failed, mostly because of its machine. */
+    /** Failed, usually because of its machine, or exited with a cause unknown to this build. */
     ERROR,
     /** Not started: the machine has too few free resources. */
     INSUFFICIENT_RESOURCES,
-    /** Not started: another attempt of the task is on the machine. */
+    /** Not started: another attempt of the task has not exited on this machine. */
     OTHER_ATTEMPT_PRESENT,
     /** The tasks of its gang did not all start in time, or one of them was lost. */
     GANG_FAILED,
@@ -62,8 +63,8 @@
   }
 
   /**
-   * One task on the machine. Why {@code equals} and {@code hashCode} are written out: see {@link
-   * TextId}.
+   * A task on the machine. {@code equals} and {@code hashCode} are explicit for the reason given at
+   * {@link TextId}.
    */
   public record ReportedTask(TaskId task, Attempt attempt, TaskState state, ExitCause exitCause) {
     @Override
--- a/src/main/java/org/mulleinshift/protocol/ZoneId.java
+++ b/src/main/java/org/mulleinshift/protocol/ZoneId.java
@@ -1,6 +1,6 @@
 package org.mulleinshift.protocol;
 
-/** The name of a zone. */
+/** The name of a zone of the cloud. */
 public record ZoneId(String value) implements TextId<ZoneId> {
   @Override
   public String toString() {
--- a/src/main/java/org/mulleinshift/protocol/package-info.java
+++ b/src/main/java/org/mulleinshift/protocol/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The wire formats: users, workers, cloud, store and peers. The wire has field names of its own
- * ({@code WireNames}); the codecs map them to the field's terms.
+ * Identifiers, messages and codecs of all external interfaces: users, workers, cloud, store and
+ * other controllers. The field names on the wire differ from the terms of the code; the codecs
+ * translate them ({@code WireNames}).
  */
 package org.mulleinshift.protocol;
--- a/src/test/java/org/mulleinshift/protocol/CloudMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/CloudMessageGoldenTest.java
@@ -16,7 +16,10 @@
 import org.mulleinshift.GoldenFile;
 import org.mulleinshift.protocol.CloudMachine.Phase;
 
-/** Requests to the cloud are written, and its responses are read, as by an earlier build. */
+/**
+ * Guards against accidental changes of the cloud API's wire format: requests must be written, and
+ * responses parsed, as by the earlier build that wrote the golden files.
+ */
 class CloudMessageGoldenTest {
   private static final String DIRECTORY = "cloud/";
   private static final MachineTypeId TYPE = new MachineTypeId("g8");
--- a/src/test/java/org/mulleinshift/protocol/JobMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/JobMessageGoldenTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.mulleinshift.GoldenFile;
 
-/** Requests of users are read, and responses to them are written, as by an earlier build. */
+/**
+ * Guards against accidental changes of the user API's wire format: submissions must be parsed, and
+ * responses written, as by the earlier build that wrote the golden files.
+ */
 class JobMessageGoldenTest {
   private static final String DIRECTORY = "users/";
   private static final JobId JOB = new JobId("run-000412");
--- a/src/test/java/org/mulleinshift/protocol/JobSpecSamples.java
+++ b/src/test/java/org/mulleinshift/protocol/JobSpecSamples.java
@@ -4,7 +4,10 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 
-/** Submissions whose fields all hold different values where they have the same type. */
+/**
+ * Sample submissions. Fields of the same type hold different values where possible, so that swapped
+ * fields are noticed.
+ */
 public final class JobSpecSamples {
   private static final int TASKS = 16;
   private static final Resources LARGE_TASK = new Resources(8, 1, 64.5);
@@ -17,7 +20,7 @@
 
   private JobSpecSamples() {}
 
-  /** A submission with all optional fields. */
+  /** Returns a submission with all optional fields. */
   public static JobSpec full(JobId id, JobKind kind, Priority priority) {
     return new JobSpec(
         id,
@@ -40,7 +43,7 @@
         OptionalDouble.of(DEADLINE_SECONDS));
   }
 
-  /** An array without machine types, zone and deadline. */
+  /** Returns an array job without machine types, zone and deadline. */
   public static JobSpec withoutOptionalFields(JobId id, int tasks) {
     return new JobSpec(
         id,
--- a/src/test/java/org/mulleinshift/protocol/PeerFrameGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/PeerFrameGoldenTest.java
@@ -17,7 +17,10 @@
 import org.mulleinshift.GoldenFile;
 import org.mulleinshift.protocol.peer.PeerFrame;
 
-/** Frames between controllers are encoded as an earlier build encoded them. */
+/**
+ * Guards against accidental changes of the encoding of peer frames: controllers of an earlier
+ * build, which wrote the golden files, could not decode them.
+ */
 class PeerFrameGoldenTest {
   private static final String DIRECTORY = "peer";
   private static final String SENDER = "n-1";
--- a/src/test/java/org/mulleinshift/protocol/PeerFrameSamples.java
+++ b/src/test/java/org/mulleinshift/protocol/PeerFrameSamples.java
@@ -30,8 +30,8 @@
 import org.mulleinshift.protocol.peer.UnknownWorkerReport;
 
 /**
- * One message of each kind by the name of its golden file. Fields are set by name and hold
- * different values, so that two fields that are swapped change the bytes.
+ * Peer frames with each kind of message, by the name of their golden file. Fields are set by name
+ * and hold different values, so that swapped fields change the bytes.
  */
 final class PeerFrameSamples {
   private static final byte[] RELAYED_BYTES = {0, 1, -1, 127, -128};
@@ -197,7 +197,7 @@
     return PeerLastHeard.newBuilder().setNode(node).setSilenceMs(silenceMillis).build();
   }
 
-  /** Built anew each time: a byte buffer has a position, which a reader moves. */
+  /** Creates a new frame each time, since reading its byte buffer moves the buffer's position. */
   private static RelayedFrame relayedFrame() {
     return RelayedFrame.newBuilder()
         .setReceiver("n-4")
--- a/src/test/java/org/mulleinshift/protocol/StoreMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/StoreMessageGoldenTest.java
@@ -22,7 +22,10 @@
 import org.mulleinshift.protocol.StoreCodec.Range;
 import org.mulleinshift.protocol.StoreCodec.Write;
 
-/** Requests to the store are written, and its responses are read, as by an earlier build. */
+/**
+ * Guards against accidental changes of the store's wire format: requests must be written, and
+ * responses parsed, as by the earlier build that wrote the golden files.
+ */
 class StoreMessageGoldenTest {
   private static final String DIRECTORY = "state/";
   private static final LeaseId LEASE = new LeaseId(7);
@@ -55,10 +58,10 @@
     return Json.object().put("name", "caf\u00e9 \"\\\n").put("amount", 4.0).put("count", 1L << 53);
   }
 
-  private static ObjectNode row(String key, long stamp) {
+  private static ObjectNode row(String key, long revision) {
     ObjectNode row = Json.object().put("k", key);
     row.set("value", value());
-    return row.put("stamp", stamp);
+    return row.put("stamp", revision);
   }
 
   private static String keys() {
--- a/src/test/java/org/mulleinshift/protocol/WorkerMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/WorkerMessageGoldenTest.java
@@ -17,7 +17,10 @@
 import org.mulleinshift.protocol.WorkerHeartbeat.ExitCause;
 import org.mulleinshift.protocol.WorkerHeartbeat.TaskState;
 
-/** Heartbeats are read, and commands are written, as by an earlier build. */
+/**
+ * Guards against accidental changes of the worker API's wire format: heartbeats must be parsed, and
+ * commands written, as by the earlier build that wrote the golden files.
+ */
 class WorkerMessageGoldenTest {
   private static final String DIRECTORY = "workers/";
   private static final String HEARTBEAT = file("report");
@@ -25,7 +28,7 @@
   private static final JobId JOB = new JobId("run-000412");
   private static final FencingToken TOKEN = new FencingToken(417L << 20);
 
-  /** A task's state and cause as workers name them, and as they are understood. */
+  /** A task's phase and cause on the wire, with the state and exit cause that they parse to. */
   private record TaskSample(String phase, String cause, TaskState state, ExitCause exitCause) {}
 
   private static final List<TaskSample> TASKS =
