--- a/src/main/java/org/mulleinshift/Main.java
+++ b/src/main/java/org/mulleinshift/Main.java
@@ -115,7 +115,7 @@
             settings.limits().memoryMb(),
             settings.limits().maxSockets(),
             Runtime.getRuntime().maxMemory());
-    JdkHttpServer.configure(memory.idleConnections());
+    JdkHttpServer.configureJdkHttp(memory.idleConnections());
     try {
       run(settings, tunables, memory);
     } catch (BindException e) {
--- a/src/main/java/org/mulleinshift/api/JobResponseWriter.java
+++ b/src/main/java/org/mulleinshift/api/JobResponseWriter.java
@@ -123,7 +123,7 @@
 
   /** Responds that the user may retry later. */
   void respondUnavailable(Responder responder) {
-    responder.respondLater(
+    responder.respondWithRetryAfter(
         HttpStatus.SERVICE_UNAVAILABLE, JobCodec.writeError("try again"), retryAfterSeconds);
   }
 }
--- a/src/main/java/org/mulleinshift/autoscaling/Consolidator.java
+++ b/src/main/java/org/mulleinshift/autoscaling/Consolidator.java
@@ -96,7 +96,7 @@
     for (CapacityReservation.Reservation reservation :
         state.reservation().reservations(loop.now())) {
       int count = RESERVATION_FACTOR * reservation.count();
-      if (BinPacker.fill(reservation.request(), count, capacities.values()) < count) {
+      if (BinPacker.placeTasks(reservation.request(), count, capacities.values()) < count) {
         return false;
       }
     }
@@ -109,7 +109,7 @@
     List<MachineCapacity> candidates = new ArrayList<>(capacities.values());
     candidates.removeIf(capacity -> wanted.contains(capacity.type()));
     candidates.sort(
-        Comparator.comparingDouble(MachineCapacity::drainWeight)
+        Comparator.comparingDouble(MachineCapacity::drainPriority)
             .reversed()
             .thenComparingDouble(capacity -> -capacity.available().cpus())
             .thenComparing(MachineCapacity::machine));
@@ -154,7 +154,8 @@
       }
     }
     for (Map.Entry<ResourceRequest, Integer> entry : requests.entrySet()) {
-      if (BinPacker.fill(entry.getKey(), entry.getValue(), trial.values()) < entry.getValue()) {
+      if (BinPacker.placeTasks(entry.getKey(), entry.getValue(), trial.values())
+          < entry.getValue()) {
         return false;
       }
     }
--- a/src/main/java/org/mulleinshift/autoscaling/QueueSimulation.java
+++ b/src/main/java/org/mulleinshift/autoscaling/QueueSimulation.java
@@ -126,7 +126,7 @@
 
   private int pack(PendingGroup group, int count, int step, List<MachineCapacity> candidates) {
     double endSeconds = secondsAt(step) + group.runSeconds();
-    return BinPacker.fill(
+    return BinPacker.placeTasks(
         group.request(),
         count,
         candidates,
--- a/src/main/java/org/mulleinshift/autoscaling/RunningTaskCollector.java
+++ b/src/main/java/org/mulleinshift/autoscaling/RunningTaskCollector.java
@@ -90,7 +90,7 @@
   /** Packs the tasks onto machines; returns how many found capacity. */
   private static int pack(
       UnplacedGroup group, List<MachineCapacity> candidates, CapacitySnapshot snapshot) {
-    return BinPacker.fill(
+    return BinPacker.placeTasks(
         group.request(),
         group.count(),
         candidates,
--- a/src/main/java/org/mulleinshift/autoscaling/ScaleOut.java
+++ b/src/main/java/org/mulleinshift/autoscaling/ScaleOut.java
@@ -86,7 +86,7 @@
   }
 
   private void pack(PendingGroup group, List<MachineCapacity> open, Map<Offer, Integer> wanted) {
-    int remaining = group.count() - BinPacker.fill(group.request(), group.count(), open);
+    int remaining = group.count() - BinPacker.placeTasks(group.request(), group.count(), open);
     while (remaining > 0) {
       Optional<Offer> offer = offers.bestOffer(group.withCount(remaining), wanted);
       if (offer.isEmpty() || offers.isSaturated(offer.get(), wanted)) {
@@ -95,7 +95,7 @@
       }
       int number = wanted.merge(offer.get(), 1, Integer::sum);
       MachineCapacity capacity = newMachineCapacity(offer.get(), number);
-      remaining -= BinPacker.fill(group.request(), remaining, List.of(capacity));
+      remaining -= BinPacker.placeTasks(group.request(), remaining, List.of(capacity));
       open.add(capacity);
     }
   }
--- a/src/main/java/org/mulleinshift/fairness/MaxMinFairShare.java
+++ b/src/main/java/org/mulleinshift/fairness/MaxMinFairShare.java
@@ -22,15 +22,15 @@
     double remaining = 1;
     boolean progress = true;
     while (progress && !unsatisfied.isEmpty()) {
-      double weights = unsatisfied.stream().mapToDouble(ShareEntity::weight).sum();
-      double sharePerWeight = Math.max(0, remaining) / weights;
+      double totalWeight = unsatisfied.stream().mapToDouble(ShareEntity::weight).sum();
+      double sharePerWeight = Math.max(0, remaining) / totalWeight;
       List<ShareEntity> satisfied =
           unsatisfied.stream()
-              .filter(entity -> entity.wanted() <= sharePerWeight * entity.weight())
+              .filter(entity -> entity.reachableDemand() <= sharePerWeight * entity.weight())
               .toList();
       progress = !satisfied.isEmpty();
       for (ShareEntity entity : progress ? satisfied : unsatisfied) {
-        double share = progress ? entity.wanted() : sharePerWeight * entity.weight();
+        double share = progress ? entity.reachableDemand() : sharePerWeight * entity.weight();
         fair.shares.put(entity.name(), share);
         remaining -= share;
       }
@@ -40,7 +40,7 @@
   }
 
   /** The entity's fair share of the cluster; 0 if it was not among the entities. */
-  public double of(String name) {
+  public double shareOf(String name) {
     return shares.getOrDefault(name, 0.0);
   }
 }
--- a/src/main/java/org/mulleinshift/fairness/ShareClaims.java
+++ b/src/main/java/org/mulleinshift/fairness/ShareClaims.java
@@ -32,16 +32,16 @@
       return result;
     }
     MaxMinFairShare fair = MaxMinFairShare.of(entities);
-    boolean excess =
+    boolean anyAboveFairShare =
         entities.stream()
-            .anyMatch(entity -> entity.inUse() > fair.of(entity.name()) + ROUNDING_TOLERANCE);
-    double weights = entities.stream().mapToDouble(ShareEntity::weight).sum();
+            .anyMatch(entity -> entity.inUse() > fair.shareOf(entity.name()) + ROUNDING_TOLERANCE);
+    double totalWeight = entities.stream().mapToDouble(ShareEntity::weight).sum();
     for (ShareEntity entity : entities) {
-      double share = Math.max(fair.of(entity.name()), entity.weight() / weights);
-      double minimum = Math.min(entity.wanted(), minimumShare * share);
+      double share = Math.max(fair.shareOf(entity.name()), entity.weight() / totalWeight);
+      double minimum = Math.min(entity.reachableDemand(), minimumShare * share);
       result.minimums.put(entity.name(), minimum);
-      double missing = Math.min(minimum - entity.inUse(), entity.waiting());
-      if (excess && missing > ROUNDING_TOLERANCE) {
+      double missing = Math.min(minimum - entity.inUse(), entity.waitingDemand());
+      if (anyAboveFairShare && missing > ROUNDING_TOLERANCE) {
         result.claims.put(entity.name(), missing);
       }
     }
@@ -54,7 +54,7 @@
   }
 
   /** The share of the cluster within which the entity's work is not preempted for others. */
-  public double minimum(String name) {
+  public double minimumShare(String name) {
     return minimums.getOrDefault(name, 0.0);
   }
 }
--- a/src/main/java/org/mulleinshift/fairness/ShareEntity.java
+++ b/src/main/java/org/mulleinshift/fairness/ShareEntity.java
@@ -13,12 +13,12 @@
 public record ShareEntity(
     String name, double weight, double inUse, double demand, double reachable) {
   /** What the entity could use. */
-  double wanted() {
+  double reachableDemand() {
     return Math.min(demand, reachable);
   }
 
   /** What the entity's waiting tasks request. */
-  double waiting() {
+  double waitingDemand() {
     return Math.max(0, demand - inUse);
   }
 }
--- a/src/main/java/org/mulleinshift/placement/BinPacker.java
+++ b/src/main/java/org/mulleinshift/placement/BinPacker.java
@@ -11,16 +11,16 @@
   private BinPacker() {}
 
   /** Receives where capacity was allocated. */
-  public interface CapacityConsumer {
+  public interface AllocationConsumer {
     /** Capacity for so many of several equal tasks was allocated on a machine. */
     void accept(MachineCapacity capacity, int count);
   }
 
   /** A machine that fits the tasks; of equally good ones the first is chosen. */
-  private record Scored(MachineCapacity capacity, double score, int position)
-      implements Comparable<Scored> {
+  private record ScoredMachine(MachineCapacity capacity, double score, int position)
+      implements Comparable<ScoredMachine> {
     @Override
-    public int compareTo(Scored other) {
+    public int compareTo(ScoredMachine other) {
       int byScore = Double.compare(score, other.score);
       return byScore != 0 ? byScore : Integer.compare(position, other.position);
     }
@@ -34,12 +34,12 @@
    * @param consumer is called for each machine, in the order of choice
    * @return how many of the tasks were placed
    */
-  public static int fill(
+  public static int placeTasks(
       ResourceRequest request,
       int count,
       Collection<MachineCapacity> capacities,
-      CapacityConsumer consumer) {
-    MachineCapacity best = best(request, capacities).orElse(null);
+      AllocationConsumer consumer) {
+    MachineCapacity best = bestMachine(request, capacities).orElse(null);
     if (best == null || count <= 0) {
       return 0;
     }
@@ -47,22 +47,25 @@
     if (remaining == 0) {
       return count;
     }
-    List<Scored> others = new ArrayList<>();
+    List<ScoredMachine> others = new ArrayList<>();
     for (MachineCapacity capacity : capacities) {
       if (capacity != best && capacity.fits(request)) {
-        others.add(new Scored(capacity, capacity.score(request), others.size()));
+        others.add(new ScoredMachine(capacity, capacity.score(request), others.size()));
       }
     }
-    PriorityQueue<Scored> next = new PriorityQueue<>(others);
-    while (remaining > 0 && !next.isEmpty()) {
-      remaining -= allocate(request, remaining, next.poll().capacity(), consumer);
+    PriorityQueue<ScoredMachine> bestFirst = new PriorityQueue<>(others);
+    while (remaining > 0 && !bestFirst.isEmpty()) {
+      remaining -= allocate(request, remaining, bestFirst.poll().capacity(), consumer);
     }
     return count - remaining;
   }
 
   private static int allocate(
-      ResourceRequest request, int maxTasks, MachineCapacity capacity, CapacityConsumer consumer) {
-    int allocated = Math.min(maxTasks, capacity.countOf(request));
+      ResourceRequest request,
+      int maxTasks,
+      MachineCapacity capacity,
+      AllocationConsumer consumer) {
+    int allocated = Math.min(maxTasks, capacity.countFitting(request));
     capacity.allocate(request, allocated);
     consumer.accept(capacity, allocated);
     return allocated;
@@ -73,13 +76,13 @@
    *
    * @return how many of the tasks were placed
    */
-  public static int fill(
+  public static int placeTasks(
       ResourceRequest request, int count, Collection<MachineCapacity> capacities) {
-    return fill(request, count, capacities, (capacity, allocated) -> {});
+    return placeTasks(request, count, capacities, (capacity, allocated) -> {});
   }
 
   /** The best machine for one task, if any fits; of equally good ones the first. */
-  public static Optional<MachineCapacity> best(
+  public static Optional<MachineCapacity> bestMachine(
       ResourceRequest request, Collection<MachineCapacity> capacities) {
     MachineCapacity best = null;
     double bestScore = 0;
--- a/src/main/java/org/mulleinshift/placement/MachineCapacity.java
+++ b/src/main/java/org/mulleinshift/placement/MachineCapacity.java
@@ -22,10 +22,10 @@
   private static final double SIZE_WEIGHT = 3000;
 
   /** Of each second that it takes to fetch an image. */
-  private static final double FETCH_WEIGHT = 50;
+  private static final double FETCH_PENALTY_PER_SECOND = 50;
 
   /** Fetching an image is no reason to keep an expensive machine up. */
-  private static final double MAX_FETCH_WEIGHT = 1000;
+  private static final double MAX_FETCH_PENALTY = 1000;
 
   private static final double PRICE_WEIGHT = 300;
 
@@ -35,7 +35,7 @@
   /** So much memory that remains available counts as one processor. */
   private static final double MEMORY_GB_PER_CPU = 16;
 
-  private static final int EXPECTED_INCOMING_IMAGES = 4;
+  private static final int EXPECTED_PLANNED_IMAGES = 4;
 
   private final MachineId machine;
   private final ShardId shard;
@@ -44,7 +44,7 @@
   private final boolean spot;
   private final Resources size;
   private final Collection<String> cachedImages;
-  private Set<String> incomingImages = Set.of();
+  private Set<String> plannedImages = Set.of();
   private final double relativePrice;
   private Resources available;
 
@@ -85,7 +85,7 @@
   }
 
   /** How many such tasks fit and may be here. */
-  int countOf(ResourceRequest request) {
+  int countFitting(ResourceRequest request) {
     return allowedFor(request) ? request.perTask().countIn(available) : 0;
   }
 
@@ -97,10 +97,10 @@
   /** Allocates capacity to so many equal tasks. */
   public void allocate(ResourceRequest request, int count) {
     available = available.minus(count == 1 ? request.perTask() : request.perTask().times(count));
-    if (!incomingImages.contains(request.image())) {
-      incomingImages =
-          incomingImages.isEmpty() ? new HashSet<>(EXPECTED_INCOMING_IMAGES) : incomingImages;
-      incomingImages.add(request.image());
+    if (!plannedImages.contains(request.image())) {
+      plannedImages =
+          plannedImages.isEmpty() ? new HashSet<>(EXPECTED_PLANNED_IMAGES) : plannedImages;
+      plannedImages.add(request.image());
     }
   }
 
@@ -123,21 +123,22 @@
         size.memoryGb() > 0
             ? (available.memoryGb() - request.perTask().memoryGb()) / MEMORY_GB_PER_CPU
             : 0;
-    return score + fetchWeight(request);
+    return score + fetchPenalty(request);
   }
 
-  private double fetchWeight(ResourceRequest request) {
-    if (cachedImages.contains(request.image()) || incomingImages.contains(request.image())) {
+  private double fetchPenalty(ResourceRequest request) {
+    if (cachedImages.contains(request.image()) || plannedImages.contains(request.image())) {
       return 0;
     }
-    double rate = type.fetchGbPerSecond();
-    return rate <= 0
-        ? MAX_FETCH_WEIGHT
-        : Math.min(MAX_FETCH_WEIGHT, FETCH_WEIGHT * request.imageGb() / rate);
+    double fetchGbPerSecond = type.fetchGbPerSecond();
+    return fetchGbPerSecond <= 0
+        ? MAX_FETCH_PENALTY
+        : Math.min(
+            MAX_FETCH_PENALTY, FETCH_PENALTY_PER_SECOND * request.imageGb() / fetchGbPerSecond);
   }
 
   /** The cost of keeping the machine; the machine with the highest is drained first. */
-  public double drainWeight() {
+  public double drainPriority() {
     return (1 + relativePrice) * size.cpus();
   }
 
@@ -165,7 +166,7 @@
   public MachineCapacity copy() {
     MachineCapacity copy =
         new MachineCapacity(machine, shard, zone, type, spot, available, cachedImages);
-    copy.incomingImages = incomingImages.isEmpty() ? incomingImages : new HashSet<>(incomingImages);
+    copy.plannedImages = plannedImages.isEmpty() ? plannedImages : new HashSet<>(plannedImages);
     return copy;
   }
 
--- a/src/main/java/org/mulleinshift/placement/MachineTypeCatalog.java
+++ b/src/main/java/org/mulleinshift/placement/MachineTypeCatalog.java
@@ -18,7 +18,7 @@
 /** The machine types and their current prices, refreshed from the cloud at intervals. */
 public final class MachineTypeCatalog {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
-  private static final Duration CALL_DEADLINE = Duration.ofSeconds(4);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(4);
   private static final Duration RETRY_DELAY = Duration.ofMillis(1500);
   private static final Duration REFRESH_INTERVAL = Duration.ofSeconds(60);
 
@@ -47,7 +47,7 @@
 
   /** Reads the catalog now, and again at intervals from then on. */
   public void start() {
-    client.call(cloud, HttpRequest.get(CloudCodec.CATALOG_PATH, CALL_DEADLINE), this::onResponse);
+    client.call(cloud, HttpRequest.get(CloudCodec.CATALOG_PATH, CALL_TIMEOUT), this::onResponse);
   }
 
   private void onResponse(HttpResponse response) {
--- a/src/main/java/org/mulleinshift/placement/PlacementConstraints.java
+++ b/src/main/java/org/mulleinshift/placement/PlacementConstraints.java
@@ -48,7 +48,7 @@
     for (MachineCapacity capacity : capacities) {
       ZoneId zone = capacity.zone();
       if (job.spec().allowsZone(zone)) {
-        fittingPerZone.merge(zone, capacity.countOf(request), Integer::sum);
+        fittingPerZone.merge(zone, capacity.countFitting(request), Integer::sum);
       }
     }
     if (job.spec().requiresSingleZone()) {
--- a/src/main/java/org/mulleinshift/placement/ResourceRequest.java
+++ b/src/main/java/org/mulleinshift/placement/ResourceRequest.java
@@ -52,8 +52,8 @@
    * The same request, on those of some types that it allows. If it allows none of them, the list of
    * types is empty and would allow all: callers must not use such a request.
    */
-  public ResourceRequest restrictedTo(List<MachineTypeId> some) {
-    List<MachineTypeId> allowed = some.stream().filter(this::allowsType).toList();
+  public ResourceRequest restrictedTo(List<MachineTypeId> candidates) {
+    List<MachineTypeId> allowed = candidates.stream().filter(this::allowsType).toList();
     return new ResourceRequest(perTask, image, imageGb, allowed, zone, spotAllowed);
   }
 
--- a/src/main/java/org/mulleinshift/scheduling/AssignAheadPass.java
+++ b/src/main/java/org/mulleinshift/scheduling/AssignAheadPass.java
@@ -115,7 +115,7 @@
           cycle.capacities().stream()
               .filter(capacity -> capacity.shard().equals(queued.shard()))
               .toList();
-      BinPacker.fill(queued.request(), queued.count(), ofShard);
+      BinPacker.placeTasks(queued.request(), queued.count(), ofShard);
     }
   }
 
--- a/src/main/java/org/mulleinshift/scheduling/AvailableCapacity.java
+++ b/src/main/java/org/mulleinshift/scheduling/AvailableCapacity.java
@@ -86,7 +86,7 @@
   private void allocateUnplaced(
       ShardView shard, JobId job, int count, List<MachineCapacity> capacities) {
     ResourceRequest request = ResourceRequest.of(specOf(job));
-    int remaining = count - BinPacker.fill(request, count, capacities);
+    int remaining = count - BinPacker.placeTasks(request, count, capacities);
     if (remaining > 0) {
       queuedAtOwners.add(new QueuedAtOwner(shard.id(), request, remaining));
     }
--- a/src/main/java/org/mulleinshift/scheduling/EntityGroup.java
+++ b/src/main/java/org/mulleinshift/scheduling/EntityGroup.java
@@ -73,7 +73,7 @@
    */
   double shareAboveMinimum(Job job) {
     ShareEntity entity = entities.get(entityNameOf(job));
-    return entity == null ? 0 : entity.inUse() - claims.minimum(entity.name());
+    return entity == null ? 0 : entity.inUse() - claims.minimumShare(entity.name());
   }
 
   /**
@@ -90,7 +90,7 @@
         "%s=(in_use=%.0f%% minimum=%.0f%% demand=%.0f%%)",
         entity.name(),
         PERCENT * entity.inUse(),
-        PERCENT * claims.minimum(entity.name()),
+        PERCENT * claims.minimumShare(entity.name()),
         PERCENT * entity.demand());
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/SchedulingCycle.java
+++ b/src/main/java/org/mulleinshift/scheduling/SchedulingCycle.java
@@ -124,7 +124,7 @@
 
   private void reserveCapacity(CycleState cycle) {
     for (CapacityReservation.Reservation reserved : reservation.reservations(loop.now())) {
-      BinPacker.fill(reserved.request(), reserved.count(), cycle.capacities());
+      BinPacker.placeTasks(reserved.request(), reserved.count(), cycle.capacities());
     }
   }
 }
--- a/src/main/java/org/mulleinshift/scheduling/TaskAssigner.java
+++ b/src/main/java/org/mulleinshift/scheduling/TaskAssigner.java
@@ -58,7 +58,7 @@
       return 0;
     }
     int[] waiting = job.waiting(allowed, loop.now());
-    BinPacker.CapacityConsumer consumer = assigningConsumer(job, waiting);
+    BinPacker.AllocationConsumer consumer = assigningConsumer(job, waiting);
     int assigned =
         hasInterTaskZoneConstraints(job)
             ? assignOneByOne(job, request, waiting.length, cycle, consumer)
@@ -89,7 +89,7 @@
     return job.spec().requiresSpread() || job.spec().requiresSingleZone();
   }
 
-  private BinPacker.CapacityConsumer assigningConsumer(Job job, int[] waiting) {
+  private BinPacker.AllocationConsumer assigningConsumer(Job job, int[] waiting) {
     PrimitiveIterator.OfInt taskIndexes = Arrays.stream(waiting).iterator();
     return (capacity, count) -> {
       for (int i = 0; i < count; i++) {
@@ -105,10 +105,10 @@
       ResourceRequest request,
       int count,
       CycleState cycle,
-      BinPacker.CapacityConsumer consumer) {
+      BinPacker.AllocationConsumer consumer) {
     int assigned = 0;
     while (assigned < count
-        && BinPacker.fill(request, 1, allowedCapacities(job, cycle), consumer) == 1) {
+        && BinPacker.placeTasks(request, 1, allowedCapacities(job, cycle), consumer) == 1) {
       assigned++;
     }
     return assigned;
@@ -119,8 +119,8 @@
       ResourceRequest request,
       int count,
       CycleState cycle,
-      BinPacker.CapacityConsumer consumer) {
-    int assigned = BinPacker.fill(request, count, allowedCapacities(job, cycle), consumer);
+      BinPacker.AllocationConsumer consumer) {
+    int assigned = BinPacker.placeTasks(request, count, allowedCapacities(job, cycle), consumer);
     if (assigned < count) {
       cycle.markUnschedulable(request);
     }
--- a/src/main/java/org/mulleinshift/sharding/TaskPlacer.java
+++ b/src/main/java/org/mulleinshift/sharding/TaskPlacer.java
@@ -113,7 +113,7 @@
     Optional<MachineCapacity> best =
         unschedulable.covers(task.request())
             ? Optional.empty()
-            : BinPacker.best(task.request(), capacities);
+            : BinPacker.bestMachine(task.request(), capacities);
     if (best.isEmpty()) {
       unschedulable.add(task.request());
       return false;
--- a/src/main/java/org/mulleinshift/transport/FrameQueue.java
+++ b/src/main/java/org/mulleinshift/transport/FrameQueue.java
@@ -11,7 +11,7 @@
   private final ArrayDeque<byte[]> frames = new ArrayDeque<>();
   private final int maxFrames;
   private final long maxBytes;
-  private long bytes;
+  private long queuedBytes;
 
   FrameQueue(int maxFrames, long maxBytes) {
     this.maxFrames = maxFrames;
@@ -20,11 +20,12 @@
 
   /** Adds a frame. The newest frame is always accepted, whatever its size. */
   synchronized void put(byte[] frame) {
-    while (!frames.isEmpty() && (frames.size() >= maxFrames || bytes + frame.length > maxBytes)) {
-      bytes -= frames.poll().length;
+    while (!frames.isEmpty()
+        && (frames.size() >= maxFrames || queuedBytes + frame.length > maxBytes)) {
+      queuedBytes -= frames.poll().length;
     }
     frames.add(frame);
-    bytes += frame.length;
+    queuedBytes += frame.length;
     notifyAll();
   }
 
@@ -34,18 +35,18 @@
       wait();
     }
     byte[] frame = frames.poll();
-    bytes -= frame.length;
+    queuedBytes -= frame.length;
     return frame;
   }
 
   /** Drops all frames. */
   synchronized void clear() {
     frames.clear();
-    bytes = 0;
+    queuedBytes = 0;
   }
 
   /** The size of all frames. */
-  synchronized long bytes() {
-    return bytes;
+  synchronized long queuedBytes() {
+    return queuedBytes;
   }
 }
--- a/src/main/java/org/mulleinshift/transport/HttpRequest.java
+++ b/src/main/java/org/mulleinshift/transport/HttpRequest.java
@@ -8,21 +8,21 @@
  *
  * @param path with the query
  * @param body JSON; empty: none
- * @param deadline after which the response is no longer awaited
+ * @param timeout after which the response is no longer awaited
  */
-public record HttpRequest(String method, String path, Optional<String> body, Duration deadline) {
+public record HttpRequest(String method, String path, Optional<String> body, Duration timeout) {
   /** A GET request. */
-  public static HttpRequest get(String path, Duration deadline) {
-    return new HttpRequest("GET", path, Optional.empty(), deadline);
+  public static HttpRequest get(String path, Duration timeout) {
+    return new HttpRequest("GET", path, Optional.empty(), timeout);
   }
 
   /** A POST request. */
-  public static HttpRequest post(String path, String body, Duration deadline) {
-    return new HttpRequest("POST", path, Optional.of(body), deadline);
+  public static HttpRequest post(String path, String body, Duration timeout) {
+    return new HttpRequest("POST", path, Optional.of(body), timeout);
   }
 
   /** A DELETE request. */
-  public static HttpRequest delete(String path, Duration deadline) {
-    return new HttpRequest("DELETE", path, Optional.empty(), deadline);
+  public static HttpRequest delete(String path, Duration timeout) {
+    return new HttpRequest("DELETE", path, Optional.empty(), timeout);
   }
 }
--- a/src/main/java/org/mulleinshift/transport/HttpResponse.java
+++ b/src/main/java/org/mulleinshift/transport/HttpResponse.java
@@ -5,15 +5,15 @@
   /** No response came. */
   public static final HttpResponse NO_RESPONSE = new HttpResponse(0, "");
 
-  /** Stands for the status of a response that was longer than {@link #MAX_BODY}. */
+  /** Stands for the status of a response that was longer than {@link #MAX_BODY_LENGTH}. */
   public static final int TOO_LONG = -1;
 
   /** Twice the size of a page of the key-value store; longer bodies are not kept in memory. */
-  public static final int MAX_BODY = 1 << 20;
+  public static final int MAX_BODY_LENGTH = 1 << 20;
 
   /** The response, or {@link #TOO_LONG} without its body. */
   public static HttpResponse bounded(int status, String body) {
-    return body.length() > MAX_BODY
+    return body.length() > MAX_BODY_LENGTH
         ? new HttpResponse(TOO_LONG, "")
         : new HttpResponse(status, body);
   }
--- a/src/main/java/org/mulleinshift/transport/JdkAsyncHttpClient.java
+++ b/src/main/java/org/mulleinshift/transport/JdkAsyncHttpClient.java
@@ -39,7 +39,7 @@
   @Override
   public void call(
       InetSocketAddress target, HttpRequest request, Consumer<HttpResponse> onResponse) {
-    long deadlineNanos = System.nanoTime() + request.deadline().toNanos();
+    long deadlineNanos = System.nanoTime() + request.timeout().toNanos();
     try {
       threads.execute(
           () -> {
@@ -67,7 +67,7 @@
         return HttpResponse.NO_RESPONSE;
       }
       String body = readBody(connection, status);
-      if (body.length() > HttpResponse.MAX_BODY) {
+      if (body.length() > HttpResponse.MAX_BODY_LENGTH) {
         // The rest is still to come on this connection.
         connection.disconnect();
       }
@@ -90,7 +90,7 @@
       throws IOException {
     URL url = new URL("http", target.getHostString(), target.getPort(), request.path());
     HttpURLConnection connection = (HttpURLConnection) url.openConnection();
-    int timeoutMillis = (int) Math.max(1, request.deadline().toMillis());
+    int timeoutMillis = (int) Math.max(1, request.timeout().toMillis());
     connection.setConnectTimeout(timeoutMillis);
     connection.setReadTimeout(timeoutMillis);
     connection.setInstanceFollowRedirects(false);
@@ -113,7 +113,7 @@
         HttpStatus.isError(status) ? connection.getErrorStream() : connection.getInputStream()) {
       return in == null
           ? ""
-          : new String(in.readNBytes(HttpResponse.MAX_BODY + 1), StandardCharsets.UTF_8);
+          : new String(in.readNBytes(HttpResponse.MAX_BODY_LENGTH + 1), StandardCharsets.UTF_8);
     }
   }
 }
--- a/src/main/java/org/mulleinshift/transport/JdkHttpServer.java
+++ b/src/main/java/org/mulleinshift/transport/JdkHttpServer.java
@@ -25,7 +25,7 @@
   /** A large machine may have run thousands of tasks while no node could answer it. */
   private static final int MAX_HEARTBEAT_BYTES = 1024 * 1024;
 
-  private static final int MAX_QUEUED_STEPS = 2048;
+  private static final int MAX_QUEUE_LENGTH = 2048;
   private static final int MAX_PENDING_CONNECTIONS = 128;
   private static final int RETRY_AFTER_SECONDS = 1;
 
@@ -61,7 +61,7 @@
     this.isHeartbeat = limits.isHeartbeat();
     this.userBodies = new InFlightBytesLimiter(limits.userBodyBytes());
     this.heartbeatBodies = new InFlightBytesLimiter(limits.heartbeatBodyBytes());
-    this.threads = DaemonThreads.pool("http", limits.threads(), MAX_QUEUED_STEPS);
+    this.threads = DaemonThreads.pool("http", limits.threads(), MAX_QUEUE_LENGTH);
     this.server = HttpServer.create(address, MAX_PENDING_CONNECTIONS);
     server.setExecutor(threads);
     server.createContext("/", this::receive);
@@ -70,15 +70,16 @@
   /**
    * Sets the limits of the JDK's server and client; must be called before either is first used.
    *
-   * @param idleConnections most connections of the server that are kept open between requests
+   * @param maxIdleConnections most connections of the server that are kept open between requests
    */
-  public static void configure(int idleConnections) {
+  public static void configureJdkHttp(int maxIdleConnections) {
     System.setProperty("sun.net.httpserver.nodelay", "true");
     System.setProperty("sun.net.httpserver.maxReqTime", "5");
     System.setProperty("sun.net.httpserver.maxRspTime", "10");
     System.setProperty("sun.net.httpserver.idleInterval", "120");
     // Above this number of idle connections the server closes each one after its response.
-    System.setProperty("sun.net.httpserver.maxIdleConnections", Integer.toString(idleConnections));
+    System.setProperty(
+        "sun.net.httpserver.maxIdleConnections", Integer.toString(maxIdleConnections));
     System.setProperty("sun.net.http.retryPost", "false");
     System.setProperty("http.maxConnections", "8");
   }
@@ -133,7 +134,8 @@
   }
 
   private static void respondUnavailable(Responder responder, String reason) {
-    responder.respondLater(HttpStatus.SERVICE_UNAVAILABLE, error(reason), RETRY_AFTER_SECONDS);
+    responder.respondWithRetryAfter(
+        HttpStatus.SERVICE_UNAVAILABLE, error(reason), RETRY_AFTER_SECONDS);
   }
 
   private static String error(String reason) {
@@ -177,7 +179,7 @@
     }
 
     @Override
-    public void respondLater(int status, String body, int retryAfterSeconds) {
+    public void respondWithRetryAfter(int status, String body, int retryAfterSeconds) {
       if (!responded) {
         exchange.getResponseHeaders().set("Retry-After", Integer.toString(retryAfterSeconds));
       }
--- a/src/main/java/org/mulleinshift/transport/RateLimiter.java
+++ b/src/main/java/org/mulleinshift/transport/RateLimiter.java
@@ -8,26 +8,26 @@
   private static final double NANOS_PER_SECOND = 1e9;
 
   private final EventLoop loop;
-  private double burst;
-  private double perSecond;
+  private double capacity;
+  private double tokensPerSecond;
   private double tokens;
   private MonotonicTime refilledAt;
 
   /** A full bucket. */
-  public RateLimiter(EventLoop loop, double perSecond) {
+  public RateLimiter(EventLoop loop, double tokensPerSecond) {
     this.loop = loop;
-    this.perSecond = perSecond;
-    this.burst = Math.max(1, perSecond);
-    this.tokens = burst;
+    this.tokensPerSecond = tokensPerSecond;
+    this.capacity = Math.max(1, tokensPerSecond);
+    this.tokens = capacity;
     this.refilledAt = loop.now();
   }
 
   /** Changes the rate from now on. */
-  public void setRate(double newPerSecond) {
+  public void setRate(double newTokensPerSecond) {
     refill();
-    perSecond = newPerSecond;
-    burst = Math.max(1, newPerSecond);
-    tokens = Math.min(burst, tokens);
+    tokensPerSecond = newTokensPerSecond;
+    capacity = Math.max(1, newTokensPerSecond);
+    tokens = Math.min(capacity, tokens);
   }
 
   /**
@@ -38,7 +38,7 @@
    */
   public boolean tryAcquire(double amount, double reserve) {
     refill();
-    if (tokens < Math.min(amount + reserve, burst)) {
+    if (tokens < Math.min(amount + reserve, capacity)) {
       return false;
     }
     tokens -= amount;
@@ -56,12 +56,12 @@
     refill();
     double missing = amount + reserve - tokens;
     return Duration.ofNanos(
-        (long) (Math.max(MIN_WAIT_SECONDS, missing / perSecond) * NANOS_PER_SECOND));
+        (long) (Math.max(MIN_WAIT_SECONDS, missing / tokensPerSecond) * NANOS_PER_SECOND));
   }
 
   private void refill() {
     MonotonicTime now = loop.now();
-    tokens = Math.min(burst, tokens + perSecond * now.secondsSince(refilledAt));
+    tokens = Math.min(capacity, tokens + tokensPerSecond * now.secondsSince(refilledAt));
     refilledAt = now;
   }
 }
--- a/src/main/java/org/mulleinshift/transport/Responder.java
+++ b/src/main/java/org/mulleinshift/transport/Responder.java
@@ -6,5 +6,5 @@
   void respond(int status, String body);
 
   /** Sends a response that names the time after which the client should retry. */
-  void respondLater(int status, String body, int retryAfterSeconds);
+  void respondWithRetryAfter(int status, String body, int retryAfterSeconds);
 }
--- a/src/main/java/org/mulleinshift/transport/TcpPeerTransport.java
+++ b/src/main/java/org/mulleinshift/transport/TcpPeerTransport.java
@@ -48,8 +48,8 @@
   private final int ackTimeoutMillis;
   private final Consumer<byte[]> receiver;
   private final Semaphore incomingConnections = new Semaphore(MAX_INCOMING_CONNECTIONS);
-  private final int unreadLimit;
-  private final Semaphore unreadPermits;
+  private final int incomingPermitLimit;
+  private final Semaphore incomingPermits;
 
   /**
    * A transport that is not started yet.
@@ -59,25 +59,25 @@
    * @param receiver gets the frames of all peers
    * @param ackTimeout how long a frame may wait for its acknowledgement until the connection is
    *     replaced
-   * @param queuedBytes limit of the frames that wait for one peer
-   * @param incomingBytes limit of the received frames that wait for the event loop
+   * @param maxQueuedBytes limit of the frames that wait for one peer
+   * @param maxIncomingBytes limit of the received frames that wait for the event loop
    */
   public TcpPeerTransport(
       EventLoop loop,
       Map<String, InetSocketAddress> peers,
       Consumer<byte[]> receiver,
       Duration ackTimeout,
-      int queuedBytes,
-      int incomingBytes) {
+      int maxQueuedBytes,
+      int maxIncomingBytes) {
     this.loop = loop;
     this.ackTimeoutMillis = (int) ackTimeout.toMillis();
     this.peers = peers;
     this.receiver = receiver;
-    this.unreadLimit = Math.max(1, incomingBytes / BYTES_PER_PERMIT);
-    this.unreadPermits = new Semaphore(unreadLimit);
+    this.incomingPermitLimit = Math.max(1, maxIncomingBytes / BYTES_PER_PERMIT);
+    this.incomingPermits = new Semaphore(incomingPermitLimit);
     peers
         .keySet()
-        .forEach(label -> queues.put(label, new FrameQueue(MAX_QUEUED_FRAMES, queuedBytes)));
+        .forEach(label -> queues.put(label, new FrameQueue(MAX_QUEUED_FRAMES, maxQueuedBytes)));
   }
 
   /**
@@ -108,7 +108,7 @@
 
   /** The size of the frames that wait for a peer. */
   public long queuedBytes(String label) {
-    return queues.get(label).bytes();
+    return queues.get(label).queuedBytes();
   }
 
   private static void startThread(String name, Runnable body) {
@@ -191,13 +191,13 @@
           return;
         }
         // While the event loop lags behind, nothing is acknowledged, and the sender reconnects.
-        int permits = Math.min(unreadLimit, 1 + length / BYTES_PER_PERMIT);
-        if (!unreadPermits.tryAcquire(permits, READ_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
+        int permits = Math.min(incomingPermitLimit, 1 + length / BYTES_PER_PERMIT);
+        if (!incomingPermits.tryAcquire(permits, READ_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
           throw new IOException("frames wait for the event loop");
         }
         loop.post(
             () -> {
-              unreadPermits.release(permits);
+              incomingPermits.release(permits);
               receiver.accept(frame);
             });
         acks.write(ACK);
--- a/src/main/java/org/mulleinshift/transport/ThreadEventLoop.java
+++ b/src/main/java/org/mulleinshift/transport/ThreadEventLoop.java
@@ -70,9 +70,9 @@
   /** Runs until the process ends. */
   public void run() throws InterruptedException {
     List<Runnable> batch = new ArrayList<>();
-    MonotonicTime turnedAt = now();
+    MonotonicTime iterationStartedAt = now();
     while (true) {
-      turnedAt = detectProcessPause(turnedAt);
+      iterationStartedAt = detectProcessPause(iterationStartedAt);
       runDueTimers();
       Runnable first = awaitStep();
       if (first != null) {
@@ -85,9 +85,9 @@
   }
 
   /** There always are timers, so a turn only takes this long if the process was paused. */
-  private MonotonicTime detectProcessPause(MonotonicTime turnedAt) {
+  private MonotonicTime detectProcessPause(MonotonicTime iterationStartedAt) {
     MonotonicTime now = now();
-    Duration pause = now.since(turnedAt);
+    Duration pause = now.since(iterationStartedAt);
     if (pause.compareTo(PAUSE_THRESHOLD) > 0) {
       runGuarded(() -> pauseListener.accept(pause));
     }
@@ -126,12 +126,12 @@
     long micros = Math.max(0, (endedAt - startedAt) / NANOS_PER_MICRO);
     stepMicros.recordValue(Math.min(MAX_STEP_MICROS, micros));
     if (endedAt - loggedAtNanos >= LOG_INTERVAL_NANOS) {
-      logDurations(endedAt);
+      logStepDurations(endedAt);
     }
   }
 
   /** A step that takes long delays lease renewals, submissions and the workers' heartbeats. */
-  private void logDurations(long now) {
+  private void logStepDurations(long now) {
     LOG.info(
         "event loop steps, count={} p99_ms={} max_ms={}",
         stepMicros.getTotalCount(),
--- a/src/test/java/org/mulleinshift/api/JobApiFixture.java
+++ b/src/test/java/org/mulleinshift/api/JobApiFixture.java
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public void respondLater(int status, String body, int retryAfterSeconds) {
+    public void respondWithRetryAfter(int status, String body, int retryAfterSeconds) {
       record(new Answer(status, body, Optional.of(retryAfterSeconds)));
     }
 
--- a/src/test/java/org/mulleinshift/api/ReadinessProbeTest.java
+++ b/src/test/java/org/mulleinshift/api/ReadinessProbeTest.java
@@ -30,7 +30,7 @@
         }
 
         @Override
-        public void respondLater(int status, String body, int retryAfterSeconds) {
+        public void respondWithRetryAfter(int status, String body, int retryAfterSeconds) {
           throw new AssertionError("a health check is not told when to retry");
         }
       };
--- a/src/test/java/org/mulleinshift/fairness/MaxMinFairShareTest.java
+++ b/src/test/java/org/mulleinshift/fairness/MaxMinFairShareTest.java
@@ -29,11 +29,11 @@
 
     // Then no entity could have more without taking from one that has less by weight.
     for (ShareEntity entity : entities) {
-      double share = fair.of(entity.name());
-      assertTrue(share <= entity.wanted() + TOLERANCE, "more than wanted: " + entity);
-      boolean wantsMore = share < entity.wanted() - TOLERANCE;
+      double share = fair.shareOf(entity.name());
+      assertTrue(share <= entity.reachableDemand() + TOLERANCE, "more than wanted: " + entity);
+      boolean wantsMore = share < entity.reachableDemand() - TOLERANCE;
       for (ShareEntity other : entities) {
-        double shareOfOther = fair.of(other.name()) / other.weight();
+        double shareOfOther = fair.shareOf(other.name()) / other.weight();
         assertTrue(
             !wantsMore || shareOfOther <= share / entity.weight() + TOLERANCE,
             other + " has more by weight than " + entity);
@@ -43,13 +43,13 @@
 
   @ParameterizedTest
   @MethodSource("seeds")
-  void allThatIsWantedIsSharedUpToTheWholeCluster(int seed) {
+  void sharesSumToDemandUpToTheWholeCluster(int seed) {
     List<ShareEntity> entities = RandomEntities.draw(new Random(seed));
 
     MaxMinFairShare fair = MaxMinFairShare.of(entities);
 
-    double wanted = entities.stream().mapToDouble(ShareEntity::wanted).sum();
-    double shared = entities.stream().mapToDouble(entity -> fair.of(entity.name())).sum();
+    double wanted = entities.stream().mapToDouble(ShareEntity::reachableDemand).sum();
+    double shared = entities.stream().mapToDouble(entity -> fair.shareOf(entity.name())).sum();
     assertEquals(Math.min(1, wanted), shared, TOLERANCE, "sum of the fair shares");
   }
 }
--- a/src/test/java/org/mulleinshift/fairness/ShareClaimsTest.java
+++ b/src/test/java/org/mulleinshift/fairness/ShareClaimsTest.java
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void nobodyClaimsWhileNobodyUsesMoreThanItsFairShare() {
+  void noClaimsWhileNoEntityExceedsItsFairShare() {
     List<ShareEntity> even =
         List.of(new ShareEntity("a", 2, 0.6, 1, 1), new ShareEntity("b", 1, 0.1, 1, 1));
 
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void nobodyClaimsWithoutMinimumShares() {
+  void noClaimsWithoutMinimumShares() {
     List<ShareEntity> uneven =
         List.of(new ShareEntity("a", 2, 0.9, 1, 1), new ShareEntity("b", 1, 0.1, 1, 1));
 
@@ -59,7 +59,7 @@
   /** In no window does an entity with work waiting have less than half of its fair share. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void nobodyStarvesInAnyWindow(int seed) {
+  void noEntityStarvesInAnyWindow(int seed) {
     SlotSimulation simulation = new SlotSimulation(seed, MINIMUM_SHARE);
 
     simulation.run();
@@ -69,7 +69,7 @@
 
   /** The same mixes by rank alone: shows that the simulation would reveal starvation. */
   @Test
-  void mostMixesStarveWithoutMinimumShares() {
+  void mostMixesHaveStarvationWithoutMinimumShares() {
     long starvedMixes = seeds().filter(ShareClaimsTest::starvesWithoutMinimumShares).count();
 
     assertTrue(starvedMixes > RandomEntities.SEEDS / 2, "starved mixes: " + starvedMixes);
--- a/src/test/java/org/mulleinshift/fairness/SlotSimulation.java
+++ b/src/test/java/org/mulleinshift/fairness/SlotSimulation.java
@@ -21,16 +21,16 @@
 
   private final Random random;
   private final double minimumShare;
-  private final List<ShareEntity> drawn;
+  private final List<ShareEntity> initialEntities;
   private final int[] usedSlots;
   private final double[][] shareByStep;
 
   SlotSimulation(int seed, double minimumShare) {
     this.random = new Random(seed);
     this.minimumShare = minimumShare;
-    this.drawn = RandomEntities.draw(random);
-    this.usedSlots = new int[drawn.size()];
-    this.shareByStep = new double[STEPS][drawn.size()];
+    this.initialEntities = RandomEntities.draw(random);
+    this.usedSlots = new int[initialEntities.size()];
+    this.shareByStep = new double[STEPS][initialEntities.size()];
     usedSlots[0] = Math.min(SLOTS, maxSlots(0));
   }
 
@@ -51,8 +51,8 @@
   int starvedWindows() {
     MaxMinFairShare fair = MaxMinFairShare.of(entities());
     int starved = 0;
-    for (int i = 0; i < drawn.size(); i++) {
-      double fairShare = fair.of(drawn.get(i).name());
+    for (int i = 0; i < initialEntities.size(); i++) {
+      double fairShare = fair.shareOf(initialEntities.get(i).name());
       for (int from = WINDOW_STEPS; from + WINDOW_STEPS <= STEPS; from++) {
         // One slot is the minimum that can be assigned.
         starved += meanShare(i, from) + 1.0 / SLOTS < 0.5 * fairShare ? 1 : 0;
@@ -79,7 +79,7 @@
 
   private void assignClaims(Map<String, Double> claims) {
     for (int i = 0; i < usedSlots.length; i++) {
-      double claim = claims.getOrDefault(drawn.get(i).name(), 0.0);
+      double claim = claims.getOrDefault(initialEntities.get(i).name(), 0.0);
       int claimedSlots = (int) Math.ceil(claim * SLOTS - ROUNDING_TOLERANCE);
       assign(i, Math.min(maxSlots(i) - usedSlots[i], claimedSlots));
     }
@@ -104,14 +104,14 @@
   }
 
   private int maxSlots(int entity) {
-    return (int) (SLOTS * drawn.get(entity).wanted());
+    return (int) (SLOTS * initialEntities.get(entity).reachableDemand());
   }
 
   /** The entities with what they use now. */
   private List<ShareEntity> entities() {
     List<ShareEntity> entities = new ArrayList<>();
     for (int i = 0; i < usedSlots.length; i++) {
-      ShareEntity entity = drawn.get(i);
+      ShareEntity entity = initialEntities.get(i);
       double inUse = usedSlots[i] / (double) SLOTS;
       entities.add(
           new ShareEntity(
--- a/src/test/java/org/mulleinshift/membership/IndirectLeaseRenewalTest.java
+++ b/src/test/java/org/mulleinshift/membership/IndirectLeaseRenewalTest.java
@@ -145,7 +145,7 @@
     boolean watching = path.startsWith("/changes") && !path.endsWith("hold_ms=0");
     boolean delayed = watchDelayed && path.startsWith("/changes");
     if (storeUnreachable || delayed) {
-      loop.after(request.deadline(), () -> reply.accept(HttpResponse.NO_RESPONSE));
+      loop.after(request.timeout(), () -> reply.accept(HttpResponse.NO_RESPONSE));
     } else if (!watching) {
       loop.post(() -> reply.accept(new HttpResponse(keyExists ? 200 : 404, body)));
     }
--- a/src/test/java/org/mulleinshift/sharding/HeartbeatRouterTest.java
+++ b/src/test/java/org/mulleinshift/sharding/HeartbeatRouterTest.java
@@ -136,7 +136,7 @@
     }
 
     @Override
-    public void respondLater(int status, String body, int retryAfterSeconds) {
+    public void respondWithRetryAfter(int status, String body, int retryAfterSeconds) {
       respond(status, body);
     }
   }
--- a/src/test/java/org/mulleinshift/simulation/SimulatedController.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedController.java
@@ -106,7 +106,7 @@
         };
     transport.send(this, target, request, once);
     timeline.after(
-        request.deadline().toNanos() / NANOS_PER_SECOND,
+        request.timeout().toNanos() / NANOS_PER_SECOND,
         () -> {
           if (sentBy == incarnation) {
             once.accept(HttpResponse.NO_RESPONSE);
@@ -122,7 +122,7 @@
         request.method(),
         request.path(),
         request.body().orElse("-"),
-        request.deadline());
+        request.timeout());
   }
 
   private void sendFrame(String receiver, byte[] frame) {
@@ -196,11 +196,11 @@
 
     @Override
     public void respond(int status, String text) {
-      respondLater(status, text, 0);
+      respondWithRetryAfter(status, text, 0);
     }
 
     @Override
-    public void respondLater(int status, String text, int retryAfterSeconds) {
+    public void respondWithRetryAfter(int status, String text, int retryAfterSeconds) {
       sentMessages.responseSent(
           timeline.nanos(), label(), request, status, text, retryAfterSeconds);
       pendingRequests -= receivedBy == incarnation ? 1 : 0;
--- a/src/test/java/org/mulleinshift/transport/JdkHttpServerTest.java
+++ b/src/test/java/org/mulleinshift/transport/JdkHttpServerTest.java
@@ -17,12 +17,12 @@
 /** Status, headers and bodies of the server's responses, over real loopback sockets. */
 @Timeout(30)
 final class JdkHttpServerTest {
-  private static final String JOBS = "/v2/runs";
-  private static final String HEARTBEATS = "/checkin";
+  private static final String JOBS_PATH = "/v2/runs";
+  private static final String HEARTBEAT_PATH = "/checkin";
   private static final int MAX_BODY_BYTES = 65_536;
   private static final int MAX_HEARTBEAT_BYTES = 1_048_576;
-  private static final int WAITING_BYTES = 100_000;
-  private static final int MORE_THAN_HALF = 60_000;
+  private static final int MAX_PENDING_BYTES = 100_000;
+  private static final int MORE_THAN_HALF_BYTES = 60_000;
   private static final int THREADS = 4;
 
   /** What a client receives. */
@@ -41,7 +41,7 @@
             handler,
             anyPort,
             new JdkHttpServer.Limits(
-                THREADS, WAITING_BYTES, 2 * MAX_HEARTBEAT_BYTES, HEARTBEATS::equals));
+                THREADS, MAX_PENDING_BYTES, 2 * MAX_HEARTBEAT_BYTES, HEARTBEAT_PATH::equals));
     server.start();
     return server;
   }
@@ -82,14 +82,14 @@
   void sendsStatusAndBodyWithoutRetryAfter() throws IOException, InterruptedException {
     JdkHttpServer server =
         start((method, path, body, responder) -> responder.respond(201, "{\"sent\":1}"));
-    assertEquals(json(201, "{\"sent\":1}", Optional.empty()), exchange(server, JOBS, 2));
+    assertEquals(json(201, "{\"sent\":1}", Optional.empty()), exchange(server, JOBS_PATH, 2));
   }
 
   @Test
-  void sendsTheTimeToRetryAfter() throws IOException, InterruptedException {
+  void sendsRetryAfterHeader() throws IOException, InterruptedException {
     JdkHttpServer server =
-        start((method, path, body, responder) -> responder.respondLater(503, "{}", 7));
-    assertEquals(json(503, "{}", Optional.of("7")), exchange(server, JOBS, 2));
+        start((method, path, body, responder) -> responder.respondWithRetryAfter(503, "{}", 7));
+    assertEquals(json(503, "{}", Optional.of("7")), exchange(server, JOBS_PATH, 2));
   }
 
   @Test
@@ -98,52 +98,54 @@
         start(
             (method, path, body, responder) -> {
               responder.respond(200, "{}");
-              responder.respondLater(503, "{}", 7);
+              responder.respondWithRetryAfter(503, "{}", 7);
             });
-    Received only = exchange(server, JOBS, 2);
+    Received only = exchange(server, JOBS_PATH, 2);
     assertEquals(200, only.status());
     assertEquals("{}", only.body());
   }
 
   @Test
-  void aFailingHandlerIsUnavailable() throws IOException, InterruptedException {
+  void failingHandlerYieldsServiceUnavailable() throws IOException, InterruptedException {
     JdkHttpServer server =
         start(
             (method, path, body, responder) -> {
               throw new IllegalStateException("expected by the test");
             });
     assertEquals(
-        json(503, "{\"error\":\"internal\"}", Optional.of("1")), exchange(server, JOBS, 2));
+        json(503, "{\"error\":\"internal\"}", Optional.of("1")), exchange(server, JOBS_PATH, 2));
   }
 
   @Test
-  void limitsTheLengthOfBodies() throws IOException, InterruptedException {
+  void limitsBodyLength() throws IOException, InterruptedException {
     JdkHttpServer server =
         start(
             (method, path, body, responder) ->
                 responder.respond(200, Integer.toString(body.length())));
     Received tooLong = json(413, "{\"error\":\"body too long\"}", Optional.empty());
-    assertEquals(json(200, "65536", Optional.empty()), exchange(server, JOBS, MAX_BODY_BYTES));
-    assertEquals(tooLong, received(post(server, JOBS, MAX_BODY_BYTES + 1)));
+    assertEquals(json(200, "65536", Optional.empty()), exchange(server, JOBS_PATH, MAX_BODY_BYTES));
+    assertEquals(tooLong, received(post(server, JOBS_PATH, MAX_BODY_BYTES + 1)));
     assertEquals(
-        json(200, "1048576", Optional.empty()), exchange(server, HEARTBEATS, MAX_HEARTBEAT_BYTES));
+        json(200, "1048576", Optional.empty()),
+        exchange(server, HEARTBEAT_PATH, MAX_HEARTBEAT_BYTES));
     CompletableFuture<HttpResponse<String>> longest =
-        post(server, HEARTBEATS, MAX_HEARTBEAT_BYTES + 1);
+        post(server, HEARTBEAT_PATH, MAX_HEARTBEAT_BYTES + 1);
     assertEquals(tooLong, received(longest));
     assertEquals(Optional.of("close"), longest.join().headers().firstValue("Connection"));
   }
 
   @Test
-  void refusesBodiesThatWouldWaitBeyondTheLimit() throws IOException, InterruptedException {
+  void refusesBodiesBeyondThePendingLimit() throws IOException, InterruptedException {
     JdkHttpServer server = start((method, path, body, responder) -> responder.respond(200, "{}"));
-    CompletableFuture<HttpResponse<String>> first = post(server, JOBS, MORE_THAN_HALF);
+    CompletableFuture<HttpResponse<String>> first = post(server, JOBS_PATH, MORE_THAN_HALF_BYTES);
     Runnable firstStep = loop.takeStep();
     assertEquals(
         json(503, "{\"error\":\"try again\"}", Optional.of("1")),
-        received(post(server, JOBS, MORE_THAN_HALF)));
-    assertEquals(200, exchange(server, HEARTBEATS, MORE_THAN_HALF).status(), "heartbeat");
+        received(post(server, JOBS_PATH, MORE_THAN_HALF_BYTES)));
+    assertEquals(200, exchange(server, HEARTBEAT_PATH, MORE_THAN_HALF_BYTES).status(), "heartbeat");
     firstStep.run();
     assertEquals(200, received(first).status(), "first request");
-    assertEquals(200, exchange(server, JOBS, MORE_THAN_HALF).status(), "after the first");
+    assertEquals(
+        200, exchange(server, JOBS_PATH, MORE_THAN_HALF_BYTES).status(), "after the first");
   }
 }
