--- a/src/main/java/org/mulleinshift/fairness/MaxMinFairShare.java
+++ b/src/main/java/org/mulleinshift/fairness/MaxMinFairShare.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 
 /**
- * Weighted max-min fair shares (water filling): an entity that wants less than its share by weight
- * gets all that it wants, and the rest is shared among the others by weight.
+ * Weighted max-min fair shares (water filling): an entity whose demand is below its share by weight
+ * gets its whole demand, and the rest is divided among the others by weight.
  */
 public final class MaxMinFairShare {
   private final Map<String, Double> shares = new HashMap<>();
 
   private MaxMinFairShare() {}
 
-  /** The fair shares of entities that share one cluster; their order matters to the rounding. */
+  /** Computes the fair shares of one cluster; the order of the entities affects only rounding. */
   public static MaxMinFairShare of(Collection<ShareEntity> entities) {
     MaxMinFairShare fair = new MaxMinFairShare();
     List<ShareEntity> unsatisfied = new ArrayList<>(entities);
@@ -39,7 +39,7 @@
     return fair;
   }
 
-  /** The entity's fair share of the cluster; 0 if it was not among the entities. */
+  /** The named entity's fair share of the cluster, from 0 to 1; 0 for an unknown entity. */
   public double shareOf(String name) {
     return shares.getOrDefault(name, 0.0);
   }
--- a/src/main/java/org/mulleinshift/fairness/ShareClaims.java
+++ b/src/main/java/org/mulleinshift/fairness/ShareClaims.java
@@ -5,14 +5,15 @@
 import java.util.Map;
 
 /**
- * What entities may take of available capacity before the usual order applies. An entity claims up
- * to its minimum share, a stated part of its fair share or of its share by weight, and only while
- * another uses more than its own fair share: as long as none does, the usual order stands. What has
- * run in a window shows in what is in use now, so there is no state, and a new leader computes the
- * same claims as the old one.
+ * Claims of entities on available capacity, which are served before the ranking of jobs applies. An
+ * entity's minimum share is a fraction of its fair share or of its share by weight, whichever is
+ * larger, and at most its reachable demand. An entity below it claims the difference, up to what
+ * its waiting tasks request, but only while some entity uses more than its fair share; otherwise
+ * the ranking alone decides. Recent use shows in what is in use now, so no history is kept, and a
+ * new leader computes the same claims as the previous one.
  */
 public final class ShareClaims {
-  /** Differences up to this are due to rounding. */
+  /** Smaller differences are attributed to rounding. */
   private static final double ROUNDING_TOLERANCE = 1e-9;
 
   private final Map<String, Double> minimums = new LinkedHashMap<>();
@@ -21,10 +22,10 @@
   private ShareClaims() {}
 
   /**
-   * Claims of entities that share one cluster.
+   * Computes the claims of entities that share one cluster.
    *
-   * @param minimumShare how much of its fair share is an entity's minimum share; 0: there are no
-   *     minimum shares
+   * @param minimumShare the minimum share as a fraction of an entity's fair share or share by
+   *     weight; 0: there are no minimum shares
    */
   public static ShareClaims of(Collection<ShareEntity> entities, double minimumShare) {
     ShareClaims result = new ShareClaims();
@@ -48,12 +49,15 @@
     return result;
   }
 
-  /** What each entity with a claim may take first, by name, as a share of the cluster. */
+  /** The claimed share of the cluster by entity name; entities without a claim are absent. */
   public Map<String, Double> claims() {
     return claims;
   }
 
-  /** The share of the cluster within which the entity's work is not preempted for others. */
+  /**
+   * The share of the cluster below which the entity's tasks are not preempted for other entities; 0
+   * without minimum shares.
+   */
   public double minimumShare(String name) {
     return minimums.getOrDefault(name, 0.0);
   }
--- a/src/main/java/org/mulleinshift/fairness/ShareEntity.java
+++ b/src/main/java/org/mulleinshift/fairness/ShareEntity.java
@@ -1,23 +1,24 @@
 package org.mulleinshift.fairness;
 
 /**
- * An entity that has a fair share: a class of jobs or a team. Amounts are shares of the whole
- * cluster, by the resource of which a task takes most (dominant shares).
+ * An entity that has a fair share: a class of jobs or a team. Amounts are dominant shares:
+ * fractions of the whole cluster, measured by the resource of which a task takes the largest
+ * fraction.
  *
  * @param name identifies the entity among those that share the cluster
- * @param weight its weight beside the others, above 0
- * @param inUse what its assigned tasks take
- * @param demand that, and what its waiting tasks request
- * @param reachable how much of the cluster its tasks may be on
+ * @param weight relative to the weights of the others, above 0
+ * @param inUse the share that its assigned tasks take
+ * @param demand {@code inUse} plus what its waiting tasks request
+ * @param reachable the part of the cluster that its tasks may run on
  */
 public record ShareEntity(
     String name, double weight, double inUse, double demand, double reachable) {
-  /** What the entity could use. */
+  /** The demand, capped at the part of the cluster that the tasks may run on. */
   double reachableDemand() {
     return Math.min(demand, reachable);
   }
 
-  /** What the entity's waiting tasks request. */
+  /** The share that the waiting tasks request; never negative. */
   double waitingDemand() {
     return Math.max(0, demand - inUse);
   }
--- a/src/main/java/org/mulleinshift/placement/BinPacker.java
+++ b/src/main/java/org/mulleinshift/placement/BinPacker.java
@@ -6,17 +6,17 @@
 import java.util.Optional;
 import java.util.PriorityQueue;
 
-/** Chooses machines for tasks; shared by the leader's plans and the owners' placements. */
+/** Chooses machines for tasks, for the leader's plans and for the shard owners' placements. */
 public final class BinPacker {
   private BinPacker() {}
 
-  /** Receives where capacity was allocated. */
+  /** Receives the allocations on each machine. */
   public interface AllocationConsumer {
-    /** Capacity for so many of several equal tasks was allocated on a machine. */
+    /** Called when capacity for {@code count} equal tasks was allocated on a machine. */
     void accept(MachineCapacity capacity, int count);
   }
 
-  /** A machine that fits the tasks; of equally good ones the first is chosen. */
+  /** A machine that fits at least one task; ties are broken by position. */
   private record ScoredMachine(MachineCapacity capacity, double score, int position)
       implements Comparable<ScoredMachine> {
     @Override
@@ -27,11 +27,12 @@
   }
 
   /**
-   * Allocates capacity to up to so many equal tasks. The outcome is that of choosing for each task
-   * anew: a machine that was chosen only becomes a better choice, until it is full, and the others
-   * stay as they are. So each machine is looked at once, however many tasks there are.
+   * Allocates capacity to up to {@code count} equal tasks. The result is the same as choosing the
+   * best machine for each task separately: an allocation improves a machine's score for the next
+   * equal task until the machine is full, and leaves the other scores unchanged. So each machine is
+   * scored only once, however many tasks there are.
    *
-   * @param consumer is called for each machine, in the order of choice
+   * @param consumer is called for each machine that was allocated from, best machine first
    * @return how many of the tasks were placed
    */
   public static int placeTasks(
@@ -72,7 +73,7 @@
   }
 
   /**
-   * Allocates capacity to up to so many equal tasks, on whichever machines.
+   * Allocates capacity to up to {@code count} equal tasks without reporting the machines.
    *
    * @return how many of the tasks were placed
    */
@@ -81,7 +82,7 @@
     return placeTasks(request, count, capacities, (capacity, allocated) -> {});
   }
 
-  /** The best machine for one task, if any fits; of equally good ones the first. */
+  /** The best machine for one task, the first of equally good ones; empty if none fits. */
   public static Optional<MachineCapacity> bestMachine(
       ResourceRequest request, Collection<MachineCapacity> capacities) {
     MachineCapacity best = null;
--- a/src/main/java/org/mulleinshift/placement/MachineCapacity.java
+++ b/src/main/java/org/mulleinshift/placement/MachineCapacity.java
@@ -11,28 +11,28 @@
 import org.mulleinshift.protocol.ZoneId;
 
 /**
- * The available capacity of one machine while a plan is made: what the plan allocates is
- * subtracted. Not safe for use by several threads.
+ * The available capacity of one machine during planning; allocations of the plan reduce it. Not
+ * thread-safe.
  */
 public final class MachineCapacity {
-  /** The shard of a machine that is in none yet. */
+  /** Stands for the shard of a machine that is not in a shard yet. */
   public static final ShardId NO_SHARD = new ShardId("-");
 
-  /** The part of a machine that a task does not take. */
+  /** Weight of the fraction of the whole machine that one task leaves unused. */
   private static final double SIZE_WEIGHT = 3000;
 
-  /** Of each second that it takes to fetch an image. */
+  /** Penalty for each second that it takes to fetch the image. */
   private static final double FETCH_PENALTY_PER_SECOND = 50;
 
-  /** Fetching an image is no reason to keep an expensive machine up. */
+  /** Limits the penalty, so that a cached image does not keep an expensive machine in use. */
   private static final double MAX_FETCH_PENALTY = 1000;
 
   private static final double PRICE_WEIGHT = 300;
 
-  /** Of each accelerator that remains available; each processor that does counts as 1. */
+  /** Weight of each GPU that remains available; a CPU that remains available has weight 1. */
   private static final double GPU_WEIGHT = 8;
 
-  /** So much memory that remains available counts as one processor. */
+  /** This much memory that remains available weighs as much as one CPU. */
   private static final double MEMORY_GB_PER_CPU = 16;
 
   private static final int EXPECTED_PLANNED_IMAGES = 4;
@@ -52,9 +52,9 @@
    * A machine's capacity at the start of a plan.
    *
    * @param shard the machine's shard, or {@link #NO_SHARD}
-   * @param spot whether the provider may take the machine back
-   * @param available what is not allocated yet
-   * @param cachedImages images that are on the machine or being fetched
+   * @param spot whether the cloud provider may reclaim the machine
+   * @param available resources that are not allocated yet
+   * @param cachedImages images that the machine has or is fetching
    */
   public MachineCapacity(
       MachineId machine,
@@ -75,7 +75,7 @@
     this.cachedImages = cachedImages;
   }
 
-  /** Whether one such task fits and may be here. */
+  /** Whether one such task fits and is allowed on this machine. */
   boolean fits(ResourceRequest request) {
     return request.perTask().fitsInto(available) && allowedFor(request);
   }
@@ -84,7 +84,7 @@
     return request.allows(type.id(), spot) && request.allowsZone(zone);
   }
 
-  /** How many such tasks fit and may be here. */
+  /** How many such tasks fit on this machine; 0 if they are not allowed on it. */
   int countFitting(ResourceRequest request) {
     return allowedFor(request) ? request.perTask().countIn(available) : 0;
   }
@@ -94,7 +94,7 @@
     allocate(request, 1);
   }
 
-  /** Allocates capacity to so many equal tasks. */
+  /** Allocates capacity to {@code count} equal tasks. */
   public void allocate(ResourceRequest request, int count) {
     available = available.minus(count == 1 ? request.perTask() : request.perTask().times(count));
     if (!plannedImages.contains(request.image())) {
@@ -104,15 +104,15 @@
     }
   }
 
-  /** Makes an amount available, as when a task ends. */
+  /** Returns resources to the available capacity, as when a task ends. */
   public void free(Resources amount) {
     available = available.plus(amount);
   }
 
   /**
-   * How well a task fits here; lower is better. A small machine comes first, since large ones are
-   * what large tasks wait for; then one that has the image; then a cheap one, so that expensive
-   * ones fall idle and are released; then the one with the least capacity remaining.
+   * Scores how well a task fits this machine; lower is better. Small machines are preferred, to
+   * keep large ones for large tasks; then machines that have the image; then cheap ones, so that
+   * expensive ones become idle and are released; then those with the least remaining capacity.
    */
   double score(ResourceRequest request) {
     double score =
@@ -137,12 +137,12 @@
             MAX_FETCH_PENALTY, FETCH_PENALTY_PER_SECOND * request.imageGb() / fetchGbPerSecond);
   }
 
-  /** The cost of keeping the machine; the machine with the highest is drained first. */
+  /** Grows with the cost of keeping the machine; the machine with the highest is drained first. */
   public double drainPriority() {
     return (1 + relativePrice) * size.cpus();
   }
 
-  /** The machine. */
+  /** The id of the machine. */
   public MachineId machine() {
     return machine;
   }
@@ -157,12 +157,12 @@
     return zone;
   }
 
-  /** All that the machine has. */
+  /** The total resources of the machine, allocated or not. */
   public Resources size() {
     return size;
   }
 
-  /** An independent copy, to try allocations on. */
+  /** An independent copy for trial allocations. */
   public MachineCapacity copy() {
     MachineCapacity copy =
         new MachineCapacity(machine, shard, zone, type, spot, available, cachedImages);
@@ -174,12 +174,12 @@
     return spot;
   }
 
-  /** The machine's type. */
+  /** The id of the machine's type. */
   public MachineTypeId type() {
     return type.id();
   }
 
-  /** What is not allocated. */
+  /** The resources that are not allocated. */
   public Resources available() {
     return available;
   }
--- a/src/main/java/org/mulleinshift/placement/MachineTypeCatalog.java
+++ b/src/main/java/org/mulleinshift/placement/MachineTypeCatalog.java
@@ -15,14 +15,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The machine types and their current prices, refreshed from the cloud at intervals. */
+/** The machine types and their current prices, refreshed periodically from the cloud API. */
 public final class MachineTypeCatalog {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(4);
   private static final Duration RETRY_DELAY = Duration.ofMillis(1500);
   private static final Duration REFRESH_INTERVAL = Duration.ofSeconds(60);
 
-  /** Keeps the retries of several controllers apart. */
+  /** Maximum random delay added to a retry, so that controllers do not retry at the same time. */
   private static final int RETRY_JITTER_MILLIS = 500;
 
   private final EventLoop loop;
@@ -34,8 +34,8 @@
   /**
    * An empty catalog.
    *
-   * @param cloud the address of the cloud's API
-   * @param onChange is called on the event loop after each refresh
+   * @param cloud the address of the cloud API
+   * @param onChange is called on the event loop after each successful refresh
    */
   public MachineTypeCatalog(
       EventLoop loop, AsyncHttpClient client, InetSocketAddress cloud, Runnable onChange) {
@@ -45,7 +45,7 @@
     this.onChange = onChange;
   }
 
-  /** Reads the catalog now, and again at intervals from then on. */
+  /** Requests the catalog now and keeps refreshing it; failed requests are retried. */
   public void start() {
     client.call(cloud, HttpRequest.get(CloudCodec.CATALOG_PATH, CALL_TIMEOUT), this::onResponse);
   }
@@ -69,12 +69,12 @@
     return !types.isEmpty();
   }
 
-  /** The type with that id, if the cloud offers it. */
+  /** The type with the id; empty if the catalog does not list it or is not loaded. */
   public Optional<MachineType> type(MachineTypeId id) {
     return Optional.ofNullable(types.get(id));
   }
 
-  /** All types, in the cloud's order. */
+  /** All types, in the order of the cloud's response; empty until loaded. */
   public Map<MachineTypeId, MachineType> types() {
     return types;
   }
--- a/src/main/java/org/mulleinshift/placement/PlacementConstraints.java
+++ b/src/main/java/org/mulleinshift/placement/PlacementConstraints.java
@@ -7,11 +7,11 @@
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Constraints between the tasks of a job: one zone for all, spread over zones, gangs. */
+/** Constraints among the tasks of one job: single zone, spread over zones, gang scheduling. */
 public final class PlacementConstraints {
   private PlacementConstraints() {}
 
-  /** Whether one more of the job's tasks may be in the zone, given where the others are. */
+  /** Whether another task of the job may run in the zone, given where its tasks are assigned. */
   public static boolean allows(Job job, ZoneId zone) {
     if (!job.spec().allowsZone(zone)) {
       return false;
@@ -24,15 +24,16 @@
     return !job.spec().requiresSpread() || job.assignedIn(zone) < maxPerZoneIfSpread(job);
   }
 
-  /** A job that is spread has at most half of its tasks, rounded up, in one zone. */
+  /** A job that requires spread may have at most half of its tasks, rounded up, in one zone. */
   private static int maxPerZoneIfSpread(Job job) {
     return (job.spec().tasks() + 1) / 2;
   }
 
   /**
-   * Whether a gang can start as a whole: none of its tasks is assigned, and all of them fit.
+   * Whether all tasks of a gang that are not done can start together: none of them is assigned yet,
+   * all are waiting, and there is capacity for all within the zone constraints.
    *
-   * @param allowed how many of its tasks quotas allow
+   * @param allowed how many of its tasks the quotas allow to run
    */
   public static boolean gangFits(
       Job job,
--- a/src/main/java/org/mulleinshift/placement/ResourceRequest.java
+++ b/src/main/java/org/mulleinshift/placement/ResourceRequest.java
@@ -10,14 +10,14 @@
 import org.mulleinshift.protocol.peer.AssignedJob;
 
 /**
- * What a task requests of a machine.
+ * What a task requires of a machine.
  *
- * @param perTask what one task takes
+ * @param perTask the resources that one task takes
  * @param image the image that the task runs from
  * @param imageGb size of the image
- * @param types machine types that the task may be on; empty: all
- * @param zone the only zone that the task may be in, if it is restricted to one
- * @param spotAllowed whether the task may be on a spot machine
+ * @param types machine types that the task may run on; empty: all
+ * @param zone the only zone that the task may run in; empty: any
+ * @param spotAllowed whether the task may run on a spot machine
  */
 public record ResourceRequest(
     Resources perTask,
@@ -26,7 +26,7 @@
     List<MachineTypeId> types,
     Optional<ZoneId> zone,
     boolean spotAllowed) {
-  /** What each task of a job requests. */
+  /** The request of each task of a submitted job. */
   public static ResourceRequest of(JobSpec spec) {
     return new ResourceRequest(
         spec.perTask(),
@@ -37,7 +37,7 @@
         spec.spotAllowed());
   }
 
-  /** What each task of an assigned job requests; the leader has decided on the zones. */
+  /** The request of each task of an assigned job; any zone, since the leader has chosen zones. */
   public static ResourceRequest of(AssignedJob job) {
     return new ResourceRequest(
         new Resources(job.getCpus(), job.getGpus(), job.getMemoryGb()),
@@ -49,20 +49,24 @@
   }
 
   /**
-   * The same request, on those of some types that it allows. If it allows none of them, the list of
-   * types is empty and would allow all: callers must not use such a request.
+   * The same request, restricted to those of the candidate types that it allows. If it allows none
+   * of them, the result has an empty list of types, which would allow all types: callers must not
+   * use it.
    */
   public ResourceRequest restrictedTo(List<MachineTypeId> candidates) {
     List<MachineTypeId> allowed = candidates.stream().filter(this::allowsType).toList();
     return new ResourceRequest(perTask, image, imageGb, allowed, zone, spotAllowed);
   }
 
-  /** Whether a task fits an empty machine of the type, and may be on it. */
+  /** Whether a task fits an empty machine of the type and may run on that type. */
   public boolean fits(MachineType type) {
     return perTask.fitsInto(type.size()) && allowsType(type.id());
   }
 
-  /** Whether this may be on every machine that the other may be on. */
+  /**
+   * Whether this request is allowed on every machine that the other is allowed on. Lists of types
+   * are only compared for equality, so false does not rule it out.
+   */
   boolean isNoStricterThan(ResourceRequest other) {
     return (types.isEmpty() || types.equals(other.types))
         && (zone.isEmpty() || zone.equals(other.zone))
@@ -73,12 +77,12 @@
     return types.isEmpty() || types.contains(type);
   }
 
-  /** Whether a task may be in the zone. */
+  /** Whether a task may run in the zone. */
   public boolean allowsZone(ZoneId candidate) {
     return zone.isEmpty() || zone.get().equals(candidate);
   }
 
-  /** Whether a task may be on such a machine, whatever its size. */
+  /** Whether a task may run on a machine of the type, regardless of the machine's size. */
   public boolean allows(MachineTypeId type, boolean spot) {
     return allowsType(type) && (spotAllowed || !spot);
   }
--- a/src/main/java/org/mulleinshift/placement/UnschedulableRequests.java
+++ b/src/main/java/org/mulleinshift/placement/UnschedulableRequests.java
@@ -7,11 +7,12 @@
 import org.mulleinshift.protocol.Resources;
 
 /**
- * Requests that fit no machine, while available capacity only shrinks: a request for as much or
- * more, and allowed on no more machines, fits none either and need not look at every machine again.
+ * Remembers requests that fit no machine, to avoid searching all machines again. Valid only while
+ * available capacity does not grow: a request for at least as much of each resource that is allowed
+ * on no other machines does not fit either.
  */
 public final class UnschedulableRequests {
-  /** Bounds the time of a look-up; requests beyond it are tried in vain. */
+  /** Bounds the time of a look-up; further requests are not recorded and search in vain again. */
   private static final int MAX_REQUESTS = 12;
 
   private final List<ResourceRequest> failed = new ArrayList<>();
@@ -23,7 +24,7 @@
     }
   }
 
-  /** Whether the request is known to fit no machine. */
+  /** Whether the recorded requests imply that this one fits no machine. */
   public boolean covers(ResourceRequest request) {
     for (ResourceRequest known : failed) {
       if (known.perTask().isAtMost(request.perTask()) && known.isNoStricterThan(request)) {
@@ -33,7 +34,7 @@
     return false;
   }
 
-  /** Of each resource the minimum that any of these requests; unbounded if there are none. */
+  /** The smallest amount of each resource that any element requests; unbounded if none. */
   public static <T> Resources minimumOf(Collection<T> all, Function<T, ResourceRequest> requestOf) {
     Resources min = Resources.UNBOUNDED;
     for (T element : all) {
@@ -42,7 +43,7 @@
     return min;
   }
 
-  /** Of each resource the smaller amount; capacity that does not have it is of use to neither. */
+  /** The smaller amount of each resource; a machine with less of any resource fits neither. */
   public static Resources minimum(Resources one, Resources other) {
     return new Resources(
         Math.min(one.cpus(), other.cpus()),
--- a/src/main/java/org/mulleinshift/placement/package-info.java
+++ b/src/main/java/org/mulleinshift/placement/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Where tasks may run and how they are packed onto machines. Shared by the leader's plans and the
+ * Placement constraints and bin packing of tasks onto machines. Used by the leader's plans and the
  * shard owners' placements.
  */
 package org.mulleinshift.placement;
--- a/src/main/java/org/mulleinshift/transport/AsyncHttpClient.java
+++ b/src/main/java/org/mulleinshift/transport/AsyncHttpClient.java
@@ -6,8 +6,8 @@
 /** Sends HTTP requests without blocking the event loop. */
 public interface AsyncHttpClient {
   /**
-   * Sends a request. The response is handed over on the event loop, exactly once; {@link
-   * HttpResponse#NO_RESPONSE} if there is none by the deadline.
+   * Sends a request. The callback runs exactly once, on the event loop, with {@link
+   * HttpResponse#NO_RESPONSE} if the call failed or timed out.
    */
   void call(InetSocketAddress target, HttpRequest request, Consumer<HttpResponse> onResponse);
 }
--- a/src/main/java/org/mulleinshift/transport/DaemonThreads.java
+++ b/src/main/java/org/mulleinshift/transport/DaemonThreads.java
@@ -5,7 +5,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Creates the threads that do blocking I/O. They have small stacks and don't keep the process up.
+ * Creates daemon threads for blocking I/O. They have small stacks and do not keep the process
+ * alive.
  */
 final class DaemonThreads {
   private static final int STACK_BYTES = 192 * 1024;
@@ -20,7 +21,7 @@
     return thread;
   }
 
-  /** A pool of a fixed size with a bounded queue; it rejects what the queue can't take. */
+  /** A fixed-size pool with a bounded queue; it rejects tasks while the queue is full. */
   static ThreadPoolExecutor pool(String name, int threadCount, int queueLength) {
     return new ThreadPoolExecutor(
         threadCount,
--- a/src/main/java/org/mulleinshift/transport/EventLoop.java
+++ b/src/main/java/org/mulleinshift/transport/EventLoop.java
@@ -3,32 +3,32 @@
 import java.time.Duration;
 import java.util.function.Consumer;
 
-/** The one thread that owns all mutable state, with its clocks and timers. */
+/** The single thread that owns all mutable state of a controller, with its clocks and timers. */
 public interface EventLoop {
-  /** Runs the step on the loop; may be called from any thread. */
+  /** Queues a step to run on the loop; may be called from any thread. */
   void post(Runnable step);
 
-  /** Runs the step on the loop once the time has passed; call it on the loop only. */
+  /** Schedules a step to run on the loop after a delay; may be called only on the loop. */
   Timer after(Duration delay, Runnable step);
 
-  /** The time on the steady clock. */
+  /** The current time of the monotonic clock. */
   MonotonicTime now();
 
-  /** Time of day in milliseconds; its error stays within the bound of the platform settings. */
+  /** Milliseconds since the Unix epoch; the platform settings bound the error of this clock. */
   long wallMillis();
 
-  /** A random number from 0 (inclusive) to 1 (exclusive), for spacing retries. */
+  /** A random number from 0 (inclusive) to 1 (exclusive), for the jitter of retries. */
   double random();
 
   /**
-   * Sets the listener that is called, before any other step, when the process was paused for
-   * seconds while the clocks ran on.
+   * Sets the listener that is called when the process was paused for seconds while the clocks kept
+   * running. It runs before any other step and receives the length of the pause.
    */
   void onProcessPause(Consumer<Duration> listener);
 
-  /** A step that is due later. */
+  /** A scheduled step. */
   interface Timer {
-    /** The step is not run, unless it has been already. */
+    /** Prevents the step from running; no effect if it has already run. */
     void cancel();
   }
 }
--- a/src/main/java/org/mulleinshift/transport/FrameQueue.java
+++ b/src/main/java/org/mulleinshift/transport/FrameQueue.java
@@ -3,9 +3,9 @@
 import java.util.ArrayDeque;
 
 /**
- * Frames that wait for a peer. When it is full it drops the oldest: newer frames replace what older
- * ones say, and what a peer never got is sent again, based on what it has acknowledged. A peer that
- * does not read costs no more memory than this.
+ * A bounded queue of frames to one peer. When full it drops the oldest frames: newer frames
+ * supersede them, and content that the peer has not acknowledged is sent again. The bounds limit
+ * the memory used for a peer that does not read.
  */
 final class FrameQueue {
   private final ArrayDeque<byte[]> frames = new ArrayDeque<>();
@@ -18,7 +18,7 @@
     this.maxBytes = maxBytes;
   }
 
-  /** Adds a frame. The newest frame is always accepted, whatever its size. */
+  /** Adds a frame. It is accepted even if it alone exceeds the bounds. */
   synchronized void put(byte[] frame) {
     while (!frames.isEmpty()
         && (frames.size() >= maxFrames || queuedBytes + frame.length > maxBytes)) {
@@ -29,7 +29,7 @@
     notifyAll();
   }
 
-  /** Removes the oldest frame; waits until there is one. */
+  /** Removes and returns the oldest frame; blocks while the queue is empty. */
   synchronized byte[] take() throws InterruptedException {
     while (frames.isEmpty()) {
       wait();
@@ -45,7 +45,7 @@
     queuedBytes = 0;
   }
 
-  /** The size of all frames. */
+  /** Total size of the queued frames. */
   synchronized long queuedBytes() {
     return queuedBytes;
   }
--- a/src/main/java/org/mulleinshift/transport/HttpRequest.java
+++ b/src/main/java/org/mulleinshift/transport/HttpRequest.java
@@ -4,11 +4,11 @@
 import java.util.Optional;
 
 /**
- * A request to another system.
+ * An outgoing HTTP request.
  *
- * @param path with the query
- * @param body JSON; empty: none
- * @param timeout after which the response is no longer awaited
+ * @param path including the query string
+ * @param body JSON; empty: no body
+ * @param timeout how long to wait for the response
  */
 public record HttpRequest(String method, String path, Optional<String> body, Duration timeout) {
   /** A GET request. */
--- a/src/main/java/org/mulleinshift/transport/InFlightBytesLimiter.java
+++ b/src/main/java/org/mulleinshift/transport/InFlightBytesLimiter.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Limits the bytes that wait at a time; may be used by several threads. */
+/** Limits the total size of requests that are pending at a time. Thread-safe. */
 final class InFlightBytesLimiter {
   private final long maxBytes;
   private final AtomicLong acquired = new AtomicLong();
@@ -12,8 +12,8 @@
   }
 
   /**
-   * Acquires so many bytes, or none of them. A request that is larger than the limit is admitted
-   * when no other one waits.
+   * Acquires all of the bytes or none. A request that is larger than the limit is admitted when no
+   * other request is pending.
    */
   boolean tryAcquire(int bytes) {
     long before = acquired.getAndAdd(bytes);
@@ -24,7 +24,7 @@
     return true;
   }
 
-  /** Returns what was acquired. */
+  /** Returns bytes that were acquired. */
   void release(int bytes) {
     acquired.addAndGet(-bytes);
   }
--- a/src/main/java/org/mulleinshift/transport/JdkAsyncHttpClient.java
+++ b/src/main/java/org/mulleinshift/transport/JdkAsyncHttpClient.java
@@ -14,8 +14,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends requests from a few threads that make blocking calls, each with at most one socket. The
- * queue is bounded: a request that finds it full gets no response.
+ * Sends requests from a fixed number of threads that make blocking calls, each with at most one
+ * socket. The queue is bounded: a request that finds it full gets no response. A request's timeout
+ * limits its time in the queue, the connection set-up and each read separately, so that a call may
+ * take longer in total.
  */
 public final class JdkAsyncHttpClient implements AsyncHttpClient {
   private static final Logger LOG = LoggerFactory.getLogger(JdkAsyncHttpClient.class);
@@ -24,12 +26,12 @@
   private final ThreadPoolExecutor threads;
 
   /**
-   * A client with threads of its own.
+   * A client with its own threads.
    *
-   * @param name of the threads
-   * @param loop gets the responses
-   * @param threadCount requests in flight at a time
-   * @param queueLength requests that wait for a thread
+   * @param name name of the threads
+   * @param loop runs the callbacks
+   * @param threadCount maximum number of requests in flight
+   * @param queueLength maximum number of requests that wait for a thread
    */
   public JdkAsyncHttpClient(String name, EventLoop loop, int threadCount, int queueLength) {
     this.loop = loop;
@@ -43,7 +45,7 @@
     try {
       threads.execute(
           () -> {
-            // A request that waited past its deadline is not sent: its caller has moved on.
+            // Not sent if it timed out in the queue, since the caller no longer needs the response.
             HttpResponse response =
                 System.nanoTime() - deadlineNanos > 0
                     ? HttpResponse.NO_RESPONSE
@@ -68,7 +70,7 @@
       }
       String body = readBody(connection, status);
       if (body.length() > HttpResponse.MAX_BODY_LENGTH) {
-        // The rest is still to come on this connection.
+        // The connection can't be reused, since the rest of the body is unread.
         connection.disconnect();
       }
       return HttpResponse.bounded(status, body);
@@ -102,7 +104,7 @@
   private static void writeBody(HttpURLConnection connection, String body) throws IOException {
     connection.setDoOutput(true);
     connection.setRequestProperty("Content-Type", "application/json");
-    // Not streamed, so that the headers and the body leave in one write.
+    // Streaming mode is not used, so that the headers and the body are sent in one write.
     try (OutputStream out = connection.getOutputStream()) {
       out.write(body.getBytes(StandardCharsets.UTF_8));
     }
--- a/src/main/java/org/mulleinshift/transport/JdkHttpServer.java
+++ b/src/main/java/org/mulleinshift/transport/JdkHttpServer.java
@@ -14,15 +14,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The JDK's HTTP server in front of the event loop. Its threads read requests and write responses;
- * the server's own limits end connections whose request or response takes too long, so that slow
- * clients cannot occupy the threads.
+ * An HTTP server, based on that of the JDK, that passes requests to the event loop. Its threads
+ * read requests and write responses; the JDK server's time limits close connections whose request
+ * or response takes too long, so that slow clients cannot occupy the threads.
  */
 public final class JdkHttpServer {
   private static final Logger LOG = LoggerFactory.getLogger(JdkHttpServer.class);
   private static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /** A large machine may have run thousands of tasks while no node could answer it. */
+  /** A large machine may have run thousands of tasks while no controller could respond to it. */
   private static final int MAX_HEARTBEAT_BYTES = 1024 * 1024;
 
   private static final int MAX_QUEUE_LENGTH = 2048;
@@ -38,18 +38,18 @@
   private final InFlightBytesLimiter heartbeatBodies;
 
   /**
-   * Limits of what the server does at a time.
+   * Limits on the work that the server accepts at a time.
    *
-   * @param threads that read requests and write responses
-   * @param userBodyBytes size of the users' request bodies that wait for the event loop
-   * @param heartbeatBodyBytes size of the workers' heartbeats that wait for it
-   * @param isHeartbeat whether a request is a worker's heartbeat, by its path
+   * @param threads number of threads that read requests and write responses
+   * @param userBodyBytes total size of the users' request bodies that wait for the event loop
+   * @param heartbeatBodyBytes total size of the workers' heartbeats that wait for the event loop
+   * @param isHeartbeat whether the path of a request is that of worker heartbeats
    */
   public record Limits(
       int threads, int userBodyBytes, int heartbeatBodyBytes, Predicate<String> isHeartbeat) {}
 
   /**
-   * A server that is bound to its address and not started yet.
+   * Creates a server that is bound to the address but not started.
    *
    * @throws IOException if the address can't be bound
    */
@@ -68,16 +68,17 @@
   }
 
   /**
-   * Sets the limits of the JDK's server and client; must be called before either is first used.
+   * Sets the system properties that limit the JDK's HTTP server and client. Must be called before
+   * either is first used.
    *
-   * @param maxIdleConnections most connections of the server that are kept open between requests
+   * @param maxIdleConnections maximum number of server connections kept open between requests
    */
   public static void configureJdkHttp(int maxIdleConnections) {
     System.setProperty("sun.net.httpserver.nodelay", "true");
     System.setProperty("sun.net.httpserver.maxReqTime", "5");
     System.setProperty("sun.net.httpserver.maxRspTime", "10");
     System.setProperty("sun.net.httpserver.idleInterval", "120");
-    // Above this number of idle connections the server closes each one after its response.
+    // Once this many connections are idle, the server closes further ones after their response.
     System.setProperty(
         "sun.net.httpserver.maxIdleConnections", Integer.toString(maxIdleConnections));
     System.setProperty("sun.net.http.retryPost", "false");
@@ -89,7 +90,7 @@
     server.start();
   }
 
-  /** The address that the server listens at, with the port chosen if any free one was asked for. */
+  /** The address that the server listens on, with the actual port if port 0 was requested. */
   public InetSocketAddress address() {
     return server.getAddress();
   }
@@ -109,7 +110,7 @@
       }
     }
     Responder responder = new ExchangeResponder(exchange);
-    // Heartbeats have a limit of their own: however much users send, workers are served.
+    // Heartbeats have a separate limit, so that user requests cannot crowd them out.
     InFlightBytesLimiter limiter = heartbeat ? heartbeatBodies : userBodies;
     if (!limiter.tryAcquire(body.length)) {
       respondUnavailable(responder, "try again");
@@ -151,7 +152,7 @@
         out.write(bytes);
       }
     } catch (IOException e) {
-      LOG.debug("response lost, error={}", e.toString());
+      LOG.debug("response not sent, error={}", e.toString());
     } finally {
       exchange.close();
     }
--- a/src/main/java/org/mulleinshift/transport/PeerTransport.java
+++ b/src/main/java/org/mulleinshift/transport/PeerTransport.java
@@ -1,11 +1,11 @@
 package org.mulleinshift.transport;
 
-/** Best-effort frames to the other controllers; a frame may be lost, never reordered. */
+/** Best-effort delivery of frames to other controllers; frames may be lost but not reordered. */
 public interface PeerTransport {
   /**
-   * Queues a frame.
+   * Queues a frame for sending.
    *
-   * @param label of the controller that it is for; frames for unknown ones are dropped
+   * @param label label of the receiving controller; frames for unknown labels are dropped
    */
   void send(String label, byte[] frame);
 }
--- a/src/main/java/org/mulleinshift/transport/RateLimiter.java
+++ b/src/main/java/org/mulleinshift/transport/RateLimiter.java
@@ -2,7 +2,10 @@
 
 import java.time.Duration;
 
-/** A token bucket for a share of another system's rate limit, with bursts of one second's worth. */
+/**
+ * A token bucket that keeps calls within this controller's share of another system's rate limit. It
+ * allows bursts of one second's tokens, at least one.
+ */
 public final class RateLimiter {
   private static final double MIN_WAIT_SECONDS = 0.001;
   private static final double NANOS_PER_SECOND = 1e9;
@@ -13,7 +16,7 @@
   private double tokens;
   private MonotonicTime refilledAt;
 
-  /** A full bucket. */
+  /** Creates a full bucket. */
   public RateLimiter(EventLoop loop, double tokensPerSecond) {
     this.loop = loop;
     this.tokensPerSecond = tokensPerSecond;
@@ -22,7 +25,7 @@
     this.refilledAt = loop.now();
   }
 
-  /** Changes the rate from now on. */
+  /** Changes the rate from now on; tokens beyond the new burst size are lost. */
   public void setRate(double newTokensPerSecond) {
     refill();
     tokensPerSecond = newTokensPerSecond;
@@ -31,8 +34,8 @@
   }
 
   /**
-   * Takes tokens if that leaves the reserve untouched. An amount that is larger than the bucket is
-   * admitted when the bucket is full, and overdraws it: else it would wait for ever.
+   * Takes tokens if the reserve remains available. If the amount and the reserve together exceed
+   * the bucket, a full bucket suffices and may be overdrawn; otherwise the call would wait forever.
    *
    * @param reserve tokens that must remain for more urgent calls
    */
@@ -45,13 +48,13 @@
     return true;
   }
 
-  /** Takes tokens for a call that must not wait; the bucket may be overdrawn. */
+  /** Takes tokens without waiting, for urgent calls; may leave the bucket overdrawn. */
   public void acquireOverdraft(double amount) {
     refill();
     tokens -= amount;
   }
 
-  /** How long it takes until an amount beyond the reserve will be there. */
+  /** The time until the amount is available beyond the reserve; at least 1 ms. */
   public Duration untilAvailable(double amount, double reserve) {
     refill();
     double missing = amount + reserve - tokens;
--- a/src/main/java/org/mulleinshift/transport/RequestHandler.java
+++ b/src/main/java/org/mulleinshift/transport/RequestHandler.java
@@ -1,12 +1,12 @@
 package org.mulleinshift.transport;
 
-/** Handles requests on the event loop. */
+/** Handles HTTP requests on the event loop. */
 public interface RequestHandler {
   /**
-   * Handles a request.
+   * Handles a request. The response may be sent later.
    *
-   * @param path without the query
-   * @param body may be empty
+   * @param path path without the query string
+   * @param body request body; may be empty
    */
   void handle(String method, String path, String body, Responder responder);
 }
--- a/src/main/java/org/mulleinshift/transport/Responder.java
+++ b/src/main/java/org/mulleinshift/transport/Responder.java
@@ -1,10 +1,10 @@
 package org.mulleinshift.transport;
 
-/** Responds to one request, once; may be called after the handler has returned. */
+/** Sends the single response to one request; may be called after the handler has returned. */
 public interface Responder {
   /** Sends a response. */
   void respond(int status, String body);
 
-  /** Sends a response that names the time after which the client should retry. */
+  /** Sends a response with a {@code Retry-After} header, which tells the client when to retry. */
   void respondWithRetryAfter(int status, String body, int retryAfterSeconds);
 }
--- a/src/main/java/org/mulleinshift/transport/TcpPeerTransport.java
+++ b/src/main/java/org/mulleinshift/transport/TcpPeerTransport.java
@@ -21,17 +21,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One outgoing connection to each peer, with a thread and a bounded queue. Every frame is preceded
- * by its length and acknowledged by one byte on the same connection: after a network partition a
- * connection may take frames for ever without delivering or failing, and only the missing
- * acknowledgement shows it.
+ * Sends frames over one TCP connection to each peer, each with its own thread and bounded queue.
+ * Every frame is prefixed with its length and acknowledged by one byte on the same connection:
+ * after a network partition a connection may accept frames indefinitely without delivering them or
+ * failing, which only a missing acknowledgement reveals.
  */
 public final class TcpPeerTransport implements PeerTransport {
   private static final Logger LOG = LoggerFactory.getLogger(TcpPeerTransport.class);
   private static final int MAX_FRAME_BYTES = 4 << 20;
   private static final int BUFFER_BYTES = 16 * 1024;
 
-  /** Bytes of one permit of the limit on unread incoming frames. */
+  /** Size of one permit of the limit on received frames that wait for the event loop. */
   private static final int BYTES_PER_PERMIT = 1024;
 
   private static final int MAX_QUEUED_FRAMES = 64;
@@ -52,15 +52,14 @@
   private final Semaphore incomingPermits;
 
   /**
-   * A transport that is not started yet.
+   * Creates a transport that is not started.
    *
    * @param loop runs the receiver
-   * @param peers addresses of the other controllers by their labels
-   * @param receiver gets the frames of all peers
-   * @param ackTimeout how long a frame may wait for its acknowledgement until the connection is
-   *     replaced
-   * @param maxQueuedBytes limit of the frames that wait for one peer
-   * @param maxIncomingBytes limit of the received frames that wait for the event loop
+   * @param peers addresses of the other controllers by label
+   * @param receiver receives the frames of all peers, on the event loop
+   * @param ackTimeout how long to wait for the acknowledgement of a frame before reconnecting
+   * @param maxQueuedBytes limit on the size of the frames queued for one peer
+   * @param maxIncomingBytes limit on the size of the received frames that wait for the event loop
    */
   public TcpPeerTransport(
       EventLoop loop,
@@ -106,7 +105,7 @@
     }
   }
 
-  /** The size of the frames that wait for a peer. */
+  /** Total size of the frames queued for a known peer. */
   public long queuedBytes(String label) {
     return queues.get(label).queuedBytes();
   }
@@ -133,7 +132,7 @@
     }
   }
 
-  /** Sends until the connection fails. */
+  /** Sends queued frames, one at a time, until the connection fails. */
   private static void sendFrames(FrameQueue queue, Socket socket)
       throws IOException, InterruptedException {
     DataOutputStream out =
@@ -145,7 +144,7 @@
       out.write(frame);
       out.flush();
       if (acks.read() < 0) {
-        throw new EOFException("closed by the peer");
+        throw new EOFException("connection closed by the peer");
       }
     }
   }
@@ -184,16 +183,16 @@
       while (true) {
         int length = in.readInt();
         if (length < 0 || length > MAX_FRAME_BYTES) {
-          throw new IOException("frame of " + length + " bytes");
+          throw new IOException("invalid frame length: " + length + " bytes");
         }
         byte[] frame = in.readNBytes(length);
         if (frame.length < length) {
           return;
         }
-        // While the event loop lags behind, nothing is acknowledged, and the sender reconnects.
+        // While the event loop lags, frames are not acknowledged, and the sender reconnects.
         int permits = Math.min(incomingPermitLimit, 1 + length / BYTES_PER_PERMIT);
         if (!incomingPermits.tryAcquire(permits, READ_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
-          throw new IOException("frames wait for the event loop");
+          throw new IOException("too many received frames wait for the event loop");
         }
         loop.post(
             () -> {
--- a/src/main/java/org/mulleinshift/transport/ThreadEventLoop.java
+++ b/src/main/java/org/mulleinshift/transport/ThreadEventLoop.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** An event loop on the calling thread with the system's clocks. */
+/** An event loop that runs on the calling thread and uses the system clocks. */
 public final class ThreadEventLoop implements EventLoop {
   private static final long MAX_STEP_MICROS = 60_000_000;
   private static final int HISTOGRAM_DIGITS = 2;
@@ -21,7 +21,7 @@
   private static final int NANOS_PER_MICRO = 1000;
   private static final double MICROS_PER_MILLI = 1000.0;
 
-  /** Steps that follow the first one before timers are looked at again. */
+  /** Number of steps, after the first one, that run before timers are checked again. */
   private static final int MAX_FURTHER_STEPS = 63;
 
   private static final Duration PAUSE_THRESHOLD = Duration.ofSeconds(2);
@@ -67,7 +67,7 @@
     return random.nextDouble();
   }
 
-  /** Runs until the process ends. */
+  /** Runs the loop until the process ends or the thread is interrupted. */
   public void run() throws InterruptedException {
     List<Runnable> batch = new ArrayList<>();
     MonotonicTime iterationStartedAt = now();
@@ -84,7 +84,11 @@
     }
   }
 
-  /** There always are timers, so a turn only takes this long if the process was paused. */
+  /**
+   * Reports a pause if the previous iteration took longer than the threshold. Timers are always
+   * pending, so waiting for a step is short, and a long iteration means that the process was paused
+   * (or that a step took as long).
+   */
   private MonotonicTime detectProcessPause(MonotonicTime iterationStartedAt) {
     MonotonicTime now = now();
     Duration pause = now.since(iterationStartedAt);
@@ -94,7 +98,7 @@
     return now;
   }
 
-  /** Waits until a step was posted or a timer is due; null in the latter case. */
+  /** Waits for a posted step; returns null if a timer is due first. */
   private Runnable awaitStep() throws InterruptedException {
     PendingTimer next = timers.peek();
     if (next == null) {
@@ -114,7 +118,10 @@
     }
   }
 
-  /** One failing step must not end the process: the state stays owned by this thread. */
+  /**
+   * Runs a step and records its duration. Exceptions are logged: a failing step must not end the
+   * thread, which owns all state.
+   */
   private void runGuarded(Runnable step) {
     long startedAt = System.nanoTime();
     try {
@@ -130,7 +137,7 @@
     }
   }
 
-  /** A step that takes long delays lease renewals, submissions and the workers' heartbeats. */
+  /** Logs step durations: slow steps delay lease renewals, submissions and worker heartbeats. */
   private void logStepDurations(long now) {
     LOG.info(
         "event loop steps, count={} p99_ms={} max_ms={}",
--- a/src/test/java/org/mulleinshift/fairness/MaxMinFairShareTest.java
+++ b/src/test/java/org/mulleinshift/fairness/MaxMinFairShareTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Fair shares of random mixes of entities. */
+/** Max-min fairness of the shares of random entities. */
 final class MaxMinFairShareTest {
   private static final double TOLERANCE = 1e-9;
 
@@ -17,20 +17,20 @@
     return RandomEntities.seeds();
   }
 
-  /** No entity gets more than it wants, and one that gets less has as much a weight as any. */
+  /** No entity gets more than its demand; one that gets less has the highest share by weight. */
   @ParameterizedTest
   @MethodSource("seeds")
   void sharesAreMaxMinFair(int seed) {
-    // Given entities with weights and wishes.
+    // Given entities with random weights and demands.
     List<ShareEntity> entities = RandomEntities.draw(new Random(seed));
 
     // When they share one cluster.
     MaxMinFairShare fair = MaxMinFairShare.of(entities);
 
-    // Then no entity could have more without taking from one that has less by weight.
+    // Then no entity's share can grow without taking from one with no more by weight.
     for (ShareEntity entity : entities) {
       double share = fair.shareOf(entity.name());
-      assertTrue(share <= entity.reachableDemand() + TOLERANCE, "more than wanted: " + entity);
+      assertTrue(share <= entity.reachableDemand() + TOLERANCE, "more than its demand: " + entity);
       boolean wantsMore = share < entity.reachableDemand() - TOLERANCE;
       for (ShareEntity other : entities) {
         double shareOfOther = fair.shareOf(other.name()) / other.weight();
--- a/src/test/java/org/mulleinshift/fairness/RandomEntities.java
+++ b/src/test/java/org/mulleinshift/fairness/RandomEntities.java
@@ -5,7 +5,7 @@
 import java.util.Random;
 import java.util.stream.IntStream;
 
-/** Random mixes of entities, the same for the same seed. */
+/** Generates random sets of entities, the same for the same seed. */
 final class RandomEntities {
   static final int SEEDS = 200;
 
@@ -18,12 +18,12 @@
 
   private RandomEntities() {}
 
-  /** All seeds that tests are run with. */
+  /** The seeds that the tests run with. */
   static IntStream seeds() {
     return IntStream.range(0, SEEDS);
   }
 
-  /** Two to five entities that use nothing yet. */
+  /** Generates two to five entities that use nothing yet. */
   static List<ShareEntity> draw(Random random) {
     List<ShareEntity> entities = new ArrayList<>();
     int count = MIN_ENTITIES + random.nextInt(ENTITY_COUNTS);
--- a/src/test/java/org/mulleinshift/fairness/ShareClaimsTest.java
+++ b/src/test/java/org/mulleinshift/fairness/ShareClaimsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** What entities may claim of available capacity, and that claims keep them from starving. */
+/** The claims of entities on available capacity, and that they prevent starvation. */
 final class ShareClaimsTest {
   private static final double MINIMUM_SHARE = 0.75;
   private static final double NO_MINIMUM_SHARE = 0;
@@ -56,7 +56,7 @@
     assertEquals(0.02, claim, TOLERANCE, "demand less what is in use");
   }
 
-  /** In no window does an entity with work waiting have less than half of its fair share. */
+  /** In no window does an entity's mean share fall below half of its fair share. */
   @ParameterizedTest
   @MethodSource("seeds")
   void noEntityStarvesInAnyWindow(int seed) {
@@ -64,10 +64,10 @@
 
     simulation.run();
 
-    assertEquals(0, simulation.starvedWindows(), "windows with too small a share");
+    assertEquals(0, simulation.starvedWindows(), "windows with starvation");
   }
 
-  /** The same mixes by rank alone: shows that the simulation would reveal starvation. */
+  /** Without claims most seeds show starvation, so the simulation is able to detect it. */
   @Test
   void mostMixesHaveStarvationWithoutMinimumShares() {
     long starvedMixes = seeds().filter(ShareClaimsTest::starvesWithoutMinimumShares).count();
--- a/src/test/java/org/mulleinshift/fairness/SlotSimulation.java
+++ b/src/test/java/org/mulleinshift/fairness/SlotSimulation.java
@@ -6,15 +6,16 @@
 import java.util.Random;
 
 /**
- * A cluster of equal slots of which about a twentieth becomes free in each step; the first entity
- * is the most urgent. All slots are the first entity's when the others arrive.
+ * Simulates a cluster of equal slots of which about one in twenty becomes free in each step. Free
+ * slots go to claims first and then by rank; the first entity ranks highest and starts with as many
+ * slots as it can use.
  */
 final class SlotSimulation {
   private static final int SLOTS = 200;
   private static final int STEPS = 300;
   private static final int WINDOW_STEPS = 60;
 
-  /** A task ends in a step with a probability of one to this. */
+  /** A task ends in each step with a probability of 1 in this number. */
   private static final int MEAN_TASK_STEPS = 20;
 
   private static final double ROUNDING_TOLERANCE = 1e-6;
@@ -36,7 +37,7 @@
 
   void run() {
     for (int step = 0; step < STEPS; step++) {
-      // Claims follow from what was in use before this step, as a leader sees it.
+      // Claims are computed from the use before this step, as a leader does.
       Map<String, Double> claims = ShareClaims.of(entities(), minimumShare).claims();
       endTasks();
       assignClaims(claims);
@@ -47,14 +48,17 @@
     }
   }
 
-  /** In how many windows an entity had less than half of its fair share, once the start is over. */
+  /**
+   * Counts the windows, per entity and without those of the start, in which an entity's mean share
+   * was below half of its fair share.
+   */
   int starvedWindows() {
     MaxMinFairShare fair = MaxMinFairShare.of(entities());
     int starved = 0;
     for (int i = 0; i < initialEntities.size(); i++) {
       double fairShare = fair.shareOf(initialEntities.get(i).name());
       for (int from = WINDOW_STEPS; from + WINDOW_STEPS <= STEPS; from++) {
-        // One slot is the minimum that can be assigned.
+        // Tolerates one slot, the smallest amount that can be assigned.
         starved += meanShare(i, from) + 1.0 / SLOTS < 0.5 * fairShare ? 1 : 0;
       }
     }
@@ -107,7 +111,7 @@
     return (int) (SLOTS * initialEntities.get(entity).reachableDemand());
   }
 
-  /** The entities with what they use now. */
+  /** The entities with their current use. */
   private List<ShareEntity> entities() {
     List<ShareEntity> entities = new ArrayList<>();
     for (int i = 0; i < usedSlots.length; i++) {
--- a/src/test/java/org/mulleinshift/transport/JdkHttpServerTest.java
+++ b/src/test/java/org/mulleinshift/transport/JdkHttpServerTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Status, headers and bodies of the server's responses, over real loopback sockets. */
+/** Status, headers and bodies of the server's responses, over loopback sockets. */
 @Timeout(30)
 final class JdkHttpServerTest {
   private static final String JOBS_PATH = "/v2/runs";
@@ -25,7 +25,7 @@
   private static final int MORE_THAN_HALF_BYTES = 60_000;
   private static final int THREADS = 4;
 
-  /** What a client receives. */
+  /** The parts of a received response that the tests compare. */
   private record Received(
       int status, String body, Optional<String> contentType, Optional<String> retryAfter) {}
 
@@ -70,7 +70,7 @@
     return new Received(status, body, Optional.of("application/json"), retryAfter);
   }
 
-  /** Sends one request and runs the step that handles it. */
+  /** Sends one request, runs the step that handles it and returns the response. */
   private Received exchange(JdkHttpServer server, String path, int bytes)
       throws InterruptedException {
     CompletableFuture<HttpResponse<String>> response = post(server, path, bytes);
--- a/src/test/java/org/mulleinshift/transport/ManualEventLoop.java
+++ b/src/test/java/org/mulleinshift/transport/ManualEventLoop.java
@@ -8,13 +8,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** An event loop that runs nothing by itself, as one that lags behind: the test takes the steps. */
+/** An event loop whose steps run only when the test takes them, like a loop that lags behind. */
 public final class ManualEventLoop implements EventLoop {
   private static final long TIMEOUT_SECONDS = 20;
 
   private final BlockingQueue<Runnable> steps = new LinkedBlockingQueue<>();
 
-  /** The next step; waits until one is posted. */
+  /** Removes and returns the next step; waits for one to be posted and fails after 20 seconds. */
   public Runnable takeStep() throws InterruptedException {
     Runnable step = steps.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertNotNull(step, "no step was posted");
--- a/src/test/java/org/mulleinshift/transport/TcpPeerTransportTest.java
+++ b/src/test/java/org/mulleinshift/transport/TcpPeerTransportTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The connections between controllers, over real loopback sockets. */
+/** Peer connections between controllers, over loopback sockets. */
 final class TcpPeerTransportTest {
   private static byte[] readFrame(Socket socket) throws IOException {
     DataInputStream in = new DataInputStream(socket.getInputStream());
@@ -36,8 +36,8 @@
   private static final int MAX_BYTES = 1 << 20;
 
   /**
-   * After a network partition a connection may take frames for ever without delivering any: then
-   * assignments never reach a shard's owner, and nothing runs.
+   * After a network partition a connection may accept frames indefinitely without delivering them.
+   * Without a reconnect, assignments would never reach a shard's owner, and no task would run.
    */
   @Test
   @Timeout(30)
@@ -59,7 +59,7 @@
     }
   }
 
-  /** Controllers of earlier builds must understand the bytes: four of length, then the frame. */
+  /** The wire format is compatible with earlier builds: a four-byte length, then the frame. */
   @Test
   @Timeout(30)
   void sendsTheLengthInFrontOfTheFrame() throws IOException {
@@ -77,7 +77,7 @@
     }
   }
 
-  /** Each frame is acknowledged by one byte; an invalid length ends the connection without it. */
+  /** Each frame is acknowledged by one byte; an invalid length closes the connection instead. */
   @Test
   @Timeout(30)
   void acknowledgesFramesByOneByte() throws IOException, InterruptedException {
@@ -109,7 +109,7 @@
     return transport;
   }
 
-  /** An address that nothing listens at. */
+  /** An address that nothing listens on. */
   private static InetSocketAddress freeAddress() throws IOException {
     try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       return new InetSocketAddress(InetAddress.getLoopbackAddress(), unused.getLocalPort());
@@ -124,7 +124,7 @@
     }
   }
 
-  /** Reads from a connection that frames are sent over. */
+  /** Reads bytes from the receiving end of a connection. */
   private interface FrameReader {
     byte[] read(Socket socket) throws IOException;
   }
@@ -134,7 +134,7 @@
     return sendUntilRead(transport, socket, TcpPeerTransportTest::readFrame);
   }
 
-  /** Frames queued before a connection is open are dropped, so one is sent until one arrives. */
+  /** Sends a frame repeatedly, since frames queued before the connection opens are dropped. */
   private static byte[] sendUntilRead(TcpPeerTransport transport, Socket socket, FrameReader reader)
       throws IOException {
     socket.setSoTimeout(READ_TIMEOUT_MILLIS);
