--- a/src/main/java/org/mulleinshift/Main.java
+++ b/src/main/java/org/mulleinshift/Main.java
@@ -126,7 +126,7 @@
             settings.processLimits().memoryMb(),
             settings.processLimits().maxFileDescriptors(),
             Runtime.getRuntime().maxMemory());
-    JdkHttpServer.configure(memory.maxIdleConnections());
+    JdkHttpServer.configureJdkHttp(memory.maxIdleConnections());
     try {
       run(settings, tunables, memory);
     } catch (BindException e) {
--- a/src/main/java/org/mulleinshift/api/JobResponseWriter.java
+++ b/src/main/java/org/mulleinshift/api/JobResponseWriter.java
@@ -125,7 +125,7 @@
 
   /** Responds with 503 and a Retry-After header. */
   void respondUnavailable(Responder responder) {
-    responder.respondLater(
+    responder.respondWithRetryAfter(
         HttpStatus.SERVICE_UNAVAILABLE, JobCodec.writeError("try again"), retryAfterSeconds);
   }
 }
--- a/src/main/java/org/mulleinshift/autoscaling/AssignedTaskAllocator.java
+++ b/src/main/java/org/mulleinshift/autoscaling/AssignedTaskAllocator.java
@@ -94,7 +94,7 @@
   /** Packs the tasks onto machines; returns how many were placed. */
   private static int pack(
       UnplacedGroup group, List<MachineCapacity> candidates, CapacitySnapshot snapshot) {
-    return BinPacker.fill(
+    return BinPacker.placeTasks(
         group.request(),
         group.count(),
         candidates,
--- a/src/main/java/org/mulleinshift/autoscaling/BootTimeEstimator.java
+++ b/src/main/java/org/mulleinshift/autoscaling/BootTimeEstimator.java
@@ -128,7 +128,7 @@
   }
 
   private double catalogSeconds(MachineType type) {
-    double seconds = type.boot().toMillis() / MILLIS_PER_SECOND;
+    double seconds = type.bootTime().toMillis() / MILLIS_PER_SECOND;
     return seconds > 0 ? seconds : defaultSeconds;
   }
 
--- a/src/main/java/org/mulleinshift/autoscaling/MachineReleaser.java
+++ b/src/main/java/org/mulleinshift/autoscaling/MachineReleaser.java
@@ -77,7 +77,8 @@
 
   private void delete(List<MachineId> batch) {
     cloud.send(
-        HttpRequest.post(CloudCodec.DELETE_PATH, CloudCodec.writeDeletion(batch), REQUEST_TIMEOUT),
+        HttpRequest.post(
+            CloudCodec.DELETE_PATH, CloudCodec.writeDeletionRequest(batch), REQUEST_TIMEOUT),
         response -> {
           deletionInFlight = false;
           // Only status 200 confirms that the machines and all tasks on them are gone.
--- a/src/main/java/org/mulleinshift/autoscaling/ScaleOut.java
+++ b/src/main/java/org/mulleinshift/autoscaling/ScaleOut.java
@@ -92,7 +92,8 @@
 
   private void pack(
       PendingGroup group, List<MachineCapacity> openMachines, Map<Offer, Integer> planned) {
-    int remaining = group.count() - BinPacker.fill(group.request(), group.count(), openMachines);
+    int remaining =
+        group.count() - BinPacker.placeTasks(group.request(), group.count(), openMachines);
     while (remaining > 0) {
       Optional<Offer> offer = offers.bestOffer(group.withCount(remaining), planned);
       if (offer.isEmpty() || offers.isSaturated(offer.get(), planned)) {
@@ -101,7 +102,7 @@
       }
       int number = planned.merge(offer.get(), 1, Integer::sum);
       MachineCapacity capacity = newMachineCapacity(offer.get(), number);
-      remaining -= BinPacker.fill(group.request(), remaining, List.of(capacity));
+      remaining -= BinPacker.placeTasks(group.request(), remaining, List.of(capacity));
       openMachines.add(capacity);
     }
   }
--- a/src/main/java/org/mulleinshift/placement/BinPacker.java
+++ b/src/main/java/org/mulleinshift/placement/BinPacker.java
@@ -6,40 +6,41 @@
 import java.util.Optional;
 import java.util.PriorityQueue;
 
-/** Chooses machines for tasks; shared by the leader's plans and the owners' placements. */
+/** Chooses machines for tasks, for the leader's plans and for the shard owners' placements. */
 public final class BinPacker {
   private BinPacker() {}
 
-  /** Receives where capacity was allocated. */
-  public interface CapacityConsumer {
-    /** Capacity for so many of several equal tasks was allocated on a machine. */
+  /** Receives the allocations on each machine. */
+  public interface AllocationConsumer {
+    /** Called when capacity for {@code count} equal tasks was allocated on a machine. */
     void accept(MachineCapacity capacity, int count);
   }
 
-  /** A machine that fits the tasks; of equally good ones the first is chosen. */
-  private record Scored(MachineCapacity capacity, double score, int position)
-      implements Comparable<Scored> {
+  /** A machine that fits at least one task; ties are broken by position. */
+  private record ScoredMachine(MachineCapacity capacity, double score, int position)
+      implements Comparable<ScoredMachine> {
     @Override
-    public int compareTo(Scored other) {
+    public int compareTo(ScoredMachine other) {
       int byScore = Double.compare(score, other.score);
       return byScore != 0 ? byScore : Integer.compare(position, other.position);
     }
   }
 
   /**
-   * Allocates capacity to up to so many equal tasks. The outcome is that of choosing for each task
-   * anew: a machine that was chosen only becomes a better choice, until it is full, and the others
-   * stay as they are. So each machine is looked at once, however many tasks there are.
+   * Allocates capacity to up to {@code count} equal tasks. The result is the same as choosing the
+   * best machine for each task separately: an allocation improves a machine's score for the next
+   * equal task until the machine is full, and leaves the other scores unchanged. So each machine is
+   * scored only once, however many tasks there are.
    *
-   * @param consumer is called for each machine, in the order of choice
+   * @param consumer is called for each machine that was allocated from, best machine first
    * @return how many of the tasks were placed
    */
-  public static int fill(
+  public static int placeTasks(
       ResourceRequest request,
       int count,
       Collection<MachineCapacity> capacities,
-      CapacityConsumer consumer) {
-    MachineCapacity best = best(request, capacities).orElse(null);
+      AllocationConsumer consumer) {
+    MachineCapacity best = bestMachine(request, capacities).orElse(null);
     if (best == null || count <= 0) {
       return 0;
     }
@@ -47,39 +48,42 @@
     if (remaining == 0) {
       return count;
     }
-    List<Scored> others = new ArrayList<>();
+    List<ScoredMachine> others = new ArrayList<>();
     for (MachineCapacity capacity : capacities) {
       if (capacity != best && capacity.fits(request)) {
-        others.add(new Scored(capacity, capacity.score(request), others.size()));
+        others.add(new ScoredMachine(capacity, capacity.score(request), others.size()));
       }
     }
-    PriorityQueue<Scored> next = new PriorityQueue<>(others);
-    while (remaining > 0 && !next.isEmpty()) {
-      remaining -= allocate(request, remaining, next.poll().capacity(), consumer);
+    PriorityQueue<ScoredMachine> bestFirst = new PriorityQueue<>(others);
+    while (remaining > 0 && !bestFirst.isEmpty()) {
+      remaining -= allocate(request, remaining, bestFirst.poll().capacity(), consumer);
     }
     return count - remaining;
   }
 
   private static int allocate(
-      ResourceRequest request, int maxTasks, MachineCapacity capacity, CapacityConsumer consumer) {
-    int allocated = Math.min(maxTasks, capacity.countOf(request));
+      ResourceRequest request,
+      int maxTasks,
+      MachineCapacity capacity,
+      AllocationConsumer consumer) {
+    int allocated = Math.min(maxTasks, capacity.countFitting(request));
     capacity.allocate(request, allocated);
     consumer.accept(capacity, allocated);
     return allocated;
   }
 
   /**
-   * Allocates capacity to up to so many equal tasks, on whichever machines.
+   * Allocates capacity to up to {@code count} equal tasks without reporting the machines.
    *
    * @return how many of the tasks were placed
    */
-  public static int fill(
+  public static int placeTasks(
       ResourceRequest request, int count, Collection<MachineCapacity> capacities) {
-    return fill(request, count, capacities, (capacity, allocated) -> {});
+    return placeTasks(request, count, capacities, (capacity, allocated) -> {});
   }
 
-  /** The best machine for one task, if any fits; of equally good ones the first. */
-  public static Optional<MachineCapacity> best(
+  /** The best machine for one task, the first of equally good ones; empty if none fits. */
+  public static Optional<MachineCapacity> bestMachine(
       ResourceRequest request, Collection<MachineCapacity> capacities) {
     MachineCapacity best = null;
     double bestScore = 0;
--- a/src/main/java/org/mulleinshift/sharding/TaskPlacer.java
+++ b/src/main/java/org/mulleinshift/sharding/TaskPlacer.java
@@ -113,7 +113,7 @@
     Optional<MachineCapacity> best =
         unschedulable.covers(task.request())
             ? Optional.empty()
-            : BinPacker.best(task.request(), capacities);
+            : BinPacker.bestMachine(task.request(), capacities);
     if (best.isEmpty()) {
       unschedulable.add(task.request());
       return false;
@@ -156,6 +156,6 @@
         && !machine.hasInterruptionNotice()
         && liveness.livenessOf(machine, now) == MachineLiveness.ALIVE
         && machine.unassignedTasks().stream()
-            .allMatch(entry -> entry.state() == WorkerHeartbeat.State.EXITED);
+            .allMatch(entry -> entry.state() == WorkerHeartbeat.TaskState.EXITED);
   }
 }
--- a/src/main/java/org/mulleinshift/store/KeyValueStore.java
+++ b/src/main/java/org/mulleinshift/store/KeyValueStore.java
@@ -179,7 +179,7 @@
     call(
         HttpRequest.get(StoreCodec.keyPath(key), CALL_TIMEOUT),
         urgency,
-        StoreCodec::parseItem,
+        StoreCodec::parseKeyValue,
         callback);
   }
 
@@ -219,8 +219,8 @@
           found.addAll(range.items());
           // A watch from the first page's revision misses no change.
           Revision revision = firstRevision.orElse(range.revision());
-          if (range.next().isPresent()) {
-            readAllFrom(prefix, range.next(), found, Optional.of(revision), callback);
+          if (range.nextPageAfter().isPresent()) {
+            readAllFrom(prefix, range.nextPageAfter(), found, Optional.of(revision), callback);
           } else {
             callback.accept(new ReadResult.Found<>(new StoreCodec.Range(found, false, revision)));
           }
@@ -246,7 +246,7 @@
     call(
         HttpRequest.post(StoreCodec.LEASES_PATH, StoreCodec.writeLeaseRequest(ttl), CALL_TIMEOUT),
         Urgency.URGENT,
-        StoreCodec::parseLease,
+        StoreCodec::parseLeaseId,
         callback);
   }
 
--- a/src/main/java/org/mulleinshift/store/PrefixWatcher.java
+++ b/src/main/java/org/mulleinshift/store/PrefixWatcher.java
@@ -107,8 +107,8 @@
           StoreCodec.Range page = found.value();
           applyPage(page.items(), unseenKeys);
           ReadStart start = firstPage.orElse(new ReadStart(page.revision(), requestedAt));
-          if (page.next().isPresent()) {
-            readPage(page.next(), Optional.of(start), unseenKeys);
+          if (page.nextPageAfter().isPresent()) {
+            readPage(page.nextPageAfter(), Optional.of(start), unseenKeys);
           } else {
             onReadComplete(start, unseenKeys);
             watch();
--- a/src/main/java/org/mulleinshift/transport/FrameQueue.java
+++ b/src/main/java/org/mulleinshift/transport/FrameQueue.java
@@ -3,49 +3,50 @@
 import java.util.ArrayDeque;
 
 /**
- * Frames that wait for a peer. When it is full it drops the oldest: newer frames replace what older
- * ones say, and what a peer never got is sent again, based on what it has acknowledged. A peer that
- * does not read costs no more memory than this.
+ * A bounded queue of frames to one peer. When full it drops the oldest frames: newer frames
+ * supersede them, and content that the peer has not acknowledged is sent again. The bounds limit
+ * the memory used for a peer that does not read.
  */
 final class FrameQueue {
   private final ArrayDeque<byte[]> frames = new ArrayDeque<>();
   private final int maxFrames;
   private final long maxBytes;
-  private long bytes;
+  private long queuedBytes;
 
   FrameQueue(int maxFrames, long maxBytes) {
     this.maxFrames = maxFrames;
     this.maxBytes = maxBytes;
   }
 
-  /** Adds a frame. The newest frame is always accepted, whatever its size. */
+  /** Adds a frame. It is accepted even if it alone exceeds the bounds. */
   synchronized void put(byte[] frame) {
-    while (!frames.isEmpty() && (frames.size() >= maxFrames || bytes + frame.length > maxBytes)) {
-      bytes -= frames.poll().length;
+    while (!frames.isEmpty()
+        && (frames.size() >= maxFrames || queuedBytes + frame.length > maxBytes)) {
+      queuedBytes -= frames.poll().length;
     }
     frames.add(frame);
-    bytes += frame.length;
+    queuedBytes += frame.length;
     notifyAll();
   }
 
-  /** Removes the oldest frame; waits until there is one. */
+  /** Removes and returns the oldest frame; blocks while the queue is empty. */
   synchronized byte[] take() throws InterruptedException {
     while (frames.isEmpty()) {
       wait();
     }
     byte[] frame = frames.poll();
-    bytes -= frame.length;
+    queuedBytes -= frame.length;
     return frame;
   }
 
   /** Drops all frames. */
   synchronized void clear() {
     frames.clear();
-    bytes = 0;
+    queuedBytes = 0;
   }
 
-  /** The size of all frames. */
-  synchronized long bytes() {
-    return bytes;
+  /** Total size of the queued frames. */
+  synchronized long queuedBytes() {
+    return queuedBytes;
   }
 }
--- a/src/main/java/org/mulleinshift/transport/RateLimiter.java
+++ b/src/main/java/org/mulleinshift/transport/RateLimiter.java
@@ -2,66 +2,69 @@
 
 import java.time.Duration;
 
-/** A token bucket for a share of another system's rate limit, with bursts of one second's worth. */
+/**
+ * A token bucket that keeps calls within this controller's share of another system's rate limit. It
+ * allows bursts of one second's tokens, at least one.
+ */
 public final class RateLimiter {
   private static final double MIN_WAIT_SECONDS = 0.001;
   private static final double NANOS_PER_SECOND = 1e9;
 
   private final EventLoop loop;
-  private double burst;
-  private double perSecond;
+  private double capacity;
+  private double tokensPerSecond;
   private double tokens;
   private MonotonicTime refilledAt;
 
-  /** A full bucket. */
-  public RateLimiter(EventLoop loop, double perSecond) {
+  /** Creates a full bucket. */
+  public RateLimiter(EventLoop loop, double tokensPerSecond) {
     this.loop = loop;
-    this.perSecond = perSecond;
-    this.burst = Math.max(1, perSecond);
-    this.tokens = burst;
+    this.tokensPerSecond = tokensPerSecond;
+    this.capacity = Math.max(1, tokensPerSecond);
+    this.tokens = capacity;
     this.refilledAt = loop.now();
   }
 
-  /** Changes the rate from now on. */
-  public void setRate(double newPerSecond) {
+  /** Changes the rate from now on; tokens beyond the new burst size are lost. */
+  public void setRate(double newTokensPerSecond) {
     refill();
-    perSecond = newPerSecond;
-    burst = Math.max(1, newPerSecond);
-    tokens = Math.min(burst, tokens);
+    tokensPerSecond = newTokensPerSecond;
+    capacity = Math.max(1, newTokensPerSecond);
+    tokens = Math.min(capacity, tokens);
   }
 
   /**
-   * Takes tokens if that leaves the reserve untouched. An amount that is larger than the bucket is
-   * admitted when the bucket is full, and overdraws it: else it would wait for ever.
+   * Takes tokens if the reserve remains available. If the amount and the reserve together exceed
+   * the bucket, a full bucket suffices and may be overdrawn; otherwise the call would wait forever.
    *
    * @param reserve tokens that must remain for more urgent calls
    */
   public boolean tryAcquire(double amount, double reserve) {
     refill();
-    if (tokens < Math.min(amount + reserve, burst)) {
+    if (tokens < Math.min(amount + reserve, capacity)) {
       return false;
     }
     tokens -= amount;
     return true;
   }
 
-  /** Takes tokens for a call that must not wait; the bucket may be overdrawn. */
+  /** Takes tokens without waiting, for urgent calls; may leave the bucket overdrawn. */
   public void acquireOverdraft(double amount) {
     refill();
     tokens -= amount;
   }
 
-  /** How long it takes until an amount beyond the reserve will be there. */
+  /** The time until the amount is available beyond the reserve; at least 1 ms. */
   public Duration untilAvailable(double amount, double reserve) {
     refill();
     double missing = amount + reserve - tokens;
     return Duration.ofNanos(
-        (long) (Math.max(MIN_WAIT_SECONDS, missing / perSecond) * NANOS_PER_SECOND));
+        (long) (Math.max(MIN_WAIT_SECONDS, missing / tokensPerSecond) * NANOS_PER_SECOND));
   }
 
   private void refill() {
     MonotonicTime now = loop.now();
-    tokens = Math.min(burst, tokens + perSecond * now.secondsSince(refilledAt));
+    tokens = Math.min(capacity, tokens + tokensPerSecond * now.secondsSince(refilledAt));
     refilledAt = now;
   }
 }
--- a/src/test/java/org/mulleinshift/fairness/ShareClaimsTest.java
+++ b/src/test/java/org/mulleinshift/fairness/ShareClaimsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** What entities may claim of available capacity, and that claims keep them from starving. */
+/** The claims of entities on available capacity, and that they prevent starvation. */
 final class ShareClaimsTest {
   private static final double MINIMUM_SHARE = 0.75;
   private static final double NO_MINIMUM_SHARE = 0;
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void nobodyClaimsWhileNobodyUsesMoreThanItsFairShare() {
+  void noClaimsWhileNoEntityExceedsItsFairShare() {
     List<ShareEntity> even =
         List.of(new ShareEntity("a", 2, 0.6, 1, 1), new ShareEntity("b", 1, 0.1, 1, 1));
 
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void nobodyClaimsWithoutMinimumShares() {
+  void noClaimsWithoutMinimumShares() {
     List<ShareEntity> uneven =
         List.of(new ShareEntity("a", 2, 0.9, 1, 1), new ShareEntity("b", 1, 0.1, 1, 1));
 
@@ -56,20 +56,20 @@
     assertEquals(0.02, claim, TOLERANCE, "demand less what is in use");
   }
 
-  /** In no window does an entity with work waiting have less than half of its fair share. */
+  /** In no window does an entity's mean share fall below half of its fair share. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void nobodyStarvesInAnyWindow(int seed) {
+  void noEntityStarvesInAnyWindow(int seed) {
     SlotSimulation simulation = new SlotSimulation(seed, MINIMUM_SHARE);
 
     simulation.run();
 
-    assertEquals(0, simulation.starvedWindows(), "windows with too small a share");
+    assertEquals(0, simulation.starvedWindows(), "windows with starvation");
   }
 
-  /** The same mixes by rank alone: shows that the simulation would reveal starvation. */
+  /** Without claims most seeds show starvation, so the simulation is able to detect it. */
   @Test
-  void mostMixesStarveWithoutMinimumShares() {
+  void mostMixesHaveStarvationWithoutMinimumShares() {
     long starvedMixes = seeds().filter(ShareClaimsTest::starvesWithoutMinimumShares).count();
 
     assertTrue(starvedMixes > RandomEntities.SEEDS / 2, "starved mixes: " + starvedMixes);
--- a/src/test/java/org/mulleinshift/fairness/SlotSimulation.java
+++ b/src/test/java/org/mulleinshift/fairness/SlotSimulation.java
@@ -6,37 +6,38 @@
 import java.util.Random;
 
 /**
- * A cluster of equal slots of which about a twentieth becomes free in each step; the first entity
- * is the most urgent. All slots are the first entity's when the others arrive.
+ * Simulates a cluster of equal slots of which about one in twenty becomes free in each step. Free
+ * slots go to claims first and then by rank; the first entity ranks highest and starts with as many
+ * slots as it can use.
  */
 final class SlotSimulation {
   private static final int SLOTS = 200;
   private static final int STEPS = 300;
   private static final int WINDOW_STEPS = 60;
 
-  /** A task ends in a step with a probability of one to this. */
+  /** A task ends in each step with a probability of 1 in this number. */
   private static final int MEAN_TASK_STEPS = 20;
 
   private static final double ROUNDING_TOLERANCE = 1e-6;
 
   private final Random random;
   private final double minimumShare;
-  private final List<ShareEntity> drawn;
+  private final List<ShareEntity> initialEntities;
   private final int[] usedSlots;
   private final double[][] shareByStep;
 
   SlotSimulation(int seed, double minimumShare) {
     this.random = new Random(seed);
     this.minimumShare = minimumShare;
-    this.drawn = RandomEntities.draw(random);
-    this.usedSlots = new int[drawn.size()];
-    this.shareByStep = new double[STEPS][drawn.size()];
+    this.initialEntities = RandomEntities.draw(random);
+    this.usedSlots = new int[initialEntities.size()];
+    this.shareByStep = new double[STEPS][initialEntities.size()];
     usedSlots[0] = Math.min(SLOTS, maxSlots(0));
   }
 
   void run() {
     for (int step = 0; step < STEPS; step++) {
-      // Claims follow from what was in use before this step, as a leader sees it.
+      // Claims are computed from the use before this step, as a leader does.
       Map<String, Double> claims = ShareClaims.of(entities(), minimumShare).claims();
       endTasks();
       assignClaims(claims);
@@ -47,14 +48,17 @@
     }
   }
 
-  /** In how many windows an entity had less than half of its fair share, once the start is over. */
+  /**
+   * Counts the windows, per entity and without those of the start, in which an entity's mean share
+   * was below half of its fair share.
+   */
   int starvedWindows() {
     MaxMinFairShare fair = MaxMinFairShare.of(entities());
     int starved = 0;
-    for (int i = 0; i < drawn.size(); i++) {
-      double fairShare = fair.of(drawn.get(i).name());
+    for (int i = 0; i < initialEntities.size(); i++) {
+      double fairShare = fair.shareOf(initialEntities.get(i).name());
       for (int from = WINDOW_STEPS; from + WINDOW_STEPS <= STEPS; from++) {
-        // One slot is the minimum that can be assigned.
+        // Tolerates one slot, the smallest amount that can be assigned.
         starved += meanShare(i, from) + 1.0 / SLOTS < 0.5 * fairShare ? 1 : 0;
       }
     }
@@ -79,7 +83,7 @@
 
   private void assignClaims(Map<String, Double> claims) {
     for (int i = 0; i < usedSlots.length; i++) {
-      double claim = claims.getOrDefault(drawn.get(i).name(), 0.0);
+      double claim = claims.getOrDefault(initialEntities.get(i).name(), 0.0);
       int claimedSlots = (int) Math.ceil(claim * SLOTS - ROUNDING_TOLERANCE);
       assign(i, Math.min(maxSlots(i) - usedSlots[i], claimedSlots));
     }
@@ -104,14 +108,14 @@
   }
 
   private int maxSlots(int entity) {
-    return (int) (SLOTS * drawn.get(entity).wanted());
+    return (int) (SLOTS * initialEntities.get(entity).reachableDemand());
   }
 
-  /** The entities with what they use now. */
+  /** The entities with their current use. */
   private List<ShareEntity> entities() {
     List<ShareEntity> entities = new ArrayList<>();
     for (int i = 0; i < usedSlots.length; i++) {
-      ShareEntity entity = drawn.get(i);
+      ShareEntity entity = initialEntities.get(i);
       double inUse = usedSlots[i] / (double) SLOTS;
       entities.add(
           new ShareEntity(
--- a/src/test/java/org/mulleinshift/protocol/StoreMessageGoldenTest.java
+++ b/src/test/java/org/mulleinshift/protocol/StoreMessageGoldenTest.java
@@ -22,7 +22,10 @@
 import org.mulleinshift.protocol.StoreCodec.Range;
 import org.mulleinshift.protocol.StoreCodec.Write;
 
-/** Requests to the store are written, and its responses are read, as by an earlier build. */
+/**
+ * Guards against accidental changes of the store's wire format: requests must be written, and
+ * responses parsed, as by the earlier build that wrote the golden files.
+ */
 class StoreMessageGoldenTest {
   private static final String DIRECTORY = "state/";
   private static final LeaseId LEASE = new LeaseId(7);
@@ -55,10 +58,10 @@
     return Json.object().put("name", "caf\u00e9 \"\\\n").put("amount", 4.0).put("count", 1L << 53);
   }
 
-  private static ObjectNode row(String key, long stamp) {
+  private static ObjectNode row(String key, long revision) {
     ObjectNode row = Json.object().put("k", key);
     row.set("value", value());
-    return row.put("stamp", stamp);
+    return row.put("stamp", revision);
   }
 
   private static String keys() {
@@ -83,12 +86,12 @@
 
   @ParameterizedTest
   @MethodSource("messageNames")
-  void messagesAreWrittenAsBefore(String name) {
+  void messagesMatchGoldenFiles(String name) {
     GoldenFile.assertHolds(file(name), messages().get(name));
   }
 
   @Test
-  void pathsAreAsBefore() {
+  void pathsMatchGoldenFile() {
     GoldenFile.assertHolds(
         DIRECTORY + "paths.txt",
         String.join(
@@ -104,23 +107,23 @@
   }
 
   @Test
-  void aLeaseIsReadAsItWasMeant() throws MalformedMessageException {
-    assertEquals(LEASE, StoreCodec.parseLease(GoldenFile.text(file("lease"))));
+  void parsesGoldenLease() throws MalformedMessageException {
+    assertEquals(LEASE, StoreCodec.parseLeaseId(GoldenFile.text(file("lease"))));
   }
 
   @Test
-  void aRevisionIsReadAsItWasMeant() throws MalformedMessageException {
+  void parsesGoldenRevision() throws MalformedMessageException {
     assertEquals(REVISION, StoreCodec.parseRevision(GoldenFile.text(file("committed"))));
   }
 
   @Test
-  void aKeyIsReadAsItWasMeant() throws MalformedMessageException {
+  void parsesGoldenKey() throws MalformedMessageException {
     KeyValue expected = new KeyValue("a/b", stored(), new Revision(412));
-    assertEquals(expected, StoreCodec.parseItem(GoldenFile.text(file("key"))));
+    assertEquals(expected, StoreCodec.parseKeyValue(GoldenFile.text(file("key"))));
   }
 
   @Test
-  void aPageOfKeysIsReadAsItWasMeant() throws MalformedMessageException {
+  void parsesGoldenPageOfKeys() throws MalformedMessageException {
     List<KeyValue> items =
         List.of(
             new KeyValue("a/b", stored(), new Revision(412)),
@@ -130,7 +133,7 @@
   }
 
   @Test
-  void changesAreReadAsTheyWereMeant() throws MalformedMessageException {
+  void parsesGoldenChanges() throws MalformedMessageException {
     List<Change> expected =
         List.of(
             new Change("c/9", Optional.of(stored()), REVISION),
