--- a/src/main/java/org/mulleinshift/api/DependencyReader.java
+++ b/src/main/java/org/mulleinshift/api/DependencyReader.java
@@ -185,7 +185,7 @@
   private void readLists(
       JobRecord job, KeyValueStore.Urgency urgency, List<JobId> found, int list) {
     JobDependencies dependencies = job.dependencies();
-    if (list == dependencies.lists()) {
+    if (list == dependencies.listCount()) {
       knownJobs.onDependenciesRead(job.id(), found);
       finish(listReads, job.id(), true);
       return;
--- a/src/main/java/org/mulleinshift/api/KnownJobs.java
+++ b/src/main/java/org/mulleinshift/api/KnownJobs.java
@@ -64,8 +64,8 @@
 
   /** The jobs that the job depends on; empty if they stand in lists that are to be read first. */
   Optional<List<JobId>> dependenciesOf(JobRecord job) {
-    return job.dependencies().lists() == 0
-        ? Optional.of(job.dependencies().named())
+    return job.dependencies().listCount() == 0
+        ? Optional.of(job.dependencies().inlineJobs())
         : Optional.ofNullable(listedDependencies.get(job.id()));
   }
 
--- a/src/main/java/org/mulleinshift/dependencies/DependencyListWriter.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyListWriter.java
@@ -81,7 +81,7 @@
     List<Write> writes = new ArrayList<>();
     for (int i = 0; i < lists.size(); i++) {
       String key = StoreKeys.dependencyList(job, digest, i);
-      writes.add(Write.put(key, JobDependencies.list(lists.get(i))));
+      writes.add(Write.put(key, JobDependencies.listValue(lists.get(i))));
     }
     JobDependencies record = new JobDependencies(List.of(), lists.size(), digest);
     Submission submission =
--- a/src/main/java/org/mulleinshift/dependencies/DependencyLoader.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyLoader.java
@@ -135,7 +135,7 @@
       return;
     }
     int next = listIndex + 1;
-    if (next < request.dependencies().lists()) {
+    if (next < request.dependencies().listCount()) {
       enqueue(() -> readList(request, next));
     } else {
       request.onLoaded().accept(request.found());
--- a/src/main/java/org/mulleinshift/dependencies/DependencyTracker.java
+++ b/src/main/java/org/mulleinshift/dependencies/DependencyTracker.java
@@ -118,8 +118,8 @@
   }
 
   private void loadDependencies(Job job) {
-    if (job.dependencies().lists() == 0) {
-      addDependencies(job, job.dependencies().named());
+    if (job.dependencies().listCount() == 0) {
+      addDependencies(job, job.dependencies().inlineJobs());
     } else {
       loader.loadLists(
           job.spec().id(),
--- a/src/main/java/org/mulleinshift/leader/JobLifecycle.java
+++ b/src/main/java/org/mulleinshift/leader/JobLifecycle.java
@@ -190,7 +190,8 @@
         }
       }
     }
-    boolean allTasksFinished = job.state() == Job.State.ACTIVE ? job.complete() : job.drained();
+    boolean allTasksFinished =
+        job.state() == Job.State.ACTIVE ? job.complete() : job.stoppedAfterCancellation();
     if (allTasksFinished) {
       progress.end(job);
     }
@@ -227,7 +228,7 @@
   @Override
   public void requestStop(TaskAssignment assignment) {
     assignment.requestStop();
-    if (assignment.visibleToOwner()) {
+    if (assignment.mayBeKnownToOwner()) {
       state.shards().publish(assignment);
     }
   }
--- a/src/main/java/org/mulleinshift/leader/TaskStatusHandler.java
+++ b/src/main/java/org/mulleinshift/leader/TaskStatusHandler.java
@@ -91,7 +91,7 @@
   }
 
   private void returnTask(Job job, TaskAssignment assignment, Optional<MonotonicTime> notBefore) {
-    job.taskReturned(assignment, notBefore);
+    job.requeueTask(assignment, notBefore);
     jobs.onTaskEnded(job, assignment.task().index());
   }
 }
--- a/src/main/java/org/mulleinshift/model/Chunk.java
+++ b/src/main/java/org/mulleinshift/model/Chunk.java
@@ -14,9 +14,9 @@
  */
 public record Chunk(int number, String path) {
   /** Tasks of a whole chunk; keeps values far below the store's limit. */
-  static final int TASKS = 500;
+  static final int TASKS_PER_CHUNK = 500;
 
-  private static final Pattern KEY = Pattern.compile("([0-9]{1,6})(?:/([01]{1,9}))?");
+  private static final Pattern KEY_PATTERN = Pattern.compile("([0-9]{1,6})(?:/([01]{1,9}))?");
   private static final char FIRST_HALF = '0';
 
   /** A range of tasks of a job that has them all. */
@@ -39,7 +39,7 @@
 
   /** Parses the last part of a chunk's key; empty if this build does not write such keys. */
   public static Optional<Chunk> parse(String text) {
-    Matcher key = KEY.matcher(text);
+    Matcher key = KEY_PATTERN.matcher(text);
     if (!key.matches()) {
       return Optional.empty();
     }
@@ -59,7 +59,7 @@
   }
 
   private Range range() {
-    Range range = new Range(number * TASKS, TASKS);
+    Range range = new Range(number * TASKS_PER_CHUNK, TASKS_PER_CHUNK);
     for (int i = 0; i < path.length(); i++) {
       range = path.charAt(i) == FIRST_HALF ? range.firstHalf() : range.secondHalf();
     }
--- a/src/main/java/org/mulleinshift/model/ChunkLayout.java
+++ b/src/main/java/org/mulleinshift/model/ChunkLayout.java
@@ -15,7 +15,7 @@
  * parts are there; until then it is read for those that are not.
  */
 public final class ChunkLayout {
-  private final int tasks;
+  private final int taskCount;
 
   /** The chunks that progress is written to, by first task. */
   private final NavigableMap<Integer, Chunk> live = new TreeMap<>();
@@ -23,12 +23,12 @@
   private final Set<Chunk> stored = new LinkedHashSet<>();
   private final Set<Chunk> dirty = new LinkedHashSet<>();
   private final Set<Chunk> inFlight = new LinkedHashSet<>();
-  private final Set<Integer> urgentChunks = new HashSet<>();
+  private final Set<Integer> urgentChunkNumbers = new HashSet<>();
 
-  ChunkLayout(int tasks) {
-    this.tasks = tasks;
-    for (int number = 0; number * Chunk.TASKS < tasks; number++) {
-      live.put(number * Chunk.TASKS, Chunk.whole(number));
+  ChunkLayout(int taskCount) {
+    this.taskCount = taskCount;
+    for (int number = 0; number * Chunk.TASKS_PER_CHUNK < taskCount; number++) {
+      live.put(number * Chunk.TASKS_PER_CHUNK, Chunk.whole(number));
     }
   }
 
@@ -39,7 +39,7 @@
 
   /** Whether the job has any task of the chunk. */
   boolean exists(Chunk chunk) {
-    return chunk.firstTask() < tasks;
+    return chunk.firstTask() < taskCount;
   }
 
   /** Splits a chunk in two halves, which are written next. */
@@ -56,12 +56,12 @@
   }
 
   /** A chunk found in the store; those it was split from, if they are there, were found before. */
-  void onFound(Chunk chunk) {
+  void onLoaded(Chunk chunk) {
     stored.add(chunk);
-    for (Chunk whole = chunkOf(chunk.firstTask());
-        !whole.equals(chunk) && whole.contains(chunk);
-        whole = chunkOf(chunk.firstTask())) {
-      split(whole);
+    for (Chunk ancestor = chunkOf(chunk.firstTask());
+        !ancestor.equals(chunk) && ancestor.contains(chunk);
+        ancestor = chunkOf(chunk.firstTask())) {
+      split(ancestor);
     }
     dirty.clear();
   }
@@ -74,19 +74,20 @@
   /** A chunk's progress has changed, and a task waits for it to be stored. */
   public void markDirtyUrgently(Chunk chunk) {
     markDirty(chunk);
-    urgentChunks.add(chunk.number());
+    urgentChunkNumbers.add(chunk.number());
   }
 
   /** Whether a task waits for progress of the whole chunk with that number to be stored. */
   public boolean urgent(int number) {
-    return urgentChunks.contains(number);
+    return urgentChunkNumbers.contains(number);
   }
 
   /** Chunks that were split from one that is still in the store, and are not there themselves. */
-  public List<Chunk> uncovered() {
+  public List<Chunk> unstoredParts() {
     List<Chunk> found = new ArrayList<>();
     for (Chunk chunk : live.values()) {
-      if (!stored.contains(chunk) && stored.stream().anyMatch(whole -> whole.contains(chunk))) {
+      if (!stored.contains(chunk)
+          && stored.stream().anyMatch(ancestor -> ancestor.contains(chunk))) {
         found.add(chunk);
       }
     }
@@ -95,14 +96,14 @@
 
   /** Chunks with that number that are in the store and no longer read. */
   public List<Chunk> obsolete(int number) {
-    int from = number * Chunk.TASKS;
-    Collection<Chunk> chunks = live.subMap(from, from + Chunk.TASKS).values();
+    int from = number * Chunk.TASKS_PER_CHUNK;
+    Collection<Chunk> chunks = live.subMap(from, from + Chunk.TASKS_PER_CHUNK).values();
     List<Chunk> found = new ArrayList<>();
     if (chunks.size() > 1) {
-      for (Chunk whole : stored) {
-        boolean split = whole.number() == number && !chunks.contains(whole);
-        if (split && chunks.stream().filter(whole::contains).allMatch(stored::contains)) {
-          found.add(whole);
+      for (Chunk candidate : stored) {
+        boolean split = candidate.number() == number && !chunks.contains(candidate);
+        if (split && chunks.stream().filter(candidate::contains).allMatch(stored::contains)) {
+          found.add(candidate);
         }
       }
     }
@@ -129,12 +130,12 @@
   }
 
   /** The chunks are stored. */
-  public void stored(Collection<Chunk> chunks) {
+  public void onStored(Collection<Chunk> chunks) {
     inFlight.removeAll(chunks);
     stored.addAll(chunks);
     for (Chunk chunk : chunks) {
       if (pending(chunk.number()).isEmpty()) {
-        urgentChunks.remove(chunk.number());
+        urgentChunkNumbers.remove(chunk.number());
       }
     }
   }
--- a/src/main/java/org/mulleinshift/model/ClusterView.java
+++ b/src/main/java/org/mulleinshift/model/ClusterView.java
@@ -107,7 +107,7 @@
     static ShardRecord read(KeyValue item) throws MalformedMessageException {
       Map<MachineId, MachineRecord> machines = readMachines(item.value().path(MACHINES));
       ZoneId zone = new ZoneId(Json.text(item.value(), ZONE));
-      Optional<NodeId> last =
+      Optional<NodeId> lastOwner =
           Optional.of(item.value().path(LAST_OWNER))
               .filter(JsonNode::isTextual)
               .map(node -> new NodeId(node.asText()));
@@ -115,8 +115,8 @@
           zone,
           machines,
           item.revision(),
-          last,
-          UnknownFields.beyond(write(zone, machines, last), item.value()));
+          lastOwner,
+          UnknownFields.find(write(zone, machines, lastOwner), item.value()));
     }
 
     private static Map<MachineId, MachineRecord> readMachines(JsonNode list)
@@ -174,9 +174,9 @@
     } else if (key.startsWith(StoreKeys.NODES)) {
       NodeId node = new NodeId(key.substring(StoreKeys.NODES.length()));
       // One without a readable lease gets no shard: the grant could not be bound to it.
-      set(nodes, node, item.filter(ClusterView::hasLease).map(ClusterView::readNode));
+      putOrRemove(nodes, node, item.filter(ClusterView::hasLease).map(ClusterView::readNode));
     } else if (key.startsWith(StoreKeys.FEATURE_LEVELS)) {
-      set(
+      putOrRemove(
           featureLevels,
           new NodeId(key.substring(StoreKeys.FEATURE_LEVELS.length())),
           item.map(ClusterView::readFeatureLevel));
@@ -222,7 +222,7 @@
       LOG.warn("stored record unreadable, key={} reason=no owner", item.get().key());
       unreadableGrants.add(shard);
     }
-    set(grants, shard, readable.map(GrantRecord::read));
+    putOrRemove(grants, shard, readable.map(GrantRecord::read));
   }
 
   private void applyShard(ShardId shard, Optional<KeyValue> item) {
@@ -243,12 +243,12 @@
     if (old != null) {
       old.machines().keySet().forEach(machine -> shardOf.remove(machine, shard));
     }
-    set(shards, shard, record);
+    putOrRemove(shards, shard, record);
     record.ifPresent(
         found -> found.machines().keySet().forEach(machine -> shardOf.put(machine, shard)));
   }
 
-  private static <K, V> void set(Map<K, V> map, K key, Optional<V> value) {
+  private static <K, V> void putOrRemove(Map<K, V> map, K key, Optional<V> value) {
     if (value.isPresent()) {
       map.put(key, value.get());
     } else {
--- a/src/main/java/org/mulleinshift/model/Job.java
+++ b/src/main/java/org/mulleinshift/model/Job.java
@@ -36,7 +36,7 @@
     ENDED
   }
 
-  private static final double NO_DEADLINE_SECONDS = 86_400;
+  private static final double DEFAULT_DEADLINE_SECONDS = 86_400;
   private static final int MILLIS_PER_SECOND = 1000;
 
   /**
@@ -51,7 +51,7 @@
 
   private final JobSpec spec;
   private final JobDependencies dependencies;
-  private final ChunkLayout chunks;
+  private final ChunkLayout chunkLayout;
   private final JobTasks tasks;
   private final JobTimeline timeline;
   private final Map<Chunk, UnknownFields> unknownFields = new HashMap<>();
@@ -65,7 +65,7 @@
   public Job(JobRecord record) {
     this.spec = record.spec();
     this.dependencies = record.dependencies();
-    this.chunks = new ChunkLayout(spec.tasks());
+    this.chunkLayout = new ChunkLayout(spec.tasks());
     this.tasks = new JobTasks(spec);
     this.timeline = new JobTimeline(record.acceptedMillis());
     this.revision = record.revision();
@@ -109,16 +109,16 @@
   /**
    * All of its dependencies are stored as done.
    *
-   * @param atMillis time of day at which the last of them ended
-   * @param nowMillis time of day at which this leader learned of it
+   * @param lastEndMillis time of day at which the last of them ended
+   * @param learnedMillis time of day at which this leader learned of it
    */
-  public void release(long atMillis, long nowMillis) {
-    release(atMillis);
-    timeline.markReleased(nowMillis);
+  public void release(long lastEndMillis, long learnedMillis) {
+    markReady(lastEndMillis);
+    timeline.markReleased(learnedMillis);
   }
 
-  private void release(long atMillis) {
-    timeline.markReady(atMillis);
+  private void markReady(long lastEndMillis) {
+    timeline.markReady(lastEndMillis);
     if (state == State.AWAITING_DEPENDENCIES) {
       transitionTo(State.ACTIVE);
     }
@@ -140,20 +140,20 @@
       throws MalformedMessageException {
     ChunkProgress progress = ChunkProgress.read(spec, chunk, value, zones);
     if (!dependencies.isEmpty()) {
-      release(ChunkProgress.readReadyMillis(value, timeline.acceptedMillis()));
+      markReady(ChunkProgress.readReadyMillis(value, timeline.acceptedMillis()));
     }
     if (!progress.isEmpty()) {
       timeline.markInheritedProgress();
     }
-    chunks.onFound(chunk);
+    chunkLayout.onLoaded(chunk);
     tasks.load(progress);
     unknownFields.remove(chunk);
-    UnknownFields.beyond(progress(chunk), value)
+    UnknownFields.find(progressValue(chunk), value)
         .ifPresent(fields -> unknownFields.put(chunk, fields));
   }
 
   /** The stored form of a chunk's progress. */
-  public JsonNode progress(Chunk chunk) {
+  public JsonNode progressValue(Chunk chunk) {
     OptionalLong readyMillis =
         dependencies.isEmpty() ? OptionalLong.empty() : OptionalLong.of(timeline.readyMillis());
     ObjectNode node =
@@ -163,18 +163,18 @@
   }
 
   /** How its progress is split into keys. */
-  public ChunkLayout chunks() {
-    return chunks;
+  public ChunkLayout chunkLayout() {
+    return chunkLayout;
   }
 
   /** The chunk to which a task's progress is written from now on. */
   public Chunk chunkOf(int index) {
-    return chunks.chunkOf(index);
+    return chunkLayout.chunkOf(index);
   }
 
   /** Splits a chunk whose progress no longer fits into a value. */
   public void split(Chunk chunk) {
-    chunks.split(chunk);
+    chunkLayout.split(chunk);
     Optional.ofNullable(unknownFields.remove(chunk))
         .ifPresent(fields -> unknownFields.put(chunk.half(0), fields));
   }
@@ -198,8 +198,8 @@
   }
 
   /** The task is provably absent; it may be retried, but not before the given time. */
-  public void taskReturned(TaskAssignment assignment, Optional<MonotonicTime> notBefore) {
-    tasks.onReturned(assignment, notBefore);
+  public void requeueTask(TaskAssignment assignment, Optional<MonotonicTime> notBefore) {
+    tasks.requeue(assignment, notBefore);
   }
 
   /** A task of it runs. */
@@ -228,7 +228,7 @@
   }
 
   /** What was decided for a chunk is stored: the new may be published, the ended forgotten. */
-  public void stored(
+  public void onStored(
       Collection<TaskAssignment> written, Collection<TaskAssignment> ended, Revision revision) {
     tasks.onStored(written, ended, revision);
   }
@@ -250,7 +250,7 @@
   }
 
   /** Cancelled, and provably no task of it is anywhere. */
-  public boolean drained() {
+  public boolean stoppedAfterCancellation() {
     return state == State.CANCELLING && tasks.allEnded();
   }
 
@@ -279,7 +279,7 @@
    * nothing with a deadline depends on.
    */
   public long deadlineMillis() {
-    double own = spec.deadlineSeconds().orElse(NO_DEADLINE_SECONDS);
+    double own = spec.deadlineSeconds().orElse(DEFAULT_DEADLINE_SECONDS);
     return Math.min(
         inherited.deadlineMillis(), acceptedMillis() + (long) (MILLIS_PER_SECOND * own));
   }
@@ -365,8 +365,8 @@
   }
 
   /** Up to {@code limit} tasks that may be assigned now. */
-  public int[] waiting(int limit, MonotonicTime now) {
-    return tasks.waiting(limit, now);
+  public int[] assignableTasks(int limit, MonotonicTime now) {
+    return tasks.assignableTasks(limit, now);
   }
 
   /** Mean run time of its tasks that this leader saw complete. */
--- a/src/main/java/org/mulleinshift/model/JobDependencies.java
+++ b/src/main/java/org/mulleinshift/model/JobDependencies.java
@@ -14,11 +14,11 @@
  * The jobs that a job depends on, as its record has them: named there, or, where they would not fit
  * into a value, in lists under keys of their own.
  *
- * @param named the jobs, if the record names them
- * @param lists how many lists there are; 0 if the record names the jobs
+ * @param inlineJobs the jobs, if the record names them
+ * @param listCount how many lists there are; 0 if the record names the jobs
  * @param digest of the lists' content; lists of another submission have another one
  */
-public record JobDependencies(List<JobId> named, int lists, String digest) {
+public record JobDependencies(List<JobId> inlineJobs, int listCount, String digest) {
   /** Of a job without dependencies. */
   public static final JobDependencies NONE = new JobDependencies(List.of(), 0, "");
 
@@ -28,10 +28,10 @@
   private static final int MAX_LISTS = 10_000;
 
   /** Two quotes and a comma. */
-  private static final int BYTES_PER_ID = 3;
+  private static final int ID_OVERHEAD_BYTES = 3;
 
   /** Bytes of a list without ids, with a margin. */
-  private static final int BYTES_PER_LIST = 32;
+  private static final int LIST_OVERHEAD_BYTES = 32;
 
   /** Dependencies that the record names itself. */
   public static JobDependencies of(List<JobId> named) {
@@ -40,15 +40,15 @@
 
   /** Whether the job has no dependencies. */
   public boolean isEmpty() {
-    return named.isEmpty() && lists == 0;
+    return inlineJobs.isEmpty() && listCount == 0;
   }
 
   /** Writes the dependencies into their part of the job's record. */
   void write(ObjectNode node) {
-    if (lists == 0) {
-      node.set(NAMED, array(named));
+    if (listCount == 0) {
+      node.set(NAMED, toArray(inlineJobs));
     } else {
-      node.put(LISTS, lists);
+      node.put(LISTS, listCount);
       node.put(DIGEST, digest);
     }
   }
@@ -67,8 +67,8 @@
   }
 
   /** The stored form of one list. */
-  public static JsonNode list(List<JobId> jobs) {
-    return Json.object().set(NAMED, array(jobs));
+  public static JsonNode listValue(List<JobId> jobs) {
+    return Json.object().set(NAMED, toArray(jobs));
   }
 
   /** Reads one list. */
@@ -76,29 +76,29 @@
     return JobCodec.parseJobIds(value.path(NAMED));
   }
 
-  private static ArrayNode array(List<JobId> jobs) {
+  private static ArrayNode toArray(List<JobId> jobs) {
     ArrayNode array = Json.object().putArray(NAMED);
     jobs.forEach(job -> array.add(job.value()));
     return array;
   }
 
   /** Partitions a long list into lists that fit into values of that length. */
-  public static List<List<JobId>> partition(List<JobId> jobs, int valueBytes) {
+  public static List<List<JobId>> partition(List<JobId> jobs, int maxValueBytes) {
     List<List<JobId>> lists = new ArrayList<>();
-    List<JobId> next = new ArrayList<>();
+    List<JobId> current = new ArrayList<>();
     int bytes = 0;
     for (JobId job : jobs) {
       // Ids are plain ASCII.
-      int size = job.value().length() + BYTES_PER_ID;
-      if (!next.isEmpty() && bytes + size > valueBytes - BYTES_PER_LIST) {
-        lists.add(next);
-        next = new ArrayList<>();
+      int idBytes = job.value().length() + ID_OVERHEAD_BYTES;
+      if (!current.isEmpty() && bytes + idBytes > maxValueBytes - LIST_OVERHEAD_BYTES) {
+        lists.add(current);
+        current = new ArrayList<>();
         bytes = 0;
       }
-      next.add(job);
-      bytes += size;
+      current.add(job);
+      bytes += idBytes;
     }
-    lists.add(next);
+    lists.add(current);
     return lists;
   }
 }
--- a/src/main/java/org/mulleinshift/model/JobRecord.java
+++ b/src/main/java/org/mulleinshift/model/JobRecord.java
@@ -57,9 +57,9 @@
     if (dependencies.isEmpty()) {
       node.put(AT, acceptedMillis);
     } else {
-      ObjectNode inner = node.putObject(DEPENDENCIES);
-      inner.put(AT, acceptedMillis);
-      dependencies.write(inner);
+      ObjectNode dependenciesNode = node.putObject(DEPENDENCIES);
+      dependenciesNode.put(AT, acceptedMillis);
+      dependencies.write(dependenciesNode);
     }
     node.put(CANCELLED, cancelled);
     return node;
@@ -77,10 +77,12 @@
     JsonNode value = item.value();
     try {
       JobSpec spec = JobCodec.parseSubmission(value.path(SPEC));
-      boolean dependent = value.has(DEPENDENCIES);
-      JsonNode inner = value.path(DEPENDENCIES);
-      JobDependencies dependencies = dependent ? JobDependencies.read(inner) : JobDependencies.NONE;
-      long acceptedMillis = Json.count(dependent ? inner : value, AT, 0, Long.MAX_VALUE);
+      boolean hasDependencies = value.has(DEPENDENCIES);
+      JsonNode dependenciesNode = value.path(DEPENDENCIES);
+      JobDependencies dependencies =
+          hasDependencies ? JobDependencies.read(dependenciesNode) : JobDependencies.NONE;
+      long acceptedMillis =
+          Json.count(hasDependencies ? dependenciesNode : value, AT, 0, Long.MAX_VALUE);
       boolean cancelled = Json.flag(value, CANCELLED);
       return Optional.of(
           new JobRecord(
@@ -89,7 +91,7 @@
               acceptedMillis,
               cancelled,
               item.revision(),
-              UnknownFields.beyond(value(spec, dependencies, acceptedMillis, cancelled), value)));
+              UnknownFields.find(value(spec, dependencies, acceptedMillis, cancelled), value)));
     } catch (MalformedMessageException e) {
       LOG.warn("stored record unreadable, key={} reason={}", item.key(), e.getMessage());
       return Optional.empty();
--- a/src/main/java/org/mulleinshift/model/JobTasks.java
+++ b/src/main/java/org/mulleinshift/model/JobTasks.java
@@ -88,7 +88,7 @@
 
   /** A task has completed; its run time counts if it is positive. */
   void onDone(TaskAssignment assignment, double runSeconds) {
-    assignment.end();
+    assignment.markEnded();
     markDone(assignment.task().index());
     attempts.remove(assignment.task().index());
     if (runSeconds > 0) {
@@ -103,8 +103,8 @@
   }
 
   /** The task is provably absent; it may be retried, but not before the given time. */
-  void onReturned(TaskAssignment assignment, Optional<MonotonicTime> notBefore) {
-    assignment.end();
+  void requeue(TaskAssignment assignment, Optional<MonotonicTime> notBefore) {
+    assignment.markEnded();
     notBefore.ifPresent(time -> retryAfter.put(assignment.task().index(), time));
   }
 
@@ -181,7 +181,7 @@
   }
 
   /** Up to {@code limit} tasks that may be assigned now. */
-  int[] waiting(int limit, MonotonicTime now) {
+  int[] assignableTasks(int limit, MonotonicTime now) {
     int[] found = new int[Math.min(limit, spec.tasks())];
     int count = 0;
     for (int index = unavailable.nextClearBit(0);
--- a/src/main/java/org/mulleinshift/model/Machine.java
+++ b/src/main/java/org/mulleinshift/model/Machine.java
@@ -39,7 +39,7 @@
   }
 
   /** A machine that was there before this leader, or that nobody expected. */
-  public static Machine found(MonotonicTime now, boolean up) {
+  public static Machine discovered(MonotonicTime now, boolean up) {
     return new Machine(now, false, up ? State.UP : State.BOOTING);
   }
 
--- a/src/main/java/org/mulleinshift/model/TaskAssignment.java
+++ b/src/main/java/org/mulleinshift/model/TaskAssignment.java
@@ -30,7 +30,7 @@
   }
 
   private final TaskId task;
-  private final Resources perTask;
+  private final Resources resources;
   private final ShardId shard;
   private final ZoneId zone;
   private final Attempt attempt;
@@ -38,12 +38,12 @@
   private Optional<MachineId> machine = Optional.empty();
   private Optional<MonotonicTime> runningSince = Optional.empty();
   private boolean stopRequested;
-  private Revision storedAt = new Revision(0);
+  private Revision storedRevision = new Revision(0);
 
   TaskAssignment(
-      TaskId task, Resources perTask, ShardId shard, ZoneId zone, Attempt attempt, State state) {
+      TaskId task, Resources resources, ShardId shard, ZoneId zone, Attempt attempt, State state) {
     this.task = task;
-    this.perTask = perTask;
+    this.resources = resources;
     this.shard = shard;
     this.zone = zone;
     this.attempt = attempt;
@@ -60,7 +60,7 @@
   /** It is stored: only now may it be published. */
   void markStored(Revision revision) {
     if (state == State.WRITING) {
-      storedAt = revision;
+      storedRevision = revision;
       transitionTo(State.STORED);
     }
   }
@@ -83,7 +83,7 @@
   }
 
   /** It has ended; the end is to be stored. */
-  void end() {
+  void markEnded() {
     transitionTo(State.ENDED);
   }
 
@@ -107,7 +107,7 @@
 
   /** The resources that it requests of its machine. */
   public Resources perTask() {
-    return perTask;
+    return resources;
   }
 
   /** The shard that it is assigned to. */
@@ -147,11 +147,11 @@
 
   /** The revision at which this was stored; 0 if an earlier leader did it. */
   public Revision storedAt() {
-    return storedAt;
+    return storedRevision;
   }
 
   /** Whether the owner knows it, or may know it soon. */
-  public boolean visibleToOwner() {
+  public boolean mayBeKnownToOwner() {
     return state != State.WRITING;
   }
 }
--- a/src/main/java/org/mulleinshift/model/TaskIndexRanges.java
+++ b/src/main/java/org/mulleinshift/model/TaskIndexRanges.java
@@ -27,13 +27,13 @@
   /**
    * Reads task indexes.
    *
-   * @param bound all indexes must be below it
+   * @param exclusiveBound all indexes must be below it
    * @throws MalformedMessageException if the node is not such a text
    */
-  static BitSet read(JsonNode node, int bound) throws MalformedMessageException {
+  static BitSet read(JsonNode node, int exclusiveBound) throws MalformedMessageException {
     try {
-      BitSet set = node.isTextual() ? read(node.asText()) : null;
-      if (set != null && set.length() <= bound) {
+      BitSet set = node.isTextual() ? parse(node.asText()) : null;
+      if (set != null && set.length() <= exclusiveBound) {
         return set;
       }
     } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
@@ -42,7 +42,7 @@
     throw new MalformedMessageException("not a list of tasks: " + node);
   }
 
-  private static BitSet read(String text) {
+  private static BitSet parse(String text) {
     BitSet set = new BitSet();
     if (text.isEmpty()) {
       return set;
--- a/src/main/java/org/mulleinshift/model/UnknownFields.java
+++ b/src/main/java/org/mulleinshift/model/UnknownFields.java
@@ -21,25 +21,25 @@
    * What the stored record has and this build's form of it lacks, objects within objects included.
    * Empty objects and null fields need not be kept.
    */
-  public static Optional<UnknownFields> beyond(JsonNode known, JsonNode stored) {
-    ObjectNode rest = rest(known, stored);
-    return rest.isEmpty() ? Optional.empty() : Optional.of(new UnknownFields(rest));
+  public static Optional<UnknownFields> find(JsonNode known, JsonNode stored) {
+    ObjectNode unknown = missingFrom(known, stored);
+    return unknown.isEmpty() ? Optional.empty() : Optional.of(new UnknownFields(unknown));
   }
 
-  private static ObjectNode rest(JsonNode known, JsonNode stored) {
-    ObjectNode rest = Json.object();
+  private static ObjectNode missingFrom(JsonNode known, JsonNode stored) {
+    ObjectNode missing = Json.object();
     for (Map.Entry<String, JsonNode> field : stored.properties()) {
       JsonNode own = known.path(field.getKey());
       if (own.isMissingNode() && !field.getValue().isNull()) {
-        rest.set(field.getKey(), field.getValue());
+        missing.set(field.getKey(), field.getValue());
       } else if (own.isObject() && field.getValue().isObject()) {
-        ObjectNode inner = rest(own, field.getValue());
+        ObjectNode inner = missingFrom(own, field.getValue());
         if (!inner.isEmpty()) {
-          rest.set(field.getKey(), inner);
+          missing.set(field.getKey(), inner);
         }
       }
     }
-    return rest;
+    return missing;
   }
 
   /** Puts the fields back into this build's form of the record. */
@@ -47,13 +47,15 @@
     restore((ObjectNode) target, fields);
   }
 
-  private static void restore(ObjectNode target, ObjectNode from) {
-    from.properties()
+  private static void restore(ObjectNode target, ObjectNode source) {
+    source
+        .properties()
         .forEach(
             field -> {
               JsonNode own = target.get(field.getKey());
-              if (own instanceof ObjectNode inner && field.getValue() instanceof ObjectNode more) {
-                restore(inner, more);
+              if (own instanceof ObjectNode innerTarget
+                  && field.getValue() instanceof ObjectNode innerSource) {
+                restore(innerTarget, innerSource);
               } else if (own == null) {
                 target.set(field.getKey(), field.getValue());
               }
--- a/src/main/java/org/mulleinshift/placement/PlacementConstraints.java
+++ b/src/main/java/org/mulleinshift/placement/PlacementConstraints.java
@@ -41,7 +41,9 @@
       int allowed,
       MonotonicTime now) {
     int tasks = job.spec().tasks() - job.doneCount();
-    if (job.assignedCount() > 0 || allowed < tasks || job.waiting(tasks, now).length < tasks) {
+    if (job.assignedCount() > 0
+        || allowed < tasks
+        || job.assignableTasks(tasks, now).length < tasks) {
       return false;
     }
     Map<ZoneId, Integer> fittingPerZone = new HashMap<>();
--- a/src/main/java/org/mulleinshift/progress/ChunkKeyWriter.java
+++ b/src/main/java/org/mulleinshift/progress/ChunkKeyWriter.java
@@ -86,9 +86,9 @@
     String key = ChunkKey.format(job.spec().id(), chunk);
     if (batcher.hasRevision(key)) {
       // Nobody reads it any more: it need not compete with what tasks wait for.
-      deleteKey(key, () -> job.chunks().onDeleted(chunk));
+      deleteKey(key, () -> job.chunkLayout().onDeleted(chunk));
     } else {
-      job.chunks().onDeleted(chunk);
+      job.chunkLayout().onDeleted(chunk);
     }
   }
 
@@ -103,7 +103,7 @@
 
   /** Forgets uncertain writes of a job that has ended: nobody reads them. */
   void forget(Job job) {
-    for (Chunk chunk : job.chunks().live()) {
+    for (Chunk chunk : job.chunkLayout().live()) {
       uncertain.remove(ChunkUpdate.name(job, chunk.number()));
     }
   }
@@ -156,7 +156,7 @@
     private void markCertain() {
       Set<Chunk> remaining = uncertain.getOrDefault(update.name(), new HashSet<>());
       remaining.removeAll(update.sentChunks());
-      remaining.removeIf(chunk -> !update.job().chunks().live().contains(chunk));
+      remaining.removeIf(chunk -> !update.job().chunkLayout().live().contains(chunk));
       if (remaining.isEmpty()) {
         uncertain.remove(update.name());
       }
--- a/src/main/java/org/mulleinshift/progress/ChunkUpdate.java
+++ b/src/main/java/org/mulleinshift/progress/ChunkUpdate.java
@@ -53,7 +53,7 @@
 
   /** Whether a task waits for the progress to be stored. */
   boolean urgent() {
-    return job.chunks().urgent(chunkNumber);
+    return job.chunkLayout().urgent(chunkNumber);
   }
 
   /** Whether nothing of the job's progress is to be written any more. */
@@ -74,9 +74,9 @@
     }
     int splitAbove = splitAllowed ? maxBytes : Integer.MAX_VALUE;
     Map<Chunk, EncodedChunk> encoded = new LinkedHashMap<>();
-    List<Chunk> pending = job.chunks().pending(chunkNumber);
+    List<Chunk> pending = job.chunkLayout().pending(chunkNumber);
     while (pending.stream().anyMatch(chunk -> splitIfTooLong(chunk, encoded, splitAbove))) {
-      pending = job.chunks().pending(chunkNumber);
+      pending = job.chunkLayout().pending(chunkNumber);
     }
     return pending.stream().map(encoded::get).toList();
   }
@@ -85,7 +85,7 @@
     if (encoded.containsKey(chunk)) {
       return false;
     }
-    JsonNode progress = job.progress(chunk);
+    JsonNode progress = job.progressValue(chunk);
     int bytes = StoreCodec.encodedLength(progress);
     if (chunk.canSplit() && bytes > splitAbove) {
       job.split(chunk);
@@ -100,7 +100,7 @@
     sent = new ArrayList<>();
     for (EncodedChunk encoded : chosen) {
       sent.add(encoded.chunk());
-      job.chunks().markInFlight(encoded.chunk());
+      job.chunkLayout().markInFlight(encoded.chunk());
     }
     written = select(TaskAssignment.State.WRITING);
     ended = select(TaskAssignment.State.ENDED);
@@ -120,8 +120,8 @@
 
   /** What was sent last is stored: only now may it be published to owners. */
   void onStored(Revision revision) {
-    job.chunks().stored(sent);
-    job.stored(written, ended, revision);
+    job.chunkLayout().onStored(sent);
+    job.onStored(written, ended, revision);
     if (!written.isEmpty()) {
       job.markFirstAssigned(loop.wallMillis());
     }
@@ -132,11 +132,11 @@
 
   /** Whether more has changed since it was sent. */
   boolean hasPending() {
-    return !job.chunks().pending(chunkNumber).isEmpty();
+    return !job.chunkLayout().pending(chunkNumber).isEmpty();
   }
 
   /** Parts of the chunk in the store that are no longer read. */
   List<Chunk> obsoleteChunks() {
-    return job.chunks().obsolete(chunkNumber);
+    return job.chunkLayout().obsolete(chunkNumber);
   }
 }
--- a/src/main/java/org/mulleinshift/progress/JobEndMutation.java
+++ b/src/main/java/org/mulleinshift/progress/JobEndMutation.java
@@ -84,7 +84,7 @@
         id,
         job.terminalPhase().wireName(),
         job.summary(endedMillis));
-    List.copyOf(job.chunks().stored()).forEach(chunk -> keyWriter.delete(job, chunk));
+    List.copyOf(job.chunkLayout().stored()).forEach(chunk -> keyWriter.delete(job, chunk));
     deleteDependencyLists(id);
     log.release(id);
     keyWriter.forget(job);
@@ -95,7 +95,7 @@
 
   private void deleteDependencyLists(JobId id) {
     JobDependencies dependencies = job.dependencies();
-    for (int list = 0; list < dependencies.lists(); list++) {
+    for (int list = 0; list < dependencies.listCount(); list++) {
       String key = StoreKeys.dependencyList(id, dependencies.digest(), list);
       if (batcher.hasRevision(key)) {
         keyWriter.deleteKey(key);
--- a/src/main/java/org/mulleinshift/progress/ProgressPersister.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressPersister.java
@@ -122,12 +122,13 @@
   }
 
   private void rewriteOversized(Job job) {
-    List<Chunk> oversized = new ArrayList<>(job.chunks().uncovered());
-    for (Chunk chunk : List.copyOf(job.chunks().live())) {
+    List<Chunk> oversized = new ArrayList<>(job.chunkLayout().unstoredParts());
+    for (Chunk chunk : List.copyOf(job.chunkLayout().live())) {
       // Also what could not be stored before.
       boolean waits = job.assignments(chunk).stream().anyMatch(ProgressPersister::isUnstored);
       if (waits
-          || (limitsWillShrink && StoreCodec.encodedLength(job.progress(chunk)) > valueBytes)) {
+          || (limitsWillShrink
+              && StoreCodec.encodedLength(job.progressValue(chunk)) > valueBytes)) {
         oversized.add(chunk);
       }
     }
@@ -140,7 +141,7 @@
   }
 
   private void writeWhenIdle(Job job, Chunk chunk) {
-    job.chunks().markDirty(chunk);
+    job.chunkLayout().markDirty(chunk);
     keyWriter.writeWhenIdle(updateOf(job, chunk));
   }
 
@@ -151,14 +152,14 @@
   /** Has the progress of a task stored; nothing waits for it. */
   public void store(Job job, int taskIndex) {
     Chunk chunk = job.chunkOf(taskIndex);
-    job.chunks().markDirty(chunk);
+    job.chunkLayout().markDirty(chunk);
     store(updateOf(job, chunk));
   }
 
   /** Has the progress of a task stored, whose start waits for that. */
   public void storeUrgently(Job job, int taskIndex) {
     Chunk chunk = job.chunkOf(taskIndex);
-    job.chunks().markDirtyUrgently(chunk);
+    job.chunkLayout().markDirtyUrgently(chunk);
     store(updateOf(job, chunk));
   }
 
@@ -191,7 +192,7 @@
     for (ProgressLog.ChunkImage image : images) {
       Optional<Job> job = jobs.findJob(image.job());
       if (job.isPresent()) {
-        job.get().chunks().markDirty(image.chunk());
+        job.get().chunkLayout().markDirty(image.chunk());
         writer.accept(job.get(), image.chunk());
       } else {
         log.pinSlotOf(image);
--- a/src/main/java/org/mulleinshift/scheduling/PreemptionPass.java
+++ b/src/main/java/org/mulleinshift/scheduling/PreemptionPass.java
@@ -59,7 +59,7 @@
   private void requestStops(
       Job job, CycleState cycle, PreemptionCandidates candidates, Preemption.Policy policy) {
     int allowed = state.quotas().tasksWithinLimit(job, cycle.usageOf(job.spec().team()));
-    int wanted = job.waiting(allowed, loop.now()).length;
+    int wanted = job.assignableTasks(allowed, loop.now()).length;
     preemption
         .selectVictims(job, wanted, candidates, policy, location -> canFreeCapacity(job, location))
         .forEach(actions::requestStop);
@@ -118,7 +118,7 @@
     ShardView shard = state.shards().find(assignment.shard()).orElse(null);
     if (shard == null
         || assignment.state() == TaskAssignment.State.ENDED
-        || !assignment.visibleToOwner()) {
+        || !assignment.mayBeKnownToOwner()) {
       return Optional.empty();
     }
     return assignment
--- a/src/main/java/org/mulleinshift/scheduling/TaskAssigner.java
+++ b/src/main/java/org/mulleinshift/scheduling/TaskAssigner.java
@@ -57,7 +57,7 @@
     if (!mayFit(job, request, allowed, cycle)) {
       return 0;
     }
-    int[] waiting = job.waiting(allowed, loop.now());
+    int[] waiting = job.assignableTasks(allowed, loop.now());
     BinPacker.CapacityConsumer consumer = assigningConsumer(job, waiting);
     int assigned =
         hasInterTaskZoneConstraints(job)
--- a/src/main/java/org/mulleinshift/sharding/MachineTable.java
+++ b/src/main/java/org/mulleinshift/sharding/MachineTable.java
@@ -26,7 +26,7 @@
    * this term or is unexpected; it counts as up if its shard's record says so.
    */
   public Machine getOrTrack(MachineId id) {
-    return machines.computeIfAbsent(id, key -> Machine.found(loop.now(), isStoredAsUp(key)));
+    return machines.computeIfAbsent(id, key -> Machine.discovered(loop.now(), isStoredAsUp(key)));
   }
 
   /** Tracks a machine whose provisioning this leader requested. */
--- a/src/test/java/org/mulleinshift/api/DependentJobAnswersTest.java
+++ b/src/test/java/org/mulleinshift/api/DependentJobAnswersTest.java
@@ -85,7 +85,7 @@
   private void storeList(int list, JobId dependency) {
     store.put(
         StoreKeys.dependencyList(JOB, "digest", list),
-        JobDependencies.list(List.of(dependency)).toString());
+        JobDependencies.listValue(List.of(dependency)).toString());
   }
 
   @Test
--- a/src/test/java/org/mulleinshift/model/ChunkLayoutTest.java
+++ b/src/test/java/org/mulleinshift/model/ChunkLayoutTest.java
@@ -22,9 +22,9 @@
 
 /** A chunk that an older build left too long is taken apart; each step may be the last. */
 class ChunkLayoutTest {
-  private static final int TASKS = 730;
-  private static final int VALUE_BYTES = 400;
-  private static final String RECORD =
+  private static final int TASK_COUNT = 730;
+  private static final int MAX_VALUE_BYTES = 400;
+  private static final String JOB_RECORD =
       """
       {"spec":{"ref":"run-1","lane":"work","crew":"t","shape":"batch","urgency":"standard",
        "pieces":730,"cpus":2.0,"cards":0.0,"ram_gb":4.0,"bundle":"img-1","pull_gb":0.0,
@@ -32,7 +32,7 @@
        "flush_s":0.0},"at":5,"cancelled":false}""";
 
   private static Job job() throws MalformedMessageException {
-    KeyValue item = new KeyValue("a/run-1", Json.parseObject(RECORD), new Revision(3));
+    KeyValue item = new KeyValue("a/run-1", Json.parseObject(JOB_RECORD), new Revision(3));
     return new Job(JobRecord.read(item).get());
   }
 
@@ -46,20 +46,21 @@
     return job;
   }
 
-  private static List<String> tasks(Job job) {
-    List<String> tasks = new ArrayList<>();
-    tasks.add("done " + job.doneCount() + ", waiting " + job.waitingCount());
-    job.assignments().forEach(d -> tasks.add(d.task() + " " + d.shard() + " " + d.attempt()));
-    return tasks;
+  private static List<String> describeTasks(Job job) {
+    List<String> descriptions = new ArrayList<>();
+    descriptions.add("done " + job.doneCount() + ", waiting " + job.waitingCount());
+    job.assignments()
+        .forEach(a -> descriptions.add(a.task() + " " + a.shard() + " " + a.attempt()));
+    return descriptions;
   }
 
   private static String key(Chunk part) {
     return ChunkKey.format(new JobId("run-1"), part);
   }
 
-  private static Job scattered(Random random) throws MalformedMessageException {
+  private static Job jobWithRandomProgress(Random random) throws MalformedMessageException {
     Job job = job();
-    for (int index = 0; index < TASKS; index++) {
+    for (int index = 0; index < TASK_COUNT; index++) {
       int kind = random.nextInt(3);
       if (kind > 0) {
         ShardId shard = new ShardId("a-" + random.nextInt(40));
@@ -67,7 +68,7 @@
             job.assign(index, shard, new ZoneId("a"), new Attempt(7L << 20));
         if (kind == 2) {
           job.taskDone(assignment, 1);
-          job.stored(List.of(), List.of(assignment), new Revision(4));
+          job.onStored(List.of(), List.of(assignment), new Revision(4));
         }
       }
     }
@@ -75,43 +76,44 @@
   }
 
   @Test
-  void eachStepOfTakingApartMayBeTheLast() throws MalformedMessageException {
-    Job old = scattered(new Random(1));
+  void splittingResumesAfterEachStep() throws MalformedMessageException {
+    Job old = jobWithRandomProgress(new Random(1));
     Map<String, JsonNode> store = new TreeMap<>();
-    for (Chunk chunk : old.chunks().live()) {
-      store.put(key(chunk), old.progress(chunk));
+    for (Chunk chunk : old.chunkLayout().live()) {
+      store.put(key(chunk), old.progressValue(chunk));
     }
-    List<String> expected = tasks(load(store));
-    assertEquals(tasks(old), expected);
+    List<String> expected = describeTasks(load(store));
+    assertEquals(describeTasks(old), expected);
     int steps = 0;
     for (boolean more = true; more; steps++) {
       // A new leader each time: it writes one part that fits, and dies.
       Job job = load(store);
-      assertEquals(expected, tasks(job));
-      for (Chunk part : List.copyOf(job.chunks().live())) {
-        cut(job, part);
+      assertEquals(expected, describeTasks(job));
+      for (Chunk part : List.copyOf(job.chunkLayout().live())) {
+        splitOversized(job, part);
       }
-      List<Chunk> uncovered = job.chunks().uncovered();
+      List<Chunk> uncovered = job.chunkLayout().unstoredParts();
       more = !uncovered.isEmpty();
       if (more) {
         Chunk part = uncovered.get(steps % uncovered.size());
-        store.put(key(part), job.progress(part));
-        assertTrue(StoreCodec.encodedLength(store.get(key(part))) <= VALUE_BYTES);
-        job.chunks().stored(List.of(part));
+        store.put(key(part), job.progressValue(part));
+        assertTrue(StoreCodec.encodedLength(store.get(key(part))) <= MAX_VALUE_BYTES);
+        job.chunkLayout().onStored(List.of(part));
       }
-      job.chunks().obsolete(0).forEach(part -> store.remove(key(part)));
-      job.chunks().obsolete(1).forEach(part -> store.remove(key(part)));
+      job.chunkLayout().obsolete(0).forEach(part -> store.remove(key(part)));
+      job.chunkLayout().obsolete(1).forEach(part -> store.remove(key(part)));
     }
     assertTrue(steps > 20, steps + " steps");
-    assertTrue(store.values().stream().allMatch(v -> StoreCodec.encodedLength(v) <= VALUE_BYTES));
+    assertTrue(
+        store.values().stream().allMatch(v -> StoreCodec.encodedLength(v) <= MAX_VALUE_BYTES));
   }
 
-  private static void cut(Job job, Chunk part) {
-    if (StoreCodec.encodedLength(job.progress(part)) > VALUE_BYTES && part.canSplit()) {
+  private static void splitOversized(Job job, Chunk part) {
+    if (StoreCodec.encodedLength(job.progressValue(part)) > MAX_VALUE_BYTES && part.canSplit()) {
       job.split(part);
-      cut(job, part.half(0));
-      if (job.chunks().exists(part.half(1))) {
-        cut(job, part.half(1));
+      splitOversized(job, part.half(0));
+      if (job.chunkLayout().exists(part.half(1))) {
+        splitOversized(job, part.half(1));
       }
     }
   }
--- a/src/test/java/org/mulleinshift/model/StoredByEarlierBuildTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredByEarlierBuildTest.java
@@ -32,7 +32,7 @@
   private final ClusterView view = new ClusterView();
 
   @Test
-  void allOfItIsReadAndWrittenTheSame() throws IOException, MalformedMessageException {
+  void allRecordsAreReadAndWrittenUnchanged() throws IOException, MalformedMessageException {
     JsonNode sample = Json.parseObject(Files.readString(SAMPLE));
     for (Map.Entry<String, JsonNode> entry : sample.properties()) {
       checkRecord(new KeyValue(entry.getKey(), entry.getValue(), new Revision(9)));
@@ -69,7 +69,7 @@
     ChunkKey key = ChunkKey.parse(item.key()).orElseThrow();
     Job job = jobs.get(key.job());
     job.load(key.chunk(), item.value(), shard -> new ZoneId("a"));
-    assertEquals(Json.write(item.value()), Json.write(job.progress(key.chunk())), item.key());
+    assertEquals(Json.write(item.value()), Json.write(job.progressValue(key.chunk())), item.key());
   }
 
   private static void checkEndedJob(KeyValue item) {
--- a/src/test/java/org/mulleinshift/model/StoredRecordGoldenTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordGoldenTest.java
@@ -49,14 +49,14 @@
 
   @ParameterizedTest
   @MethodSource("names")
-  void isWrittenAsBefore(String name) {
+  void recordIsWrittenInGoldenForm(String name) {
     StoredRecordSamples.Stored stored = StoredRecordSamples.all().get(name);
     GoldenFile.assertHolds(file(name), stored.key() + SEPARATOR + Json.write(stored.value()));
   }
 
   @ParameterizedTest
   @MethodSource("names")
-  void isReadAndWrittenBackByteForByte(String name) throws MalformedMessageException {
+  void recordIsReadAndWrittenBackByteForByte(String name) throws MalformedMessageException {
     KeyValue item = golden(name);
     assertEquals(GoldenFile.text(file(name)), item.key() + SEPARATOR + Json.write(rewritten(item)));
   }
@@ -79,7 +79,7 @@
                   new MonotonicTime(0))
               .write();
       case StoreKeys.DEPENDENCY_LISTS ->
-          JobDependencies.list(JobDependencies.readList(item.value()));
+          JobDependencies.listValue(JobDependencies.readList(item.value()));
       default -> throw new AssertionError(key);
     };
   }
@@ -126,16 +126,17 @@
 
   private static JsonNode rewrittenProgress(KeyValue item) throws MalformedMessageException {
     ChunkKey key = ChunkKey.parse(item.key()).orElseThrow();
-    boolean awaiting = item.value().has("ready");
+    boolean hasDependencies = item.value().has("ready");
     Job job =
-        StoredRecordSamples.job(awaiting ? StoredRecordSamples.namedJobs() : JobDependencies.NONE);
+        StoredRecordSamples.job(
+            hasDependencies ? StoredRecordSamples.namedJobs() : JobDependencies.NONE);
     assertEquals(job.spec().id(), key.job());
     job.load(key.chunk(), item.value(), shard -> new ZoneId("a"));
-    return job.progress(key.chunk());
+    return job.progressValue(key.chunk());
   }
 
   @Test
-  void jobsAreReadAsTheyWereMeant() throws MalformedMessageException {
+  void jobRecordHasTheSampleValues() throws MalformedMessageException {
     JobRecord record = JobRecord.read(golden("job-awaiting-named-jobs")).orElseThrow();
     assertEquals(StoredRecordSamples.shortSpec(), record.spec());
     assertEquals(StoredRecordSamples.namedJobs(), record.dependencies());
@@ -143,7 +144,7 @@
   }
 
   @Test
-  void segmentsNameTheirJobsAndParts() throws MalformedMessageException {
+  void segmentEntriesHaveTheirJobAndChunk() throws MalformedMessageException {
     KeyValue item = golden("log-segment");
     assertEquals(17, StoreKeys.logSegmentNumber(item.key()).orElseThrow());
     assertEquals(
--- a/src/test/java/org/mulleinshift/model/StoredRecordSamples.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordSamples.java
@@ -166,22 +166,25 @@
 
   private void addProgress() {
     Chunk first = Chunk.whole(0);
-    add("progress-none", ChunkKey.format(JOB, first), job(JobDependencies.NONE).progress(first));
+    add(
+        "progress-none",
+        ChunkKey.format(JOB, first),
+        job(JobDependencies.NONE).progressValue(first));
     Job job = startedJob(JobDependencies.NONE);
-    add("progress-chunk", ChunkKey.format(JOB, first), job.progress(first));
+    add("progress-chunk", ChunkKey.format(JOB, first), job.progressValue(first));
     Chunk second = Chunk.whole(1);
-    add("progress-second-chunk", ChunkKey.format(JOB, second), job.progress(second));
+    add("progress-second-chunk", ChunkKey.format(JOB, second), job.progressValue(second));
     Chunk half = first.half(0);
-    add("progress-part", ChunkKey.format(JOB, half), job.progress(half));
+    add("progress-part", ChunkKey.format(JOB, half), job.progressValue(half));
     Chunk quarter = first.half(1).half(1);
-    add("progress-part-of-part", ChunkKey.format(JOB, quarter), job.progress(quarter));
+    add("progress-part-of-part", ChunkKey.format(JOB, quarter), job.progressValue(quarter));
     Job dependent = startedJob(namedJobs());
-    add("progress-awaiting", ChunkKey.format(JOB, first), dependent.progress(first));
+    add("progress-awaiting", ChunkKey.format(JOB, first), dependent.progressValue(first));
     add("progress-with-unknown-fields", ChunkKey.format(JOB, first), progressOfNewerBuild(job));
   }
 
   private static JsonNode progressOfNewerBuild(Job job) {
-    ObjectNode stored = (ObjectNode) job.progress(Chunk.whole(0));
+    ObjectNode stored = (ObjectNode) job.progressValue(Chunk.whole(0));
     stored.put("new", UNKNOWN_VALUE);
     return stored;
   }
@@ -203,7 +206,7 @@
       job.assign(index, SHARD, ZONE, FIRST_ATTEMPT);
     }
     job.assign(TASK_OF_OTHER_SHARD, new ShardId("b-1"), new ZoneId("b"), FIRST_ATTEMPT);
-    job.taskReturned(
+    job.requeueTask(
         job.assign(RETRIED_TASK, SHARD, ZONE, FIRST_ATTEMPT), Optional.<MonotonicTime>empty());
     job.assign(RETRIED_TASK, SHARD, ZONE, FIRST_ATTEMPT);
     return job;
@@ -215,8 +218,8 @@
     Job job = startedJob(JobDependencies.NONE);
     List<LogSegment.Entry> entries =
         List.of(
-            LogSegment.Entry.of(JOB, first, job.progress(first)),
-            LogSegment.Entry.of(new JobId("run-2"), secondHalf, job.progress(secondHalf)));
+            LogSegment.Entry.of(JOB, first, job.progressValue(first)),
+            LogSegment.Entry.of(new JobId("run-2"), secondHalf, job.progressValue(secondHalf)));
     add("log-segment", StoreKeys.logSegment(SEGMENT), LogSegment.write(entries));
     add("log-segment-without-entries", StoreKeys.logSegment(0), LogSegment.write(List.of()));
   }
@@ -232,8 +235,11 @@
             new MonotonicTime(0),
             ProvisioningRequest.State.PLANNED);
     add("rental", StoreKeys.provisioningRequest(request.name()), request.write());
-    List<JobId> awaited = namedJobs().named();
-    add("awaited-list", StoreKeys.dependencyList(JOB, DIGEST, 1), JobDependencies.list(awaited));
+    List<JobId> awaited = namedJobs().inlineJobs();
+    add(
+        "awaited-list",
+        StoreKeys.dependencyList(JOB, DIGEST, 1),
+        JobDependencies.listValue(awaited));
   }
 
   /** The records as a reader of the store gets them. */
--- a/src/test/java/org/mulleinshift/model/StoredRecordsTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordsTest.java
@@ -28,9 +28,14 @@
        "cpus":2.0,"cards":0.0,"ram_gb":4.0,"bundle":"img-1","pull_gb":0.0,"same_place":false,
        "spread":false,"loaner":true,"guess_s":10.0,"snapshot_s":0.0,"flush_s":0.0%s}""";
 
-  private static JsonNode job(String inSpec, String beside) throws MalformedMessageException {
+  private static JsonNode job(String specFields, String recordFields)
+      throws MalformedMessageException {
     return Json.parseObject(
-        "{\"spec\":" + SPEC.formatted(inSpec) + ",\"at\":5,\"cancelled\":false" + beside + "}");
+        "{\"spec\":"
+            + SPEC.formatted(specFields)
+            + ",\"at\":5,\"cancelled\":false"
+            + recordFields
+            + "}");
   }
 
   private static Optional<JobRecord> read(JsonNode value) {
@@ -73,7 +78,7 @@
         Json.parseObject(
             "{\"done\":\"0-2\",\"at\":[{\"b\":\"a-0\",\"n\":7,\"r\":\"3-4\"}],\"new\":9}");
     job.load(Chunk.whole(0), stored, shard -> new ZoneId("a"));
-    assertEquals(Json.write(stored), Json.write(job.progress(Chunk.whole(0))));
+    assertEquals(Json.write(stored), Json.write(job.progressValue(Chunk.whole(0))));
   }
 
   @ParameterizedTest
@@ -165,7 +170,7 @@
   }
 
   @Test
-  void aShardWithAnUnreadableGrantIsNotFree() throws MalformedMessageException {
+  void aShardWithAnUnreadableGrantIsNotUnowned() throws MalformedMessageException {
     ClusterView view = new ClusterView();
     JsonNode stored = Json.parseObject("{\"holders\":[\"n-1\"]}");
     view.apply("c/g/a-0", Optional.of(new KeyValue("c/g/a-0", stored, new Revision(4))));
