--- a/src/main/java/org/mulleinshift/model/Chunk.java
+++ b/src/main/java/org/mulleinshift/model/Chunk.java
@@ -5,23 +5,25 @@
 import java.util.regex.Pattern;
 
 /**
- * Tasks of a job whose progress shares a key: a whole chunk, or a part of one that was halved, and
- * halved again, until its value was short enough. The progress of a part takes precedence over that
- * of the chunk it was split from; in the order of keys the larger chunk comes first.
+ * A range of a job's tasks whose progress is stored under one key: a whole chunk, or a part of it
+ * that results from halving it repeatedly until the stored value is short enough. The progress of a
+ * part takes precedence over that of the chunk it was split from. A chunk's key sorts before the
+ * keys of its parts.
  *
- * @param number of the whole chunk, from 0
- * @param path which half at each step, from the whole chunk on; empty for the whole chunk itself
+ * @param number index of the whole chunk, from 0
+ * @param path the half taken at each split, 0 or 1, starting at the whole chunk; empty for the
+ *     whole chunk itself
  */
 public record Chunk(int number, String path) {
-  /** Tasks of a whole chunk; keeps values far below the store's limit. */
+  /** Chosen so that stored values stay far below the store's size limit. */
   static final int TASKS_PER_CHUNK = 500;
 
   private static final Pattern KEY_PATTERN = Pattern.compile("([0-9]{1,6})(?:/([01]{1,9}))?");
   private static final char FIRST_HALF = '0';
 
-  /** A range of tasks of a job that has them all. */
+  /** A range of task indexes, not limited by the number of tasks that the job has. */
   private record Range(int firstTask, int size) {
-    /** The first half is larger by one if the size is odd. */
+    /** Returns the first half, which is larger by one task if the size is odd. */
     Range firstHalf() {
       return new Range(firstTask, (size + 1) / 2);
     }
@@ -32,12 +34,12 @@
     }
   }
 
-  /** The whole chunk with that number. */
+  /** Returns the whole chunk with the given number. */
   public static Chunk whole(int number) {
     return new Chunk(number, "");
   }
 
-  /** Parses the last part of a chunk's key; empty if this build does not write such keys. */
+  /** Parses the chunk part of a progress key; empty if this build does not write such keys. */
   public static Optional<Chunk> parse(String text) {
     Matcher key = KEY_PATTERN.matcher(text);
     if (!key.matches()) {
@@ -48,12 +50,12 @@
     return chunk.size() > 0 ? Optional.of(chunk) : Optional.empty();
   }
 
-  /** The first task. */
+  /** Returns the index of the first task. */
   int firstTask() {
     return range().firstTask();
   }
 
-  /** How many tasks, of a job that has them all. */
+  /** Returns the number of tasks; in a job's last chunk, the job may have fewer. */
   int size() {
     return range().size();
   }
@@ -66,17 +68,17 @@
     return range;
   }
 
-  /** The first half (0) or the second one (1). */
+  /** Returns the first half (0) or the second half (1). */
   Chunk half(int which) {
     return new Chunk(number, path + which);
   }
 
-  /** A chunk of one task is short enough for every value. */
+  /** Whether it has more than one task; the progress of a single task always fits into a value. */
   public boolean canSplit() {
     return size() > 1;
   }
 
-  /** Whether the other was split from this one, or is this one. */
+  /** Whether the other chunk is this chunk or was split from it. */
   boolean contains(Chunk other) {
     return number == other.number && other.path.startsWith(path);
   }
--- a/src/main/java/org/mulleinshift/model/ChunkKey.java
+++ b/src/main/java/org/mulleinshift/model/ChunkKey.java
@@ -4,7 +4,7 @@
 import org.mulleinshift.protocol.JobId;
 import org.mulleinshift.store.StoreKeys;
 
-/** The store's key of one chunk of a job's progress. */
+/** The store key of one chunk of a job's progress. */
 public record ChunkKey(JobId job, Chunk chunk) {
   private static final char SEPARATOR = '/';
 
@@ -18,7 +18,7 @@
     return Chunk.parse(key.substring(separator + 1)).map(chunk -> new ChunkKey(job, chunk));
   }
 
-  /** The key of a job's chunk. */
+  /** Returns the store key of a job's chunk. */
   public static String format(JobId job, Chunk chunk) {
     return StoreKeys.PROGRESS + job + SEPARATOR + chunk;
   }
--- a/src/main/java/org/mulleinshift/model/ChunkLayout.java
+++ b/src/main/java/org/mulleinshift/model/ChunkLayout.java
@@ -10,14 +10,14 @@
 import java.util.TreeMap;
 
 /**
- * How the progress of one job is split into chunks: which of them are written by now, which are in
- * the store, and which wait to be written. A chunk that was split stays in the store until all its
- * parts are there; until then it is read for those that are not.
+ * Tracks how the progress of one job is split into chunks: the chunks that progress is written to,
+ * those that are in the store and those that are yet to be written. A chunk that was split stays in
+ * the store until all its parts are stored; until then it is the source for the missing parts.
  */
 public final class ChunkLayout {
   private final int taskCount;
 
-  /** The chunks that progress is written to, by first task. */
+  /** The chunks that progress is written to, by the index of their first task. */
   private final NavigableMap<Integer, Chunk> live = new TreeMap<>();
 
   private final Set<Chunk> stored = new LinkedHashSet<>();
@@ -32,17 +32,17 @@
     }
   }
 
-  /** The chunk that a task's progress is written to. */
+  /** Returns the chunk that a task's progress is written to. */
   Chunk chunkOf(int index) {
     return live.floorEntry(index).getValue();
   }
 
-  /** Whether the job has any task of the chunk. */
+  /** Whether the job has any of the chunk's tasks. */
   boolean exists(Chunk chunk) {
     return chunk.firstTask() < taskCount;
   }
 
-  /** Splits a chunk in two halves, which are written next. */
+  /** Replaces a chunk by its halves, which are marked to be written. */
   void split(Chunk chunk) {
     live.remove(chunk.firstTask());
     for (int which = 0; which < 2; which++) {
@@ -55,7 +55,10 @@
     dirty.remove(chunk);
   }
 
-  /** A chunk found in the store; those it was split from, if they are there, were found before. */
+  /**
+   * Records a chunk that was read from the store. Chunks are read in key order, so those that it
+   * was split from, if they are stored, have been recorded before.
+   */
   void onLoaded(Chunk chunk) {
     stored.add(chunk);
     for (Chunk ancestor = chunkOf(chunk.firstTask());
@@ -66,23 +69,25 @@
     dirty.clear();
   }
 
-  /** A chunk's progress has changed; nothing waits for it to be stored. */
+  /** Marks a chunk's progress as changed, with no task waiting for it to be stored. */
   public void markDirty(Chunk chunk) {
     dirty.add(chunk);
   }
 
-  /** A chunk's progress has changed, and a task waits for it to be stored. */
+  /** Marks a chunk's progress as changed, with a task waiting for it to be stored. */
   public void markDirtyUrgently(Chunk chunk) {
     markDirty(chunk);
     urgentChunkNumbers.add(chunk.number());
   }
 
-  /** Whether a task waits for progress of the whole chunk with that number to be stored. */
+  /**
+   * Whether a task waits for progress of the chunk with that number, or a part of it, to be stored.
+   */
   public boolean urgent(int number) {
     return urgentChunkNumbers.contains(number);
   }
 
-  /** Chunks that were split from one that is still in the store, and are not there themselves. */
+  /** Returns the chunks that are not stored while a chunk that they were split from is. */
   public List<Chunk> unstoredParts() {
     List<Chunk> found = new ArrayList<>();
     for (Chunk chunk : live.values()) {
@@ -94,7 +99,7 @@
     return found;
   }
 
-  /** Chunks with that number that are in the store and no longer read. */
+  /** Returns the stored chunks with that number that were split and whose parts are all stored. */
   public List<Chunk> obsolete(int number) {
     int from = number * Chunk.TASKS_PER_CHUNK;
     Collection<Chunk> chunks = live.subMap(from, from + Chunk.TASKS_PER_CHUNK).values();
@@ -110,7 +115,10 @@
     return found;
   }
 
-  /** Chunks with that number that wait to be written, or were sent before and not confirmed. */
+  /**
+   * Returns the chunks with that number that are to be written. Chunks that were sent to the store
+   * without being confirmed as stored are included, and are no longer in flight.
+   */
   public List<Chunk> pending(int number) {
     dirty.addAll(takeInFlight(number));
     dirty.removeIf(chunk -> !chunk.equals(live.get(chunk.firstTask())));
@@ -123,13 +131,13 @@
     return taken;
   }
 
-  /** The chunk is on its way to the store. */
+  /** Records that the chunk was sent to the store. */
   public void markInFlight(Chunk chunk) {
     dirty.remove(chunk);
     inFlight.add(chunk);
   }
 
-  /** The chunks are stored. */
+  /** Records that the store has confirmed the chunks. */
   public void onStored(Collection<Chunk> chunks) {
     inFlight.removeAll(chunks);
     stored.addAll(chunks);
@@ -140,17 +148,17 @@
     }
   }
 
-  /** The chunk is no longer in the store. */
+  /** Records that the chunk was deleted from the store. */
   public void onDeleted(Chunk chunk) {
     stored.remove(chunk);
   }
 
-  /** All chunks that are in the store. */
+  /** Returns all chunks that are in the store, including split ones that are not yet deleted. */
   public Collection<Chunk> stored() {
     return stored;
   }
 
-  /** All chunks that progress is written to, in the order of tasks. */
+  /** Returns all chunks that progress is written to, ordered by task index. */
   public Collection<Chunk> live() {
     return live.values();
   }
--- a/src/main/java/org/mulleinshift/model/ChunkProgress.java
+++ b/src/main/java/org/mulleinshift/model/ChunkProgress.java
@@ -20,12 +20,12 @@
 import org.mulleinshift.protocol.ZoneId;
 
 /**
- * The progress of one chunk of a job, and its stored form: done tasks, and assigned tasks grouped
- * by shard and attempt.
+ * The progress of one chunk of a job. Its stored form lists the completed tasks, and the assigned
+ * tasks grouped by shard and attempt.
  *
- * @param firstTask the chunk's first task
- * @param endTask the task after its last one
- * @param done the done tasks, counted from the first one
+ * @param firstTask index of the chunk's first task
+ * @param endTask index after the chunk's last task
+ * @param done the completed tasks, by index relative to {@code firstTask}
  */
 record ChunkProgress(int firstTask, int endTask, BitSet done, List<TaskAssignment> assignments) {
   private static final String DONE = "done";
@@ -35,10 +35,10 @@
   private static final String ATTEMPT = "n";
   private static final String TASKS = "r";
 
-  /** Fields of an entry of assigned tasks: shard, attempt, tasks. */
+  /** Number of fields of an entry of assigned tasks: shard, attempt and tasks. */
   private static final int ASSIGNED_FIELDS = 3;
 
-  /** Tasks that are stored together. */
+  /** What assigned tasks that are stored in one entry have in common. */
   private record Group(Attempt attempt, ShardId shard) {}
 
   boolean isEmpty() {
@@ -46,10 +46,11 @@
   }
 
   /**
-   * The stored form; assignments that have ended are left out.
+   * Returns the stored form; assignments that have ended are left out.
    *
-   * @param done the chunk's done tasks, counted from its first one
-   * @param readyMillis time of day from when the job could run; only of a job with dependencies
+   * @param done the completed tasks, by index relative to the chunk's first task
+   * @param readyMillis wall-clock time from which the job could run; only for a job with
+   *     dependencies
    */
   static ObjectNode write(
       Chunk chunk, BitSet done, Collection<TaskAssignment> assignments, OptionalLong readyMillis) {
@@ -84,19 +85,19 @@
   /**
    * Reads the stored form.
    *
-   * @param zones the zone of each shard
-   * @throws MalformedMessageException if any of it can't be read
+   * @param zones returns the zone of a shard
+   * @throws MalformedMessageException if any part of it can't be read
    */
   static ChunkProgress read(
       JobSpec spec, Chunk chunk, JsonNode value, Function<ShardId, ZoneId> zones)
       throws MalformedMessageException {
     int size = Math.min(chunk.size(), spec.tasks() - chunk.firstTask());
     if (size <= 0) {
-      throw new MalformedMessageException("progress of a chunk that the job does not have");
+      throw new MalformedMessageException("the job has no tasks in this chunk");
     }
     BitSet done = TaskIndexRanges.read(value.path(DONE), size);
     if (!value.path(ASSIGNED).isArray()) {
-      throw new MalformedMessageException("progress without assigned tasks");
+      throw new MalformedMessageException("progress has no list of assigned tasks");
     }
     List<TaskAssignment> assignments = new ArrayList<>();
     for (JsonNode item : value.path(ASSIGNED)) {
@@ -105,7 +106,7 @@
     return new ChunkProgress(chunk.firstTask(), chunk.firstTask() + size, done, assignments);
   }
 
-  /** Time of day from when a job with dependencies could run, if its stored form has it. */
+  /** Returns the wall-clock time from which the job could run, or the default if none is stored. */
   static long readReadyMillis(JsonNode value, long defaultMillis) {
     return value.path(READY).asLong(defaultMillis);
   }
@@ -114,8 +115,8 @@
       JobSpec spec, Chunk chunk, int size, JsonNode item, Function<ShardId, ZoneId> zones)
       throws MalformedMessageException {
     if (item.size() != ASSIGNED_FIELDS) {
-      // Further fields would be lost when the list is written again.
-      throw new MalformedMessageException("assigned tasks with unknown fields");
+      // Unknown fields would be lost when the list is written again.
+      throw new MalformedMessageException("entry of assigned tasks has unknown or missing fields");
     }
     ShardId shard = new ShardId(Json.text(item, SHARD));
     Attempt attempt = new Attempt(Json.count(item, ATTEMPT, 0, Long.MAX_VALUE));
--- a/src/main/java/org/mulleinshift/model/ClusterView.java
+++ b/src/main/java/org/mulleinshift/model/ClusterView.java
@@ -24,8 +24,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The control keys as the store last showed them: the leader, the controllers' sessions, the owners
- * of shards and the machines of each shard.
+ * The control records as last received from the store: the leader, the controllers' sessions and
+ * feature levels, the owner of each shard and the machines of each shard.
  */
 public final class ClusterView {
   private static final Logger LOG = LoggerFactory.getLogger(ClusterView.class);
@@ -35,9 +35,9 @@
   private static final String FEATURE_LEVEL = "build";
 
   /**
-   * The leader.
+   * The record of the leader.
    *
-   * @param term the revision at which it took the key
+   * @param term the leader's term, which is the revision at which it wrote the key
    * @param lease the lease that the key is bound to
    */
   public record LeaderRecord(NodeId node, Revision term, LeaseId lease) {
@@ -50,7 +50,7 @@
   /** The session of a controller, and the revision at which it was stored. */
   public record NodeRecord(LeaseId lease, Revision revision) {}
 
-  /** A shard's owner; its fencing tokens start from the revision of the grant. */
+  /** A shard's owner, whose fencing tokens start from the revision of this grant. */
   public record GrantRecord(NodeId owner, Revision revision) {
     private static boolean isReadable(KeyValue item) {
       return item.value().path(OWNER).isTextual();
@@ -62,17 +62,19 @@
   }
 
   /**
-   * A machine of a shard. Until it is up no task was placed on it.
+   * A machine of a shard.
    *
    * @param spot whether the cloud may interrupt it
+   * @param up whether it is known to have come up; until then no task is placed on it
    */
   public record MachineRecord(MachineTypeId type, boolean spot, boolean up) {}
 
   /**
-   * A shard.
+   * The record of a shard.
    *
-   * @param lastOwner its owner when it was written; a hint, which older builds leave out
-   * @param unknownFields fields that this build doesn't know, kept when it is rewritten
+   * @param lastOwner the shard's owner when the record was written; a hint, which older builds
+   *     leave out
+   * @param unknownFields fields that this build doesn't know; kept when the record is rewritten
    */
   public record ShardRecord(
       ZoneId zone,
@@ -87,7 +89,7 @@
     private static final String SPOT = "spot";
     private static final String UP = "up";
 
-    /** The stored form of a shard. */
+    /** Returns the stored form of a shard; without {@code lastOwner} that field is left out. */
     public static JsonNode write(
         ZoneId zone, Map<MachineId, MachineRecord> machines, Optional<NodeId> lastOwner) {
       ObjectNode node = Json.object();
@@ -122,7 +124,7 @@
     private static Map<MachineId, MachineRecord> readMachines(JsonNode list)
         throws MalformedMessageException {
       if (!list.isObject()) {
-        throw new MalformedMessageException("no machines");
+        throw new MalformedMessageException("machines is not an object");
       }
       Map<MachineId, MachineRecord> machines = new TreeMap<>();
       for (Map.Entry<String, JsonNode> field : list.properties()) {
@@ -147,33 +149,33 @@
   private final Set<ShardId> unreadableShards = new HashSet<>();
   private final Set<ShardId> unreadableGrants = new HashSet<>();
 
-  /** The stored form of the leader. */
+  /** Returns the stored form of the leader. */
   public static JsonNode leaderValue(NodeId node, LeaseId lease) {
     return Json.object().put(NODE, node.value()).put(LEASE, lease.value());
   }
 
-  /** The stored form of a controller's feature level. */
+  /** Returns the stored form of a controller's feature level. */
   public static JsonNode featureLevelValue(int level) {
     return Json.object().put(FEATURE_LEVEL, level);
   }
 
-  /** The stored form of a controller's session. */
+  /** Returns the stored form of a controller's session. */
   public static JsonNode nodeValue(LeaseId lease) {
     return Json.object().put(LEASE, lease.value());
   }
 
-  /** The stored form of a shard's owner. */
+  /** Returns the stored form of a shard's owner. */
   public static JsonNode grantValue(NodeId owner) {
     return Json.object().put(OWNER, owner.value());
   }
 
-  /** Applies a change of a control key; empty if the key was deleted. */
+  /** Applies a change of a control key; the item is empty if the key was deleted. */
   public void apply(String key, Optional<KeyValue> item) {
     if (key.equals(StoreKeys.LEADER)) {
       leader = item.map(LeaderRecord::read);
     } else if (key.startsWith(StoreKeys.NODES)) {
       NodeId node = new NodeId(key.substring(StoreKeys.NODES.length()));
-      // One without a readable lease gets no shard: the grant could not be bound to it.
+      // Without a readable lease the controller gets no shards: no grant could be bound to it.
       putOrRemove(nodes, node, item.filter(ClusterView::hasLease).map(ClusterView::readNode));
     } else if (key.startsWith(StoreKeys.FEATURE_LEVELS)) {
       putOrRemove(
@@ -187,17 +189,17 @@
     }
   }
 
-  /** Reads the leader. */
+  /** Reads the leader's record. */
   public static LeaderRecord readLeader(KeyValue item) {
     return LeaderRecord.read(item);
   }
 
-  /** Reads a shard's owner. */
+  /** Reads the record of a shard's owner. */
   public static GrantRecord readGrant(KeyValue item) {
     return GrantRecord.read(item);
   }
 
-  /** Reads the feature level of a controller; 0 if it is not a number. */
+  /** Reads the feature level of a controller; 0 if none is stored or it is not a number. */
   public static int readFeatureLevel(KeyValue item) {
     return item.value().path(FEATURE_LEVEL).asInt();
   }
@@ -235,7 +237,7 @@
       } catch (MalformedMessageException e) {
         LOG.warn("stored record unreadable, key={} reason={}", item.get().key(), e.getMessage());
         unreadableShards.add(shard);
-        // The former shard of its machines is kept: a hint for a worker that looks for its owner.
+        // Its machines stay mapped to it: a hint for workers that look for their shard's owner.
         shards.remove(shard);
         return;
       }
@@ -256,42 +258,42 @@
     }
   }
 
-  /** The leader, if there is one. */
+  /** Returns the leader; empty if there is none. */
   public Optional<LeaderRecord> leader() {
     return leader;
   }
 
-  /** The controllers with a session. */
+  /** Returns the controllers that have a session with a readable lease. */
   public Map<NodeId, NodeRecord> nodes() {
     return nodes;
   }
 
-  /** The owners of shards. */
+  /** Returns the owner of each shard; shards without a readable owner are left out. */
   public Map<ShardId, GrantRecord> grants() {
     return grants;
   }
 
-  /** The shards that this build can read. */
+  /** Returns the shards whose records this build can read. */
   public Map<ShardId, ShardRecord> shards() {
     return shards;
   }
 
-  /** The feature level of each controller; builds that don't publish one are left out. */
+  /** Returns the feature level of each controller; builds that don't publish one are left out. */
   public Map<NodeId, Integer> featureLevels() {
     return featureLevels;
   }
 
-  /** Shards that are stored in a form that this build can't read: it may not act on them. */
+  /** Returns the shards whose records this build can't read; it must not act on them. */
   public Set<ShardId> unreadableShards() {
     return unreadableShards;
   }
 
-  /** Shards that have an owner that this build can't read. */
+  /** Returns the shards whose owner is stored in a form that this build can't read. */
   public Set<ShardId> unreadableGrants() {
     return unreadableGrants;
   }
 
-  /** The shard that a machine belongs to. */
+  /** Returns the shard that a machine belongs to; empty if it is not known. */
   public Optional<ShardId> shardOf(MachineId machine) {
     return Optional.ofNullable(shardOf.get(machine));
   }
--- a/src/main/java/org/mulleinshift/model/Job.java
+++ b/src/main/java/org/mulleinshift/model/Job.java
@@ -20,19 +20,19 @@
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** An accepted job in the leader's memory: its life cycle, its tasks and their stored progress. */
+/** An accepted job in the leader's memory: its life cycle, its tasks and their progress. */
 public final class Job {
   /** States of a job, in the order in which it passes through them. */
   public enum State {
-    /** Not all of its dependencies have ended: no task may be assigned. */
+    /** Not all dependencies are done: no task may be assigned. */
     AWAITING_DEPENDENCIES,
     /** Tasks may be assigned. */
     ACTIVE,
-    /** Cancelled: no task may start, all must stop. */
+    /** Cancelled: no task may start and all running tasks must stop. */
     CANCELLING,
-    /** All tasks are done or stopped; the end is being stored. */
+    /** All tasks are done or stopped; the job's end is being stored. */
     ENDING,
-    /** The end is stored. */
+    /** The job's end is stored. */
     ENDED
   }
 
@@ -40,12 +40,13 @@
   private static final int MILLIS_PER_SECOND = 1000;
 
   /**
-   * What a job inherits from those that depend on it.
+   * The priority and deadline that a job inherits from the jobs that depend on it.
    *
-   * @param deadlineMillis by when it should be complete; far off if none of them has a deadline
+   * @param deadlineMillis wall-clock time by which the job should be complete; {@link
+   *     Long#MAX_VALUE} if none of them has a deadline
    */
   public record Inherited(Priority priority, long deadlineMillis) {
-    /** Of a job that no other one depends on. */
+    /** The value for a job that no other job depends on. */
     public static final Inherited NONE = new Inherited(Priority.LOW, Long.MAX_VALUE);
   }
 
@@ -61,7 +62,7 @@
   private int failures;
   private boolean cancelled;
 
-  /** A job without progress, by its stored record. */
+  /** Creates a job without progress from its stored record. */
   public Job(JobRecord record) {
     this.spec = record.spec();
     this.dependencies = record.dependencies();
@@ -80,25 +81,26 @@
     return record.dependencies().isEmpty() ? State.ACTIVE : State.AWAITING_DEPENDENCIES;
   }
 
-  /** The only place where a job's state changes. */
+  /** Changes the state; all state changes go through this method. */
   private void transitionTo(State next) {
     if (next.compareTo(state) < 0) {
-      throw new IllegalStateException(spec.id() + ": " + state + " to " + next);
+      throw new IllegalStateException(
+          "job " + spec.id() + ": invalid state transition from " + state + " to " + next);
     }
     state = next;
   }
 
-  /** Adopts the job's record as it is stored now, a cancellation above all. */
+  /** Adopts the revision and a cancellation from the job's current stored record. */
   public void update(JobRecord record) {
     revision = record.revision();
     if (record.cancelled()) {
-      // Stored, so the cancellation was or will be acknowledged: the job ends as cancelled even if
-      // all tasks complete before they could be stopped, or our own end was about to be stored.
+      // A stored cancellation has been or will be acknowledged to the user. So the job ends as
+      // cancelled even if its tasks complete first or its end was about to be stored as done.
       cancel();
     }
   }
 
-  /** Its user cancelled it, or a job that it depends on. */
+  /** Cancels the job, because its user cancelled it or a job that it depends on was cancelled. */
   public void cancel() {
     cancelled = true;
     if (state == State.AWAITING_DEPENDENCIES || state == State.ACTIVE) {
@@ -107,10 +109,10 @@
   }
 
   /**
-   * All of its dependencies are stored as done.
+   * Lets the job run, because all its dependencies are stored as done.
    *
-   * @param lastEndMillis time of day at which the last of them ended
-   * @param learnedMillis time of day at which this leader learned of it
+   * @param lastEndMillis wall-clock time at which the last dependency ended
+   * @param learnedMillis wall-clock time at which this leader learned of that
    */
   public void release(long lastEndMillis, long learnedMillis) {
     markReady(lastEndMillis);
@@ -124,17 +126,18 @@
     }
   }
 
-  /** Sets what it inherits from jobs that depend on it, in place of what it inherited before. */
+  /** Replaces the priority and deadline that it inherits from jobs that depend on it. */
   public void inherit(Inherited next) {
     inherited = next;
   }
 
   /**
-   * Loads the stored progress of one chunk; nothing of it is adopted if any of it can't be read. It
-   * takes the place of what was loaded of the chunk that it was split from. Progress of a job with
-   * dependencies shows that they have ended: no task is assigned before.
+   * Loads the stored progress of one chunk, replacing what was loaded for these tasks from a chunk
+   * that it was split from. Stored progress of a job with dependencies implies that they are done,
+   * since no task is assigned before that.
    *
-   * @param zones the zone of each shard
+   * @param zones returns the zone of a shard
+   * @throws MalformedMessageException if any part can't be read; then nothing is loaded
    */
   public void load(Chunk chunk, JsonNode value, Function<ShardId, ZoneId> zones)
       throws MalformedMessageException {
@@ -152,7 +155,7 @@
         .ifPresent(fields -> unknownFields.put(chunk, fields));
   }
 
-  /** The stored form of a chunk's progress. */
+  /** Returns the stored form of a chunk's progress, with the unknown fields it was loaded with. */
   public JsonNode progressValue(Chunk chunk) {
     OptionalLong readyMillis =
         dependencies.isEmpty() ? OptionalLong.empty() : OptionalLong.of(timeline.readyMillis());
@@ -162,17 +165,17 @@
     return node;
   }
 
-  /** How its progress is split into keys. */
+  /** Returns how its progress is split into chunks. */
   public ChunkLayout chunkLayout() {
     return chunkLayout;
   }
 
-  /** The chunk to which a task's progress is written from now on. */
+  /** Returns the chunk that a task's progress is written to. */
   public Chunk chunkOf(int index) {
     return chunkLayout.chunkOf(index);
   }
 
-  /** Splits a chunk whose progress no longer fits into a value. */
+  /** Splits a chunk whose progress no longer fits into a stored value. */
   public void split(Chunk chunk) {
     chunkLayout.split(chunk);
     Optional.ofNullable(unknownFields.remove(chunk))
@@ -182,63 +185,69 @@
   /**
    * Assigns a task to a shard.
    *
-   * @param firstOfTerm the attempt of tasks that were not assigned before within the term
+   * @param firstOfTerm the attempt for tasks that were not yet assigned within the term
    */
   public TaskAssignment assign(int index, ShardId shard, ZoneId zone, Attempt firstOfTerm) {
     return tasks.assign(index, shard, zone, firstOfTerm);
   }
 
   /**
-   * A task has completed.
+   * Marks a task as completed.
    *
-   * @param runSeconds its run time; 0 if that is not known
+   * @param runSeconds its run time; 0 if it is not known
    */
   public void taskDone(TaskAssignment assignment, double runSeconds) {
     tasks.onDone(assignment, runSeconds);
   }
 
-  /** The task is provably absent; it may be retried, but not before the given time. */
+  /**
+   * Ends the assignment of a task that certainly no longer runs. Once that is stored, the task may
+   * be assigned again, but not before the given time.
+   */
   public void requeueTask(TaskAssignment assignment, Optional<MonotonicTime> notBefore) {
     tasks.requeue(assignment, notBefore);
   }
 
-  /** A task of it runs. */
+  /** Records when a task runs; only the first time counts. */
   public void markStarted(long atMillis) {
     timeline.markStarted(atMillis);
   }
 
-  /** A first task of it was stored as assigned, and is published to its owner. */
+  /** Records when the assignment of a task was stored; only the first time counts. */
   public void markFirstAssigned(long atMillis) {
     timeline.markFirstAssigned(atMillis);
   }
 
-  /** Whether any of its tasks ran or was assigned, as far as this leader or the store knows. */
+  /** Whether this leader saw a task run or loaded stored progress that is not empty. */
   public boolean hasStarted() {
     return timeline.hasStarted();
   }
 
-  /** How it fared, for operators. */
+  /** Returns a summary of the job's run as {@code key=value} fields of a log line. */
   public String summary(long nowMillis) {
     return timeline.summary(spec, nowMillis);
   }
 
-  /** Counts a task's failed attempt. */
+  /** Counts a failed attempt of a task. */
   public void countFailure() {
     failures++;
   }
 
-  /** What was decided for a chunk is stored: the new may be published, the ended forgotten. */
+  /**
+   * Records that assignments and ends of assignments are stored: the new ones may be published, the
+   * ended ones are removed.
+   */
   public void onStored(
       Collection<TaskAssignment> written, Collection<TaskAssignment> ended, Revision revision) {
     tasks.onStored(written, ended, revision);
   }
 
-  /** Its end is being stored. */
+  /** Records that its end is being stored. */
   public void beginEnding() {
     transitionTo(State.ENDING);
   }
 
-  /** Its end is stored. */
+  /** Records that its end is stored, and forgets its assignments. */
   public void finishEnding() {
     transitionTo(State.ENDED);
     tasks.clearAssignments();
@@ -249,34 +258,34 @@
     return spec.kind() != JobKind.SERVICE && tasks.allDone();
   }
 
-  /** Cancelled, and provably no task of it is anywhere. */
+  /** Whether it was cancelled, its end is not yet being stored and no task can still be running. */
   public boolean stoppedAfterCancellation() {
     return state == State.CANCELLING && tasks.allEnded();
   }
 
-  /** Whether it was cancelled, by its own user or with a dependency. */
+  /** Whether it was cancelled, by its user or because a dependency was cancelled. */
   public boolean cancelled() {
     return cancelled;
   }
 
-  /** How it ends, or has ended. */
+  /** Returns the phase in which it ends or has ended. */
   public JobPhase terminalPhase() {
     return cancelled ? JobPhase.CANCELLED : JobPhase.DONE;
   }
 
-  /** The job as submitted. */
+  /** Returns the job as submitted. */
   public JobSpec spec() {
     return spec;
   }
 
-  /** The higher one of its own priority and that of jobs that depend on it. */
+  /** Returns the higher of its own priority and the one inherited from jobs that depend on it. */
   public Priority priority() {
     return inherited.priority().isAbove(spec.priority()) ? inherited.priority() : spec.priority();
   }
 
   /**
-   * When it should be complete, by the time of day; far off for a job without a deadline that
-   * nothing with a deadline depends on.
+   * Returns the wall-clock time by which it should be complete: the earlier of its own deadline and
+   * the inherited one. A job without its own deadline is given one 24 hours after its acceptance.
    */
   public long deadlineMillis() {
     double own = spec.deadlineSeconds().orElse(DEFAULT_DEADLINE_SECONDS);
@@ -284,97 +293,100 @@
         inherited.deadlineMillis(), acceptedMillis() + (long) (MILLIS_PER_SECOND * own));
   }
 
-  /** Whether it, or a job that depends on it, has a deadline. */
+  /** Whether the job, or one that depends on it, has a deadline. */
   public boolean hasDeadline() {
     return spec.deadlineSeconds().isPresent() || inherited.deadlineMillis() < Long.MAX_VALUE;
   }
 
-  /** The jobs that must end before it may run. */
+  /** Returns the jobs that must be done before it may run. */
   public JobDependencies dependencies() {
     return dependencies;
   }
 
-  /** From when it could run: all times but the deadline count from then. */
+  /**
+   * Returns the wall-clock time from which it could run: its acceptance, or a later end of its last
+   * dependency. Waiting times count from then; the deadline counts from acceptance.
+   */
   public long readyMillis() {
     return timeline.readyMillis();
   }
 
-  /** Time of day at which it was accepted. */
+  /** Returns the wall-clock time at which it was accepted. */
   public long acceptedMillis() {
     return timeline.acceptedMillis();
   }
 
-  /** Revision of its record. */
+  /** Returns the store revision of its record. */
   public Revision revision() {
     return revision;
   }
 
-  /** Its state. */
+  /** Returns its current state. */
   public State state() {
     return state;
   }
 
-  /** Failed attempts of its tasks within the term. */
+  /** Returns the number of failed task attempts within the term. */
   public int failures() {
     return failures;
   }
 
-  /** All assignments, in the order of tasks. */
+  /** Returns all assignments, ordered by task index; ended ones until their end is stored. */
   public Collection<TaskAssignment> assignments() {
     return tasks.assignments();
   }
 
-  /** The assignments of a chunk, in the order of tasks. */
+  /** Returns the assignments of a chunk's tasks, ordered by task index. */
   public Collection<TaskAssignment> assignments(Chunk chunk) {
     return tasks.assignments(chunk);
   }
 
-  /** The assignment of a task, if it has one. */
+  /** Returns the assignment of a task; empty if it has none. */
   public Optional<TaskAssignment> assignment(int index) {
     return tasks.assignment(index);
   }
 
-  /** How many tasks are assigned to shards of the zone. */
+  /** Returns the number of tasks that are assigned to shards of the zone. */
   public int assignedIn(ZoneId zone) {
     return tasks.assignedPerZone().getOrDefault(zone, 0);
   }
 
-  /** How many tasks are assigned by zone; zones without any are left out. */
+  /** Returns the number of assigned tasks per zone; zones without any are left out. */
   public Map<ZoneId, Integer> assignedPerZone() {
     return tasks.assignedPerZone();
   }
 
-  /** How many tasks are done. */
+  /** Returns the number of completed tasks. */
   public int doneCount() {
     return tasks.doneCount();
   }
 
-  /** How many tasks run. */
+  /** Returns the number of running tasks. */
   public int runningCount() {
     return tasks.runningCount();
   }
 
-  /** How many tasks are assigned. */
+  /** Returns the number of assigned tasks, including ended ones until their end is stored. */
   public int assignedCount() {
     return tasks.assignedCount();
   }
 
-  /** How many tasks are neither done nor assigned. */
+  /** Returns the number of tasks that are neither done nor assigned. */
   public int waitingCount() {
     return tasks.waitingCount();
   }
 
-  /** Up to {@code limit} tasks that may be assigned now. */
+  /** Returns the indexes of up to {@code limit} tasks that may be assigned now, in order. */
   public int[] assignableTasks(int limit, MonotonicTime now) {
     return tasks.assignableTasks(limit, now);
   }
 
-  /** Mean run time of its tasks that this leader saw complete. */
+  /** Returns the mean run time of the tasks that this leader saw complete; empty if none. */
   public Optional<Double> meanRunSeconds() {
     return tasks.meanRunSeconds();
   }
 
-  /** The resources that its assigned tasks request together. */
+  /** Returns the total resources that its assigned tasks request. */
   public Resources assignedResources() {
     return tasks.assignedResources();
   }
--- a/src/main/java/org/mulleinshift/model/JobDependencies.java
+++ b/src/main/java/org/mulleinshift/model/JobDependencies.java
@@ -11,15 +11,15 @@
 import org.mulleinshift.protocol.MalformedMessageException;
 
 /**
- * The jobs that a job depends on, as its record has them: named there, or, where they would not fit
- * into a value, in lists under keys of their own.
+ * The jobs that a job depends on, as stored in its record: either inline or, if they would not fit
+ * into one value, as a reference to lists that are stored under separate keys.
  *
- * @param inlineJobs the jobs, if the record names them
- * @param listCount how many lists there are; 0 if the record names the jobs
- * @param digest of the lists' content; lists of another submission have another one
+ * @param inlineJobs the jobs, if they are stored inline
+ * @param listCount number of separate lists; 0 if the jobs are stored inline
+ * @param digest digest of the lists' content, which tells apart the lists of different submissions
  */
 public record JobDependencies(List<JobId> inlineJobs, int listCount, String digest) {
-  /** Of a job without dependencies. */
+  /** The value for a job without dependencies. */
   public static final JobDependencies NONE = new JobDependencies(List.of(), 0, "");
 
   private static final String NAMED = "awaits";
@@ -27,13 +27,13 @@
   private static final String DIGEST = "digest";
   private static final int MAX_LISTS = 10_000;
 
-  /** Two quotes and a comma. */
+  /** Two quotes and a comma, in JSON. */
   private static final int ID_OVERHEAD_BYTES = 3;
 
-  /** Bytes of a list without ids, with a margin. */
+  /** Length of the stored form of an empty list, with a margin. */
   private static final int LIST_OVERHEAD_BYTES = 32;
 
-  /** Dependencies that the record names itself. */
+  /** Returns dependencies that are stored inline. */
   public static JobDependencies of(List<JobId> named) {
     return named.isEmpty() ? NONE : new JobDependencies(List.copyOf(named), 0, "");
   }
@@ -43,7 +43,7 @@
     return inlineJobs.isEmpty() && listCount == 0;
   }
 
-  /** Writes the dependencies into their part of the job's record. */
+  /** Writes the dependencies into the given object of the job's record. */
   void write(ObjectNode node) {
     if (listCount == 0) {
       node.set(NAMED, toArray(inlineJobs));
@@ -53,7 +53,7 @@
     }
   }
 
-  /** Reads the dependencies from their part of the job's record. */
+  /** Reads the dependencies from the given object of the job's record. */
   static JobDependencies read(JsonNode node) throws MalformedMessageException {
     if (node.has(LISTS)) {
       return new JobDependencies(
@@ -61,17 +61,17 @@
     }
     List<JobId> named = JobCodec.parseJobIds(node.path(NAMED));
     if (named.isEmpty()) {
-      throw new MalformedMessageException("no dependencies are named");
+      throw new MalformedMessageException("list of dependencies is empty");
     }
     return new JobDependencies(named, 0, "");
   }
 
-  /** The stored form of one list. */
+  /** Returns the stored form of one list. */
   public static JsonNode listValue(List<JobId> jobs) {
     return Json.object().set(NAMED, toArray(jobs));
   }
 
-  /** Reads one list. */
+  /** Reads the stored form of one list. */
   public static List<JobId> readList(JsonNode value) throws MalformedMessageException {
     return JobCodec.parseJobIds(value.path(NAMED));
   }
@@ -82,13 +82,13 @@
     return array;
   }
 
-  /** Partitions a long list into lists that fit into values of that length. */
+  /** Splits jobs into lists whose stored forms each fit into {@code maxValueBytes}. */
   public static List<List<JobId>> partition(List<JobId> jobs, int maxValueBytes) {
     List<List<JobId>> lists = new ArrayList<>();
     List<JobId> current = new ArrayList<>();
     int bytes = 0;
     for (JobId job : jobs) {
-      // Ids are plain ASCII.
+      // Ids are ASCII, so their length in characters is their length in bytes.
       int idBytes = job.value().length() + ID_OVERHEAD_BYTES;
       if (!current.isEmpty() && bytes + idBytes > maxValueBytes - LIST_OVERHEAD_BYTES) {
         lists.add(current);
--- a/src/main/java/org/mulleinshift/model/JobRecord.java
+++ b/src/main/java/org/mulleinshift/model/JobRecord.java
@@ -20,12 +20,12 @@
 /**
  * The stored record of an accepted job.
  *
- * <p>The record of a job with dependencies has no {@code at} where others have it: builds that
- * don't know dependencies quarantine such a job, instead of running it too early.
+ * <p>In the record of a job with dependencies, {@code at} is nested in their object instead of
+ * being a field of the record itself. Builds that don't know dependencies therefore quarantine the
+ * job as unreadable instead of running it too early.
  *
- * @param acceptedMillis time of day at which it was accepted
- * @param unknownFields fields of the record that this build doesn't know, to be kept when it is
- *     rewritten
+ * @param acceptedMillis wall-clock time at which the job was accepted
+ * @param unknownFields fields that this build doesn't know; kept when the record is rewritten
  */
 public record JobRecord(
     JobSpec spec,
@@ -41,15 +41,15 @@
   private static final String CANCELLED = "cancelled";
   private static final String PHASE = "phase";
 
-  /** What a job whose record can't be read may use at most, as far as can be read. */
+  /** The team, if readable, and the most resources that a job with an unreadable record may use. */
   public record Footprint(Optional<TeamId> team, Resources maximum) {}
 
-  /** The record of a job without dependencies and unknown fields. */
+  /** Creates the record of a job without dependencies or unknown fields. */
   public JobRecord(JobSpec spec, long acceptedMillis, boolean cancelled, Revision revision) {
     this(spec, JobDependencies.NONE, acceptedMillis, cancelled, revision, Optional.empty());
   }
 
-  /** The stored form of a record. */
+  /** Returns the stored form of an accepted job. */
   public static JsonNode value(
       JobSpec spec, JobDependencies dependencies, long acceptedMillis, boolean cancelled) {
     ObjectNode node = Json.object();
@@ -65,14 +65,14 @@
     return node;
   }
 
-  /** The stored form of the same job, cancelled, with the unknown fields of the stored one. */
+  /** Returns the stored form of this job as cancelled, keeping the unknown fields. */
   public JsonNode cancelledValue() {
     JsonNode node = value(spec, dependencies, acceptedMillis, true);
     unknownFields.ifPresent(fields -> fields.restore(node));
     return node;
   }
 
-  /** Reads a record; empty if this build can't read it: then it may not act on the job. */
+  /** Reads a record; empty if this build can't read it and so must not act on the job. */
   public static Optional<JobRecord> read(KeyValue item) {
     JsonNode value = item.value();
     try {
@@ -98,28 +98,29 @@
     }
   }
 
-  /** What can be read of an unreadable record: which team's quota its tasks count against. */
+  /** Reads from an unreadable record which team's quota its tasks count against, and how much. */
   public static Footprint footprint(JsonNode value) {
     JsonNode spec = value.path(SPEC);
     return new Footprint(JobCodec.findTeam(spec), JobCodec.maximumResources(spec));
   }
 
   /**
-   * The stored form of a job's end.
+   * Returns the stored form of a job's end.
    *
-   * @param atMillis time of day of the end, for jobs that depend on it; older builds leave it out
+   * @param atMillis wall-clock time of the end, used for jobs that depend on it; older builds leave
+   *     it out
    */
   public static JsonNode endedValue(JobPhase phase, long atMillis) {
     return Json.object().put(PHASE, phase.wireName()).put(AT, atMillis);
   }
 
-  /** The time of day of a job's end, if the build that stored it wrote one. */
+  /** Reads the wall-clock time of a job's end; empty if an older build stored it without one. */
   public static OptionalLong endedMillis(KeyValue item) {
     JsonNode at = item.value().path(AT);
     return at.canConvertToLong() ? OptionalLong.of(at.asLong()) : OptionalLong.empty();
   }
 
-  /** How a job ended; empty for a phase that this build doesn't know. */
+  /** Reads the phase in which a job ended; empty if it is not a terminal phase that is known. */
   public static Optional<JobPhase> endedPhase(KeyValue item) {
     String phase = item.value().path(PHASE).asText();
     for (JobPhase known : JobPhase.values()) {
@@ -131,7 +132,7 @@
     return Optional.empty();
   }
 
-  /** The job's id. */
+  /** Returns the id of the job. */
   public JobId id() {
     return spec.id();
   }
--- a/src/main/java/org/mulleinshift/model/JobTable.java
+++ b/src/main/java/org/mulleinshift/model/JobTable.java
@@ -10,22 +10,22 @@
 public final class JobTable {
   private final Map<JobId, Job> jobs = new TreeMap<>();
 
-  /** Adds a job, in place of an earlier one with the same id. */
+  /** Adds a job, replacing one with the same id. */
   public void add(Job job) {
     jobs.put(job.spec().id(), job);
   }
 
-  /** Removes a job and returns it, if it is here. */
+  /** Removes a job and returns it; empty if it is not in the table. */
   public Optional<Job> remove(JobId id) {
     return Optional.ofNullable(jobs.remove(id));
   }
 
-  /** The job with that id, if it is here. */
+  /** Returns the job with that id; empty if it is not in the table. */
   public Optional<Job> find(JobId id) {
     return Optional.ofNullable(jobs.get(id));
   }
 
-  /** All jobs, in the order of their ids. */
+  /** Returns all jobs, ordered by id. */
   public Collection<Job> all() {
     return jobs.values();
   }
--- a/src/main/java/org/mulleinshift/model/JobTasks.java
+++ b/src/main/java/org/mulleinshift/model/JobTasks.java
@@ -38,7 +38,7 @@
     this.spec = spec;
   }
 
-  /** Replaces what is known of a chunk's tasks by its stored progress. */
+  /** Replaces the state of a chunk's tasks by its stored progress. */
   void load(ChunkProgress progress) {
     clear(progress.firstTask(), progress.endTask());
     progress.done().stream().forEach(index -> markDone(progress.firstTask() + index));
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Assigns a task to a shard. The attempt counts the task's own retries within the term, so that
-   * tasks of a shard share it and the stored form stays short.
+   * Assigns a task to a shard. Attempts are counted per task within the term, so most tasks of a
+   * shard have the same attempt and are stored as one group, which keeps the stored form short.
    */
   TaskAssignment assign(int index, ShardId shard, ZoneId zone, Attempt firstOfTerm) {
     int earlierAttempts = attempts.merge(index, 1, Integer::sum) - 1;
@@ -86,7 +86,7 @@
     }
   }
 
-  /** A task has completed; its run time counts if it is positive. */
+  /** Marks a task as completed; its run time enters the mean if it is positive. */
   void onDone(TaskAssignment assignment, double runSeconds) {
     assignment.markEnded();
     markDone(assignment.task().index());
@@ -102,13 +102,19 @@
     unavailable.set(index);
   }
 
-  /** The task is provably absent; it may be retried, but not before the given time. */
+  /**
+   * Ends an assignment. Once that is stored, the task may be assigned again, but not before the
+   * given time.
+   */
   void requeue(TaskAssignment assignment, Optional<MonotonicTime> notBefore) {
     assignment.markEnded();
     notBefore.ifPresent(time -> retryAfter.put(assignment.task().index(), time));
   }
 
-  /** The assignments are stored: the new may be published, the ended forgotten. */
+  /**
+   * Records that assignments and ends of assignments are stored: the new ones may be published, the
+   * ended ones are removed.
+   */
   void onStored(
       Collection<TaskAssignment> written, Collection<TaskAssignment> ended, Revision revision) {
     written.forEach(assignment -> assignment.markStored(revision));
@@ -122,7 +128,7 @@
     }
   }
 
-  /** Forgets all assignments: the end of the job is stored. */
+  /** Forgets all assignments, once the end of the job is stored. */
   void clearAssignments() {
     assignments.clear();
     assigned.clear();
@@ -133,13 +139,13 @@
     return done.cardinality() == spec.tasks();
   }
 
-  /** Whether provably no task is on any machine. */
+  /** Whether all assignments have ended, so that no task can still be running. */
   boolean allEnded() {
     return assignments.values().stream()
         .allMatch(assignment -> assignment.state() == TaskAssignment.State.ENDED);
   }
 
-  /** The done tasks of a chunk, counted from its first task. */
+  /** Returns the completed tasks of a chunk, by index relative to its first task. */
   BitSet done(Chunk chunk) {
     return done.get(chunk.firstTask(), chunk.firstTask() + chunk.size());
   }
@@ -180,7 +186,7 @@
     return count;
   }
 
-  /** Up to {@code limit} tasks that may be assigned now. */
+  /** Returns the indexes of up to {@code limit} tasks that may be assigned now, in order. */
   int[] assignableTasks(int limit, MonotonicTime now) {
     int[] found = new int[Math.min(limit, spec.tasks())];
     int count = 0;
@@ -195,7 +201,7 @@
     return Arrays.copyOf(found, count);
   }
 
-  /** Mean run time of the completed tasks; empty if none was seen. */
+  /** Returns the mean known run time of completed tasks; empty if there is none. */
   Optional<Double> meanRunSeconds() {
     return runCount == 0 ? Optional.empty() : Optional.of(runSecondsTotal / runCount);
   }
--- a/src/main/java/org/mulleinshift/model/JobTimeline.java
+++ b/src/main/java/org/mulleinshift/model/JobTimeline.java
@@ -4,7 +4,7 @@
 import java.util.OptionalLong;
 import org.mulleinshift.protocol.JobSpec;
 
-/** When the steps of one job happened, by the time of day, as far as this leader knows. */
+/** Wall-clock times of the steps of one job, as far as this leader knows them. */
 final class JobTimeline {
   private static final long MILLIS_PER_SECOND = 1000;
 
@@ -23,46 +23,48 @@
     return acceptedMillis;
   }
 
-  /** From when the job could run. */
+  /**
+   * Returns when the job could run: its acceptance or, if later, the end of its last dependency.
+   */
   long readyMillis() {
     return readyMillis.orElse(acceptedMillis);
   }
 
-  /** The last dependency ended at that time; the job could not run before it was accepted. */
+  /** Records when the last dependency ended; a time before the job's acceptance counts as that. */
   void markReady(long atMillis) {
     readyMillis = OptionalLong.of(Math.max(acceptedMillis, atMillis));
   }
 
-  /** This leader learned that the last dependency has ended. */
+  /** Records when this leader learned that the last dependency had ended. */
   void markReleased(long atMillis) {
     releasedMillis = OptionalLong.of(atMillis);
   }
 
-  /** A first task was stored as assigned. */
+  /** Records when the assignment of a task was stored; only the first time counts. */
   void markFirstAssigned(long atMillis) {
     if (firstAssignedMillis.isEmpty()) {
       firstAssignedMillis = OptionalLong.of(atMillis);
     }
   }
 
-  /** A task runs. */
+  /** Records when a task runs; only the first time counts. */
   void markStarted(long atMillis) {
     if (startedMillis.isEmpty() && !inheritedProgress) {
       startedMillis = OptionalLong.of(atMillis);
     }
   }
 
-  /** An earlier leader has stored progress: when the job started is not known. */
+  /** Records that an earlier leader stored progress, so that the start time is not known. */
   void markInheritedProgress() {
     inheritedProgress = true;
   }
 
-  /** Whether any task ran or was assigned, as far as this leader or the store knows. */
+  /** Whether this leader saw a task run or loaded stored progress that is not empty. */
   boolean hasStarted() {
     return startedMillis.isPresent() || inheritedProgress;
   }
 
-  /** How the job fared, as fields of a log line. */
+  /** Returns a summary of the job's run as {@code key=value} fields of a log line. */
   String summary(JobSpec spec, long nowMillis) {
     return String.format(
         Locale.ROOT,
@@ -81,7 +83,9 @@
     return Math.max(0, (started - readyMillis()) / MILLIS_PER_SECOND);
   }
 
-  /** How long each step took since the last dependency ended, if this leader saw all of them. */
+  /**
+   * Returns the duration of each step since the last dependency ended; empty if any is not known.
+   */
   private String dependencyLatency() {
     if (releasedMillis.isEmpty() || firstAssignedMillis.isEmpty() || startedMillis.isEmpty()) {
       return "";
--- a/src/main/java/org/mulleinshift/model/Machine.java
+++ b/src/main/java/org/mulleinshift/model/Machine.java
@@ -4,17 +4,20 @@
 import java.util.Optional;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** A provisioned machine in the leader's memory. What is stored of it is in its shard's record. */
+/** A provisioned machine in the leader's memory. Its stored data is part of its shard's record. */
 public final class Machine {
   /** States of a machine. */
   public enum State {
-    /** Provisioned, not yet known to be up. */
+    /** Provisioned, but not yet known to be up. */
     BOOTING,
-    /** Takes tasks. */
+    /** Accepts new tasks. */
     UP,
-    /** Takes no new task; released when its tasks have ended, unless capacity runs short before. */
+    /**
+     * Accepts no new tasks; released once its tasks have ended, unless a capacity shortage makes it
+     * accept tasks again before.
+     */
     DRAINING,
-    /** Is being released; nothing changes that. */
+    /** Being released; this is the final state. */
     RELEASING
   }
 
@@ -33,17 +36,17 @@
     this.state = state;
   }
 
-  /** A machine whose provisioning this leader observed from its start. */
+  /** Creates a machine that this leader provisioned. */
   public static Machine provisioned(MonotonicTime at) {
     return new Machine(at, true, State.BOOTING);
   }
 
-  /** A machine that was there before this leader, or that nobody expected. */
+  /** Creates a machine that was provisioned before this leader's term or is unexpected. */
   public static Machine discovered(MonotonicTime now, boolean up) {
     return new Machine(now, false, up ? State.UP : State.BOOTING);
   }
 
-  /** The only place where a machine's state changes. */
+  /** Changes the state; all state changes go through this method. */
   private void transitionTo(State next) {
     boolean allowed =
         switch (state) {
@@ -53,12 +56,17 @@
           case RELEASING -> false;
         };
     if (!allowed) {
-      throw new IllegalStateException(state + " to " + next);
+      throw new IllegalStateException(
+          "machine: invalid state transition from " + state + " to " + next);
     }
     state = next;
   }
 
-  /** It has come up; returns after how many seconds, if its provisioning was observed. */
+  /**
+   * Records that the machine has come up.
+   *
+   * @return seconds since it was provisioned; empty if this leader did not provision it
+   */
   public Optional<Double> onUp(MonotonicTime now) {
     idleSince = now;
     if (state == State.BOOTING) {
@@ -67,18 +75,18 @@
     return provisioningObserved ? Optional.of(now.secondsSince(provisionedAt)) : Optional.empty();
   }
 
-  /** Takes no new task from now on. */
+  /** Starts draining: it accepts no new tasks. */
   public void drain() {
     transitionTo(State.DRAINING);
   }
 
-  /** Ends draining: it takes tasks again. */
+  /** Ends draining: it accepts tasks again. */
   public void uncordon() {
     transitionTo(State.UP);
     surplusSince = Optional.empty();
   }
 
-  /** Begins its release; false if it is being released already. */
+  /** Begins its release; returns false if it is already being released. */
   public boolean release() {
     if (state == State.RELEASING) {
       return false;
@@ -87,7 +95,7 @@
     return true;
   }
 
-  /** The cloud reported the age of a machine that was found. */
+  /** Sets the age that the cloud reported, if the age is not known yet. */
   public void learnAge(MonotonicTime now, Duration age) {
     if (!ageKnown) {
       provisionedAt = now.minus(age);
@@ -95,15 +103,15 @@
     }
   }
 
-  /** It has tasks at this moment. */
+  /** Records that it has tasks now. */
   public void markBusy(MonotonicTime now) {
     idleSince = now;
   }
 
   /**
-   * It is surplus capacity at this moment.
+   * Records that it is surplus capacity now.
    *
-   * @return for how many seconds it has been so without a break
+   * @return for how many seconds it has been so without interruption
    */
   public double markSurplus(MonotonicTime now) {
     if (surplusSince.isEmpty()) {
@@ -112,32 +120,32 @@
     return now.secondsSince(surplusSince.get());
   }
 
-  /** It is not, or no longer, surplus capacity. */
+  /** Records that it is not surplus capacity now. */
   public void clearSurplus() {
     surplusSince = Optional.empty();
   }
 
-  /** Its state. */
+  /** Returns its current state. */
   public State state() {
     return state;
   }
 
-  /** Whether it must take no new task. */
+  /** Whether it accepts no new tasks because it is draining or being released. */
   public boolean cordoned() {
     return state == State.DRAINING || state == State.RELEASING;
   }
 
-  /** When it was provisioned, or found if its age is not known. */
+  /** Returns when it was provisioned, or when it was discovered if its age is not known. */
   public MonotonicTime provisionedAt() {
     return provisionedAt;
   }
 
-  /** Seconds since it was provisioned. */
+  /** Returns the seconds since {@link #provisionedAt}. */
   public double ageSeconds(MonotonicTime now) {
     return now.secondsSince(provisionedAt);
   }
 
-  /** Seconds since it last had tasks, or came up. */
+  /** Returns the seconds since it last had tasks or came up. */
   public double idleSeconds(MonotonicTime now) {
     return now.secondsSince(idleSince);
   }
--- a/src/main/java/org/mulleinshift/model/ProvisioningRequest.java
+++ b/src/main/java/org/mulleinshift/model/ProvisioningRequest.java
@@ -9,8 +9,8 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * A request to the cloud for machines. Its name is stored before it is first used and is never
- * reused.
+ * A request to the cloud for machines. It is stored under its name before it is sent, and the name
+ * is never reused.
  */
 public final class ProvisioningRequest {
   private static final String TYPE = "type";
@@ -18,13 +18,13 @@
   private static final String SPOT = "spot";
   private static final String COUNT = "count";
 
-  /** Steps of a request. */
+  /** States of a request, in the order in which it passes through them. */
   public enum State {
-    /** Its name is being stored. */
+    /** It is being stored. */
     PLANNED,
-    /** The cloud may have received it. Only a definite answer ends this state. */
+    /** The cloud may have received it; only a definite answer ends this state. */
     SENT,
-    /** Answered; the result is being stored. */
+    /** The cloud has answered; the result is being stored. */
     ANSWERED
   }
 
@@ -37,9 +37,9 @@
   private State state;
 
   /**
-   * A request for machines of one type in one zone.
+   * Creates a request for machines of one type in one zone.
    *
-   * @param spot whether they may be interrupted by the cloud
+   * @param spot whether the cloud may interrupt the machines
    * @param count number of machines
    */
   public ProvisioningRequest(
@@ -59,15 +59,21 @@
     this.state = state;
   }
 
-  /** The only place where a request's state changes; it never goes back. */
+  /** Changes the state, which never returns to an earlier one. */
   public void transitionTo(State next) {
     if (next.compareTo(state) < 0) {
-      throw new IllegalStateException(name + ": " + state + " to " + next);
+      throw new IllegalStateException(
+          "provisioning request "
+              + name
+              + ": invalid state transition from "
+              + state
+              + " to "
+              + next);
     }
     state = next;
   }
 
-  /** The stored form. */
+  /** Returns the stored form. */
   public JsonNode write() {
     ObjectNode node = Json.object();
     node.put(TYPE, type.value());
@@ -78,10 +84,10 @@
   }
 
   /**
-   * Reads the stored form. The cloud may have received the request: an earlier leader stored it
-   * before it sent it.
+   * Reads the stored form. The request counts as sent: an earlier leader stored it before sending
+   * it, so the cloud may have received it.
    *
-   * @throws MalformedMessageException if this build can't read it; then it may not be sent
+   * @throws MalformedMessageException if this build can't read it; then it must not be sent
    */
   public static ProvisioningRequest read(String name, JsonNode value, MonotonicTime now)
       throws MalformedMessageException {
@@ -95,37 +101,37 @@
         State.SENT);
   }
 
-  /** Its name, which the cloud knows it by. */
+  /** Returns the name that identifies it to the cloud. */
   public String name() {
     return name;
   }
 
-  /** The type of the machines. */
+  /** Returns the type of the machines. */
   public MachineTypeId type() {
     return type;
   }
 
-  /** The zone of the machines. */
+  /** Returns the zone of the machines. */
   public ZoneId zone() {
     return zone;
   }
 
-  /** Whether the machines may be interrupted by the cloud. */
+  /** Whether the cloud may interrupt the machines. */
   public boolean spot() {
     return spot;
   }
 
-  /** The number of machines. */
+  /** Returns the number of machines. */
   public int count() {
     return count;
   }
 
-  /** When it was planned, or read from the store. */
+  /** Returns when it was planned, or when it was read from the store. */
   public MonotonicTime plannedAt() {
     return plannedAt;
   }
 
-  /** Its state. */
+  /** Returns its current state. */
   public State state() {
     return state;
   }
--- a/src/main/java/org/mulleinshift/model/TaskAssignment.java
+++ b/src/main/java/org/mulleinshift/model/TaskAssignment.java
@@ -11,21 +11,21 @@
 import org.mulleinshift.transport.MonotonicTime;
 
 /**
- * One attempt of one task, assigned to a shard. It counts against its team's quota from the moment
- * it is decided until its end is stored.
+ * The assignment of one attempt of a task to a shard. It counts against its team's quota from its
+ * creation until its end is stored.
  */
 public final class TaskAssignment {
-  /** Steps of an assignment. */
+  /** States of an assignment. */
   public enum State {
-    /** Decided, not stored; it must not be published to the owner yet. */
+    /** Not yet stored; it must not be published to the shard's owner. */
     WRITING,
-    /** Stored; the owner may place it. */
+    /** Stored; the owner may place the task on a machine. */
     STORED,
-    /** The owner reported its machine. */
+    /** The owner reported the machine that it placed the task on. */
     PLACED,
-    /** It runs. */
+    /** The task runs. */
     RUNNING,
-    /** It has ended at the owner; the end is not stored yet. */
+    /** The attempt has ended, but its end is not stored yet. */
     ENDED
   }
 
@@ -50,14 +50,14 @@
     this.state = state;
   }
 
-  /** The only place where the state changes; an ended assignment stays ended. */
+  /** Changes the state, unless the assignment has ended, which is final. */
   private void transitionTo(State next) {
     if (state != State.ENDED) {
       state = next;
     }
   }
 
-  /** It is stored: only now may it be published. */
+  /** Records that it is stored, so that it may be published to the owner. */
   void markStored(Revision revision) {
     if (state == State.WRITING) {
       storedRevision = revision;
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Its owner has placed it on a machine. */
+  /** Records that the owner placed the task on a machine. */
   public void markPlaced(MachineId placedOn) {
     machine = Optional.of(placedOn);
     if (state == State.STORED) {
@@ -73,7 +73,7 @@
     }
   }
 
-  /** It runs on a machine. */
+  /** Records that the task runs on a machine; the first reported start time is kept. */
   public void markRunning(MachineId placedOn, MonotonicTime since) {
     machine = Optional.of(placedOn);
     if (runningSince.isEmpty()) {
@@ -82,12 +82,12 @@
     transitionTo(State.RUNNING);
   }
 
-  /** It has ended; the end is to be stored. */
+  /** Records that the attempt has ended; this is yet to be stored. */
   void markEnded() {
     transitionTo(State.ENDED);
   }
 
-  /** A new owner has not found it yet: its machine is unknown again. */
+  /** Forgets the machine, because a new owner has not found the task on any machine yet. */
   public void clearPlacement() {
     machine = Optional.empty();
     if (state == State.PLACED || state == State.RUNNING) {
@@ -95,62 +95,65 @@
     }
   }
 
-  /** Has its owner stop it. */
+  /** Marks the task to be stopped by its owner. */
   public void requestStop() {
     stopRequested = true;
   }
 
-  /** The task. */
+  /** Returns the task. */
   public TaskId task() {
     return task;
   }
 
-  /** The resources that it requests of its machine. */
+  /** Returns the resources that the task requests. */
   public Resources perTask() {
     return resources;
   }
 
-  /** The shard that it is assigned to. */
+  /** Returns the shard that the task is assigned to. */
   public ShardId shard() {
     return shard;
   }
 
-  /** The zone of the shard. */
+  /** Returns the zone of the shard. */
   public ZoneId zone() {
     return zone;
   }
 
-  /** The attempt, which identifies it among those of the task. */
+  /** Returns the attempt, which tells it apart from other assignments of the task. */
   public Attempt attempt() {
     return attempt;
   }
 
-  /** Its state. */
+  /** Returns its current state. */
   public State state() {
     return state;
   }
 
-  /** Its machine, once the owner has reported one. */
+  /** Returns the task's machine; empty until the owner has reported one. */
   public Optional<MachineId> machine() {
     return machine;
   }
 
-  /** Since when it runs, once the owner has reported that. */
+  /** Returns when the task started to run; empty until the owner has reported that. */
   public Optional<MonotonicTime> runningSince() {
     return runningSince;
   }
 
-  /** Whether its owner is to stop it. */
+  /** Whether the owner is to stop the task. */
   public boolean stopRequested() {
     return stopRequested;
   }
 
-  /** The revision at which this was stored; 0 if an earlier leader did it. */
+  /**
+   * Returns the store revision at which it was stored; 0 if it is not stored, or was stored by an
+   * earlier leader.
+   */
   public Revision storedAt() {
     return storedRevision;
   }
 
-  /** Whether the owner knows it, or may know it soon. */
+  /** Whether the owner knows it or may soon know it; false while it is not yet stored. */
   public boolean mayBeKnownToOwner() {
     return state != State.WRITING;
   }
--- a/src/main/java/org/mulleinshift/model/TaskIndexRanges.java
+++ b/src/main/java/org/mulleinshift/model/TaskIndexRanges.java
@@ -4,7 +4,7 @@
 import java.util.BitSet;
 import org.mulleinshift.protocol.MalformedMessageException;
 
-/** The stored form of sets of task indexes: short texts such as {@code 0-7,9}. */
+/** Stores sets of task indexes as strings of ranges such as {@code 0-7,9}. */
 final class TaskIndexRanges {
   private TaskIndexRanges() {}
 
@@ -25,10 +25,10 @@
   }
 
   /**
-   * Reads task indexes.
+   * Reads a set of task indexes.
    *
    * @param exclusiveBound all indexes must be below it
-   * @throws MalformedMessageException if the node is not such a text
+   * @throws MalformedMessageException if the node is not a valid string of ranges
    */
   static BitSet read(JsonNode node, int exclusiveBound) throws MalformedMessageException {
     try {
@@ -37,9 +37,9 @@
         return set;
       }
     } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-      throw new MalformedMessageException("not a list of tasks: " + node);
+      throw new MalformedMessageException("not a valid set of task indexes: " + node);
     }
-    throw new MalformedMessageException("not a list of tasks: " + node);
+    throw new MalformedMessageException("not a valid set of task indexes: " + node);
   }
 
   private static BitSet parse(String text) {
@@ -52,7 +52,7 @@
       int from = Integer.parseInt(dash < 0 ? part : part.substring(0, dash));
       int last = dash < 0 ? from : Integer.parseInt(part.substring(dash + 1));
       if (last < from) {
-        throw new IllegalArgumentException(part);
+        throw new IllegalArgumentException("range ends before it starts: " + part);
       }
       set.set(from, last + 1);
     }
--- a/src/main/java/org/mulleinshift/model/UnknownFields.java
+++ b/src/main/java/org/mulleinshift/model/UnknownFields.java
@@ -7,8 +7,8 @@
 import org.mulleinshift.protocol.Json;
 
 /**
- * Fields of a stored record that this build doesn't know: a newer one wrote them. They are kept as
- * they are when this build rewrites the record.
+ * Fields of a stored record that this build doesn't know, because a newer build wrote them. They
+ * are kept unchanged when this build rewrites the record.
  */
 public final class UnknownFields {
   private final ObjectNode fields;
@@ -18,8 +18,11 @@
   }
 
   /**
-   * What the stored record has and this build's form of it lacks, objects within objects included.
-   * Empty objects and null fields need not be kept.
+   * Returns the fields of a stored record that this build's form of it lacks, also within nested
+   * objects; empty if there are none. Null fields, and nested objects without unknown fields, are
+   * left out.
+   *
+   * @param known the record as this build writes it
    */
   public static Optional<UnknownFields> find(JsonNode known, JsonNode stored) {
     ObjectNode unknown = missingFrom(known, stored);
@@ -42,7 +45,7 @@
     return missing;
   }
 
-  /** Puts the fields back into this build's form of the record. */
+  /** Adds the fields to this build's form of the record; existing fields are not overwritten. */
   public void restore(JsonNode target) {
     restore((ObjectNode) target, fields);
   }
--- a/src/main/java/org/mulleinshift/model/package-info.java
+++ b/src/main/java/org/mulleinshift/model/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The cluster's objects in memory and in their stored form: jobs, task assignments, machines and
- * the control records.
+ * The cluster's state in memory and in its stored form: jobs, task assignments, machines and
+ * control records.
  */
 package org.mulleinshift.model;
--- a/src/test/java/org/mulleinshift/model/ChunkLayoutTest.java
+++ b/src/test/java/org/mulleinshift/model/ChunkLayoutTest.java
@@ -20,7 +20,10 @@
 import org.mulleinshift.protocol.StoreCodec.KeyValue;
 import org.mulleinshift.protocol.ZoneId;
 
-/** A chunk that an older build left too long is taken apart; each step may be the last. */
+/**
+ * Splitting a stored chunk that is longer than the limit on values takes several writes. The leader
+ * may fail after any of them, and its successor must then load the same progress.
+ */
 class ChunkLayoutTest {
   private static final int TASK_COUNT = 730;
   private static final int MAX_VALUE_BYTES = 400;
@@ -36,7 +39,7 @@
     return new Job(JobRecord.read(item).get());
   }
 
-  /** Reads keys in the store's order, as a new leader does. */
+  /** Loads chunks in key order, as a new leader does. */
   private static Job load(Map<String, JsonNode> store) throws MalformedMessageException {
     Job job = job();
     for (Map.Entry<String, JsonNode> entry : store.entrySet()) {
@@ -86,7 +89,7 @@
     assertEquals(describeTasks(old), expected);
     int steps = 0;
     for (boolean more = true; more; steps++) {
-      // A new leader each time: it writes one part that fits, and dies.
+      // In each step a new leader writes one part that fits and then fails.
       Job job = load(store);
       assertEquals(expected, describeTasks(job));
       for (Chunk part : List.copyOf(job.chunkLayout().live())) {
--- a/src/test/java/org/mulleinshift/model/StoredByEarlierBuildTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredByEarlierBuildTest.java
@@ -22,8 +22,9 @@
 import org.mulleinshift.store.StoreKeys;
 
 /**
- * What the build of commit e61c2b1 had stored after 27 s: jobs half done, one just ended, one
- * cancelled, machines of shards. This build reads all of it, and writes it as it was.
+ * Reads what the build of commit e61c2b1 had stored after 27 s: partly completed jobs, one that had
+ * just ended, a cancelled one, and shards with machines. This build must read every record, and
+ * write active jobs and their progress back unchanged.
  */
 class StoredByEarlierBuildTest {
   private static final Path SAMPLE = Path.of("src/test/resources/stored/e61c2b1.json");
--- a/src/test/java/org/mulleinshift/model/StoredRecordGoldenTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordGoldenTest.java
@@ -27,11 +27,11 @@
 import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Keys and values of the state service are as an earlier build wrote them. */
+/** Checks that the keys and values of stored records match those that an earlier build wrote. */
 class StoredRecordGoldenTest {
   private static final String DIRECTORY = "stored";
 
-  /** Between the key and the value in a golden file. */
+  /** Separates the key from the value in a golden file. */
   private static final String SEPARATOR = "\n";
 
   private static String file(String name) {
@@ -61,7 +61,7 @@
     assertEquals(GoldenFile.text(file(name)), item.key() + SEPARATOR + Json.write(rewritten(item)));
   }
 
-  /** What this build writes of a record that it has read. */
+  /** Returns what this build writes for a record that it has read. */
   private static JsonNode rewritten(KeyValue item) throws MalformedMessageException {
     String key = item.key();
     if (key.startsWith(StoreKeys.CONTROL)) {
--- a/src/test/java/org/mulleinshift/model/StoredRecordSamples.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordSamples.java
@@ -30,7 +30,7 @@
 import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Every form of a stored record that this build writes, by the name of its golden file. */
+/** Samples of every form of stored record that this build writes, by name of their golden file. */
 final class StoredRecordSamples {
   static final long ACCEPTED_AT = 1_700_000_003_002L;
   static final int TASKS = 730;
@@ -158,7 +158,7 @@
     JsonNode cancelled = JobRecord.endedValue(JobPhase.CANCELLED, ACCEPTED_AT);
     add("ended-done", StoreKeys.endedJob(JOB), done);
     add("ended-cancelled", StoreKeys.endedJob(JOB), cancelled);
-    // As builds without dependencies stored it.
+    // Builds that did not know dependencies stored no time.
     ObjectNode older = done.deepCopy();
     older.remove("at");
     add("ended-without-time", StoreKeys.endedJob(JOB), older);
@@ -195,7 +195,10 @@
             shortSpec(), dependencies, ACCEPTED_AT, false, RECORD_REVISION, Optional.empty()));
   }
 
-  /** Tasks done, assigned to two shards, and with a second attempt; in both chunks. */
+  /**
+   * Returns a job with completed and assigned tasks in both chunks, assignments to two shards, and
+   * a task in its second attempt.
+   */
   private static Job startedJob(JobDependencies dependencies) {
     Job job = job(dependencies);
     job.release(READY_AT, READY_KNOWN_AT);
@@ -242,7 +245,7 @@
         JobDependencies.listValue(awaited));
   }
 
-  /** The records as a reader of the store gets them. */
+  /** Returns a record as it is read from the store. */
   static KeyValue item(String key, String value) throws MalformedMessageException {
     return new KeyValue(key, Json.parseObject(value), READ_REVISION);
   }
--- a/src/test/java/org/mulleinshift/model/StoredRecordsTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordsTest.java
@@ -20,7 +20,7 @@
 import org.mulleinshift.protocol.ZoneId;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Records of other builds: unknown fields are kept, and what can't be read is not acted on. */
+/** Records of other builds: unknown fields are kept, and unreadable records are not acted on. */
 class StoredRecordsTest {
   private static final String SPEC =
       """
@@ -104,8 +104,8 @@
   }
 
   /**
-   * Builds that don't know dependencies look for {@code at} beside {@code spec}, and quarantine a
-   * job without it.
+   * Builds that don't know dependencies expect {@code at} as a field of the record itself, and
+   * quarantine a job without it, so that they can't run it before its dependencies are done.
    */
   @Test
   void olderBuildsCannotReadAJobWithDependencies() throws MalformedMessageException {
