--- a/src/main/java/org/mulleinshift/dependencies/PriorityPropagation.java
+++ b/src/main/java/org/mulleinshift/dependencies/PriorityPropagation.java
@@ -39,7 +39,7 @@
 
   /** Recomputes what each job inherits from its dependents. */
   void run() {
-    Map<JobId, Job.Inherited> inherited = new HashMap<>();
+    Map<JobId, Job.InheritedPriority> inherited = new HashMap<>();
     Map<JobId, Job> visited = new HashMap<>();
     graph.visitDependentsFirst(
         id ->
@@ -48,7 +48,8 @@
                 .ifPresent(
                     job -> {
                       visited.put(id, job);
-                      job.inherit(inherited.getOrDefault(id, Job.Inherited.NONE));
+                      job.setInheritedPriority(
+                          inherited.getOrDefault(id, Job.InheritedPriority.NONE));
                       propagateToDependencies(job, inherited);
                     }));
     resetUnvisited(visited);
@@ -56,8 +57,9 @@
     lastVisited.putAll(visited);
   }
 
-  private void propagateToDependencies(Job job, Map<JobId, Job.Inherited> inherited) {
-    Job.Inherited propagated = new Job.Inherited(job.priority(), dependencyDeadlineMillis(job));
+  private void propagateToDependencies(Job job, Map<JobId, Job.InheritedPriority> inherited) {
+    Job.InheritedPriority propagated =
+        new Job.InheritedPriority(job.priority(), dependencyDeadlineMillis(job));
     graph
         .dependenciesOf(job.spec().id())
         .forEach(
@@ -68,7 +70,7 @@
     double pathSeconds = estimates.secondsUntilDependentsRun(job, 0);
     return job.hasDeadline()
         ? job.deadlineMillis() - (long) (MILLIS_PER_SECOND * pathSeconds)
-        : Job.Inherited.NONE.deadlineMillis();
+        : Job.InheritedPriority.NONE.deadlineMillis();
   }
 
   /**
@@ -79,14 +81,16 @@
     lastVisited.forEach(
         (id, job) -> {
           if (!visited.containsKey(id) && job.state() == Job.State.ACTIVE) {
-            job.inherit(Job.Inherited.NONE);
+            job.setInheritedPriority(Job.InheritedPriority.NONE);
           }
         });
   }
 
-  private static Job.Inherited combine(Job.Inherited first, Job.Inherited second) {
+  private static Job.InheritedPriority combine(
+      Job.InheritedPriority first, Job.InheritedPriority second) {
     Priority priority =
         first.priority().isAbove(second.priority()) ? first.priority() : second.priority();
-    return new Job.Inherited(priority, Math.min(first.deadlineMillis(), second.deadlineMillis()));
+    return new Job.InheritedPriority(
+        priority, Math.min(first.deadlineMillis(), second.deadlineMillis()));
   }
 }
--- a/src/main/java/org/mulleinshift/model/ChunkLayout.java
+++ b/src/main/java/org/mulleinshift/model/ChunkLayout.java
@@ -38,7 +38,7 @@
   }
 
   /** Whether the job has any of the chunk's tasks. */
-  boolean exists(Chunk chunk) {
+  boolean hasTasksOf(Chunk chunk) {
     return chunk.firstTask() < taskCount;
   }
 
@@ -47,7 +47,7 @@
     live.remove(chunk.firstTask());
     for (int which = 0; which < 2; which++) {
       Chunk half = chunk.half(which);
-      if (half.size() > 0 && exists(half)) {
+      if (half.size() > 0 && hasTasksOf(half)) {
         live.put(half.firstTask(), half);
         dirty.add(half);
       }
--- a/src/main/java/org/mulleinshift/model/Job.java
+++ b/src/main/java/org/mulleinshift/model/Job.java
@@ -45,9 +45,10 @@
    * @param deadlineMillis wall-clock time by which the job should be complete; {@link
    *     Long#MAX_VALUE} if none of them has a deadline
    */
-  public record Inherited(Priority priority, long deadlineMillis) {
+  public record InheritedPriority(Priority priority, long deadlineMillis) {
     /** The value for a job that no other job depends on. */
-    public static final Inherited NONE = new Inherited(Priority.LOW, Long.MAX_VALUE);
+    public static final InheritedPriority NONE =
+        new InheritedPriority(Priority.LOW, Long.MAX_VALUE);
   }
 
   private final JobSpec spec;
@@ -56,7 +57,7 @@
   private final JobTasks tasks;
   private final JobTimeline timeline;
   private final Map<Chunk, UnknownFields> unknownFields = new HashMap<>();
-  private Inherited inherited = Inherited.NONE;
+  private InheritedPriority inherited = InheritedPriority.NONE;
   private Revision revision;
   private State state;
   private int failures;
@@ -127,8 +128,8 @@
   }
 
   /** Replaces the priority and deadline that it inherits from jobs that depend on it. */
-  public void inherit(Inherited next) {
-    inherited = next;
+  public void setInheritedPriority(InheritedPriority newPriority) {
+    inherited = newPriority;
   }
 
   /**
--- a/src/test/java/org/mulleinshift/model/ChunkLayoutTest.java
+++ b/src/test/java/org/mulleinshift/model/ChunkLayoutTest.java
@@ -115,7 +115,7 @@
     if (StoreCodec.encodedLength(job.progressValue(part)) > MAX_VALUE_BYTES && part.canSplit()) {
       job.split(part);
       splitOversized(job, part.half(0));
-      if (job.chunkLayout().exists(part.half(1))) {
+      if (job.chunkLayout().hasTasksOf(part.half(1))) {
         splitOversized(job, part.half(1));
       }
     }
--- a/src/test/java/org/mulleinshift/model/StoredByEarlierBuildTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredByEarlierBuildTest.java
@@ -33,7 +33,7 @@
   private final ClusterView view = new ClusterView();
 
   @Test
-  void allRecordsAreReadAndWrittenUnchanged() throws IOException, MalformedMessageException {
+  void recordsAreReadAndActiveJobsWrittenUnchanged() throws IOException, MalformedMessageException {
     JsonNode sample = Json.parseObject(Files.readString(SAMPLE));
     for (Map.Entry<String, JsonNode> entry : sample.properties()) {
       checkRecord(new KeyValue(entry.getKey(), entry.getValue(), new Revision(9)));
