--- a/src/test/java/org/mulleinshift/model/ChunkLayoutTest.java
+++ b/src/test/java/org/mulleinshift/model/ChunkLayoutTest.java
@@ -95,10 +95,10 @@
       for (Chunk part : List.copyOf(job.chunkLayout().live())) {
         splitOversized(job, part);
       }
-      List<Chunk> uncovered = job.chunkLayout().unstoredParts();
-      more = !uncovered.isEmpty();
+      List<Chunk> unstored = job.chunkLayout().unstoredParts();
+      more = !unstored.isEmpty();
       if (more) {
-        Chunk part = uncovered.get(steps % uncovered.size());
+        Chunk part = unstored.get(steps % unstored.size());
         store.put(key(part), job.progressValue(part));
         assertTrue(StoreCodec.encodedLength(store.get(key(part))) <= MAX_VALUE_BYTES);
         job.chunkLayout().onStored(List.of(part));
