--- a/src/main/java/org/mulleinshift/api/DependencyReader.java
+++ b/src/main/java/org/mulleinshift/api/DependencyReader.java
@@ -186,7 +186,7 @@
   private void readLists(
       JobRecord job, KeyValueStore.Urgency urgency, List<JobId> collected, int listIndex) {
     JobDependencies dependencies = job.dependencies();
-    if (listIndex == dependencies.lists()) {
+    if (listIndex == dependencies.listCount()) {
       knownJobs.onDependenciesRead(job.id(), collected);
       completeRead(listReads, job.id(), true);
       return;
--- a/src/main/java/org/mulleinshift/model/UnknownFields.java
+++ b/src/main/java/org/mulleinshift/model/UnknownFields.java
@@ -7,8 +7,8 @@
 import org.mulleinshift.protocol.Json;
 
 /**
- * Fields of a stored record that this build doesn't know: a newer one wrote them. They are kept as
- * they are when this build rewrites the record.
+ * Fields of a stored record that this build doesn't know, because a newer build wrote them. They
+ * are kept unchanged when this build rewrites the record.
  */
 public final class UnknownFields {
   private final ObjectNode fields;
@@ -18,42 +18,47 @@
   }
 
   /**
-   * What the stored record has and this build's form of it lacks, objects within objects included.
-   * Empty objects and null fields need not be kept.
+   * Returns the fields of a stored record that this build's form of it lacks, also within nested
+   * objects; empty if there are none. Null fields, and nested objects without unknown fields, are
+   * left out.
+   *
+   * @param known the record as this build writes it
    */
-  public static Optional<UnknownFields> beyond(JsonNode known, JsonNode stored) {
-    ObjectNode rest = rest(known, stored);
-    return rest.isEmpty() ? Optional.empty() : Optional.of(new UnknownFields(rest));
+  public static Optional<UnknownFields> find(JsonNode known, JsonNode stored) {
+    ObjectNode unknown = missingFrom(known, stored);
+    return unknown.isEmpty() ? Optional.empty() : Optional.of(new UnknownFields(unknown));
   }
 
-  private static ObjectNode rest(JsonNode known, JsonNode stored) {
-    ObjectNode rest = Json.object();
+  private static ObjectNode missingFrom(JsonNode known, JsonNode stored) {
+    ObjectNode missing = Json.object();
     for (Map.Entry<String, JsonNode> field : stored.properties()) {
       JsonNode own = known.path(field.getKey());
       if (own.isMissingNode() && !field.getValue().isNull()) {
-        rest.set(field.getKey(), field.getValue());
+        missing.set(field.getKey(), field.getValue());
       } else if (own.isObject() && field.getValue().isObject()) {
-        ObjectNode inner = rest(own, field.getValue());
+        ObjectNode inner = missingFrom(own, field.getValue());
         if (!inner.isEmpty()) {
-          rest.set(field.getKey(), inner);
+          missing.set(field.getKey(), inner);
         }
       }
     }
-    return rest;
+    return missing;
   }
 
-  /** Puts the fields back into this build's form of the record. */
+  /** Adds the fields to this build's form of the record; existing fields are not overwritten. */
   public void restore(JsonNode target) {
     restore((ObjectNode) target, fields);
   }
 
-  private static void restore(ObjectNode target, ObjectNode from) {
-    from.properties()
+  private static void restore(ObjectNode target, ObjectNode source) {
+    source
+        .properties()
         .forEach(
             field -> {
               JsonNode own = target.get(field.getKey());
-              if (own instanceof ObjectNode inner && field.getValue() instanceof ObjectNode more) {
-                restore(inner, more);
+              if (own instanceof ObjectNode innerTarget
+                  && field.getValue() instanceof ObjectNode innerSource) {
+                restore(innerTarget, innerSource);
               } else if (own == null) {
                 target.set(field.getKey(), field.getValue());
               }
--- a/src/main/java/org/mulleinshift/progress/ChunkKeyWriter.java
+++ b/src/main/java/org/mulleinshift/progress/ChunkKeyWriter.java
@@ -87,9 +87,9 @@
     String key = ChunkKey.format(job.spec().id(), chunk);
     if (batcher.hasRevision(key)) {
       // The key is no longer read, so its deletion need not delay writes that tasks wait for.
-      deleteKey(key, () -> job.chunks().onDeleted(chunk));
+      deleteKey(key, () -> job.chunkLayout().onDeleted(chunk));
     } else {
-      job.chunks().onDeleted(chunk);
+      job.chunkLayout().onDeleted(chunk);
     }
   }
 
@@ -104,7 +104,7 @@
 
   /** Forgets the uncertain writes of a job that has ended: its progress is no longer read. */
   void forgetUncertainWrites(Job job) {
-    for (Chunk chunk : job.chunks().live()) {
+    for (Chunk chunk : job.chunkLayout().live()) {
       uncertainChunks.remove(ChunkUpdate.name(job, chunk.number()));
     }
   }
@@ -160,7 +160,7 @@
     private void removeCertainWrites() {
       Set<Chunk> remaining = uncertainChunks.getOrDefault(update.name(), new HashSet<>());
       remaining.removeAll(update.sentChunks());
-      remaining.removeIf(chunk -> !update.job().chunks().live().contains(chunk));
+      remaining.removeIf(chunk -> !update.job().chunkLayout().live().contains(chunk));
       if (remaining.isEmpty()) {
         uncertainChunks.remove(update.name());
       }
--- a/src/main/java/org/mulleinshift/progress/ProgressPersister.java
+++ b/src/main/java/org/mulleinshift/progress/ProgressPersister.java
@@ -127,13 +127,14 @@
   }
 
   private void rewriteOversized(Job job) {
-    List<Chunk> oversized = new ArrayList<>(job.chunks().uncovered());
-    for (Chunk chunk : List.copyOf(job.chunks().live())) {
+    List<Chunk> oversized = new ArrayList<>(job.chunkLayout().unstoredParts());
+    for (Chunk chunk : List.copyOf(job.chunkLayout().live())) {
       // Also rewrites chunks with changes that could not be stored before.
       boolean hasUnstoredChanges =
           job.assignments(chunk).stream().anyMatch(ProgressPersister::isUnstored);
       if (hasUnstoredChanges
-          || (limitsWillShrink && StoreCodec.encodedLength(job.progress(chunk)) > valueBytes)) {
+          || (limitsWillShrink
+              && StoreCodec.encodedLength(job.progressValue(chunk)) > valueBytes)) {
         oversized.add(chunk);
       }
     }
@@ -146,7 +147,7 @@
   }
 
   private void writeWhenIdle(Job job, Chunk chunk) {
-    job.chunks().markDirty(chunk);
+    job.chunkLayout().markDirty(chunk);
     keyWriter.writeWhenIdle(updateOf(job, chunk));
   }
 
@@ -157,14 +158,14 @@
   /** Submits the progress of a task to be stored; nothing waits for it. */
   public void store(Job job, int taskIndex) {
     Chunk chunk = job.chunkOf(taskIndex);
-    job.chunks().markDirty(chunk);
+    job.chunkLayout().markDirty(chunk);
     store(updateOf(job, chunk));
   }
 
   /** Submits the progress of a task to be stored urgently: the start of the task waits for it. */
   public void storeUrgently(Job job, int taskIndex) {
     Chunk chunk = job.chunkOf(taskIndex);
-    job.chunks().markDirtyUrgently(chunk);
+    job.chunkLayout().markDirtyUrgently(chunk);
     store(updateOf(job, chunk));
   }
 
@@ -197,7 +198,7 @@
     for (ProgressLog.ChunkId chunkId : chunkIds) {
       Optional<Job> job = jobs.findJob(chunkId.job());
       if (job.isPresent()) {
-        job.get().chunks().markDirty(chunkId.chunk());
+        job.get().chunkLayout().markDirty(chunkId.chunk());
         writer.accept(job.get(), chunkId.chunk());
       } else {
         log.pinSlotOf(chunkId);
--- a/src/test/java/org/mulleinshift/model/StoredByEarlierBuildTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredByEarlierBuildTest.java
@@ -22,8 +22,9 @@
 import org.mulleinshift.store.StoreKeys;
 
 /**
- * What the build of commit e61c2b1 had stored after 27 s: jobs half done, one just ended, one
- * cancelled, machines of shards. This build reads all of it, and writes it as it was.
+ * Reads what the build of commit e61c2b1 had stored after 27 s: partly completed jobs, one that had
+ * just ended, a cancelled one, and shards with machines. This build must read every record, and
+ * write active jobs and their progress back unchanged.
  */
 class StoredByEarlierBuildTest {
   private static final Path SAMPLE = Path.of("src/test/resources/stored/e61c2b1.json");
@@ -32,7 +33,7 @@
   private final ClusterView view = new ClusterView();
 
   @Test
-  void allOfItIsReadAndWrittenTheSame() throws IOException, MalformedMessageException {
+  void recordsAreReadAndActiveJobsWrittenUnchanged() throws IOException, MalformedMessageException {
     JsonNode sample = Json.parseObject(Files.readString(SAMPLE));
     for (Map.Entry<String, JsonNode> entry : sample.properties()) {
       checkRecord(new KeyValue(entry.getKey(), entry.getValue(), new Revision(9)));
@@ -69,7 +70,7 @@
     ChunkKey key = ChunkKey.parse(item.key()).orElseThrow();
     Job job = jobs.get(key.job());
     job.load(key.chunk(), item.value(), shard -> new ZoneId("a"));
-    assertEquals(Json.write(item.value()), Json.write(job.progress(key.chunk())), item.key());
+    assertEquals(Json.write(item.value()), Json.write(job.progressValue(key.chunk())), item.key());
   }
 
   private static void checkEndedJob(KeyValue item) {
--- a/src/test/java/org/mulleinshift/model/StoredRecordGoldenTest.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordGoldenTest.java
@@ -27,11 +27,11 @@
 import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Keys and values of the state service are as an earlier build wrote them. */
+/** Checks that the keys and values of stored records match those that an earlier build wrote. */
 class StoredRecordGoldenTest {
   private static final String DIRECTORY = "stored";
 
-  /** Between the key and the value in a golden file. */
+  /** Separates the key from the value in a golden file. */
   private static final String SEPARATOR = "\n";
 
   private static String file(String name) {
@@ -49,19 +49,19 @@
 
   @ParameterizedTest
   @MethodSource("names")
-  void isWrittenAsBefore(String name) {
+  void recordIsWrittenInGoldenForm(String name) {
     StoredRecordSamples.Stored stored = StoredRecordSamples.all().get(name);
     GoldenFile.assertHolds(file(name), stored.key() + SEPARATOR + Json.write(stored.value()));
   }
 
   @ParameterizedTest
   @MethodSource("names")
-  void isReadAndWrittenBackByteForByte(String name) throws MalformedMessageException {
+  void recordIsReadAndWrittenBackByteForByte(String name) throws MalformedMessageException {
     KeyValue item = golden(name);
     assertEquals(GoldenFile.text(file(name)), item.key() + SEPARATOR + Json.write(rewritten(item)));
   }
 
-  /** What this build writes of a record that it has read. */
+  /** Returns what this build writes for a record that it has read. */
   private static JsonNode rewritten(KeyValue item) throws MalformedMessageException {
     String key = item.key();
     if (key.startsWith(StoreKeys.CONTROL)) {
@@ -79,7 +79,7 @@
                   new MonotonicTime(0))
               .write();
       case StoreKeys.DEPENDENCY_LISTS ->
-          JobDependencies.list(JobDependencies.readList(item.value()));
+          JobDependencies.listValue(JobDependencies.readList(item.value()));
       default -> throw new AssertionError(key);
     };
   }
@@ -126,16 +126,17 @@
 
   private static JsonNode rewrittenProgress(KeyValue item) throws MalformedMessageException {
     ChunkKey key = ChunkKey.parse(item.key()).orElseThrow();
-    boolean awaiting = item.value().has("ready");
+    boolean hasDependencies = item.value().has("ready");
     Job job =
-        StoredRecordSamples.job(awaiting ? StoredRecordSamples.namedJobs() : JobDependencies.NONE);
+        StoredRecordSamples.job(
+            hasDependencies ? StoredRecordSamples.namedJobs() : JobDependencies.NONE);
     assertEquals(job.spec().id(), key.job());
     job.load(key.chunk(), item.value(), shard -> new ZoneId("a"));
-    return job.progress(key.chunk());
+    return job.progressValue(key.chunk());
   }
 
   @Test
-  void jobsAreReadAsTheyWereMeant() throws MalformedMessageException {
+  void jobRecordHasTheSampleValues() throws MalformedMessageException {
     JobRecord record = JobRecord.read(golden("job-awaiting-named-jobs")).orElseThrow();
     assertEquals(StoredRecordSamples.shortSpec(), record.spec());
     assertEquals(StoredRecordSamples.namedJobs(), record.dependencies());
@@ -143,7 +144,7 @@
   }
 
   @Test
-  void segmentsNameTheirJobsAndParts() throws MalformedMessageException {
+  void segmentEntriesHaveTheirJobAndChunk() throws MalformedMessageException {
     KeyValue item = golden("log-segment");
     assertEquals(17, StoreKeys.logSegmentNumber(item.key()).orElseThrow());
     assertEquals(
--- a/src/test/java/org/mulleinshift/model/StoredRecordSamples.java
+++ b/src/test/java/org/mulleinshift/model/StoredRecordSamples.java
@@ -30,7 +30,7 @@
 import org.mulleinshift.store.StoreKeys;
 import org.mulleinshift.transport.MonotonicTime;
 
-/** Every form of a stored record that this build writes, by the name of its golden file. */
+/** Samples of every form of stored record that this build writes, by name of their golden file. */
 final class StoredRecordSamples {
   static final long ACCEPTED_AT = 1_700_000_003_002L;
   static final int TASKS = 730;
@@ -158,7 +158,7 @@
     JsonNode cancelled = JobRecord.endedValue(JobPhase.CANCELLED, ACCEPTED_AT);
     add("ended-done", StoreKeys.endedJob(JOB), done);
     add("ended-cancelled", StoreKeys.endedJob(JOB), cancelled);
-    // As builds without dependencies stored it.
+    // Builds that did not know dependencies stored no time.
     ObjectNode older = done.deepCopy();
     older.remove("at");
     add("ended-without-time", StoreKeys.endedJob(JOB), older);
@@ -166,22 +166,25 @@
 
   private void addProgress() {
     Chunk first = Chunk.whole(0);
-    add("progress-none", ChunkKey.format(JOB, first), job(JobDependencies.NONE).progress(first));
+    add(
+        "progress-none",
+        ChunkKey.format(JOB, first),
+        job(JobDependencies.NONE).progressValue(first));
     Job job = startedJob(JobDependencies.NONE);
-    add("progress-chunk", ChunkKey.format(JOB, first), job.progress(first));
+    add("progress-chunk", ChunkKey.format(JOB, first), job.progressValue(first));
     Chunk second = Chunk.whole(1);
-    add("progress-second-chunk", ChunkKey.format(JOB, second), job.progress(second));
+    add("progress-second-chunk", ChunkKey.format(JOB, second), job.progressValue(second));
     Chunk half = first.half(0);
-    add("progress-part", ChunkKey.format(JOB, half), job.progress(half));
+    add("progress-part", ChunkKey.format(JOB, half), job.progressValue(half));
     Chunk quarter = first.half(1).half(1);
-    add("progress-part-of-part", ChunkKey.format(JOB, quarter), job.progress(quarter));
+    add("progress-part-of-part", ChunkKey.format(JOB, quarter), job.progressValue(quarter));
     Job dependent = startedJob(namedJobs());
-    add("progress-awaiting", ChunkKey.format(JOB, first), dependent.progress(first));
+    add("progress-awaiting", ChunkKey.format(JOB, first), dependent.progressValue(first));
     add("progress-with-unknown-fields", ChunkKey.format(JOB, first), progressOfNewerBuild(job));
   }
 
   private static JsonNode progressOfNewerBuild(Job job) {
-    ObjectNode stored = (ObjectNode) job.progress(Chunk.whole(0));
+    ObjectNode stored = (ObjectNode) job.progressValue(Chunk.whole(0));
     stored.put("new", UNKNOWN_VALUE);
     return stored;
   }
@@ -192,7 +195,10 @@
             shortSpec(), dependencies, ACCEPTED_AT, false, RECORD_REVISION, Optional.empty()));
   }
 
-  /** Tasks done, assigned to two shards, and with a second attempt; in both chunks. */
+  /**
+   * Returns a job with completed and assigned tasks in both chunks, assignments to two shards, and
+   * a task in its second attempt.
+   */
   private static Job startedJob(JobDependencies dependencies) {
     Job job = job(dependencies);
     job.release(READY_AT, READY_KNOWN_AT);
@@ -203,7 +209,7 @@
       job.assign(index, SHARD, ZONE, FIRST_ATTEMPT);
     }
     job.assign(TASK_OF_OTHER_SHARD, new ShardId("b-1"), new ZoneId("b"), FIRST_ATTEMPT);
-    job.taskReturned(
+    job.requeueTask(
         job.assign(RETRIED_TASK, SHARD, ZONE, FIRST_ATTEMPT), Optional.<MonotonicTime>empty());
     job.assign(RETRIED_TASK, SHARD, ZONE, FIRST_ATTEMPT);
     return job;
@@ -215,8 +221,8 @@
     Job job = startedJob(JobDependencies.NONE);
     List<LogSegment.Entry> entries =
         List.of(
-            LogSegment.Entry.of(JOB, first, job.progress(first)),
-            LogSegment.Entry.of(new JobId("run-2"), secondHalf, job.progress(secondHalf)));
+            LogSegment.Entry.of(JOB, first, job.progressValue(first)),
+            LogSegment.Entry.of(new JobId("run-2"), secondHalf, job.progressValue(secondHalf)));
     add("log-segment", StoreKeys.logSegment(SEGMENT), LogSegment.write(entries));
     add("log-segment-without-entries", StoreKeys.logSegment(0), LogSegment.write(List.of()));
   }
@@ -232,11 +238,14 @@
             new MonotonicTime(0),
             ProvisioningRequest.State.PLANNED);
     add("rental", StoreKeys.provisioningRequest(request.name()), request.write());
-    List<JobId> awaited = namedJobs().named();
-    add("awaited-list", StoreKeys.dependencyList(JOB, DIGEST, 1), JobDependencies.list(awaited));
+    List<JobId> awaited = namedJobs().inlineJobs();
+    add(
+        "awaited-list",
+        StoreKeys.dependencyList(JOB, DIGEST, 1),
+        JobDependencies.listValue(awaited));
   }
 
-  /** The records as a reader of the store gets them. */
+  /** Returns a record as it is read from the store. */
   static KeyValue item(String key, String value) throws MalformedMessageException {
     return new KeyValue(key, Json.parseObject(value), READ_REVISION);
   }
