--- a/src/test/java/org/mulleinshift/scalerun/ScaleCell.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleCell.java
@@ -164,7 +164,7 @@
     HttpListener commands = listen(new InetSocketAddress(0), workerBytes, this::onWorkerRequest);
     int port = commands.address().getPort();
     cloud.addresses(index -> addresses.workerHost(index) + ":" + port);
-    cloud.add(
+    cloud.addMachineType(
         new MachineSpec(MACHINE_TYPE, options.workerCpus, RAM_GB, PRICE, SPOT_PRICE, BOOT_SECONDS));
     for (int i = 0; i < options.controllers; i++) {
       Path file = shared.folder().resolve("settings-" + number + "-" + i + ".toml");
@@ -187,7 +187,7 @@
     zones.forEach(zone -> cloud.onDemandCapacity(MACHINE_TYPE, zone, capacity));
     for (int i = 0; i < workers; i++) {
       double seconds = UP_WITHIN_SECONDS * timeline.random();
-      cloud.boot(cloud.type(MACHINE_TYPE), zones.get(i % zones.size()), seconds);
+      cloud.createMachine(cloud.machineType(MACHINE_TYPE), zones.get(i % zones.size()), seconds);
     }
   }
 
@@ -302,7 +302,7 @@
   }
 
   private List<SimulatedMachine> some(int count) {
-    List<SimulatedMachine> up = new ArrayList<>(cloud.up());
+    List<SimulatedMachine> up = new ArrayList<>(cloud.runningMachines());
     Collections.shuffle(up, new Random(options.seed));
     return up.subList(0, Math.min(count, up.size()));
   }
@@ -313,7 +313,7 @@
 
   private void hangZone(String zone, double seconds) {
     List<SimulatedMachine> machines =
-        cloud.up().stream().filter(machine -> machine.zone().equals(zone)).toList();
+        cloud.runningMachines().stream().filter(machine -> machine.zone().equals(zone)).toList();
     workersOf(machines).forEach(worker -> worker.hang(seconds));
   }
 
@@ -352,15 +352,15 @@
   ScaleMeasures.StandIns standIns() {
     return new ScaleMeasures.StandIns(
         storeRequests,
-        store.history().writes(),
-        store.rateLimited(),
+        store.history().writeCount(),
+        store.rateLimitedCount(),
         storeBytes.bytes(),
         workerBytes.bytes(),
         workerBytes.open(),
         cloudBytes.bytes(),
         timeline.processorNanos() / NANOS_PER_SECOND,
         storeTimeline.processorNanos() / NANOS_PER_SECOND,
-        ask(timeline, () -> cloud.up().size()));
+        ask(timeline, () -> cloud.runningMachines().size()));
   }
 
   void killControllers() {
--- a/src/test/java/org/mulleinshift/scalerun/ScaleWorkload.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleWorkload.java
@@ -92,7 +92,7 @@
     ObservedJob job = new ObservedJob(id, fields);
     checker.jobs().add(job);
     SimulatedUser user = new SimulatedUser(timeline, checker, client, job);
-    user.pollsAfterEnd(POLLS_AFTER_END);
+    user.limitPollsAfterEnd(POLLS_AFTER_END);
     user.submit();
     if (timeline.random() < options.cancelled) {
       timeline.after(CANCEL_WITHIN_SECONDS * timeline.random(), user::cancel);
--- a/src/test/java/org/mulleinshift/scenario/ClusterExpectations.java
+++ b/src/test/java/org/mulleinshift/scenario/ClusterExpectations.java
@@ -14,7 +14,7 @@
 
   static void addTo(Map<String, Expectation> kinds, SimulatedCluster cluster) {
     SimulatedCloud cloud = cluster.cloud();
-    kinds.put("machines", (line, limit) -> atMost(cloud.existing().size(), line.number(1)));
+    kinds.put("machines", (line, limit) -> atMost(cloud.existingMachines().size(), line.number(1)));
     kinds.put("rented", (line, limit) -> atMost(cloud.createdCount(), line.number(1)));
     kinds.put("refusals", (line, limit) -> atMost(cloud.capacityErrors(), line.number(1)));
     kinds.put("waiting", (line, limit) -> atMost(maxPendingRequests(cluster), line.number(1)));
--- a/src/test/java/org/mulleinshift/scenario/ControllerCommands.java
+++ b/src/test/java/org/mulleinshift/scenario/ControllerCommands.java
@@ -54,8 +54,9 @@
   private void fillHeap(ScenarioLine line) {
     List<SimulatedController> chosen = controllers(line.word(1));
     double share = line.number(2) / PERCENT;
-    chosen.forEach(controller -> controller.heap(share));
-    timeline.after(line.number(THIRD), () -> chosen.forEach(controller -> controller.heap(0)));
+    chosen.forEach(controller -> controller.setHeapUsage(share));
+    timeline.after(
+        line.number(THIRD), () -> chosen.forEach(controller -> controller.setHeapUsage(0)));
   }
 
   /** {@code say node-0 BYTES}: a peer frame that no controller would send. */
--- a/src/test/java/org/mulleinshift/scenario/JobCommands.java
+++ b/src/test/java/org/mulleinshift/scenario/JobCommands.java
@@ -137,7 +137,7 @@
   /** Submits a job again, changed. */
   private void resubmit(ScenarioLine line) {
     ObservedJob changed = new ObservedJob(line.word(1), line.fields(2));
-    users.get(line.word(1)).resubmit(userOf(changed).body());
+    users.get(line.word(1)).resubmit(userOf(changed).submissionBody());
   }
 
   /** {@code cancel-now N [HANG]}: so many running jobs; up to eight of their machines hang. */
--- a/src/test/java/org/mulleinshift/scenario/MachineCommands.java
+++ b/src/test/java/org/mulleinshift/scenario/MachineCommands.java
@@ -18,8 +18,8 @@
     this.timeline = context.timeline();
     this.cloud = context.cluster().cloud();
     cloudCommands.add("outage", line -> cloud.outage(line.number(1)));
-    cloudCommands.add("stuck", line -> cloud.stuckBoots(line.number(1)));
-    cloudCommands.add("boots", line -> cloud.bootFactor(line.number(1), line.number(2)));
+    cloudCommands.add("stuck", line -> cloud.preventBoots(line.number(1)));
+    cloudCommands.add("boots", line -> cloud.slowBoots(line.number(1), line.number(2)));
     cloudCommands.add("capacity", this::changeCapacity);
     table.addFault("cloud", line -> cloudCommands.run(line.from(1)));
     table.addFault("machine", this::runOnMachines);
@@ -34,12 +34,12 @@
 
   /** {@code unexpected TYPE ZONE BOOT}: a machine that no controller asked for. */
   private void bootUnexpected(ScenarioLine line) {
-    cloud.boot(cloud.type(line.word(1)), line.word(2), line.number(THIRD));
+    cloud.createMachine(cloud.machineType(line.word(1)), line.word(2), line.number(THIRD));
   }
 
   /** {@code machine NUMBER|half|all ACTION ...}: on machines that are up. */
   private void runOnMachines(ScenarioLine line) {
-    List<SimulatedMachine> up = cloud.up();
+    List<SimulatedMachine> up = cloud.runningMachines();
     if (up.isEmpty()) {
       return;
     }
@@ -72,7 +72,7 @@
       case "reboot" -> worker.reboot();
       case "deaf" -> deafen(action, worker);
       case "hang" -> worker.hang(action.number(1));
-      case "mute" -> worker.mute(action.number(1));
+      case "mute" -> worker.loseHeartbeats(action.number(1));
       case "slow" -> worker.slow(action.number(1));
       default -> throw action.unknown();
     }
@@ -83,7 +83,7 @@
     if (action.size() > 2) {
       worker.dropReplies(action.number(1));
     } else {
-      worker.deaf(action.number(1));
+      worker.dropIncomingMessages(action.number(1));
     }
   }
 }
--- a/src/test/java/org/mulleinshift/scenario/RequestCommands.java
+++ b/src/test/java/org/mulleinshift/scenario/RequestCommands.java
@@ -24,7 +24,7 @@
     this.users = cluster.users();
     ReadsAfterChange reads =
         new ReadsAfterChange(context.timeline(), users, cluster.controllers(), cluster::sendTo);
-    context.checker().answers().onNews(reads::changed);
+    context.checker().answers().onNews(reads::jobChanged);
     InvalidRequests invalid =
         new InvalidRequests(context.timeline(), context.checker(), users, cluster::sendToAny);
     table.add("poll", line -> pollUnknown(line.word(1)));
@@ -67,7 +67,9 @@
 
   /** All present users poll so many times as often for a while. */
   private void pollMore(double factor, double seconds) {
-    users.values().forEach(user -> user.pollFactor(factor));
-    context.timeline().after(seconds, () -> users.values().forEach(user -> user.pollFactor(1)));
+    users.values().forEach(user -> user.multiplyPollRate(factor));
+    context
+        .timeline()
+        .after(seconds, () -> users.values().forEach(user -> user.multiplyPollRate(1)));
   }
 }
--- a/src/test/java/org/mulleinshift/scenario/ScenarioSettings.java
+++ b/src/test/java/org/mulleinshift/scenario/ScenarioSettings.java
@@ -173,7 +173,7 @@
   private void addMachineType(SimulatedCloud cloud, ScenarioLine line) {
     String name = line.word(1);
     Map<String, String> fields = line.fields(2);
-    cloud.add(
+    cloud.addMachineType(
         new MachineSpec(
             name,
             Double.parseDouble(fields.get("cpus")),
--- a/src/test/java/org/mulleinshift/scenario/StoreCommands.java
+++ b/src/test/java/org/mulleinshift/scenario/StoreCommands.java
@@ -34,20 +34,20 @@
   }
 
   private void addConnectionFaults(StoreFaults faults) {
-    commands.add("refuse", line -> faults.refuse(host(line), line.number(2)));
-    commands.add("mute", line -> faults.mute(host(line), line.number(2)));
-    commands.add("hold-watches", line -> faults.holdWatches(host(line), line.number(2)));
-    commands.add("hold-news", line -> faults.holdChanges(host(line), line.number(2)));
+    commands.add("refuse", line -> faults.rejectRequests(host(line), line.number(2)));
+    commands.add("mute", line -> faults.loseTransactionResponses(host(line), line.number(2)));
+    commands.add("hold-watches", line -> faults.withholdWatchResponses(host(line), line.number(2)));
+    commands.add("hold-news", line -> faults.withholdChangeResponses(host(line), line.number(2)));
     commands.add("late", line -> faults.slow(line.number(1), line.number(2)));
   }
 
   private void addTransactionFaults(StoreFaults faults) {
     commands.add(
         "late-writes",
-        line -> faults.lateWrites(line.number(1), line.number(2), line.wordOr(THIRD, "")));
+        line -> faults.delayTransactions(line.number(1), line.number(2), line.wordOr(THIRD, "")));
     commands.add(
         "lost-answers",
-        line -> faults.lostAnswers(line.number(1), line.number(2), line.wordOr(THIRD, "")));
+        line -> faults.loseResponses(line.number(1), line.number(2), line.wordOr(THIRD, "")));
   }
 
   private String host(ScenarioLine line) {
--- a/src/test/java/org/mulleinshift/scenario/StoreExpectations.java
+++ b/src/test/java/org/mulleinshift/scenario/StoreExpectations.java
@@ -33,9 +33,9 @@
     addHistory(kinds, store.history());
     kinds.put("holds", (line, limit) -> atLeast(shardsOf(line.word(1)), limit));
     kinds.put("moved", (line, limit) -> atMost(movedShards(), limit));
-    kinds.put("unfit", (line, limit) -> atMost(store.rejected(), line.number(1)));
-    kinds.put("refused", (line, limit) -> atMost(store.rateLimited(), line.number(1)));
-    kinds.put("answers", (line, limit) -> atMost(store.longestAnswer(), line.number(1)));
+    kinds.put("unfit", (line, limit) -> atMost(store.rejectedTransactionCount(), line.number(1)));
+    kinds.put("refused", (line, limit) -> atMost(store.rateLimitedCount(), line.number(1)));
+    kinds.put("answers", (line, limit) -> atMost(store.longestPageChars(), line.number(1)));
     kinds.put("stored", (line, limit) -> stored(line));
     kinds.put("keys", this::keys);
   }
@@ -50,7 +50,7 @@
             unless(!history.termBeganBetween(line.number(1), endSeconds), "a term began"));
     kinds.put(
         "granted", (line, limit) -> atMost((double) history.grantsAfter(line.number(1)), limit));
-    kinds.put("writes", (line, limit) -> atMost(history.writes(), line.number(1)));
+    kinds.put("writes", (line, limit) -> atMost(history.writeCount(), line.number(1)));
   }
 
   private double shardsOf(String owner) {
--- a/src/test/java/org/mulleinshift/simulation/DelayedDuplicates.java
+++ b/src/test/java/org/mulleinshift/simulation/DelayedDuplicates.java
@@ -13,12 +13,12 @@
  */
 public final class DelayedDuplicates {
   private static final int MAX_KEPT_PER_MACHINE = 4;
-  private static final double KEPT_SHARE = 0.3;
+  private static final double KEPT_FRACTION = 0.3;
   private static final double MAX_RELEASE_SECONDS = 0.8;
 
   private final Timeline timeline;
   private final List<SimulatedController> controllers;
-  private final Map<String, Deque<String>> kept = new LinkedHashMap<>();
+  private final Map<String, Deque<String>> keptByMachine = new LinkedHashMap<>();
   private double keepUntil;
   private double duplicateUntil;
   private double minDelaySeconds;
@@ -54,8 +54,8 @@
 
   /** Some are kept, the first ones for longest. */
   private void keep(String machine, String body) {
-    if (timeline.seconds() < keepUntil && timeline.random() < KEPT_SHARE) {
-      Deque<String> duplicates = kept.computeIfAbsent(machine, name -> new ArrayDeque<>());
+    if (timeline.seconds() < keepUntil && timeline.random() < KEPT_FRACTION) {
+      Deque<String> duplicates = keptByMachine.computeIfAbsent(machine, name -> new ArrayDeque<>());
       if (duplicates.size() == MAX_KEPT_PER_MACHINE) {
         duplicates.removeLast();
       }
@@ -64,9 +64,9 @@
   }
 
   /** A leader's term begins. */
-  public void release() {
-    kept.values().forEach(duplicates -> duplicates.forEach(this::deliverToAll));
-    kept.clear();
+  public void deliverKept() {
+    keptByMachine.values().forEach(duplicates -> duplicates.forEach(this::deliverToAll));
+    keptByMachine.clear();
   }
 
   private void deliverToAll(String body) {
--- a/src/test/java/org/mulleinshift/simulation/InvalidRequests.java
+++ b/src/test/java/org/mulleinshift/simulation/InvalidRequests.java
@@ -51,8 +51,8 @@
   private final Map<String, SimulatedUser> users;
   private final ControllerClient client;
   private final ObjectMapper json = new ObjectMapper();
-  private double until;
-  private int number;
+  private double activeUntil;
+  private int requestNumber;
 
   /** Nobody sends such requests yet. */
   public InvalidRequests(
@@ -68,12 +68,12 @@
 
   /** Sends such requests for a while. */
   public void during(double seconds) {
-    until = timeline.seconds() + seconds;
+    activeUntil = timeline.seconds() + seconds;
     sendNext();
   }
 
   private void sendNext() {
-    if (timeline.seconds() >= until) {
+    if (timeline.seconds() >= activeUntil) {
       return;
     }
     timeline.after(INTERVAL_SECONDS, this::sendNext);
@@ -84,23 +84,23 @@
     }
     ObservedJob job = accepted.get((int) (timeline.random() * accepted.size()));
     SimulatedUser user = users.get(job.id());
-    switch (number++ % KINDS_OF_REQUESTS) {
-      case 0 -> user.resubmit(user.body());
+    switch (requestNumber++ % KINDS_OF_REQUESTS) {
+      case 0 -> user.resubmit(user.submissionBody());
       case 1 -> cancelIfDone(job, user);
-      default -> sendInvalid(user.body());
+      default -> sendInvalid(user.submissionBody());
     }
   }
 
   private void cancelIfDone(ObservedJob job, SimulatedUser user) {
     if (job.doneAt().isPresent()) {
       double askedAt = timeline.seconds();
-      client.request("POST", user.cancelPath(), "", reply -> user.receive(reply, askedAt));
+      client.request("POST", user.cancelPath(), "", reply -> user.receiveReply(reply, askedAt));
     }
   }
 
   private void sendInvalid(String validBody) {
     ObjectNode body = parse(validBody);
-    body.put("ref", "run-unfit-" + number);
+    body.put("ref", "run-unfit-" + requestNumber);
     int kind = (int) (timeline.random() * (REQUIRED_FIELDS.size() + KINDS_OF_VALUES));
     int expectedStatus = makeInvalid(body, kind);
     client.request(
--- a/src/test/java/org/mulleinshift/simulation/ReadsAfterChange.java
+++ b/src/test/java/org/mulleinshift/simulation/ReadsAfterChange.java
@@ -19,7 +19,7 @@
   private final Map<String, SimulatedUser> users;
   private final List<SimulatedController> controllers;
   private final DirectControllerClient client;
-  private double until;
+  private double activeUntil;
   private double cancelShare;
 
   /** Nobody reads yet. */
@@ -36,13 +36,13 @@
 
   /** Users read so for a while; that share of jobs is cancelled as soon as it is accepted. */
   public void during(double seconds, double share) {
-    until = timeline.seconds() + seconds;
+    activeUntil = timeline.seconds() + seconds;
     cancelShare = share;
   }
 
   /** A user was told of a change of the job. */
-  public void changed(ObservedJob job) {
-    if (timeline.seconds() >= until) {
+  public void jobChanged(ObservedJob job) {
+    if (timeline.seconds() >= activeUntil) {
       return;
     }
     SimulatedUser user = users.get(job.id());
@@ -68,14 +68,15 @@
           controller,
           "POST",
           "/v2/runs",
-          user.body(),
+          user.submissionBody(),
           reply -> user.receiveResubmission(reply, askedAt));
     } else if (number == REPEATED_CANCELLATION && job.terminalAt().isPresent()) {
       // A job that has ended keeps its phase.
       client.request(
-          controller, "POST", user.cancelPath(), "", reply -> user.receive(reply, askedAt));
+          controller, "POST", user.cancelPath(), "", reply -> user.receiveReply(reply, askedAt));
     } else {
-      client.request(controller, "GET", user.path(), "", reply -> user.receive(reply, askedAt));
+      client.request(
+          controller, "GET", user.jobPath(), "", reply -> user.receiveReply(reply, askedAt));
     }
   }
 }
--- a/src/test/java/org/mulleinshift/simulation/SimulatedCloud.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedCloud.java
@@ -42,7 +42,7 @@
   }
 
   private final Timeline timeline;
-  private final double listingLagSeconds;
+  private final double minListingLagSeconds;
   private final Function<SimulatedMachine, SimulatedWorker> workerFactory;
   private final ObjectMapper json = new ObjectMapper();
   private final Map<String, MachineSpec> types = new LinkedHashMap<>();
@@ -51,9 +51,9 @@
   private final Map<String, HttpResponse> answeredRequests = new HashMap<>();
   private IntFunction<String> addresses = SimulatedCloud::privateAddress;
   private double outageUntil;
-  private double stuckUntil;
-  private double bootFactor = 1;
-  private double bootFactorUntil;
+  private double bootsPreventedUntil;
+  private double bootDelayFactor = 1;
+  private double bootsSlowedUntil;
   private int capacityErrors;
 
   /**
@@ -64,10 +64,10 @@
    */
   public SimulatedCloud(
       Timeline timeline,
-      double listingLagSeconds,
+      double minListingLagSeconds,
       Function<SimulatedMachine, SimulatedWorker> workerFactory) {
     this.timeline = timeline;
-    this.listingLagSeconds = listingLagSeconds;
+    this.minListingLagSeconds = minListingLagSeconds;
     this.workerFactory = workerFactory;
   }
 
@@ -82,12 +82,12 @@
   }
 
   /** Offers a machine type. */
-  public void add(MachineSpec type) {
+  public void addMachineType(MachineSpec type) {
     types.put(type.name(), type);
   }
 
   /** The machine type with the name. */
-  public MachineSpec type(String name) {
+  public MachineSpec machineType(String name) {
     return types.get(name);
   }
 
@@ -107,35 +107,35 @@
   }
 
   /** Machines requested from now on never boot. */
-  public void stuckBoots(double seconds) {
-    stuckUntil = timeline.seconds() + seconds;
+  public void preventBoots(double seconds) {
+    bootsPreventedUntil = timeline.seconds() + seconds;
   }
 
   /** Machines requested from now on take so many times as long to boot. */
-  public void bootFactor(double factor, double seconds) {
-    bootFactor = factor;
-    bootFactorUntil = timeline.seconds() + seconds;
+  public void slowBoots(double factor, double seconds) {
+    bootDelayFactor = factor;
+    bootsSlowedUntil = timeline.seconds() + seconds;
   }
 
   private double drawBootSeconds(MachineSpec type) {
-    double factor = timeline.seconds() < bootFactorUntil ? bootFactor : 1;
+    double factor = timeline.seconds() < bootsSlowedUntil ? bootDelayFactor : 1;
     double variation = MIN_BOOT_FACTOR + BOOT_FACTOR_SPREAD * timeline.random();
     return factor * type.bootSeconds() * variation;
   }
 
   /** The machines that are not deleted. */
-  public List<SimulatedMachine> existing() {
+  public List<SimulatedMachine> existingMachines() {
     return machines.values().stream().filter(SimulatedMachine::exists).toList();
   }
 
   /** The machines whose workers run. */
-  public List<SimulatedMachine> up() {
-    return machines.values().stream().filter(SimulatedMachine::isUp).toList();
+  public List<SimulatedMachine> runningMachines() {
+    return machines.values().stream().filter(SimulatedMachine::isRunning).toList();
   }
 
   /** The workers of the machines that are up. */
   public List<SimulatedWorker> workers() {
-    return up().stream().flatMap(machine -> machine.worker().stream()).toList();
+    return runningMachines().stream().flatMap(machine -> machine.worker().stream()).toList();
   }
 
   /** The worker that listens at the address, if its machine is up. */
@@ -159,9 +159,9 @@
 
   @Override
   public boolean fits(ObservedJob job, Predicate<String> zoneAllowed) {
-    return up().stream()
+    return runningMachines().stream()
         .filter(machine -> machine.worker().orElseThrow().hasCapacity(job.cpus()))
-        .filter(machine -> job.number("ram", 1) <= machine.spec().ram())
+        .filter(machine -> job.number("ram", 1) <= machine.spec().ramGb())
         .filter(machine -> machine.traits().matches(job))
         .anyMatch(machine -> zoneAllowed.test(machine.zone()));
   }
@@ -200,8 +200,8 @@
     for (MachineSpec type : types.values()) {
       ObjectNode item = list.addObject();
       item.put("label", type.name()).put("cpus", type.cpus()).put("cards", 0);
-      item.put("ram_gb", type.ram()).put("local_gb", 100).put("pull_gb_per_s", 1);
-      item.put("rate", type.price()).put("market_price", type.spotPrice());
+      item.put("ram_gb", type.ramGb()).put("local_gb", 100).put("pull_gb_per_s", 1);
+      item.put("rate", type.onDemandPricePerHour()).put("market_price", type.spotPricePerHour());
       item.put("startup_s", type.bootSeconds());
       ArrayNode zones = item.putArray("yards");
       capacity.keySet().stream()
@@ -215,9 +215,9 @@
   }
 
   private HttpResponse create(JsonNode body) {
-    String requestName = body.path("hire").asText();
-    if (answeredRequests.containsKey(requestName)) {
-      return answeredRequests.get(requestName);
+    String requestId = body.path("hire").asText();
+    if (answeredRequests.containsKey(requestId)) {
+      return answeredRequests.get(requestId);
     }
     MachineSpec type = types.get(body.path("build").asText());
     Pool pool = new Pool(type.name(), body.path("yard").asText(), body.path("loaner").asBoolean());
@@ -229,24 +229,24 @@
     ObjectNode node = json.createObjectNode();
     ArrayNode hosts = node.putArray("hosts");
     for (int i = 0; i < count; i++) {
-      hosts.add(boot(type, pool, drawBootSeconds(type)).name());
+      hosts.add(createMachine(type, pool, drawBootSeconds(type)).name());
     }
     HttpResponse reply = new HttpResponse(HttpStatus.OK, node.toString());
-    answeredRequests.put(requestName, reply);
+    answeredRequests.put(requestId, reply);
     return reply;
   }
 
   private int freeIn(Pool pool) {
-    long taken = existing().stream().filter(pool::contains).count();
+    long taken = existingMachines().stream().filter(pool::contains).count();
     return (int) (capacity.getOrDefault(pool, 0) - taken);
   }
 
   /** Creates an on-demand machine that no controller asked for. */
-  public SimulatedMachine boot(MachineSpec type, String zone, double seconds) {
-    return boot(type, new Pool(type.name(), zone, false), seconds);
+  public SimulatedMachine createMachine(MachineSpec type, String zone, double seconds) {
+    return createMachine(type, new Pool(type.name(), zone, false), seconds);
   }
 
-  private SimulatedMachine boot(MachineSpec type, Pool pool, double seconds) {
+  private SimulatedMachine createMachine(MachineSpec type, Pool pool, double seconds) {
     int number = machines.size() + 1;
     String name = String.format("i-%06d", number);
     SimulatedMachine machine =
@@ -256,7 +256,7 @@
             type,
             timeline.seconds());
     machines.put(name, machine);
-    if (timeline.seconds() >= stuckUntil) {
+    if (timeline.seconds() >= bootsPreventedUntil) {
       timeline.after(seconds, () -> startWorker(machine));
     }
     return machine;
@@ -264,14 +264,14 @@
 
   private void startWorker(SimulatedMachine machine) {
     if (machine.exists()) {
-      machine.booted(workerFactory.apply(machine), timeline.seconds());
+      machine.onBooted(workerFactory.apply(machine), timeline.seconds());
     }
   }
 
   /** Deletes a machine and all on it; null or a machine deleted before is ignored. */
   public void delete(SimulatedMachine machine) {
     if (machine != null && machine.exists()) {
-      machine.deleted(timeline.seconds());
+      machine.onDeleted(timeline.seconds());
     }
   }
 
@@ -279,7 +279,7 @@
     Map<String, String> query = QueryParameters.of(path);
     int limit = Integer.parseInt(query.getOrDefault("limit", Integer.toString(MAX_PAGE)));
     String from = query.getOrDefault("from", "");
-    double moment = timeline.seconds() - listingLagSeconds * (1 + timeline.random());
+    double moment = timeline.seconds() - minListingLagSeconds * (1 + timeline.random());
     ObjectNode node = json.createObjectNode();
     ArrayNode hosts = node.putArray("hosts");
     boolean more = false;
--- a/src/test/java/org/mulleinshift/simulation/SimulatedCluster.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedCluster.java
@@ -59,7 +59,7 @@
     this.store = new SimulatedStore(timeline, storeLimits);
     this.cloud = new SimulatedCloud(timeline, LISTING_LAG_SECONDS, this::startWorker);
     this.duplicates = new DelayedDuplicates(timeline, controllers);
-    store.history().onTerm(duplicates::release);
+    store.history().onTermStart(duplicates::deliverKept);
     checker.tasks().endStored(store::isEnded);
   }
 
--- a/src/test/java/org/mulleinshift/simulation/SimulatedController.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedController.java
@@ -22,7 +22,7 @@
   private static final double NANOS_PER_SECOND = 1e9;
   private static final double MILLIS_PER_SECOND = 1000;
   private static final long NANOS_PER_MILLI = 1_000_000;
-  private static final double POST_DELAY_SECONDS = 0.0001;
+  private static final double EVENT_LOOP_DELAY_SECONDS = 0.0001;
   private static final double AFTER_STALL_SECONDS = 1e-6;
   private static final long WALL_CLOCK_START_MILLIS = 1_700_000_000_000L;
 
@@ -36,7 +36,7 @@
   private int incarnation;
   private double stalledUntil;
   private double unreportedStallSeconds;
-  private double heapShare;
+  private double usedHeapFraction;
   private int pendingRequests;
   private int maxPendingRequests;
   private Consumer<Duration> onProcessPause = pause -> {};
@@ -95,7 +95,7 @@
   private void send(
       Loop loop, InetSocketAddress target, HttpRequest request, Consumer<HttpResponse> reply) {
     observeRequest(target, request);
-    int sentBy = incarnation;
+    int sendingIncarnation = incarnation;
     boolean[] answered = new boolean[1];
     Consumer<HttpResponse> once =
         response -> {
@@ -108,7 +108,7 @@
     timeline.after(
         request.deadline().toNanos() / NANOS_PER_SECOND,
         () -> {
-          if (sentBy == incarnation) {
+          if (sendingIncarnation == incarnation) {
             once.accept(HttpResponse.NO_RESPONSE);
           }
         });
@@ -136,8 +136,8 @@
   }
 
   /** So much of its heap is in use, and can't be collected, from now on. */
-  public void heap(double share) {
-    heapShare = share;
+  public void setHeapUsage(double fraction) {
+    usedHeapFraction = fraction;
   }
 
   /** The highest number of requests that waited for a response at a time. */
@@ -148,7 +148,7 @@
   private final class SimulatedHeap implements Heap {
     @Override
     public long used() {
-      return (long) (heapShare * HEAP_BYTES);
+      return (long) (usedHeapFraction * HEAP_BYTES);
     }
 
     @Override
@@ -184,12 +184,12 @@
   }
 
   private final class ObservedResponder implements Responder {
-    private final int receivedBy;
+    private final int receivingIncarnation;
     private final String request;
     private final Consumer<HttpResponse> reply;
 
-    ObservedResponder(int receivedBy, String request, Consumer<HttpResponse> reply) {
-      this.receivedBy = receivedBy;
+    ObservedResponder(int receivingIncarnation, String request, Consumer<HttpResponse> reply) {
+      this.receivingIncarnation = receivingIncarnation;
       this.request = request;
       this.reply = reply;
     }
@@ -203,7 +203,7 @@
     public void respondLater(int status, String text, int retryAfterSeconds) {
       sentMessages.responseSent(
           timeline.nanos(), label(), request, status, text, retryAfterSeconds);
-      pendingRequests -= receivedBy == incarnation ? 1 : 0;
+      pendingRequests -= receivingIncarnation == incarnation ? 1 : 0;
       reply.accept(new HttpResponse(status, text));
     }
   }
@@ -215,13 +215,13 @@
   }
 
   /** Runs a step of an incarnation, after a stall if there is one; never in a later incarnation. */
-  private void run(int stepOf, Runnable step) {
-    if (stepOf != incarnation || controller == null) {
+  private void run(int stepIncarnation, Runnable step) {
+    if (stepIncarnation != incarnation || controller == null) {
       return;
     }
     if (timeline.seconds() < stalledUntil) {
       double remaining = stalledUntil - timeline.seconds() + AFTER_STALL_SECONDS;
-      timeline.after(remaining, () -> run(stepOf, step));
+      timeline.after(remaining, () -> run(stepIncarnation, step));
     } else {
       LogOrigin.enter(label(), timeline.seconds());
       reportStall();
@@ -238,15 +238,15 @@
   }
 
   private final class Loop implements EventLoop {
-    private final int loopOf;
+    private final int loopIncarnation;
 
-    Loop(int loopOf) {
-      this.loopOf = loopOf;
+    Loop(int loopIncarnation) {
+      this.loopIncarnation = loopIncarnation;
     }
 
     @Override
     public void post(Runnable step) {
-      timeline.after(POST_DELAY_SECONDS, () -> run(loopOf, step));
+      timeline.after(EVENT_LOOP_DELAY_SECONDS, () -> run(loopIncarnation, step));
     }
 
     @Override
@@ -258,7 +258,8 @@
               step.run();
             }
           };
-      timeline.after(delay.toNanos() / NANOS_PER_SECOND, () -> run(loopOf, unlessCancelled));
+      timeline.after(
+          delay.toNanos() / NANOS_PER_SECOND, () -> run(loopIncarnation, unlessCancelled));
       return () -> cancelled[0] = true;
     }
 
--- a/src/test/java/org/mulleinshift/simulation/SimulatedMachine.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedMachine.java
@@ -67,17 +67,17 @@
   }
 
   /** Whether the machine exists and its worker has started. */
-  boolean isUp() {
+  boolean isRunning() {
     return exists() && worker != null;
   }
 
-  void booted(SimulatedWorker started, double now) {
+  void onBooted(SimulatedWorker started, double now) {
     worker = started;
     bootedAt = now;
   }
 
-  void deleted(double now) {
+  void onDeleted(double now) {
     deletedAt = now;
-    worker().ifPresent(SimulatedWorker::vanish);
+    worker().ifPresent(SimulatedWorker::onMachineDeleted);
   }
 }
--- a/src/test/java/org/mulleinshift/simulation/SimulatedStore.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedStore.java
@@ -19,7 +19,7 @@
   private static final double EXPIRY_INTERVAL_SECONDS = 0.05;
   private static final double MILLIS_PER_SECOND = 1000;
   private static final int GUARDS_PER_OPERATION = 4;
-  private static final String RESTORE = "BACK";
+  private static final String RESTORE_ORIGINAL = "BACK";
   private static final HttpResponse NOT_FOUND = new HttpResponse(HttpStatus.NOT_FOUND, "{}");
   private static final HttpResponse TOO_MANY_REQUESTS =
       new HttpResponse(HttpStatus.TOO_MANY_REQUESTS, "{}");
@@ -33,19 +33,19 @@
   private final StoreWatches watches;
   private final StoreLeases leases;
   private final Map<String, JsonNode> rewritten = new HashMap<>();
-  private final RateBucket requestBudget;
-  private final RateBucket writeBudget;
+  private final TokenBucket requestBudget;
+  private final TokenBucket writeBudget;
   private PlatformSettings.StoreLimits limits;
-  private int longestAnswer;
-  private int rateLimited;
-  private int rejected;
+  private int longestPageChars;
+  private int rateLimitedCount;
+  private int rejectedTransactionCount;
 
   /** An empty store. */
   public SimulatedStore(Timeline timeline, PlatformSettings.StoreLimits limits) {
     this.timeline = timeline;
     this.limits = limits;
-    this.requestBudget = new RateBucket(timeline, limits.requestsPerSecond());
-    this.writeBudget = new RateBucket(timeline, limits.writesPerSecond());
+    this.requestBudget = new TokenBucket(timeline, limits.requestsPerSecond());
+    this.writeBudget = new TokenBucket(timeline, limits.writesPerSecond());
     this.history = new StoreHistory(timeline);
     this.faults = new StoreFaults(timeline);
     this.keys = new StoredKeys(history);
@@ -93,7 +93,7 @@
       keys.nextRevision();
       keys.remove(prefix + i);
     }
-    watches.answerReady();
+    watches.respondToReady();
   }
 
   /**
@@ -105,9 +105,9 @@
   public void rewrite(String key, String field, String value) {
     StoredKeys.Entry old = keys.find(key);
     JsonNode before = rewritten.remove(key);
-    JsonNode changed = value.equals(RESTORE) ? before : old.value().deepCopy();
+    JsonNode changed = value.equals(RESTORE_ORIGINAL) ? before : old.value().deepCopy();
     rewritten.putIfAbsent(key, old.value());
-    if (!value.equals(RESTORE)) {
+    if (!value.equals(RESTORE_ORIGINAL)) {
       int slash = field.lastIndexOf('/');
       JsonNode parent = slash < 0 ? changed : changed.at("/" + field.substring(0, slash));
       ((ObjectNode) parent).put(field.substring(slash + 1), value);
@@ -120,7 +120,7 @@
     }
     keys.nextRevision();
     keys.apply(set);
-    watches.answerReady();
+    watches.respondToReady();
   }
 
   /** Whether a key that names the job was rewritten. */
@@ -152,23 +152,23 @@
   }
 
   /** Characters of the longest page of keys. */
-  public int longestAnswer() {
-    return longestAnswer;
+  public int longestPageChars() {
+    return longestPageChars;
   }
 
   /** Requests and transactions above the rates. */
-  public int rateLimited() {
-    return rateLimited;
+  public int rateLimitedCount() {
+    return rateLimitedCount;
   }
 
   /** Transactions rejected for good because they exceed the limits of size. */
-  public int rejected() {
-    return rejected;
+  public int rejectedTransactionCount() {
+    return rejectedTransactionCount;
   }
 
-  private boolean withinRate(RateBucket budget, double amount) {
+  private boolean withinRate(TokenBucket budget, double amount) {
     boolean within = budget.tryTake(amount);
-    rateLimited += within ? 0 : 1;
+    rateLimitedCount += within ? 0 : 1;
     return within;
   }
 
@@ -200,13 +200,13 @@
 
   private void serveTransaction(
       String controller, JsonNode transaction, Consumer<HttpResponse> reply) {
-    if (faults.delays(transaction)) {
+    if (faults.delaysTransaction(transaction)) {
       timeline.after(faults.drawDelaySeconds(), () -> commit(transaction));
       return;
     }
-    boolean lost = faults.losesAnswer(transaction);
+    boolean lost = faults.losesResponse(transaction);
     HttpResponse response = commit(transaction);
-    if (!lost && !faults.mutes(controller)) {
+    if (!lost && !faults.losesTransactionResponses(controller)) {
       reply.accept(response);
     }
   }
@@ -243,7 +243,7 @@
 
   private HttpResponse range(Map<String, String> query) {
     String text = keys.range(query).toString();
-    longestAnswer = Math.max(longestAnswer, text.length());
+    longestPageChars = Math.max(longestPageChars, text.length());
     return new HttpResponse(HttpStatus.OK, text);
   }
 
@@ -277,7 +277,7 @@
     if (writes.size() > 0) {
       keys.nextRevision();
       writes.forEach(keys::apply);
-      watches.answerReady();
+      watches.respondToReady();
     }
     return new HttpResponse(HttpStatus.OK, "{\"epoch\":" + keys.revision() + "}");
   }
@@ -287,12 +287,12 @@
     int maxOperations = limits.transactionOperations();
     if (writes.size() > maxOperations
         || transaction.path("guards").size() > GUARDS_PER_OPERATION * maxOperations) {
-      rejected++;
+      rejectedTransactionCount++;
       return "too many operations";
     }
     for (JsonNode write : writes) {
       if (write.path("value").toString().length() > limits.valueBytes()) {
-        rejected++;
+        rejectedTransactionCount++;
         return "value too long";
       }
       if (write.has("hold") && !leases.exists(write.get("hold").asLong())) {
@@ -317,7 +317,7 @@
     timeline.after(EXPIRY_INTERVAL_SECONDS, this::expire);
     if (!faults.inOutage()) {
       leases.endExpired();
-      watches.answerReady();
+      watches.respondToReady();
     }
   }
 }
--- a/src/test/java/org/mulleinshift/simulation/SimulatedUser.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedUser.java
@@ -26,7 +26,7 @@
   private final ObjectMapper json = new ObjectMapper();
   private boolean polling;
   private double pollSeconds = POLL_SECONDS;
-  private int pollsAfterEnd = Integer.MAX_VALUE;
+  private int remainingPollsAfterEnd = Integer.MAX_VALUE;
 
   /** A user who has not submitted the job yet. */
   public SimulatedUser(
@@ -53,14 +53,14 @@
   }
 
   /** The body of the job's submission. */
-  public String body() {
+  public String submissionBody() {
     return JobRequestBody.of(job);
   }
 
   /** Submits the job and polls it from then on. */
   public void submit() {
     job.submit(timeline.seconds());
-    attempt(new RetriedRequest(JOBS_PATH, body(), timeline.seconds()));
+    attempt(new RetriedRequest(JOBS_PATH, submissionBody(), timeline.seconds()));
   }
 
   /** Submits the job once more, with this body. */
@@ -74,7 +74,7 @@
     if (isRejection(reply)) {
       checker.answers().rejected(job.id(), reply.status());
     } else {
-      receive(reply, askedAt);
+      receiveReply(reply, askedAt);
     }
   }
 
@@ -83,13 +83,13 @@
   }
 
   /** Polls so many times as often. */
-  public void pollFactor(double factor) {
+  public void multiplyPollRate(double factor) {
     pollSeconds = POLL_SECONDS / factor;
   }
 
   /** Polls only so many times more once the job was reported as ended. */
-  public void pollsAfterEnd(int max) {
-    pollsAfterEnd = max;
+  public void limitPollsAfterEnd(int max) {
+    remainingPollsAfterEnd = max;
   }
 
   /** Asks for the job's cancellation. */
@@ -98,12 +98,12 @@
     attempt(new RetriedRequest(cancelPath(), "", timeline.seconds()));
   }
 
-  String path() {
+  String jobPath() {
     return JOBS_PATH + "/" + job.id();
   }
 
   String cancelPath() {
-    return path() + "/withdraw";
+    return jobPath() + "/withdraw";
   }
 
   private void attempt(RetriedRequest request) {
@@ -128,7 +128,7 @@
   }
 
   private void receiveAttempt(RetriedRequest request, HttpResponse reply, double askedAt) {
-    receive(reply, askedAt);
+    receiveReply(reply, askedAt);
     if (reply.status() == HttpStatus.OK || reply.status() == HttpStatus.CREATED) {
       startPolling();
     } else if (!isRejection(reply)) {
@@ -151,18 +151,18 @@
 
   /** One poll at a time; a reply that takes longer than the user waits is ignored. */
   private void poll() {
-    if (job.terminalAt().isPresent() && pollsAfterEnd-- <= 0) {
+    if (job.terminalAt().isPresent() && remainingPollsAfterEnd-- <= 0) {
       return;
     }
     Outcome outcome = new Outcome();
     double askedAt = timeline.seconds();
     client.request(
         "GET",
-        path(),
+        jobPath(),
         "",
         reply -> {
           if (outcome.claim()) {
-            receive(reply, askedAt);
+            receiveReply(reply, askedAt);
             schedulePoll();
           }
         });
@@ -185,7 +185,7 @@
    *
    * @param askedAt when the request was sent, seconds
    */
-  void receive(HttpResponse reply, double askedAt) {
+  void receiveReply(HttpResponse reply, double askedAt) {
     if (LOG.isDebugEnabled()) {
       LogOrigin.enter("user", timeline.seconds());
       LOG.debug(
--- a/src/test/java/org/mulleinshift/simulation/SimulatedWorker.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedWorker.java
@@ -22,7 +22,7 @@
  */
 public final class SimulatedWorker {
   private static final Logger LOG = LoggerFactory.getLogger(SimulatedWorker.class);
-  private static final double ANSWER_SECONDS = 4;
+  private static final double REPLY_TIMEOUT_SECONDS = 4;
   private static final double MIN_HEARTBEAT_GAP_SECONDS = 0.5;
   private static final double GAP_TOLERANCE_SECONDS = 1e-6;
   private static final double FIRST_HEARTBEAT_SECONDS = 0.01;
@@ -43,17 +43,17 @@
   private final WorkerTasks tasks;
   private final List<Runnable> stepsWhileHanging = new ArrayList<>();
   private double hangUntil;
-  private double deafUntil;
-  private boolean dropsAnswers;
-  private double muteUntil;
-  private boolean gone;
+  private double incomingIgnoredUntil;
+  private boolean ignoredRepliesCountAsReceived;
+  private double heartbeatsLostUntil;
+  private boolean machineDeleted;
   private OptionalDouble interruptionAt = OptionalDouble.empty();
   private long epoch = 1;
   private long tick;
-  private long token;
-  private double leaseStart;
+  private long fencingToken;
+  private double leaseStartSeconds;
   private double lastSentAt = -10;
-  private boolean inFlight;
+  private boolean awaitingReply;
   private boolean changePending;
   private int controller;
   private long heartbeatNumber;
@@ -70,7 +70,7 @@
     this.machine = machine;
     this.timing = timing;
     this.tasks = new WorkerTasks(timeline, checker, machine, new TaskHost());
-    this.leaseStart = timeline.seconds();
+    this.leaseStartSeconds = timeline.seconds();
     this.controller = (int) (timeline.random() * controllers.controllerLabels().size());
     timeline.after(FIRST_HEARTBEAT_SECONDS, this::sendRegularHeartbeat);
     timeline.after(LEASE_CHECK_SECONDS, this::checkLease);
@@ -78,12 +78,12 @@
 
   private final class TaskHost implements WorkerTasks.Host {
     @Override
-    public void whenAwake(Runnable step) {
-      SimulatedWorker.this.whenAwake(step);
+    public void runWhenResponsive(Runnable step) {
+      SimulatedWorker.this.runWhenResponsive(step);
     }
 
     @Override
-    public void changed() {
+    public void taskChanged() {
       reportChange();
     }
 
@@ -112,26 +112,29 @@
   }
 
   /** Its heartbeats arrive, while no message reaches it: it tries other controllers. */
-  public void deaf(double seconds) {
-    deafUntil = timeline.seconds() + seconds;
-    dropsAnswers = false;
+  public void dropIncomingMessages(double seconds) {
+    incomingIgnoredUntil = timeline.seconds() + seconds;
+    ignoredRepliesCountAsReceived = false;
   }
 
   /** Its heartbeats arrive; it drops the replies as invalid and keeps to its controller. */
   public void dropReplies(double seconds) {
-    deafUntil = timeline.seconds() + seconds;
-    dropsAnswers = true;
+    incomingIgnoredUntil = timeline.seconds() + seconds;
+    ignoredRepliesCountAsReceived = true;
   }
 
   /** Its heartbeats are lost, while direct commands reach it and are answered. */
-  public void mute(double seconds) {
-    muteUntil = timeline.seconds() + seconds;
+  public void loseHeartbeats(double seconds) {
+    heartbeatsLostUntil = timeline.seconds() + seconds;
   }
 
   /** Whether a task of so many processors would run here. */
   public boolean hasCapacity(double cpus) {
     boolean healthy =
-        !gone && !tasks.failing() && interruptionAt.isEmpty() && timeline.seconds() >= hangUntil;
+        !machineDeleted
+            && !tasks.failing()
+            && interruptionAt.isEmpty()
+            && timeline.seconds() >= hangUntil;
     return healthy && tasks.hasCapacity(cpus);
   }
 
@@ -141,10 +144,10 @@
     tasks.clearImages();
     epoch = 1;
     tick = 0;
-    token = 0;
-    leaseStart = timeline.seconds();
+    fencingToken = 0;
+    leaseStartSeconds = timeline.seconds();
     heartbeatNumber++;
-    inFlight = false;
+    awaitingReply = false;
     reportChange();
   }
 
@@ -165,13 +168,13 @@
   }
 
   /** The machine and all on it are gone. */
-  void vanish() {
-    gone = true;
+  void onMachineDeleted() {
+    machineDeleted = true;
     tasks.clear();
   }
 
-  private void whenAwake(Runnable step) {
-    if (gone) {
+  private void runWhenResponsive(Runnable step) {
+    if (machineDeleted) {
       return;
     }
     if (timeline.seconds() < hangUntil) {
@@ -182,7 +185,7 @@
   }
 
   private void checkLease() {
-    if (!gone) {
+    if (!machineDeleted) {
       timeline.after(LEASE_CHECK_SECONDS, this::checkLease);
       endEpochIfLeaseExpired();
     }
@@ -190,21 +193,21 @@
 
   /** A machine that hangs may go on only within its lease; after it, its tasks are gone. */
   private void endEpochIfLeaseExpired() {
-    if (gone || timeline.seconds() - leaseStart <= timing.leaseSeconds()) {
+    if (machineDeleted || timeline.seconds() - leaseStartSeconds <= timing.leaseSeconds()) {
       return;
     }
     logEvent(() -> "lease expired");
     tasks.clear();
     epoch++;
-    leaseStart = timeline.seconds();
+    leaseStartSeconds = timeline.seconds();
     reportChange();
   }
 
   private void sendRegularHeartbeat() {
-    if (gone) {
+    if (machineDeleted) {
       return;
     }
-    whenAwake(this::sendHeartbeat);
+    runWhenResponsive(this::sendHeartbeat);
     double factor = MIN_INTERVAL_FACTOR + INTERVAL_FACTOR_SPREAD * timeline.random();
     timeline.after(timing.heartbeatSeconds() * factor, this::sendRegularHeartbeat);
   }
@@ -215,7 +218,7 @@
     timeline.after(
         wait,
         () ->
-            whenAwake(
+            runWhenResponsive(
                 () -> {
                   if (changePending) {
                     sendHeartbeat();
@@ -223,7 +226,7 @@
                 }));
   }
 
-  private String status() {
+  private String nextStatusBody() {
     tick++;
     ObjectNode body = json.createObjectNode();
     body.put("host", machine.name());
@@ -233,7 +236,7 @@
     body.put("loaner", machine.traits().spot());
     body.put("shift", epoch);
     body.put("tick", tick);
-    body.put("baton", token);
+    body.put("baton", fencingToken);
     if (interruptionAt.isPresent()) {
       body.put("recall_s", Math.max(0, interruptionAt.getAsDouble() - timeline.seconds()));
     }
@@ -243,32 +246,32 @@
 
   private void sendHeartbeat() {
     double elapsed = timeline.seconds() - lastSentAt;
-    if (inFlight || elapsed < MIN_HEARTBEAT_GAP_SECONDS - GAP_TOLERANCE_SECONDS) {
+    if (awaitingReply || elapsed < MIN_HEARTBEAT_GAP_SECONDS - GAP_TOLERANCE_SECONDS) {
       return;
     }
-    inFlight = true;
+    awaitingReply = true;
     changePending = false;
     lastSentAt = timeline.seconds();
     Heartbeat sent = new Heartbeat(++heartbeatNumber, lastSentAt, epoch);
-    String status = status();
-    if (timeline.seconds() >= muteUntil) {
+    String body = nextStatusBody();
+    if (timeline.seconds() >= heartbeatsLostUntil) {
       controllers.send(
-          this, controller, status, reply -> whenAwake(() -> receiveReply(reply, sent)));
+          this, controller, body, reply -> runWhenResponsive(() -> receiveReply(reply, sent)));
     }
-    timeline.after(ANSWER_SECONDS, () -> whenAwake(() -> retryIfUnanswered(sent)));
+    timeline.after(REPLY_TIMEOUT_SECONDS, () -> runWhenResponsive(() -> retryIfUnanswered(sent)));
   }
 
   /** A heartbeat that was sent, and the worker's epoch then. */
   private record Heartbeat(long number, double sentAt, long epoch) {}
 
   private boolean awaitsReplyTo(Heartbeat heartbeat) {
-    return heartbeat.number() == heartbeatNumber && inFlight;
+    return heartbeat.number() == heartbeatNumber && awaitingReply;
   }
 
   private void retryIfUnanswered(Heartbeat heartbeat) {
     if (awaitsReplyTo(heartbeat)) {
       logEvent(() -> "heartbeat unanswered, controller=" + controller);
-      inFlight = false;
+      awaitingReply = false;
       tryNextController();
     }
   }
@@ -276,16 +279,16 @@
   private void logEvent(Supplier<String> event) {
     if (LOG.isDebugEnabled()) {
       LogOrigin.enter(machine.name(), timeline.seconds());
-      LOG.debug("{} lease_age_s={}", event.get(), timeline.seconds() - leaseStart);
+      LOG.debug("{} lease_age_s={}", event.get(), timeline.seconds() - leaseStartSeconds);
     }
   }
 
   private void receiveReply(HttpResponse reply, Heartbeat heartbeat) {
-    boolean deaf = timeline.seconds() < deafUntil;
-    boolean unreachable = deaf && !dropsAnswers;
+    boolean ignoresIncoming = timeline.seconds() < incomingIgnoredUntil;
+    boolean unreachable = ignoresIncoming && !ignoredRepliesCountAsReceived;
     if (awaitsReplyTo(heartbeat) && !unreachable) {
-      inFlight = false;
-      if (!deaf) {
+      awaitingReply = false;
+      if (!ignoresIncoming) {
         processReply(reply, heartbeat);
       }
     }
@@ -293,7 +296,7 @@
 
   private void tryNextController() {
     controller = (controller + 1) % controllers.controllerLabels().size();
-    timeline.after(RETRY_SECONDS, () -> whenAwake(this::sendHeartbeat));
+    timeline.after(RETRY_SECONDS, () -> runWhenResponsive(this::sendHeartbeat));
   }
 
   private void processReply(HttpResponse reply, Heartbeat heartbeat) {
@@ -307,11 +310,11 @@
                 + " redirect="
                 + body.path("foreman").asText("-"));
     if (reply.status() == HttpStatus.MISDIRECTED && body.hasNonNull("foreman")) {
-      int named = controllers.controllerLabels().indexOf(body.get("foreman").asText());
-      if (named >= 0 && named != controller) {
-        controller = named;
+      int redirectTarget = controllers.controllerLabels().indexOf(body.get("foreman").asText());
+      if (redirectTarget >= 0 && redirectTarget != controller) {
+        controller = redirectTarget;
         double delay = MAX_REDIRECT_SECONDS * timeline.random();
-        timeline.after(delay, () -> whenAwake(this::sendHeartbeat));
+        timeline.after(delay, () -> runWhenResponsive(this::sendHeartbeat));
         return;
       }
     }
@@ -319,15 +322,15 @@
       tryNextController();
       return;
     }
-    long given = body.path("baton").asLong(-1);
-    if (heartbeat.epoch() != epoch || given < token) {
+    long replyToken = body.path("baton").asLong(-1);
+    if (heartbeat.epoch() != epoch || replyToken < fencingToken) {
       return;
     }
-    boolean higher = given > token;
-    token = given;
-    leaseStart = heartbeat.sentAt();
-    obey(body.path("orders"));
-    if (higher) {
+    boolean tokenIncreased = replyToken > fencingToken;
+    fencingToken = replyToken;
+    leaseStartSeconds = heartbeat.sentAt();
+    executeCommands(body.path("orders"));
+    if (tokenIncreased) {
       reportChange();
     }
   }
@@ -342,33 +345,34 @@
 
   /** A direct request of a controller arrives; it is served late if the machine hangs. */
   public void handle(HttpRequest request, Consumer<HttpResponse> reply) {
-    if (timeline.seconds() < deafUntil) {
+    if (timeline.seconds() < incomingIgnoredUntil) {
       return;
     }
     if (request.path().equals("/status")) {
-      whenAwake(() -> reply.accept(new HttpResponse(HttpStatus.OK, status())));
+      runWhenResponsive(() -> reply.accept(new HttpResponse(HttpStatus.OK, nextStatusBody())));
     } else {
-      whenAwake(() -> handleCommands(request, reply));
+      runWhenResponsive(() -> handleCommands(request, reply));
     }
   }
 
   private void handleCommands(HttpRequest request, Consumer<HttpResponse> reply) {
     JsonNode body = parse(request.body().orElse(""));
-    boolean stale = body.path("baton").asLong(-1) < token || body.path("shift").asLong(-1) != epoch;
+    boolean stale =
+        body.path("baton").asLong(-1) < fencingToken || body.path("shift").asLong(-1) != epoch;
     if (!stale) {
-      token = body.path("baton").asLong();
-      obey(body.path("orders"));
+      fencingToken = body.path("baton").asLong();
+      executeCommands(body.path("orders"));
     }
-    reply.accept(new HttpResponse(stale ? HttpStatus.CONFLICT : HttpStatus.OK, status()));
+    reply.accept(new HttpResponse(stale ? HttpStatus.CONFLICT : HttpStatus.OK, nextStatusBody()));
   }
 
-  private void obey(JsonNode commands) {
+  private void executeCommands(JsonNode commands) {
     for (JsonNode command : commands) {
       String task = command.path("piece").asText();
       long attempt = command.path("try").asLong();
       switch (command.path("verb").asText()) {
         case "run" -> tasks.run(task, attempt);
-        case "halt" -> tasks.halt(task, attempt);
+        case "halt" -> tasks.stop(task, attempt);
         case "forget" -> tasks.forget(task, attempt);
         default -> throw new IllegalStateException(command.toString());
       }
--- a/src/test/java/org/mulleinshift/simulation/StoreFaults.java
+++ b/src/test/java/org/mulleinshift/simulation/StoreFaults.java
@@ -9,8 +9,8 @@
 
 /** Faults of the simulated store. Durations are seconds from now on. */
 public final class StoreFaults {
-  private static final double MIN_LATE_SECONDS = 2;
-  private static final double LATE_SPREAD_SECONDS = 10;
+  private static final double MIN_DELAY_SECONDS = 2;
+  private static final double DELAY_SPREAD_SECONDS = 10;
 
   /** A share of the transactions of a kind, or of any kind if it is empty. */
   private record Affected(double share, double until, String kind) {
@@ -24,15 +24,15 @@
   }
 
   private final Timeline timeline;
-  private final Map<String, Double> refusedUntil = new HashMap<>();
-  private final Map<String, Double> mutedUntil = new HashMap<>();
-  private final Map<String, Double> watchesHeldUntil = new HashMap<>();
-  private final Map<String, Double> readsOfChangesHeldUntil = new HashMap<>();
-  private Affected lateWrites = Affected.NONE;
-  private Affected lostAnswers = Affected.NONE;
+  private final Map<String, Double> requestsRejectedUntil = new HashMap<>();
+  private final Map<String, Double> responsesLostUntil = new HashMap<>();
+  private final Map<String, Double> watchesWithheldUntil = new HashMap<>();
+  private final Map<String, Double> readsOfChangesWithheldUntil = new HashMap<>();
+  private Affected delayedTransactions = Affected.NONE;
+  private Affected lostResponses = Affected.NONE;
   private double outageUntil;
   private double slowUntil;
-  private double slowBy;
+  private double slowBySeconds;
 
   StoreFaults(Timeline timeline) {
     this.timeline = timeline;
@@ -43,39 +43,39 @@
   }
 
   /** All requests of the controller are rejected. */
-  public void refuse(String controller, double seconds) {
-    refusedUntil.put(controller, timeline.seconds() + seconds);
+  public void rejectRequests(String controller, double seconds) {
+    requestsRejectedUntil.put(controller, timeline.seconds() + seconds);
   }
 
   /** The controller's transactions are carried out, and their responses are lost. */
-  public void mute(String controller, double seconds) {
-    mutedUntil.put(controller, timeline.seconds() + seconds);
+  public void loseTransactionResponses(String controller, double seconds) {
+    responsesLostUntil.put(controller, timeline.seconds() + seconds);
   }
 
   /** Responses to the controller's open watches are held back; all other requests are answered. */
-  public void holdWatches(String controller, double seconds) {
-    watchesHeldUntil.put(controller, timeline.seconds() + seconds);
+  public void withholdWatchResponses(String controller, double seconds) {
+    watchesWithheldUntil.put(controller, timeline.seconds() + seconds);
   }
 
   /** All responses that would tell the controller of changes are held back. */
-  public void holdChanges(String controller, double seconds) {
-    holdWatches(controller, seconds);
-    readsOfChangesHeldUntil.put(controller, timeline.seconds() + seconds);
+  public void withholdChangeResponses(String controller, double seconds) {
+    withholdWatchResponses(controller, seconds);
+    readsOfChangesWithheldUntil.put(controller, timeline.seconds() + seconds);
   }
 
   /** That share of transactions of a kind gets no response and is carried out 2 to 12 s later. */
-  public void lateWrites(double share, double seconds, String kind) {
-    lateWrites = new Affected(share, timeline.seconds() + seconds, kind);
+  public void delayTransactions(double share, double seconds, String kind) {
+    delayedTransactions = new Affected(share, timeline.seconds() + seconds, kind);
   }
 
   /** That share of transactions of a kind is carried out at once, and only the response is lost. */
-  public void lostAnswers(double share, double seconds, String kind) {
-    lostAnswers = new Affected(share, timeline.seconds() + seconds, kind);
+  public void loseResponses(double share, double seconds, String kind) {
+    lostResponses = new Affected(share, timeline.seconds() + seconds, kind);
   }
 
   /** Responses come so much later. */
-  public void slow(double by, double seconds) {
-    slowBy = by;
+  public void slow(double bySeconds, double seconds) {
+    slowBySeconds = bySeconds;
     slowUntil = timeline.seconds() + seconds;
   }
 
@@ -84,40 +84,40 @@
   }
 
   boolean unavailableTo(String controller) {
-    return inOutage() || active(refusedUntil, controller);
+    return inOutage() || active(requestsRejectedUntil, controller);
   }
 
-  boolean mutes(String controller) {
-    return active(mutedUntil, controller);
+  boolean losesTransactionResponses(String controller) {
+    return active(responsesLostUntil, controller);
   }
 
-  boolean holdsWatch(String controller) {
-    return active(watchesHeldUntil, controller);
+  boolean withholdsWatchResponse(String controller) {
+    return active(watchesWithheldUntil, controller);
   }
 
-  boolean holdsReadOfChanges(String controller) {
-    return active(readsOfChangesHeldUntil, controller);
+  boolean withholdsReadOfChanges(String controller) {
+    return active(readsOfChangesWithheldUntil, controller);
   }
 
   private boolean active(Map<String, Double> until, String controller) {
     return timeline.seconds() < until.getOrDefault(controller, 0.0);
   }
 
-  boolean delays(JsonNode transaction) {
-    return lateWrites.covers(timeline, transaction);
+  boolean delaysTransaction(JsonNode transaction) {
+    return delayedTransactions.covers(timeline, transaction);
   }
 
   double drawDelaySeconds() {
-    return MIN_LATE_SECONDS + LATE_SPREAD_SECONDS * timeline.random();
+    return MIN_DELAY_SECONDS + DELAY_SPREAD_SECONDS * timeline.random();
   }
 
-  boolean losesAnswer(JsonNode transaction) {
-    return lostAnswers.covers(timeline, transaction);
+  boolean losesResponse(JsonNode transaction) {
+    return lostResponses.covers(timeline, transaction);
   }
 
   Consumer<HttpResponse> slowed(Consumer<HttpResponse> reply) {
     return timeline.seconds() < slowUntil
-        ? response -> timeline.after(slowBy, () -> reply.accept(response))
+        ? response -> timeline.after(slowBySeconds, () -> reply.accept(response))
         : reply;
   }
 }
--- a/src/test/java/org/mulleinshift/simulation/StoreHistory.java
+++ b/src/test/java/org/mulleinshift/simulation/StoreHistory.java
@@ -14,22 +14,22 @@
   private final List<Double> grants = new ArrayList<>();
   private final List<Double> progressWrites = new ArrayList<>();
   private Runnable onTerm = () -> {};
-  private int writes;
+  private int writeCount;
 
   StoreHistory(Timeline timeline) {
     this.timeline = timeline;
   }
 
   /** Calls the listener whenever a term begins. */
-  public void onTerm(Runnable listener) {
+  public void onTermStart(Runnable listener) {
     onTerm = listener;
   }
 
-  void written() {
-    writes++;
+  void countWrite() {
+    writeCount++;
   }
 
-  void valueSet(String key) {
+  void recordSet(String key) {
     if (key.equals(LEADER_KEY)) {
       termStarts.add(timeline.seconds());
       onTerm.run();
@@ -41,8 +41,8 @@
   }
 
   /** How many keys transactions have set or deleted. */
-  public int writes() {
-    return writes;
+  public int writeCount() {
+    return writeCount;
   }
 
   /** Whether a term began within these times. */
--- a/src/test/java/org/mulleinshift/simulation/StoreLeases.java
+++ b/src/test/java/org/mulleinshift/simulation/StoreLeases.java
@@ -58,7 +58,7 @@
     if (!bound.isEmpty()) {
       keys.nextRevision();
       bound.forEach(keys::remove);
-      watches.answerReady();
+      watches.respondToReady();
     }
   }
 
--- a/src/test/java/org/mulleinshift/simulation/StoreWatches.java
+++ b/src/test/java/org/mulleinshift/simulation/StoreWatches.java
@@ -16,7 +16,7 @@
   private record Watch(
       String controller,
       String prefix,
-      long from,
+      long fromRevision,
       double deadline,
       boolean waits,
       Consumer<HttpResponse> reply) {}
@@ -37,26 +37,27 @@
 
   void open(String controller, String path, Consumer<HttpResponse> reply) {
     Map<String, String> query = QueryParameters.of(path);
-    long from = Long.parseLong(query.get("from"));
-    if (from < keys.compactedRevision()) {
+    long fromRevision = Long.parseLong(query.get("from"));
+    if (fromRevision < keys.compactedRevision()) {
       reply.accept(GONE);
       return;
     }
     double wait = Double.parseDouble(query.getOrDefault("hold_ms", "0")) / MILLIS_PER_SECOND;
     double deadline = timeline.seconds() + wait;
-    watches.add(new Watch(controller, query.get("starts"), from, deadline, wait > 0, reply));
-    answerReady();
+    watches.add(
+        new Watch(controller, query.get("starts"), fromRevision, deadline, wait > 0, reply));
+    respondToReady();
   }
 
   /** Answers the watches that have changes to report, and those that have waited long enough. */
-  void answerReady() {
+  void respondToReady() {
     List<Watch> ready = watches.stream().filter(this::isReady).toList();
     watches.removeAll(ready);
     ready.forEach(watch -> watch.reply().accept(answer(watch)));
   }
 
   private HttpResponse answer(Watch watch) {
-    if (watch.from() < keys.compactedRevision()) {
+    if (watch.fromRevision() < keys.compactedRevision()) {
       // It was held back while the history was dropped.
       return GONE;
     }
@@ -68,16 +69,16 @@
 
   private boolean isReady(Watch watch) {
     boolean due = timeline.seconds() >= watch.deadline() || !changesFor(watch).isEmpty();
-    return due && !isHeld(watch) && !faults.unavailableTo(watch.controller());
+    return due && !isWithheld(watch) && !faults.unavailableTo(watch.controller());
   }
 
-  private boolean isHeld(Watch watch) {
+  private boolean isWithheld(Watch watch) {
     return watch.waits()
-        ? faults.holdsWatch(watch.controller())
-        : faults.holdsReadOfChanges(watch.controller());
+        ? faults.withholdsWatchResponse(watch.controller())
+        : faults.withholdsReadOfChanges(watch.controller());
   }
 
   private List<ObjectNode> changesFor(Watch watch) {
-    return keys.changesAfter(watch.from(), watch.prefix());
+    return keys.changesAfter(watch.fromRevision(), watch.prefix());
   }
 }
--- a/src/test/java/org/mulleinshift/simulation/StoredKeys.java
+++ b/src/test/java/org/mulleinshift/simulation/StoredKeys.java
@@ -103,7 +103,7 @@
 
   /** Carries out one write of a transaction. */
   void apply(JsonNode write) {
-    history.written();
+    history.countWrite();
     if (write.has("set")) {
       set(write);
     } else {
@@ -118,7 +118,7 @@
     String key = write.get("set").asText();
     Long lease = write.has("hold") ? write.get("hold").asLong() : null;
     entries.put(key, new Entry(write.get("value"), revision, lease));
-    history.valueSet(key);
+    history.recordSet(key);
     ObjectNode change = json.createObjectNode();
     change.put("set", key);
     change.set("value", write.get("value"));
@@ -142,11 +142,11 @@
   }
 
   /** The changes of keys with a prefix after a revision, the oldest first. */
-  List<ObjectNode> changesAfter(long from, String prefix) {
+  List<ObjectNode> changesAfter(long fromRevision, String prefix) {
     List<ObjectNode> found = new ArrayList<>();
     for (int i = changes.size() - 1; i >= 0; i--) {
       ObjectNode change = changes.get(i);
-      if (change.get("stamp").asLong() <= from) {
+      if (change.get("stamp").asLong() <= fromRevision) {
         break;
       }
       String key = (change.has("set") ? change.get("set") : change.get("delete")).asText();
--- a/src/test/java/org/mulleinshift/simulation/RateBucket.java
+++ b/src/test/java/org/mulleinshift/simulation/TokenBucket.java
@@ -3,13 +3,13 @@
 import org.mulleinshift.simulation.time.Timeline;
 
 /** A token bucket that holds one second's worth of its rate. */
-final class RateBucket {
+final class TokenBucket {
   private final Timeline timeline;
   private double ratePerSecond;
   private double tokens;
   private double filledAt;
 
-  RateBucket(Timeline timeline, double ratePerSecond) {
+  TokenBucket(Timeline timeline, double ratePerSecond) {
     this.timeline = timeline;
     this.ratePerSecond = ratePerSecond;
     this.tokens = ratePerSecond;
--- a/src/test/java/org/mulleinshift/simulation/WorkerTasks.java
+++ b/src/test/java/org/mulleinshift/simulation/WorkerTasks.java
@@ -15,10 +15,10 @@
   /** The worker that the tasks belong to. */
   interface Host {
     /** Runs the step now, or when the machine no longer hangs; never if it is gone. */
-    void whenAwake(Runnable step);
+    void runWhenResponsive(Runnable step);
 
     /** A task's phase has changed. */
-    void changed();
+    void taskChanged();
 
     /** The worker's epoch; tasks of an earlier one are gone. */
     long epoch();
@@ -111,11 +111,11 @@
   }
 
   private void fetch(WorkerTask task, ObservedJob job) {
-    host.changed();
+    host.taskChanged();
     String image = job.text("image", "img-1");
     double seconds = images.contains(image) ? CACHED_FETCH_SECONDS : job.number("fetch", 1);
     long epoch = host.epoch();
-    timeline.after(seconds, () -> host.whenAwake(() -> start(task, job, image, epoch)));
+    timeline.after(seconds, () -> host.runWhenResponsive(() -> start(task, job, image, epoch)));
   }
 
   private boolean isCurrent(WorkerTask task, long epoch) {
@@ -129,7 +129,7 @@
     images.add(image);
     task.start();
     checker.tasks().started(task.name(), machine.traits());
-    host.changed();
+    host.taskChanged();
     if (checker.tasks().isCompleted(task.name())) {
       exit(task, "done");
     } else if (!job.text("kind", "batch").equals("standing")) {
@@ -147,7 +147,7 @@
             checker.tasks().nearlyDone(task.name());
           }
         });
-    timeline.after(seconds, () -> host.whenAwake(() -> finish(task, fails, epoch)));
+    timeline.after(seconds, () -> host.runWhenResponsive(() -> finish(task, fails, epoch)));
   }
 
   private void finish(WorkerTask task, boolean fails, long epoch) {
@@ -160,7 +160,7 @@
     exit(task, fails ? "error" : "done");
   }
 
-  void halt(String name, long attempt) {
+  void stop(String name, long attempt) {
     WorkerTask task = tasks.get(WorkerTask.key(name, attempt));
     if (task != null) {
       exit(task, "halted");
@@ -182,6 +182,6 @@
     if (task.started()) {
       checker.tasks().ended(task.name(), machine.name());
     }
-    host.changed();
+    host.taskChanged();
   }
 }
