--- a/src/test/java/org/mulleinshift/simulation/DelayedDuplicates.java
+++ b/src/test/java/org/mulleinshift/simulation/DelayedDuplicates.java
@@ -8,8 +8,8 @@
 import org.mulleinshift.simulation.time.Timeline;
 
 /**
- * Duplicates of heartbeats that arrive late: after a drawn delay, or at all controllers when the
- * next leader's term begins.
+ * Delivers late copies of heartbeats: to one controller after a random delay, or to all controllers
+ * when the next leader's term begins.
  */
 public final class DelayedDuplicates {
   private static final int MAX_KEPT_PER_MACHINE = 4;
@@ -24,25 +24,28 @@
   private double minDelaySeconds;
   private double maxDelaySeconds;
 
-  /** Nothing is duplicated yet. */
+  /** Creates an instance that duplicates nothing until one of the faults is started. */
   public DelayedDuplicates(Timeline timeline, List<SimulatedController> controllers) {
     this.timeline = timeline;
     this.controllers = controllers;
   }
 
-  /** For a while some heartbeats are kept until the next term begins. */
+  /** For {@code seconds}, keeps copies of some heartbeats until the next leader's term begins. */
   public void keepDuring(double seconds) {
     keepUntil = timeline.seconds() + seconds;
   }
 
-  /** For a while a duplicate of each heartbeat arrives at a drawn controller after a delay. */
+  /**
+   * For {@code seconds}, delivers a copy of each heartbeat to a random controller after a random
+   * delay of {@code minDelay} to {@code maxDelay} seconds.
+   */
   public void duplicateDuring(double seconds, double minDelay, double maxDelay) {
     duplicateUntil = timeline.seconds() + seconds;
     minDelaySeconds = minDelay;
     maxDelaySeconds = maxDelay;
   }
 
-  /** A worker sends a heartbeat. */
+  /** Called for every heartbeat that a worker sends. */
   void heartbeatSent(String machine, String body) {
     keep(machine, body);
     if (timeline.seconds() < duplicateUntil) {
@@ -52,7 +55,10 @@
     }
   }
 
-  /** Some are kept, the first ones for longest. */
+  /**
+   * Keeps a random sample. When a machine's queue is full, the newest copy is replaced so that the
+   * oldest, most outdated ones stay.
+   */
   private void keep(String machine, String body) {
     if (timeline.seconds() < keepUntil && timeline.random() < KEPT_FRACTION) {
       Deque<String> duplicates = keptByMachine.computeIfAbsent(machine, name -> new ArrayDeque<>());
@@ -63,7 +69,7 @@
     }
   }
 
-  /** A leader's term begins. */
+  /** Delivers all kept copies to all controllers; called when a leader's term begins. */
   public void deliverKept() {
     keptByMachine.values().forEach(duplicates -> duplicates.forEach(this::deliverToAll));
     keptByMachine.clear();
@@ -75,7 +81,7 @@
     }
   }
 
-  /** Nobody receives the reply. */
+  /** Delivers a copy if the controller is running by then; the reply is discarded. */
   private void deliver(SimulatedController controller, double delay, String body) {
     timeline.after(
         delay,
--- a/src/test/java/org/mulleinshift/simulation/HeartbeatSender.java
+++ b/src/test/java/org/mulleinshift/simulation/HeartbeatSender.java
@@ -4,11 +4,11 @@
 import java.util.function.Consumer;
 import org.mulleinshift.transport.HttpResponse;
 
-/** Sends workers' heartbeats to controllers, which are known by their indexes. */
+/** Sends workers' heartbeats to controllers, which are identified by index. */
 public interface HeartbeatSender {
-  /** The labels of all controllers, running or not, in the order of their indexes. */
+  /** The labels of all controllers, running or not, ordered by index. */
   List<String> controllerLabels();
 
-  /** Sends a heartbeat; the reply never comes if a message is lost. */
+  /** Sends a heartbeat; {@code reply} is never called if the heartbeat or the response is lost. */
   void send(SimulatedWorker worker, int controller, String body, Consumer<HttpResponse> reply);
 }
--- a/src/test/java/org/mulleinshift/simulation/HttpStatus.java
+++ b/src/test/java/org/mulleinshift/simulation/HttpStatus.java
@@ -1,6 +1,6 @@
 package org.mulleinshift.simulation;
 
-/** Status codes of the simulated services' responses. */
+/** HTTP status codes that the simulated services and controllers respond with. */
 final class HttpStatus {
   static final int OK = 200;
   static final int CREATED = 201;
--- a/src/test/java/org/mulleinshift/simulation/InvalidRequests.java
+++ b/src/test/java/org/mulleinshift/simulation/InvalidRequests.java
@@ -13,8 +13,8 @@
 import org.mulleinshift.simulation.time.Timeline;
 
 /**
- * Users who repeat submissions of accepted jobs, cancel jobs that are done, and submit jobs that
- * can't run or lack a field.
+ * Simulates users who resubmit accepted jobs, cancel completed jobs, and submit jobs that lack a
+ * required field or cannot run.
  */
 public final class InvalidRequests {
   private static final double INTERVAL_SECONDS = 0.4;
@@ -42,7 +42,7 @@
           "snapshot_s",
           "flush_s");
 
-  /** No response, too many requests, unavailable: nothing is known of the request's validity. */
+  /** Statuses that do not tell whether the request was valid; 0 means that no response came. */
   private static final Set<Integer> UNCERTAIN_STATUSES =
       Set.of(0, HttpStatus.TOO_MANY_REQUESTS, HttpStatus.UNAVAILABLE);
 
@@ -54,7 +54,7 @@
   private double activeUntil;
   private int requestNumber;
 
-  /** Nobody sends such requests yet. */
+  /** Sends nothing until {@link #during} is called. */
   public InvalidRequests(
       Timeline timeline,
       InvariantChecker checker,
@@ -66,7 +66,7 @@
     this.client = client;
   }
 
-  /** Sends such requests for a while. */
+  /** Sends such requests for {@code seconds}. */
   public void during(double seconds) {
     activeUntil = timeline.seconds() + seconds;
     sendNext();
@@ -114,7 +114,7 @@
         });
   }
 
-  /** Makes a body invalid in one of several ways and returns the status that it must get. */
+  /** Makes the body invalid in the way selected by {@code kind}; returns the expected status. */
   private static int makeInvalid(ObjectNode body, int kind) {
     if (kind < REQUIRED_FIELDS.size()) {
       body.remove(REQUIRED_FIELDS.get(kind));
--- a/src/test/java/org/mulleinshift/simulation/JobRequestBody.java
+++ b/src/test/java/org/mulleinshift/simulation/JobRequestBody.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.mulleinshift.invariants.ObservedJob;
 
-/** Writes the body of a job's submission. */
+/** Writes the request body that submits a job. */
 final class JobRequestBody {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final double DEFAULT_DUE_SECONDS = 120;
--- a/src/test/java/org/mulleinshift/simulation/LogOrigin.java
+++ b/src/test/java/org/mulleinshift/simulation/LogOrigin.java
@@ -1,8 +1,8 @@
 package org.mulleinshift.simulation;
 
 /**
- * Where and when in a play the present log line arises: the host whose step runs on this thread,
- * and the virtual time. Log lines themselves carry only the time of the machine.
+ * The origin of a log line in a simulation: the host whose step runs on this thread, and the
+ * virtual time. The logging framework itself knows only the real time.
  */
 public final class LogOrigin {
   private static final ThreadLocal<LogOrigin> CURRENT = ThreadLocal.withInitial(LogOrigin::new);
@@ -12,19 +12,19 @@
 
   private LogOrigin() {}
 
-  /** The origin of what this thread logs now. */
+  /** The origin of the log lines that the current thread writes. */
   public static LogOrigin current() {
     return CURRENT.get();
   }
 
-  /** A step of the host begins at that time. */
+  /** Records that a step of {@code host} starts on this thread at the given virtual time. */
   static void enter(String host, double seconds) {
     LogOrigin origin = CURRENT.get();
     origin.host = host;
     origin.seconds = seconds;
   }
 
-  /** Virtual time and host, as a prefix of a line. */
+  /** The virtual time in seconds and the host, to prefix a log line with. */
   @Override
   public String toString() {
     return String.format("%.3f %s", seconds, host);
--- a/src/test/java/org/mulleinshift/simulation/MachineSpec.java
+++ b/src/test/java/org/mulleinshift/simulation/MachineSpec.java
@@ -3,8 +3,8 @@
 /**
  * A machine type that the cloud offers.
  *
- * @param ramGb in GB
- * @param bootSeconds usual time from the request until the worker runs
+ * @param ramGb memory per machine
+ * @param bootSeconds typical time from the request until the worker runs
  */
 public record MachineSpec(
     String name,
--- a/src/test/java/org/mulleinshift/simulation/QueryParameters.java
+++ b/src/test/java/org/mulleinshift/simulation/QueryParameters.java
@@ -3,11 +3,11 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The parameters of a request's path. */
+/** Parses the query parameters of a request path. */
 final class QueryParameters {
   private QueryParameters() {}
 
-  /** Parameters by name; a path without any gives none. */
+  /** The parameters by name; empty if the path has no query. */
   static Map<String, String> of(String path) {
     Map<String, String> values = new HashMap<>();
     int question = path.indexOf('?');
--- a/src/test/java/org/mulleinshift/simulation/ReadsAfterChange.java
+++ b/src/test/java/org/mulleinshift/simulation/ReadsAfterChange.java
@@ -6,8 +6,8 @@
 import org.mulleinshift.simulation.time.Timeline;
 
 /**
- * Users who read a job at all controllers, several times within a second, right after it was
- * accepted, had ended or was confirmed as cancelled, and who repeat the submission and the
+ * Simulates users who read a job at all controllers several times within a second right after it
+ * was accepted, ended or was confirmed as cancelled, and who repeat the submission and the
  * cancellation in between.
  */
 public final class ReadsAfterChange {
@@ -22,7 +22,7 @@
   private double activeUntil;
   private double cancelShare;
 
-  /** Nobody reads yet. */
+  /** Sends nothing until {@link #during} is called. */
   public ReadsAfterChange(
       Timeline timeline,
       Map<String, SimulatedUser> users,
@@ -34,13 +34,16 @@
     this.client = client;
   }
 
-  /** Users read so for a while; that share of jobs is cancelled as soon as it is accepted. */
+  /**
+   * For {@code seconds}, reads each job that changes. A changed job that has not ended is also
+   * cancelled with probability {@code share}.
+   */
   public void during(double seconds, double share) {
     activeUntil = timeline.seconds() + seconds;
     cancelShare = share;
   }
 
-  /** A user was told of a change of the job. */
+  /** Called when a controller has told a user that the job changed. */
   public void jobChanged(ObservedJob job) {
     if (timeline.seconds() >= activeUntil) {
       return;
@@ -71,7 +74,7 @@
           user.submissionBody(),
           reply -> user.receiveResubmission(reply, askedAt));
     } else if (number == REPEATED_CANCELLATION && job.terminalAt().isPresent()) {
-      // A job that has ended keeps its phase.
+      // Cancelling a job that has ended must not change its phase.
       client.request(
           controller, "POST", user.cancelPath(), "", reply -> user.receiveReply(reply, askedAt));
     } else {
--- a/src/test/java/org/mulleinshift/simulation/SentMessageListener.java
+++ b/src/test/java/org/mulleinshift/simulation/SentMessageListener.java
@@ -5,7 +5,7 @@
 
 /** Observes everything that a simulated controller sends, at the moment it is sent. */
 public interface SentMessageListener {
-  /** Observes nothing. */
+  /** Ignores all messages. */
   SentMessageListener IGNORED =
       new SentMessageListener() {
         @Override
@@ -26,7 +26,7 @@
             long nanos, String sender, String request, int status, String body, int retryAfter) {}
       };
 
-  /** A request to the store, the cloud or a worker. */
+  /** Called when a request to the store, the cloud or a worker is sent. */
   void requestSent(
       long nanos,
       String sender,
@@ -36,10 +36,10 @@
       String body,
       Duration deadline);
 
-  /** A frame to another controller. */
+  /** Called when a frame is sent to another controller. */
   void frameSent(long nanos, String sender, String receiver, byte[] frame);
 
-  /** A response to a request, {@code retryAfter} in seconds, or 0 for none. */
+  /** Called when a response is sent; {@code retryAfter} is in seconds, 0 if absent. */
   void responseSent(
       long nanos, String sender, String request, int status, String body, int retryAfter);
 }
--- a/src/test/java/org/mulleinshift/simulation/SimulatedCloud.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedCloud.java
@@ -24,8 +24,8 @@
 import org.mulleinshift.transport.HttpResponse;
 
 /**
- * A cloud that boots and deletes machines on request, answers repeated requests alike, and lists
- * its machines as they were some seconds ago.
+ * Simulates a cloud that boots and deletes machines on request. Repeating a successful provisioning
+ * request returns the same machines. Listings show the machines as they were some seconds ago.
  */
 public final class SimulatedCloud implements StarvationCheck.FreeCapacity {
   private static final int MAX_PAGE = 500;
@@ -33,7 +33,7 @@
   private static final double BOOT_FACTOR_SPREAD = 0.6;
   private static final int HOSTS_PER_NETWORK = 200;
 
-  /** Machines of one type, zone and kind, which share their capacity. */
+  /** Machines of one type, zone and kind (spot or on-demand), which have a common limit. */
   private record Pool(String type, String zone, boolean spot) {
     boolean contains(SimulatedMachine machine) {
       MachineTraits traits = machine.traits();
@@ -57,9 +57,9 @@
   private int capacityErrors;
 
   /**
-   * A cloud without machine types.
+   * Creates a cloud without machine types.
    *
-   * @param listingLagSeconds by how much lists of machines are out of date at least
+   * @param minListingLagSeconds minimum age of the state that listings show
    * @param workerFactory starts the worker of a machine that has booted
    */
   public SimulatedCloud(
@@ -71,7 +71,7 @@
     this.workerFactory = workerFactory;
   }
 
-  /** Sets where the worker of the machine with a number listens; the first has number 1. */
+  /** Sets the function from a machine's number, counted from 1, to its worker's address. */
   public void addresses(IntFunction<String> next) {
     addresses = next;
   }
@@ -81,12 +81,12 @@
     return "10.1." + network + "." + (number % HOSTS_PER_NETWORK + 1) + ":9000";
   }
 
-  /** Offers a machine type. */
+  /** Adds a machine type to the catalog. */
   public void addMachineType(MachineSpec type) {
     types.put(type.name(), type);
   }
 
-  /** The machine type with the name. */
+  /** The machine type with the given name, or null if there is none. */
   public MachineSpec machineType(String name) {
     return types.get(name);
   }
@@ -101,17 +101,19 @@
     capacity.put(new Pool(type, zone, true), count);
   }
 
-  /** No request is served for a while. */
+  /** Rejects all requests as unavailable for {@code seconds}. */
   public void outage(double seconds) {
     outageUntil = timeline.seconds() + seconds;
   }
 
-  /** Machines requested from now on never boot. */
+  /** Machines created within the next {@code seconds} never boot. */
   public void preventBoots(double seconds) {
     bootsPreventedUntil = timeline.seconds() + seconds;
   }
 
-  /** Machines requested from now on take so many times as long to boot. */
+  /**
+   * Machines requested within the next {@code seconds} take {@code factor} times as long to boot.
+   */
   public void slowBoots(double factor, double seconds) {
     bootDelayFactor = factor;
     bootsSlowedUntil = timeline.seconds() + seconds;
@@ -123,22 +125,22 @@
     return factor * type.bootSeconds() * variation;
   }
 
-  /** The machines that are not deleted. */
+  /** The machines that are not deleted, booted or not. */
   public List<SimulatedMachine> existingMachines() {
     return machines.values().stream().filter(SimulatedMachine::exists).toList();
   }
 
-  /** The machines whose workers run. */
+  /** The machines that have booted and are not deleted. */
   public List<SimulatedMachine> runningMachines() {
     return machines.values().stream().filter(SimulatedMachine::isRunning).toList();
   }
 
-  /** The workers of the machines that are up. */
+  /** The workers of the running machines. */
   public List<SimulatedWorker> workers() {
     return runningMachines().stream().flatMap(machine -> machine.worker().stream()).toList();
   }
 
-  /** The worker that listens at the address, if its machine is up. */
+  /** The worker that listens at the address, if its machine has booted and is not deleted. */
   public Optional<SimulatedWorker> workerAt(String address) {
     return machines.values().stream()
         .filter(machine -> machine.address().equals(address))
@@ -147,12 +149,12 @@
         .flatMap(SimulatedMachine::worker);
   }
 
-  /** How many machines were created in all. */
+  /** How many machines were created so far, including deleted ones. */
   public int createdCount() {
     return machines.size();
   }
 
-  /** Requests that failed for lack of capacity. */
+  /** How many requests failed for lack of capacity. */
   public int capacityErrors() {
     return capacityErrors;
   }
@@ -166,7 +168,7 @@
         .anyMatch(machine -> zoneAllowed.test(machine.zone()));
   }
 
-  /** A request of a controller arrives. */
+  /** Handles a request of a controller. */
   public void handle(HttpRequest request, Consumer<HttpResponse> reply) {
     if (timeline.seconds() < outageUntil) {
       reply.accept(new HttpResponse(HttpStatus.UNAVAILABLE, "{\"error\":\"trouble\"}"));
@@ -241,7 +243,7 @@
     return (int) (capacity.getOrDefault(pool, 0) - taken);
   }
 
-  /** Creates an on-demand machine that no controller asked for. */
+  /** Creates an on-demand machine that no controller requested; it boots after {@code seconds}. */
   public SimulatedMachine createMachine(MachineSpec type, String zone, double seconds) {
     return createMachine(type, new Pool(type.name(), zone, false), seconds);
   }
@@ -268,7 +270,7 @@
     }
   }
 
-  /** Deletes a machine and all on it; null or a machine deleted before is ignored. */
+  /** Deletes a machine and its tasks; does nothing if it is null or already deleted. */
   public void delete(SimulatedMachine machine) {
     if (machine != null && machine.exists()) {
       machine.onDeleted(timeline.seconds());
--- a/src/test/java/org/mulleinshift/simulation/SimulatedCluster.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedCluster.java
@@ -14,17 +14,17 @@
 import org.mulleinshift.transport.HttpRequest;
 import org.mulleinshift.transport.HttpResponse;
 
-/** Controllers, store, cloud, workers and users, joined by a network. */
+/** A simulated cluster: controllers, store, cloud, workers and users, connected by a network. */
 public final class SimulatedCluster {
-  /** Where the controllers' settings say that the store is. */
+  /** The store's address in the controllers' settings. */
   public static final InetSocketAddress STORE_ADDRESS = new InetSocketAddress("10.2.0.1", 2379);
 
-  /** Where the controllers' settings say that the cloud is. */
+  /** The cloud's address in the controllers' settings. */
   public static final InetSocketAddress CLOUD_ADDRESS = new InetSocketAddress("10.2.0.2", 8443);
 
   private static final double LISTING_LAG_SECONDS = 4;
 
-  /** Controllers' clocks differ by so much from one to the next. */
+  /** Relative difference in clock rate between one controller and the next. */
   private static final double CLOCK_DRIFT_STEP = 0.0004;
 
   /** Names of hosts on the network, besides the controllers' labels. */
@@ -46,7 +46,7 @@
   private final Map<String, SimulatedUser> users = new HashMap<>();
   private final ControllerTransport transport = new NetworkTransport();
 
-  /** A cluster without controllers and machine types. */
+  /** Creates a cluster without controllers and machine types. */
   public SimulatedCluster(
       Timeline timeline,
       InvariantChecker checker,
@@ -67,7 +67,7 @@
     return new SimulatedWorker(timeline, checker, new NetworkHeartbeats(), machine, workerTiming);
   }
 
-  /** Adds a controller, which does not run yet. */
+  /** Adds a controller without starting it. */
   public void addController(
       PlatformSettings settings, Tunables tunables, SentMessageListener sentMessages) {
     double clockDrift = (controllers.size() - 1) * CLOCK_DRIFT_STEP;
@@ -75,22 +75,22 @@
         new SimulatedController(timeline, settings, tunables, transport, clockDrift, sentMessages));
   }
 
-  /** The network between all hosts. */
+  /** The network that connects all hosts. */
   public SimulatedNetwork network() {
     return network;
   }
 
-  /** The key-value store. */
+  /** The simulated key-value store. */
   public SimulatedStore store() {
     return store;
   }
 
-  /** The cloud. */
+  /** The simulated cloud. */
   public SimulatedCloud cloud() {
     return cloud;
   }
 
-  /** Duplicates of workers' heartbeats. */
+  /** The fault that delivers copies of workers' heartbeats late. */
   public DelayedDuplicates duplicates() {
     return duplicates;
   }
@@ -100,12 +100,12 @@
     return controllers;
   }
 
-  /** The users by the identifiers of their jobs; a live view. */
+  /** The users by job id; a live view. */
   public Map<String, SimulatedUser> users() {
     return users;
   }
 
-  /** The controller with the label or role. */
+  /** The controller with the given label or role; see {@link #hostOf}. */
   public SimulatedController controller(String name) {
     String label = hostOf(name);
     return controllers.stream()
@@ -115,9 +115,9 @@
   }
 
   /**
-   * The host that a name stands for now: {@code leader} is the controller that the store names as
-   * leader, {@code holder-of-a} the owner of the first shard in zone a. Other names stand for
-   * themselves.
+   * Resolves a role to the host that has it now: {@code leader} is the leader according to the
+   * store, {@code holder-of-a} the owner of the first shard in zone a. Other names are returned
+   * unchanged.
    */
   public String hostOf(String name) {
     if (name.equals("leader")) {
@@ -135,7 +135,10 @@
     return value == null ? "node-0" : value.path(field).asText();
   }
 
-  /** Sends a user's request to a random controller that runs. */
+  /**
+   * Sends a user's request to a random running controller; without one, replies at once with no
+   * response.
+   */
   public void sendToAny(String method, String path, String body, Consumer<HttpResponse> reply) {
     List<SimulatedController> alive =
         controllers.stream().filter(SimulatedController::alive).toList();
@@ -147,7 +150,7 @@
     sendTo(alive.get(chosen), method, path, body, reply);
   }
 
-  /** Sends a user's request to a controller. */
+  /** Sends a user's request to the given controller; the request or the response may be lost. */
   public void sendTo(
       SimulatedController controller,
       String method,
@@ -166,7 +169,7 @@
                 response -> network.deliver(label, USERS, () -> reply.accept(response))));
   }
 
-  /** Carries what controllers send over the network. */
+  /** Sends controllers' messages over the simulated network. */
   private final class NetworkTransport implements ControllerTransport {
     @Override
     public void send(
@@ -216,7 +219,7 @@
     }
   }
 
-  /** Carries heartbeats over the network; some are duplicated. */
+  /** Sends heartbeats over the simulated network; some are duplicated. */
   private final class NetworkHeartbeats implements HeartbeatSender {
     @Override
     public List<String> controllerLabels() {
--- a/src/test/java/org/mulleinshift/simulation/SimulatedController.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedController.java
@@ -42,10 +42,10 @@
   private Consumer<Duration> onProcessPause = pause -> {};
 
   /**
-   * A process that does not run yet.
+   * Creates a controller without starting its process.
    *
-   * @param clockDrift by what share its monotonic clock is fast
-   * @param sentMessages observes all that it sends
+   * @param clockDrift fraction by which its monotonic clock runs fast
+   * @param sentMessages observes all messages that it sends
    */
   public SimulatedController(
       Timeline timeline,
@@ -62,17 +62,17 @@
     this.sentMessages = sentMessages;
   }
 
-  /** The controller's label in the settings. */
+  /** The controller's label, as in its settings. */
   public String label() {
     return settings.label();
   }
 
-  /** Whether the process runs. */
+  /** Whether the process is running. */
   public boolean alive() {
     return controller != null;
   }
 
-  /** Starts the process. */
+  /** Starts a new process with the current settings and no memory of earlier ones. */
   public void start() {
     incarnation++;
     Loop loop = new Loop(incarnation);
@@ -130,17 +130,17 @@
     transport.sendFrame(this, receiver, frame);
   }
 
-  /** Sets the operators' settings, which the next process reads. */
+  /** Replaces the tunable settings; takes effect at the next {@link #start}. */
   public void tunables(Tunables next) {
     tunables = next;
   }
 
-  /** So much of its heap is in use, and can't be collected, from now on. */
+  /** From now on the given fraction of the heap is in use and cannot be collected. */
   public void setHeapUsage(double fraction) {
     usedHeapFraction = fraction;
   }
 
-  /** The highest number of requests that waited for a response at a time. */
+  /** The highest number of users' and workers' requests that awaited a response at one time. */
   public int maxPendingRequests() {
     return maxPendingRequests;
   }
@@ -153,29 +153,29 @@
 
     @Override
     public void collect() {
-      // All that is in use is needed.
+      // All used memory is reachable, so nothing can be freed.
     }
   }
 
-  /** The process ends at once. */
+  /** Ends the process at once; its pending steps never run. */
   public void kill() {
     pendingRequests = 0;
     incarnation++;
     controller = null;
   }
 
-  /** The process gets no processor for a while: everything happens late. */
+  /** Stalls the process for {@code seconds}: steps that come due meanwhile run after the stall. */
   public void stall(double seconds) {
     stalledUntil = timeline.seconds() + seconds;
     unreportedStallSeconds = seconds;
   }
 
-  /** A frame arrives. */
+  /** Handles a frame from another controller; ignored if the process is not running. */
   public void onFrame(byte[] frame) {
     runIfAlive(() -> controller.onFrame(frame));
   }
 
-  /** A request of a user or worker arrives. */
+  /** Handles a request of a user or worker; unanswered if the process is not running. */
   public void handle(String method, String path, String body, Consumer<HttpResponse> reply) {
     pendingRequests++;
     maxPendingRequests = Math.max(maxPendingRequests, pendingRequests);
@@ -214,7 +214,10 @@
     }
   }
 
-  /** Runs a step of an incarnation, after a stall if there is one; never in a later incarnation. */
+  /**
+   * Runs a step unless its incarnation of the process has ended; during a stall, defers the step
+   * until after the stall.
+   */
   private void run(int stepIncarnation, Runnable step) {
     if (stepIncarnation != incarnation || controller == null) {
       return;
--- a/src/test/java/org/mulleinshift/simulation/SimulatedMachine.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedMachine.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import org.mulleinshift.invariants.MachineTraits;
 
-/** A machine of the simulated cloud. Times are seconds of the simulation. */
+/** A machine of the simulated cloud. Times are in seconds of simulated time. */
 public final class SimulatedMachine {
   private final MachineTraits traits;
   private final String address;
@@ -20,17 +20,17 @@
     this.createdAt = createdAt;
   }
 
-  /** The name that the cloud gave it. */
+  /** The name that the cloud assigned. */
   public String name() {
     return traits.name();
   }
 
-  /** Where its worker listens, host and port. */
+  /** The address of its worker, as host and port. */
   public String address() {
     return address;
   }
 
-  /** Name, type, zone and kind. */
+  /** Name, type, zone and whether it is a spot machine. */
   public MachineTraits traits() {
     return traits;
   }
@@ -39,12 +39,12 @@
     return spec;
   }
 
-  /** The zone that it is in. */
+  /** The zone in which the machine runs. */
   public String zone() {
     return traits.zone();
   }
 
-  /** Whether the cloud has not deleted it. */
+  /** Whether the machine is not deleted, booted or not. */
   public boolean exists() {
     return deletedAt == Double.MAX_VALUE;
   }
@@ -61,7 +61,7 @@
     return moment - createdAt;
   }
 
-  /** The worker, once the machine has booted. */
+  /** The worker; empty until the machine has booted. */
   public Optional<SimulatedWorker> worker() {
     return Optional.ofNullable(worker);
   }
--- a/src/test/java/org/mulleinshift/simulation/SimulatedNetwork.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedNetwork.java
@@ -5,18 +5,18 @@
 import org.mulleinshift.simulation.time.Timeline;
 
 /**
- * Carries messages between named hosts with a random delay. Links may be cut in one direction or
- * both, or slowed. A host's name in a fault is a pattern: a star at its end stands for any text.
+ * Delivers messages between named hosts after a random delay. Links can be cut in one or both
+ * directions, or slowed. The hosts of a faulty link are patterns: a trailing star matches any text.
  */
 public final class SimulatedNetwork {
   private static final double MIN_DELAY_SECONDS = 0.001;
   private static final double DELAY_SPREAD_SECONDS = 0.002;
 
-  /** What becomes of messages on a cut link. */
+  /** What happens to messages on a cut link. */
   public enum Mode {
-    /** They are lost. */
+    /** Messages are lost. */
     DROP,
-    /** They arrive when the cut is over. */
+    /** Messages are delivered when the cut ends. */
     HOLD
   }
 
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Messages between the hosts take up to so much longer. */
+  /** Adds up to {@code maxSeconds} to the delay of messages in both directions. */
   private record SlowLink(Link link, double maxSeconds) {
     boolean covers(String sender, String receiver) {
       return link.covers(sender, receiver) || link.reversed().covers(sender, receiver);
@@ -54,17 +54,17 @@
   private final List<Cut> cuts = new ArrayList<>();
   private final List<SlowLink> slowLinks = new ArrayList<>();
 
-  /** A network without faults. */
+  /** Creates a network without faults. */
   public SimulatedNetwork(Timeline timeline) {
     this.timeline = timeline;
   }
 
-  /** Cuts the link in its direction only. */
+  /** Cuts the link in its direction only, for {@code seconds}. */
   public void cutOneWay(Link link, Mode mode, double seconds) {
     cut(List.of(link), mode, seconds);
   }
 
-  /** Cuts the link in both directions. */
+  /** Cuts the link in both directions, for {@code seconds}. */
   public void cutBothWays(Link link, Mode mode, double seconds) {
     cut(List.of(link, link.reversed()), mode, seconds);
   }
@@ -80,14 +80,17 @@
         });
   }
 
-  /** Messages in both directions take up to so much longer for a while. */
+  /**
+   * For {@code seconds}, adds a random delay of up to {@code maxSeconds} to messages in both
+   * directions.
+   */
   public void slow(Link link, double maxSeconds, double seconds) {
     SlowLink slowLink = new SlowLink(link, maxSeconds);
     slowLinks.add(slowLink);
     timeline.after(seconds, () -> slowLinks.remove(slowLink));
   }
 
-  /** Runs the arrival of a message when the message reaches its receiver, if it does. */
+  /** Runs {@code arrival} when the message reaches its receiver; never if it is lost. */
   public void deliver(String sender, String receiver, Runnable arrival) {
     for (Cut cut : cuts) {
       if (cut.covers(sender, receiver)) {
--- a/src/test/java/org/mulleinshift/simulation/SimulatedStore.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedStore.java
@@ -14,7 +14,10 @@
 import org.mulleinshift.transport.HttpRequest;
 import org.mulleinshift.transport.HttpResponse;
 
-/** A consensus-backed key-value store of one process, with limits, leases, watches and faults. */
+/**
+ * Simulates a replicated key-value store as one consistent copy, with rate and size limits, leases,
+ * watches and injected faults.
+ */
 public final class SimulatedStore {
   private static final double EXPIRY_INTERVAL_SECONDS = 0.05;
   private static final double MILLIS_PER_SECOND = 1000;
@@ -40,7 +43,7 @@
   private int rateLimitedCount;
   private int rejectedTransactionCount;
 
-  /** An empty store. */
+  /** Creates an empty store. */
   public SimulatedStore(Timeline timeline, PlatformSettings.StoreLimits limits) {
     this.timeline = timeline;
     this.limits = limits;
@@ -54,35 +57,41 @@
     timeline.after(EXPIRY_INTERVAL_SECONDS, this::expire);
   }
 
-  /** What was written when. */
+  /** When leaders' terms, grants and progress were written. */
   public StoreHistory history() {
     return history;
   }
 
-  /** Faults that come with the connection to a controller or with a transaction. */
+  /** Faults of single controllers' connections and of transactions. */
   public StoreFaults faults() {
     return faults;
   }
 
-  /** No request is served for a while; afterwards all leases are renewed once. */
+  /**
+   * Rejects all requests for {@code seconds}; afterwards every lease restarts with its full time to
+   * live.
+   */
   public void outage(double seconds) {
     faults.outage(seconds);
     timeline.after(seconds, leases::renewAll);
   }
 
-  /** Applies other limits from now on. What is stored stays readable. */
+  /** Replaces the limits. Stored values that exceed the new limits stay readable. */
   public void limits(PlatformSettings.StoreLimits next) {
     limits = next;
     requestBudget.ratePerSecond(next.requestsPerSecond());
     writeBudget.ratePerSecond(next.writesPerSecond());
   }
 
-  /** Drops the history of changes, so that open watches must read again. */
+  /** Compacts the change history, so that open watches have to read all keys again. */
   public void compact() {
     keys.compact();
   }
 
-  /** Sets and deletes so many keys that no controller knows, each with so many bytes. */
+  /**
+   * Sets and deletes {@code count} keys that no controller knows, each with a value padded by
+   * {@code bytes} characters.
+   */
   public void flood(String prefix, int count, int bytes) {
     for (int i = 0; i < count; i++) {
       ObjectNode set = json.createObjectNode();
@@ -97,10 +106,10 @@
   }
 
   /**
-   * Changes a field of a key's value as another build might.
+   * Changes a field of a key's value, as a different version of the controller might.
    *
-   * @param field with {@code /} between names
-   * @param value {@code BACK} restores the value from before the first change
+   * @param field path of the field, with {@code /} between names
+   * @param value new text; {@code BACK} restores the key's value from before the previous call
    */
   public void rewrite(String key, String field, String value) {
     StoredKeys.Entry old = keys.find(key);
@@ -123,12 +132,14 @@
     watches.respondToReady();
   }
 
-  /** Whether a key that names the job was rewritten. */
+  /**
+   * Whether {@link #rewrite} was called for a key that contains the job's id, even if undone since.
+   */
   public boolean isRewritten(String job) {
     return rewritten.keySet().stream().anyMatch(key -> List.of(key.split("/")).contains(job));
   }
 
-  /** Whether the job's end is stored. */
+  /** Whether the store has a record of the job's end. */
   public boolean isEnded(String job) {
     return keys.contains("t/" + job);
   }
@@ -138,7 +149,7 @@
     return keys.values();
   }
 
-  /** The owner of each shard, by the key of its grant. */
+  /** The label of each shard's owner, by the key of the shard's grant. */
   public Map<String, String> owners() {
     Map<String, String> owners = new LinkedHashMap<>();
     values()
@@ -151,17 +162,20 @@
     return owners;
   }
 
-  /** Characters of the longest page of keys. */
+  /** Length of the longest response to a range read, in characters. */
   public int longestPageChars() {
     return longestPageChars;
   }
 
-  /** Requests and transactions above the rates. */
+  /** How many requests and transactions were rejected because of the rate limits. */
   public int rateLimitedCount() {
     return rateLimitedCount;
   }
 
-  /** Transactions rejected for good because they exceed the limits of size. */
+  /**
+   * How many transactions were rejected because they exceed the size limits; a retry cannot
+   * succeed.
+   */
   public int rejectedTransactionCount() {
     return rejectedTransactionCount;
   }
@@ -172,7 +186,7 @@
     return within;
   }
 
-  /** A request of a controller arrives. */
+  /** Handles a request of a controller. */
   public void handle(String controller, HttpRequest request, Consumer<HttpResponse> answer) {
     Consumer<HttpResponse> reply = faults.slowed(answer);
     if (faults.unavailableTo(controller)) {
@@ -260,7 +274,7 @@
     return new HttpResponse(HttpStatus.OK, "{}");
   }
 
-  /** Carries out a transaction if it is within the limits and all of its guards hold. */
+  /** Commits a transaction if it is within the limits and all of its guards hold. */
   private HttpResponse commit(JsonNode transaction) {
     JsonNode writes = transaction.path("writes");
     String error = errorIn(transaction);
--- a/src/test/java/org/mulleinshift/simulation/SimulatedUser.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedUser.java
@@ -28,7 +28,7 @@
   private double pollSeconds = POLL_SECONDS;
   private int remainingPollsAfterEnd = Integer.MAX_VALUE;
 
-  /** A user who has not submitted the job yet. */
+  /** Creates a user who has not submitted the job yet. */
   public SimulatedUser(
       Timeline timeline, InvariantChecker checker, ControllerClient client, ObservedJob job) {
     this.timeline = timeline;
@@ -37,14 +37,14 @@
     this.job = job;
   }
 
-  /** A request that is sent until it gets a certain answer or a minute has passed. */
+  /** A request that is repeated until it has a definite response or a minute has passed. */
   private record RetriedRequest(String path, String body, double firstSentAt) {}
 
-  /** Whether one of the reply and the timeout has come. */
+  /** Ensures that only the first of a request's reply and its timeout takes effect. */
   private static final class Outcome {
     private boolean known;
 
-    /** True for the first to ask, which is the one that counts. */
+    /** Returns true for the first caller only. */
     boolean claim() {
       boolean first = !known;
       known = true;
@@ -52,24 +52,24 @@
     }
   }
 
-  /** The body of the job's submission. */
+  /** The body of the request that submits the job. */
   public String submissionBody() {
     return JobRequestBody.of(job);
   }
 
-  /** Submits the job and polls it from then on. */
+  /** Submits the job and polls it once it is accepted. */
   public void submit() {
     job.submit(timeline.seconds());
     attempt(new RetriedRequest(JOBS_PATH, submissionBody(), timeline.seconds()));
   }
 
-  /** Submits the job once more, with this body. */
+  /** Repeats the submission with the given body; a rejection is reported to the checker. */
   public void resubmit(String body) {
     double askedAt = timeline.seconds();
     client.request("POST", JOBS_PATH, body, reply -> receiveResubmission(reply, askedAt));
   }
 
-  /** A reply to a repeated submission of the job, which was accepted. */
+  /** Handles the reply to a repeated submission of a job that was accepted before. */
   void receiveResubmission(HttpResponse reply, double askedAt) {
     if (isRejection(reply)) {
       checker.answers().rejected(job.id(), reply.status());
@@ -82,17 +82,17 @@
     return reply.status() == HttpStatus.BAD_REQUEST || reply.status() == HttpStatus.UNPROCESSABLE;
   }
 
-  /** Polls so many times as often. */
+  /** Makes the user poll {@code factor} times as often as by default. */
   public void multiplyPollRate(double factor) {
     pollSeconds = POLL_SECONDS / factor;
   }
 
-  /** Polls only so many times more once the job was reported as ended. */
+  /** Limits the number of polls after the job was reported as ended. */
   public void limitPollsAfterEnd(int max) {
     remainingPollsAfterEnd = max;
   }
 
-  /** Asks for the job's cancellation. */
+  /** Requests the job's cancellation, with retries. */
   public void cancel() {
     job.requestCancellation();
     attempt(new RetriedRequest(cancelPath(), "", timeline.seconds()));
@@ -149,7 +149,10 @@
     }
   }
 
-  /** One poll at a time; a reply that takes longer than the user waits is ignored. */
+  /**
+   * Sends one poll; the next follows its reply or its timeout. A reply after the timeout is
+   * ignored.
+   */
   private void poll() {
     if (job.terminalAt().isPresent() && remainingPollsAfterEnd-- <= 0) {
       return;
@@ -175,15 +178,15 @@
         });
   }
 
-  /** Polls go on after the end: the final phase must be kept. */
+  /** Polling continues after the job has ended, to check that its final phase does not change. */
   private void schedulePoll() {
     timeline.after(pollSeconds, this::poll);
   }
 
   /**
-   * A reply about the job.
+   * Reports a reply about the job to the checker.
    *
-   * @param askedAt when the request was sent, seconds
+   * @param askedAt when the request was sent, in seconds of simulated time
    */
   void receiveReply(HttpResponse reply, double askedAt) {
     if (LOG.isDebugEnabled()) {
--- a/src/test/java/org/mulleinshift/simulation/SimulatedWorker.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedWorker.java
@@ -17,8 +17,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The worker of a machine: it sends heartbeats, carries out commands that carry a fencing token at
- * least as high as the highest it has seen, and ends its tasks when its lease expires.
+ * The worker of a machine. It sends heartbeats, executes commands whose fencing token is at least
+ * as high as the highest it has seen, and ends its tasks when its lease expires.
  */
 public final class SimulatedWorker {
   private static final Logger LOG = LoggerFactory.getLogger(SimulatedWorker.class);
@@ -32,7 +32,7 @@
   private static final double MIN_INTERVAL_FACTOR = 0.75;
   private static final double INTERVAL_FACTOR_SPREAD = 0.5;
 
-  /** Durations of the protocol between controllers and workers, in seconds. */
+  /** The mean interval between heartbeats and the duration of the worker's lease. */
   public record Timing(double heartbeatSeconds, double leaseSeconds) {}
 
   private final Timeline timeline;
@@ -58,7 +58,7 @@
   private int controller;
   private long heartbeatNumber;
 
-  /** Starts the worker of a machine that has booted. */
+  /** Starts the worker of a machine that has just booted. */
   public SimulatedWorker(
       Timeline timeline,
       InvariantChecker checker,
@@ -93,12 +93,12 @@
     }
   }
 
-  /** The name of its machine. */
+  /** The name of the worker's machine. */
   public String name() {
     return machine.name();
   }
 
-  /** The machine does nothing for a while, and then all that it should have done. */
+  /** The machine hangs for {@code seconds}; steps that came due meanwhile run afterwards. */
   public void hang(double seconds) {
     hangUntil = timeline.seconds() + seconds;
     timeline.after(
@@ -111,24 +111,33 @@
         });
   }
 
-  /** Its heartbeats arrive, while no message reaches it: it tries other controllers. */
+  /**
+   * For {@code seconds}, heartbeats reach controllers but no message reaches the worker, so it
+   * tries other controllers.
+   */
   public void dropIncomingMessages(double seconds) {
     incomingIgnoredUntil = timeline.seconds() + seconds;
     ignoredRepliesCountAsReceived = false;
   }
 
-  /** Its heartbeats arrive; it drops the replies as invalid and keeps to its controller. */
+  /**
+   * For {@code seconds}, heartbeats reach the controller, but the worker discards the replies as
+   * invalid and stays with that controller. Direct requests get no response.
+   */
   public void dropReplies(double seconds) {
     incomingIgnoredUntil = timeline.seconds() + seconds;
     ignoredRepliesCountAsReceived = true;
   }
 
-  /** Its heartbeats are lost, while direct commands reach it and are answered. */
+  /**
+   * For {@code seconds}, heartbeats are lost, while direct requests reach the worker and get
+   * responses.
+   */
   public void loseHeartbeats(double seconds) {
     heartbeatsLostUntil = timeline.seconds() + seconds;
   }
 
-  /** Whether a task of so many processors would run here. */
+  /** Whether the worker is healthy and has {@code cpus} processors free. */
   public boolean hasCapacity(double cpus) {
     boolean healthy =
         !machineDeleted
@@ -138,7 +147,10 @@
     return healthy && tasks.hasCapacity(cpus);
   }
 
-  /** The machine starts again at once under the same name, without any memory. */
+  /**
+   * Restarts the machine at once under the same name; tasks, images, epoch and fencing token are
+   * lost.
+   */
   public void reboot() {
     tasks.clear();
     tasks.clearImages();
@@ -151,23 +163,23 @@
     reportChange();
   }
 
-  /** Every task that starts from now on fails. */
+  /** Makes tasks that start from now on fail instead of completing. */
   public void failAllTasks() {
     tasks.failAll();
   }
 
-  /** Tasks that start from now on take so many times as long. */
+  /** Makes tasks that start from now on run {@code factor} times as long. */
   public void slow(double factor) {
     tasks.slow(factor);
   }
 
-  /** The cloud announces that it takes the machine back. */
+  /** The cloud announces that it will reclaim the machine after {@code noticeSeconds}. */
   public void interrupt(double noticeSeconds) {
     interruptionAt = OptionalDouble.of(timeline.seconds() + noticeSeconds);
     reportChange();
   }
 
-  /** The machine and all on it are gone. */
+  /** Ends all tasks and stops the worker for good. */
   void onMachineDeleted() {
     machineDeleted = true;
     tasks.clear();
@@ -191,12 +203,15 @@
     }
   }
 
-  /** A machine that hangs may go on only within its lease; after it, its tasks are gone. */
+  /**
+   * Ends all tasks and begins a new epoch if the lease has expired. A machine that hung must check
+   * this before it runs deferred steps.
+   */
   private void endEpochIfLeaseExpired() {
     if (machineDeleted || timeline.seconds() - leaseStartSeconds <= timing.leaseSeconds()) {
       return;
     }
-    logEvent(() -> "lease expired");
+    logEvent(() -> "lease expired,");
     tasks.clear();
     epoch++;
     leaseStartSeconds = timeline.seconds();
@@ -261,7 +276,7 @@
     timeline.after(REPLY_TIMEOUT_SECONDS, () -> runWhenResponsive(() -> retryIfUnanswered(sent)));
   }
 
-  /** A heartbeat that was sent, and the worker's epoch then. */
+  /** A sent heartbeat, with the worker's epoch at that time. */
   private record Heartbeat(long number, double sentAt, long epoch) {}
 
   private boolean awaitsReplyTo(Heartbeat heartbeat) {
@@ -343,7 +358,10 @@
     }
   }
 
-  /** A direct request of a controller arrives; it is served late if the machine hangs. */
+  /**
+   * Handles a direct request of a controller; if the machine hangs, the request is served
+   * afterwards.
+   */
   public void handle(HttpRequest request, Consumer<HttpResponse> reply) {
     if (timeline.seconds() < incomingIgnoredUntil) {
       return;
--- a/src/test/java/org/mulleinshift/simulation/StoreFaults.java
+++ b/src/test/java/org/mulleinshift/simulation/StoreFaults.java
@@ -7,12 +7,14 @@
 import org.mulleinshift.simulation.time.Timeline;
 import org.mulleinshift.transport.HttpResponse;
 
-/** Faults of the simulated store. Durations are seconds from now on. */
+/** Faults of the simulated store. Each lasts for {@code seconds} from the call. */
 public final class StoreFaults {
   private static final double MIN_DELAY_SECONDS = 2;
   private static final double DELAY_SPREAD_SECONDS = 10;
 
-  /** A share of the transactions of a kind, or of any kind if it is empty. */
+  /**
+   * Selects a random share of the transactions of a kind, or of all kinds if {@code kind} is empty.
+   */
   private record Affected(double share, double until, String kind) {
     static final Affected NONE = new Affected(0, 0, "");
 
@@ -42,38 +44,43 @@
     outageUntil = timeline.seconds() + seconds;
   }
 
-  /** All requests of the controller are rejected. */
+  /** Rejects all requests of the controller as unavailable. */
   public void rejectRequests(String controller, double seconds) {
     requestsRejectedUntil.put(controller, timeline.seconds() + seconds);
   }
 
-  /** The controller's transactions are carried out, and their responses are lost. */
+  /** Commits the controller's transactions but loses the responses. */
   public void loseTransactionResponses(String controller, double seconds) {
     responsesLostUntil.put(controller, timeline.seconds() + seconds);
   }
 
-  /** Responses to the controller's open watches are held back; all other requests are answered. */
+  /** Withholds the responses to the controller's open watches; other requests are served. */
   public void withholdWatchResponses(String controller, double seconds) {
     watchesWithheldUntil.put(controller, timeline.seconds() + seconds);
   }
 
-  /** All responses that would tell the controller of changes are held back. */
+  /**
+   * Withholds all responses that report changes: those of open watches and of reads of changes that
+   * do not wait.
+   */
   public void withholdChangeResponses(String controller, double seconds) {
     withholdWatchResponses(controller, seconds);
     readsOfChangesWithheldUntil.put(controller, timeline.seconds() + seconds);
   }
 
-  /** That share of transactions of a kind gets no response and is carried out 2 to 12 s later. */
+  /**
+   * The given share of transactions of a kind gets no response and is committed 2 to 12 s later.
+   */
   public void delayTransactions(double share, double seconds, String kind) {
     delayedTransactions = new Affected(share, timeline.seconds() + seconds, kind);
   }
 
-  /** That share of transactions of a kind is carried out at once, and only the response is lost. */
+  /** The given share of transactions of a kind is committed at once, but the response is lost. */
   public void loseResponses(double share, double seconds, String kind) {
     lostResponses = new Affected(share, timeline.seconds() + seconds, kind);
   }
 
-  /** Responses come so much later. */
+  /** Delays all responses by {@code bySeconds}. */
   public void slow(double bySeconds, double seconds) {
     slowBySeconds = bySeconds;
     slowUntil = timeline.seconds() + seconds;
--- a/src/test/java/org/mulleinshift/simulation/StoreHistory.java
+++ b/src/test/java/org/mulleinshift/simulation/StoreHistory.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.mulleinshift.simulation.time.Timeline;
 
-/** When leaders' terms began, shards were granted and progress was stored. */
+/** Records when leaders' terms began, shards were granted and progress was stored. */
 public final class StoreHistory {
   static final String LEADER_KEY = "c/leader";
   static final String GRANT_PREFIX = "c/g/";
@@ -20,7 +20,7 @@
     this.timeline = timeline;
   }
 
-  /** Calls the listener whenever a term begins. */
+  /** Sets the listener that is called whenever a leader's term begins. */
   public void onTermStart(Runnable listener) {
     onTerm = listener;
   }
@@ -40,22 +40,27 @@
     }
   }
 
-  /** How many keys transactions have set or deleted. */
+  /** How many sets and deletes were applied; keys deleted with their lease do not count. */
   public int writeCount() {
     return writeCount;
   }
 
-  /** Whether a term began within these times. */
+  /** Whether a term began between two times, inclusive, in seconds. */
   public boolean termBeganBetween(double from, double to) {
     return termStarts.stream().anyMatch(at -> at >= from && at <= to);
   }
 
-  /** When a term began first after that time; {@link Double#MAX_VALUE} if none did. */
+  /**
+   * When the first term at or after a time began, in seconds; {@link Double#MAX_VALUE} if none did.
+   */
   public double firstTermAfter(double time) {
     return firstAfter(termStarts, time);
   }
 
-  /** When progress was stored first after that time; {@link Double#MAX_VALUE} if none was. */
+  /**
+   * When progress was first stored at or after a time, in seconds; {@link Double#MAX_VALUE} if
+   * never.
+   */
   public double firstProgressAfter(double time) {
     return firstAfter(progressWrites, time);
   }
@@ -64,7 +69,7 @@
     return times.stream().filter(at -> at >= time).findFirst().orElse(Double.MAX_VALUE);
   }
 
-  /** How many shards were granted after that time. */
+  /** How many grants were written after a time, in seconds. */
   public long grantsAfter(double time) {
     return grants.stream().filter(at -> at > time).count();
   }
--- a/src/test/java/org/mulleinshift/simulation/StoreLeases.java
+++ b/src/test/java/org/mulleinshift/simulation/StoreLeases.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.mulleinshift.simulation.time.Timeline;
 
-/** Leases of the simulated store; the keys bound to a lease go when it ends. */
+/** Leases of the simulated store. When a lease ends, the keys bound to it are deleted. */
 final class StoreLeases {
   private static final class Lease {
     private final double ttlSeconds;
--- a/src/test/java/org/mulleinshift/simulation/StoreWatches.java
+++ b/src/test/java/org/mulleinshift/simulation/StoreWatches.java
@@ -49,7 +49,7 @@
     respondToReady();
   }
 
-  /** Answers the watches that have changes to report, and those that have waited long enough. */
+  /** Responds to the watches that have changes to report or have reached their deadline. */
   void respondToReady() {
     List<Watch> ready = watches.stream().filter(this::isReady).toList();
     watches.removeAll(ready);
@@ -58,7 +58,7 @@
 
   private HttpResponse answer(Watch watch) {
     if (watch.fromRevision() < keys.compactedRevision()) {
-      // It was held back while the history was dropped.
+      // The history was compacted after the watch had been opened.
       return GONE;
     }
     ObjectNode node = json.createObjectNode();
--- a/src/test/java/org/mulleinshift/simulation/StoredKeys.java
+++ b/src/test/java/org/mulleinshift/simulation/StoredKeys.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Keys with values and revisions, and the latest changes of them. */
+/** The keys of the simulated store with values and revisions, and their latest changes. */
 final class StoredKeys {
   /** A value, the revision that wrote it, and the lease that it is bound to, or null. */
   record Entry(JsonNode value, long revision, Long lease) {}
@@ -33,7 +33,7 @@
     return revision;
   }
 
-  /** Changes up to this revision can't be read any more. */
+  /** The revision up to which changes can no longer be read. */
   long compactedRevision() {
     return compactedRevision;
   }
@@ -76,7 +76,7 @@
     return node;
   }
 
-  /** A page of the keys with a prefix, as the store answers it. */
+  /** Reads a page of the keys with a prefix, in the format of the store's response. */
   ObjectNode range(Map<String, String> query) {
     String prefix = query.getOrDefault("starts", "");
     String from = query.getOrDefault("from", "");
@@ -101,7 +101,7 @@
     return node;
   }
 
-  /** Carries out one write of a transaction. */
+  /** Applies one write of a transaction. */
   void apply(JsonNode write) {
     history.countWrite();
     if (write.has("set")) {
@@ -135,7 +135,7 @@
     }
   }
 
-  /** Drops all changes, so that watches must read again. */
+  /** Drops all changes, so that watches have to read all keys again. */
   void compact() {
     compactedRevision = revision;
     changes.clear();
--- a/src/test/java/org/mulleinshift/simulation/TokenBucket.java
+++ b/src/test/java/org/mulleinshift/simulation/TokenBucket.java
@@ -2,7 +2,7 @@
 
 import org.mulleinshift.simulation.time.Timeline;
 
-/** A token bucket that holds one second's worth of its rate. */
+/** A token bucket whose capacity is one second's worth of tokens. */
 final class TokenBucket {
   private final Timeline timeline;
   private double ratePerSecond;
@@ -19,7 +19,7 @@
     ratePerSecond = next;
   }
 
-  /** Takes that many tokens, or none if there are not enough. */
+  /** Takes {@code amount} tokens, or none and returns false if there are not enough. */
   boolean tryTake(double amount) {
     double elapsed = timeline.seconds() - filledAt;
     tokens = Math.min(ratePerSecond, tokens + ratePerSecond * elapsed);
--- a/src/test/java/org/mulleinshift/simulation/TransactionKinds.java
+++ b/src/test/java/org/mulleinshift/simulation/TransactionKinds.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Tells what a transaction is for by the keys that it writes; scenarios name these kinds. */
+/** Classifies transactions by the keys that they write. Scenarios refer to these kinds by name. */
 final class TransactionKinds {
   private static final Map<String, String> KIND_BY_PREFIX =
       Map.of(
@@ -22,7 +22,7 @@
 
   private TransactionKinds() {}
 
-  /** The kinds of the transaction's writes. */
+  /** The kinds of all writes of the transaction. */
   static Set<String> of(JsonNode transaction) {
     boolean guardsEndedJob =
         transaction.path("guards").findValuesAsText("k").stream()
@@ -48,7 +48,10 @@
     return KIND_BY_PREFIX.get(key.replaceAll("^(c/.|.)/.*", "$1"));
   }
 
-  /** A new job's record is only written where no end is stored under its name. */
+  /**
+   * Only the transaction that accepts a job guards a key of an ended job: it requires that no end
+   * is stored under the job's id.
+   */
   private static String kindOfJobRecord(JsonNode write, boolean guardsEndedJob) {
     if (write.has("delete")) {
       return "end";
--- a/src/test/java/org/mulleinshift/simulation/WorkerTask.java
+++ b/src/test/java/org/mulleinshift/simulation/WorkerTask.java
@@ -4,7 +4,7 @@
 
 /** One attempt of a task on a worker. */
 final class WorkerTask {
-  /** The phases that a worker reports. */
+  /** The phases that a worker reports to controllers. */
   enum Phase {
     FETCHING("fetching"),
     RUNNING("running"),
@@ -57,7 +57,7 @@
     started = true;
   }
 
-  /** Whether its process was ever started. */
+  /** Whether the task's process was ever started, even if it has exited. */
   boolean started() {
     return started;
   }
--- a/src/test/java/org/mulleinshift/simulation/WorkerTasks.java
+++ b/src/test/java/org/mulleinshift/simulation/WorkerTasks.java
@@ -10,17 +10,17 @@
 import org.mulleinshift.invariants.RunningTasks;
 import org.mulleinshift.simulation.time.Timeline;
 
-/** The tasks of one worker: they fetch their image, run for a given time and exit. */
+/** The tasks of one worker. Each fetches its image, runs for a given time and exits. */
 final class WorkerTasks {
   /** The worker that the tasks belong to. */
   interface Host {
-    /** Runs the step now, or when the machine no longer hangs; never if it is gone. */
+    /** Runs the step now or, if the machine hangs, afterwards; never if the machine is deleted. */
     void runWhenResponsive(Runnable step);
 
-    /** A task's phase has changed. */
+    /** Called when a task was added or its phase has changed. */
     void taskChanged();
 
-    /** The worker's epoch; tasks of an earlier one are gone. */
+    /** The worker's epoch. A new epoch begins without tasks. */
     long epoch();
   }
 
@@ -44,7 +44,7 @@
     this.host = host;
   }
 
-  /** Every task that starts from now on fails. */
+  /** Makes tasks that start from now on fail instead of completing. */
   void failAll() {
     failing = true;
   }
@@ -53,12 +53,12 @@
     return failing;
   }
 
-  /** Tasks that start from now on take so many times as long. */
+  /** Makes tasks that start from now on run {@code factor} times as long. */
   void slow(double factor) {
     slowFactor = factor;
   }
 
-  /** All tasks are gone at once, without a report. */
+  /** Ends and removes all tasks at once, without reporting them to a controller. */
   void clear() {
     tasks.values().forEach(task -> checker.tasks().ended(task.name(), machine.name()));
     tasks.clear();
--- a/src/test/java/org/mulleinshift/simulation/time/RealTimeline.java
+++ b/src/test/java/org/mulleinshift/simulation/time/RealTimeline.java
@@ -5,8 +5,8 @@
 import org.mulleinshift.transport.ThreadEventLoop;
 
 /**
- * Real time: a thread of its own runs the steps, so that simulated services may be written as in
- * virtual time. Other threads hand over their messages by {@link #post}.
+ * Runs steps in real time on a dedicated thread, so that simulated services work with virtual and
+ * real time alike. Other threads use {@link #post} to run steps on it.
  */
 public final class RealTimeline implements Timeline {
   private static final double NANOS_PER_SECOND = 1e9;
@@ -17,9 +17,9 @@
   private final Thread thread;
 
   /**
-   * A timeline that does not run yet.
+   * Creates a timeline without starting its thread.
    *
-   * @param name of its thread
+   * @param name name of the thread
    */
   public RealTimeline(String name, long seed) {
     this.random = new SplittableRandom(seed);
@@ -27,7 +27,7 @@
     this.thread.setDaemon(true);
   }
 
-  /** Starts the thread. */
+  /** Starts the thread that runs the steps. */
   public void start() {
     thread.start();
   }
@@ -40,18 +40,18 @@
     }
   }
 
-  /** Ends the thread; steps that wait are not run. */
+  /** Interrupts the thread; pending steps are not run. */
   public void stop() {
     thread.interrupt();
   }
 
-  /** Processor time of the thread so far, in nanoseconds. */
+  /** CPU time of the thread so far, in nanoseconds. */
   public long processorNanos() {
     return java.lang.management.ManagementFactory.getThreadMXBean()
         .getThreadCpuTime(thread.getId());
   }
 
-  /** Runs the step on this timeline's thread; may be called from any thread. */
+  /** Queues the step to run on this timeline's thread; may be called from any thread. */
   public void post(Runnable step) {
     loop.post(step);
   }
@@ -71,7 +71,7 @@
     return random.nextDouble();
   }
 
-  /** Call it on this timeline's thread, or before {@link #start}. */
+  /** Must be called on this timeline's thread, or before {@link #start}. */
   @Override
   public void after(double seconds, Runnable step) {
     loop.after(Duration.ofNanos((long) (Math.max(0, seconds) * NANOS_PER_SECOND)), step);
--- a/src/test/java/org/mulleinshift/simulation/time/Timeline.java
+++ b/src/test/java/org/mulleinshift/simulation/time/Timeline.java
@@ -1,6 +1,9 @@
 package org.mulleinshift.simulation.time;
 
-/** Time and chance of a simulation. Steps run one after another on the timeline's thread. */
+/**
+ * The clock, event queue and random numbers of a simulation. Steps run one at a time on the
+ * timeline's thread.
+ */
 public interface Timeline {
   /** Nanoseconds since the timeline began. */
   long nanos();
@@ -8,13 +11,13 @@
   /** Seconds since the timeline began. */
   double seconds();
 
-  /** The next random number, from 0 to less than 1. */
+  /** The next random number, at least 0 and less than 1. */
   double random();
 
   /**
-   * Runs a step later.
+   * Runs a step after a delay.
    *
-   * @param seconds delay; a negative one counts as none
+   * @param seconds delay; negative values count as 0
    */
   void after(double seconds, Runnable step);
 
--- a/src/test/java/org/mulleinshift/simulation/time/VirtualTimeline.java
+++ b/src/test/java/org/mulleinshift/simulation/time/VirtualTimeline.java
@@ -3,9 +3,14 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** Virtual time: runs events in order; all randomness comes from one seed. */
+/**
+ * Virtual time: runs events in order of time without waiting; one seed determines all random
+ * numbers.
+ */
 public final class VirtualTimeline implements Timeline {
-  /** Bounds a simulation that schedules events without end. */
+  /**
+   * Limit per call of {@link #runUntil}, to stop a simulation that schedules events without end.
+   */
   private static final long MAX_EVENTS = 3_000_000;
 
   private static final double NANOS_PER_SECOND = 1e9;
@@ -22,7 +27,7 @@
   private long now;
   private long sequence;
 
-  /** A timeline whose random numbers follow from the seed. */
+  /** Creates a timeline at time 0 whose random numbers are determined by the seed. */
   public VirtualTimeline(long seed) {
     random = new SplittableRandom(seed);
   }
@@ -49,17 +54,17 @@
   }
 
   /**
-   * Runs all events up to that time, which is the time afterwards.
+   * Runs all events up to and including the given time, then advances the clock to it.
    *
    * @param seconds since the timeline began
-   * @throws IllegalStateException if there are too many events
+   * @throws IllegalStateException if one call runs too many events
    */
   public void runUntil(double seconds) {
     long end = (long) (seconds * NANOS_PER_SECOND);
     long count = 0;
     while (!events.isEmpty() && events.peek().at() <= end) {
       if (++count > MAX_EVENTS) {
-        throw new IllegalStateException("no end of events at " + seconds());
+        throw new IllegalStateException("too many events, simulated_seconds=" + seconds());
       }
       Event event = events.poll();
       now = Math.max(now, event.at());
--- a/src/test/java/org/mulleinshift/simulation/time/package-info.java
+++ b/src/test/java/org/mulleinshift/simulation/time/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Time and chance for simulations: virtual time, in which events follow each other without waiting,
- * and real time.
+ * Clocks, event queues and random numbers for simulations, in virtual time, where events follow
+ * each other without waiting, or in real time.
  */
 package org.mulleinshift.simulation.time;
