--- a/src/test/java/org/mulleinshift/simulation/InvalidRequests.java
+++ b/src/test/java/org/mulleinshift/simulation/InvalidRequests.java
@@ -13,8 +13,8 @@
 import org.mulleinshift.simulation.time.Timeline;
 
 /**
- * Users who repeat submissions of accepted jobs, cancel jobs that are done, and submit jobs that
- * can't run or lack a field.
+ * Simulates users who resubmit accepted jobs, cancel completed jobs, and submit jobs that lack a
+ * required field or cannot run.
  */
 public final class InvalidRequests {
   private static final double INTERVAL_SECONDS = 0.4;
@@ -42,7 +42,7 @@
           "snapshot_s",
           "flush_s");
 
-  /** No response, too many requests, unavailable: nothing is known of the request's validity. */
+  /** Statuses that do not tell whether the request was valid; 0 means that no response came. */
   private static final Set<Integer> UNCERTAIN_STATUSES =
       Set.of(0, HttpStatus.TOO_MANY_REQUESTS, HttpStatus.UNAVAILABLE);
 
@@ -51,10 +51,10 @@
   private final Map<String, SimulatedUser> users;
   private final ControllerClient client;
   private final ObjectMapper json = new ObjectMapper();
-  private double until;
-  private int number;
+  private double activeUntil;
+  private int requestNumber;
 
-  /** Nobody sends such requests yet. */
+  /** Sends nothing until {@link #during} is called. */
   public InvalidRequests(
       Timeline timeline,
       InvariantChecker checker,
@@ -66,14 +66,14 @@
     this.client = client;
   }
 
-  /** Sends such requests for a while. */
+  /** Sends such requests for {@code seconds}. */
   public void during(double seconds) {
-    until = timeline.seconds() + seconds;
+    activeUntil = timeline.seconds() + seconds;
     sendNext();
   }
 
   private void sendNext() {
-    if (timeline.seconds() >= until) {
+    if (timeline.seconds() >= activeUntil) {
       return;
     }
     timeline.after(INTERVAL_SECONDS, this::sendNext);
@@ -84,23 +84,23 @@
     }
     ObservedJob job = accepted.get((int) (timeline.random() * accepted.size()));
     SimulatedUser user = users.get(job.id());
-    switch (number++ % KINDS_OF_REQUESTS) {
-      case 0 -> user.resubmit(user.body());
+    switch (requestNumber++ % KINDS_OF_REQUESTS) {
+      case 0 -> user.resubmit(user.submissionBody());
       case 1 -> cancelIfDone(job, user);
-      default -> sendInvalid(user.body());
+      default -> sendInvalid(user.submissionBody());
     }
   }
 
   private void cancelIfDone(ObservedJob job, SimulatedUser user) {
     if (job.doneAt().isPresent()) {
       double askedAt = timeline.seconds();
-      client.request("POST", user.cancelPath(), "", reply -> user.receive(reply, askedAt));
+      client.request("POST", user.cancelPath(), "", reply -> user.receiveReply(reply, askedAt));
     }
   }
 
   private void sendInvalid(String validBody) {
     ObjectNode body = parse(validBody);
-    body.put("ref", "run-unfit-" + number);
+    body.put("ref", "run-unfit-" + requestNumber);
     int kind = (int) (timeline.random() * (REQUIRED_FIELDS.size() + KINDS_OF_VALUES));
     int expectedStatus = makeInvalid(body, kind);
     client.request(
@@ -114,7 +114,7 @@
         });
   }
 
-  /** Makes a body invalid in one of several ways and returns the status that it must get. */
+  /** Makes the body invalid in the way selected by {@code kind}; returns the expected status. */
   private static int makeInvalid(ObjectNode body, int kind) {
     if (kind < REQUIRED_FIELDS.size()) {
       body.remove(REQUIRED_FIELDS.get(kind));
--- a/src/test/java/org/mulleinshift/simulation/SimulatedCloud.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedCloud.java
@@ -24,8 +24,8 @@
 import org.mulleinshift.transport.HttpResponse;
 
 /**
- * A cloud that boots and deletes machines on request, answers repeated requests alike, and lists
- * its machines as they were some seconds ago.
+ * Simulates a cloud that boots and deletes machines on request. Repeating a successful provisioning
+ * request returns the same machines. Listings show the machines as they were some seconds ago.
  */
 public final class SimulatedCloud implements StarvationCheck.FreeCapacity {
   private static final int MAX_PAGE = 500;
@@ -33,7 +33,7 @@
   private static final double BOOT_FACTOR_SPREAD = 0.6;
   private static final int HOSTS_PER_NETWORK = 200;
 
-  /** Machines of one type, zone and kind, which share their capacity. */
+  /** Machines of one type, zone and kind (spot or on-demand), which have a common limit. */
   private record Pool(String type, String zone, boolean spot) {
     boolean contains(SimulatedMachine machine) {
       MachineTraits traits = machine.traits();
@@ -42,7 +42,7 @@
   }
 
   private final Timeline timeline;
-  private final double listingLagSeconds;
+  private final double minListingLagSeconds;
   private final Function<SimulatedMachine, SimulatedWorker> workerFactory;
   private final ObjectMapper json = new ObjectMapper();
   private final Map<String, MachineSpec> types = new LinkedHashMap<>();
@@ -51,27 +51,27 @@
   private final Map<String, HttpResponse> answeredRequests = new HashMap<>();
   private IntFunction<String> addresses = SimulatedCloud::privateAddress;
   private double outageUntil;
-  private double stuckUntil;
-  private double bootFactor = 1;
-  private double bootFactorUntil;
+  private double bootsPreventedUntil;
+  private double bootDelayFactor = 1;
+  private double bootsSlowedUntil;
   private int capacityErrors;
 
   /**
-   * A cloud without machine types.
+   * Creates a cloud without machine types.
    *
-   * @param listingLagSeconds by how much lists of machines are out of date at least
+   * @param minListingLagSeconds minimum age of the state that listings show
    * @param workerFactory starts the worker of a machine that has booted
    */
   public SimulatedCloud(
       Timeline timeline,
-      double listingLagSeconds,
+      double minListingLagSeconds,
       Function<SimulatedMachine, SimulatedWorker> workerFactory) {
     this.timeline = timeline;
-    this.listingLagSeconds = listingLagSeconds;
+    this.minListingLagSeconds = minListingLagSeconds;
     this.workerFactory = workerFactory;
   }
 
-  /** Sets where the worker of the machine with a number listens; the first has number 1. */
+  /** Sets the function from a machine's number, counted from 1, to its worker's address. */
   public void addresses(IntFunction<String> next) {
     addresses = next;
   }
@@ -81,13 +81,13 @@
     return "10.1." + network + "." + (number % HOSTS_PER_NETWORK + 1) + ":9000";
   }
 
-  /** Offers a machine type. */
-  public void add(MachineSpec type) {
+  /** Adds a machine type to the catalog. */
+  public void addMachineType(MachineSpec type) {
     types.put(type.name(), type);
   }
 
-  /** The machine type with the name. */
-  public MachineSpec type(String name) {
+  /** The machine type with the given name, or null if there is none. */
+  public MachineSpec machineType(String name) {
     return types.get(name);
   }
 
@@ -101,44 +101,46 @@
     capacity.put(new Pool(type, zone, true), count);
   }
 
-  /** No request is served for a while. */
+  /** Rejects all requests as unavailable for {@code seconds}. */
   public void outage(double seconds) {
     outageUntil = timeline.seconds() + seconds;
   }
 
-  /** Machines requested from now on never boot. */
-  public void stuckBoots(double seconds) {
-    stuckUntil = timeline.seconds() + seconds;
+  /** Machines created within the next {@code seconds} never boot. */
+  public void preventBoots(double seconds) {
+    bootsPreventedUntil = timeline.seconds() + seconds;
   }
 
-  /** Machines requested from now on take so many times as long to boot. */
-  public void bootFactor(double factor, double seconds) {
-    bootFactor = factor;
-    bootFactorUntil = timeline.seconds() + seconds;
+  /**
+   * Machines requested within the next {@code seconds} take {@code factor} times as long to boot.
+   */
+  public void slowBoots(double factor, double seconds) {
+    bootDelayFactor = factor;
+    bootsSlowedUntil = timeline.seconds() + seconds;
   }
 
   private double drawBootSeconds(MachineSpec type) {
-    double factor = timeline.seconds() < bootFactorUntil ? bootFactor : 1;
+    double factor = timeline.seconds() < bootsSlowedUntil ? bootDelayFactor : 1;
     double variation = MIN_BOOT_FACTOR + BOOT_FACTOR_SPREAD * timeline.random();
     return factor * type.bootSeconds() * variation;
   }
 
-  /** The machines that are not deleted. */
-  public List<SimulatedMachine> existing() {
+  /** The machines that are not deleted, booted or not. */
+  public List<SimulatedMachine> existingMachines() {
     return machines.values().stream().filter(SimulatedMachine::exists).toList();
   }
 
-  /** The machines whose workers run. */
-  public List<SimulatedMachine> up() {
-    return machines.values().stream().filter(SimulatedMachine::isUp).toList();
+  /** The machines that have booted and are not deleted. */
+  public List<SimulatedMachine> runningMachines() {
+    return machines.values().stream().filter(SimulatedMachine::isRunning).toList();
   }
 
-  /** The workers of the machines that are up. */
+  /** The workers of the running machines. */
   public List<SimulatedWorker> workers() {
-    return up().stream().flatMap(machine -> machine.worker().stream()).toList();
+    return runningMachines().stream().flatMap(machine -> machine.worker().stream()).toList();
   }
 
-  /** The worker that listens at the address, if its machine is up. */
+  /** The worker that listens at the address, if its machine has booted and is not deleted. */
   public Optional<SimulatedWorker> workerAt(String address) {
     return machines.values().stream()
         .filter(machine -> machine.address().equals(address))
@@ -147,26 +149,26 @@
         .flatMap(SimulatedMachine::worker);
   }
 
-  /** How many machines were created in all. */
+  /** How many machines were created so far, including deleted ones. */
   public int createdCount() {
     return machines.size();
   }
 
-  /** Requests that failed for lack of capacity. */
+  /** How many requests failed for lack of capacity. */
   public int capacityErrors() {
     return capacityErrors;
   }
 
   @Override
   public boolean fits(ObservedJob job, Predicate<String> zoneAllowed) {
-    return up().stream()
+    return runningMachines().stream()
         .filter(machine -> machine.worker().orElseThrow().hasCapacity(job.cpus()))
-        .filter(machine -> job.number("ram", 1) <= machine.spec().ram())
+        .filter(machine -> job.number("ram", 1) <= machine.spec().ramGb())
         .filter(machine -> machine.traits().matches(job))
         .anyMatch(machine -> zoneAllowed.test(machine.zone()));
   }
 
-  /** A request of a controller arrives. */
+  /** Handles a request of a controller. */
   public void handle(HttpRequest request, Consumer<HttpResponse> reply) {
     if (timeline.seconds() < outageUntil) {
       reply.accept(new HttpResponse(HttpStatus.UNAVAILABLE, "{\"error\":\"trouble\"}"));
@@ -200,8 +202,8 @@
     for (MachineSpec type : types.values()) {
       ObjectNode item = list.addObject();
       item.put("label", type.name()).put("cpus", type.cpus()).put("cards", 0);
-      item.put("ram_gb", type.ram()).put("local_gb", 100).put("pull_gb_per_s", 1);
-      item.put("rate", type.price()).put("market_price", type.spotPrice());
+      item.put("ram_gb", type.ramGb()).put("local_gb", 100).put("pull_gb_per_s", 1);
+      item.put("rate", type.onDemandPricePerHour()).put("market_price", type.spotPricePerHour());
       item.put("startup_s", type.bootSeconds());
       ArrayNode zones = item.putArray("yards");
       capacity.keySet().stream()
@@ -215,9 +217,9 @@
   }
 
   private HttpResponse create(JsonNode body) {
-    String requestName = body.path("hire").asText();
-    if (answeredRequests.containsKey(requestName)) {
-      return answeredRequests.get(requestName);
+    String requestId = body.path("hire").asText();
+    if (answeredRequests.containsKey(requestId)) {
+      return answeredRequests.get(requestId);
     }
     MachineSpec type = types.get(body.path("build").asText());
     Pool pool = new Pool(type.name(), body.path("yard").asText(), body.path("loaner").asBoolean());
@@ -229,24 +231,24 @@
     ObjectNode node = json.createObjectNode();
     ArrayNode hosts = node.putArray("hosts");
     for (int i = 0; i < count; i++) {
-      hosts.add(boot(type, pool, drawBootSeconds(type)).name());
+      hosts.add(createMachine(type, pool, drawBootSeconds(type)).name());
     }
     HttpResponse reply = new HttpResponse(HttpStatus.OK, node.toString());
-    answeredRequests.put(requestName, reply);
+    answeredRequests.put(requestId, reply);
     return reply;
   }
 
   private int freeIn(Pool pool) {
-    long taken = existing().stream().filter(pool::contains).count();
+    long taken = existingMachines().stream().filter(pool::contains).count();
     return (int) (capacity.getOrDefault(pool, 0) - taken);
   }
 
-  /** Creates an on-demand machine that no controller asked for. */
-  public SimulatedMachine boot(MachineSpec type, String zone, double seconds) {
-    return boot(type, new Pool(type.name(), zone, false), seconds);
+  /** Creates an on-demand machine that no controller requested; it boots after {@code seconds}. */
+  public SimulatedMachine createMachine(MachineSpec type, String zone, double seconds) {
+    return createMachine(type, new Pool(type.name(), zone, false), seconds);
   }
 
-  private SimulatedMachine boot(MachineSpec type, Pool pool, double seconds) {
+  private SimulatedMachine createMachine(MachineSpec type, Pool pool, double seconds) {
     int number = machines.size() + 1;
     String name = String.format("i-%06d", number);
     SimulatedMachine machine =
@@ -256,7 +258,7 @@
             type,
             timeline.seconds());
     machines.put(name, machine);
-    if (timeline.seconds() >= stuckUntil) {
+    if (timeline.seconds() >= bootsPreventedUntil) {
       timeline.after(seconds, () -> startWorker(machine));
     }
     return machine;
@@ -264,14 +266,14 @@
 
   private void startWorker(SimulatedMachine machine) {
     if (machine.exists()) {
-      machine.booted(workerFactory.apply(machine), timeline.seconds());
+      machine.onBooted(workerFactory.apply(machine), timeline.seconds());
     }
   }
 
-  /** Deletes a machine and all on it; null or a machine deleted before is ignored. */
+  /** Deletes a machine and its tasks; does nothing if it is null or already deleted. */
   public void delete(SimulatedMachine machine) {
     if (machine != null && machine.exists()) {
-      machine.deleted(timeline.seconds());
+      machine.onDeleted(timeline.seconds());
     }
   }
 
@@ -279,7 +281,7 @@
     Map<String, String> query = QueryParameters.of(path);
     int limit = Integer.parseInt(query.getOrDefault("limit", Integer.toString(MAX_PAGE)));
     String from = query.getOrDefault("from", "");
-    double moment = timeline.seconds() - listingLagSeconds * (1 + timeline.random());
+    double moment = timeline.seconds() - minListingLagSeconds * (1 + timeline.random());
     ObjectNode node = json.createObjectNode();
     ArrayNode hosts = node.putArray("hosts");
     boolean more = false;
--- a/src/test/java/org/mulleinshift/simulation/SimulatedController.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedController.java
@@ -22,7 +22,7 @@
   private static final double NANOS_PER_SECOND = 1e9;
   private static final double MILLIS_PER_SECOND = 1000;
   private static final long NANOS_PER_MILLI = 1_000_000;
-  private static final double POST_DELAY_SECONDS = 0.0001;
+  private static final double EVENT_LOOP_DELAY_SECONDS = 0.0001;
   private static final double AFTER_STALL_SECONDS = 1e-6;
   private static final long WALL_CLOCK_START_MILLIS = 1_700_000_000_000L;
 
@@ -36,16 +36,16 @@
   private int incarnation;
   private double stalledUntil;
   private double unreportedStallSeconds;
-  private double heapShare;
+  private double usedHeapFraction;
   private int pendingRequests;
   private int maxPendingRequests;
   private Consumer<Duration> onProcessPause = pause -> {};
 
   /**
-   * A process that does not run yet.
+   * Creates a controller without starting its process.
    *
-   * @param clockDrift by what share its monotonic clock is fast
-   * @param sentMessages observes all that it sends
+   * @param clockDrift fraction by which its monotonic clock runs fast
+   * @param sentMessages observes all messages that it sends
    */
   public SimulatedController(
       Timeline timeline,
@@ -62,17 +62,17 @@
     this.sentMessages = sentMessages;
   }
 
-  /** The controller's label in the settings. */
+  /** The controller's label, as in its settings. */
   public String label() {
     return settings.label();
   }
 
-  /** Whether the process runs. */
+  /** Whether the process is running. */
   public boolean alive() {
     return controller != null;
   }
 
-  /** Starts the process. */
+  /** Starts a new process with the current settings and no memory of earlier ones. */
   public void start() {
     incarnation++;
     Loop loop = new Loop(incarnation);
@@ -95,7 +95,7 @@
   private void send(
       Loop loop, InetSocketAddress target, HttpRequest request, Consumer<HttpResponse> reply) {
     observeRequest(target, request);
-    int sentBy = incarnation;
+    int sendingIncarnation = incarnation;
     boolean[] answered = new boolean[1];
     Consumer<HttpResponse> once =
         response -> {
@@ -108,7 +108,7 @@
     timeline.after(
         request.timeout().toNanos() / NANOS_PER_SECOND,
         () -> {
-          if (sentBy == incarnation) {
+          if (sendingIncarnation == incarnation) {
             once.accept(HttpResponse.NO_RESPONSE);
           }
         });
@@ -130,17 +130,17 @@
     transport.sendFrame(this, receiver, frame);
   }
 
-  /** Sets the operators' settings, which the next process reads. */
+  /** Replaces the tunable settings; takes effect at the next {@link #start}. */
   public void tunables(Tunables next) {
     tunables = next;
   }
 
-  /** So much of its heap is in use, and can't be collected, from now on. */
-  public void heap(double share) {
-    heapShare = share;
+  /** From now on the given fraction of the heap is in use and cannot be collected. */
+  public void setHeapUsage(double fraction) {
+    usedHeapFraction = fraction;
   }
 
-  /** The highest number of requests that waited for a response at a time. */
+  /** The highest number of users' and workers' requests that awaited a response at one time. */
   public int maxPendingRequests() {
     return maxPendingRequests;
   }
@@ -148,34 +148,34 @@
   private final class SimulatedHeap implements Heap {
     @Override
     public long usedBytes() {
-      return (long) (heapShare * HEAP_BYTES);
+      return (long) (usedHeapFraction * HEAP_BYTES);
     }
 
     @Override
     public void collect() {
-      // All that is in use is needed.
+      // All used memory is reachable, so nothing can be freed.
     }
   }
 
-  /** The process ends at once. */
+  /** Ends the process at once; its pending steps never run. */
   public void kill() {
     pendingRequests = 0;
     incarnation++;
     controller = null;
   }
 
-  /** The process gets no processor for a while: everything happens late. */
+  /** Stalls the process for {@code seconds}: steps that come due meanwhile run after the stall. */
   public void stall(double seconds) {
     stalledUntil = timeline.seconds() + seconds;
     unreportedStallSeconds = seconds;
   }
 
-  /** A frame arrives. */
+  /** Handles a frame from another controller; ignored if the process is not running. */
   public void onFrame(byte[] frame) {
     runIfAlive(() -> controller.onFrame(frame));
   }
 
-  /** A request of a user or worker arrives. */
+  /** Handles a request of a user or worker; unanswered if the process is not running. */
   public void handle(String method, String path, String body, Consumer<HttpResponse> reply) {
     pendingRequests++;
     maxPendingRequests = Math.max(maxPendingRequests, pendingRequests);
@@ -184,12 +184,12 @@
   }
 
   private final class ObservedResponder implements Responder {
-    private final int receivedBy;
+    private final int receivingIncarnation;
     private final String request;
     private final Consumer<HttpResponse> reply;
 
-    ObservedResponder(int receivedBy, String request, Consumer<HttpResponse> reply) {
-      this.receivedBy = receivedBy;
+    ObservedResponder(int receivingIncarnation, String request, Consumer<HttpResponse> reply) {
+      this.receivingIncarnation = receivingIncarnation;
       this.request = request;
       this.reply = reply;
     }
@@ -203,7 +203,7 @@
     public void respondWithRetryAfter(int status, String text, int retryAfterSeconds) {
       sentMessages.responseSent(
           timeline.nanos(), label(), request, status, text, retryAfterSeconds);
-      pendingRequests -= receivedBy == incarnation ? 1 : 0;
+      pendingRequests -= receivingIncarnation == incarnation ? 1 : 0;
       reply.accept(new HttpResponse(status, text));
     }
   }
@@ -214,14 +214,17 @@
     }
   }
 
-  /** Runs a step of an incarnation, after a stall if there is one; never in a later incarnation. */
-  private void run(int stepOf, Runnable step) {
-    if (stepOf != incarnation || controller == null) {
+  /**
+   * Runs a step unless its incarnation of the process has ended; during a stall, defers the step
+   * until after the stall.
+   */
+  private void run(int stepIncarnation, Runnable step) {
+    if (stepIncarnation != incarnation || controller == null) {
       return;
     }
     if (timeline.seconds() < stalledUntil) {
       double remaining = stalledUntil - timeline.seconds() + AFTER_STALL_SECONDS;
-      timeline.after(remaining, () -> run(stepOf, step));
+      timeline.after(remaining, () -> run(stepIncarnation, step));
     } else {
       LogOrigin.enter(label(), timeline.seconds());
       reportStall();
@@ -238,15 +241,15 @@
   }
 
   private final class Loop implements EventLoop {
-    private final int loopOf;
+    private final int loopIncarnation;
 
-    Loop(int loopOf) {
-      this.loopOf = loopOf;
+    Loop(int loopIncarnation) {
+      this.loopIncarnation = loopIncarnation;
     }
 
     @Override
     public void post(Runnable step) {
-      timeline.after(POST_DELAY_SECONDS, () -> run(loopOf, step));
+      timeline.after(EVENT_LOOP_DELAY_SECONDS, () -> run(loopIncarnation, step));
     }
 
     @Override
@@ -258,7 +261,8 @@
               step.run();
             }
           };
-      timeline.after(delay.toNanos() / NANOS_PER_SECOND, () -> run(loopOf, unlessCancelled));
+      timeline.after(
+          delay.toNanos() / NANOS_PER_SECOND, () -> run(loopIncarnation, unlessCancelled));
       return () -> cancelled[0] = true;
     }
 
--- a/src/test/java/org/mulleinshift/simulation/SimulatedStore.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedStore.java
@@ -14,12 +14,15 @@
 import org.mulleinshift.transport.HttpRequest;
 import org.mulleinshift.transport.HttpResponse;
 
-/** A consensus-backed key-value store of one process, with limits, leases, watches and faults. */
+/**
+ * Simulates a replicated key-value store as one consistent copy, with rate and size limits, leases,
+ * watches and injected faults.
+ */
 public final class SimulatedStore {
   private static final double EXPIRY_INTERVAL_SECONDS = 0.05;
   private static final double MILLIS_PER_SECOND = 1000;
   private static final int GUARDS_PER_OPERATION = 4;
-  private static final String RESTORE = "BACK";
+  private static final String RESTORE_ORIGINAL = "BACK";
   private static final HttpResponse NOT_FOUND = new HttpResponse(HttpStatus.NOT_FOUND, "{}");
   private static final HttpResponse TOO_MANY_REQUESTS =
       new HttpResponse(HttpStatus.TOO_MANY_REQUESTS, "{}");
@@ -33,19 +36,19 @@
   private final StoreWatches watches;
   private final StoreLeases leases;
   private final Map<String, JsonNode> rewritten = new HashMap<>();
-  private final RateBucket requestBudget;
-  private final RateBucket writeBudget;
+  private final TokenBucket requestBudget;
+  private final TokenBucket writeBudget;
   private PlatformSettings.StoreLimits limits;
-  private int longestAnswer;
-  private int rateLimited;
-  private int rejected;
+  private int longestPageChars;
+  private int rateLimitedCount;
+  private int rejectedTransactionCount;
 
-  /** An empty store. */
+  /** Creates an empty store. */
   public SimulatedStore(Timeline timeline, PlatformSettings.StoreLimits limits) {
     this.timeline = timeline;
     this.limits = limits;
-    this.requestBudget = new RateBucket(timeline, limits.requestsPerSecond());
-    this.writeBudget = new RateBucket(timeline, limits.writesPerSecond());
+    this.requestBudget = new TokenBucket(timeline, limits.requestsPerSecond());
+    this.writeBudget = new TokenBucket(timeline, limits.writesPerSecond());
     this.history = new StoreHistory(timeline);
     this.faults = new StoreFaults(timeline);
     this.keys = new StoredKeys(history);
@@ -54,35 +57,41 @@
     timeline.after(EXPIRY_INTERVAL_SECONDS, this::expire);
   }
 
-  /** What was written when. */
+  /** When leaders' terms, grants and progress were written. */
   public StoreHistory history() {
     return history;
   }
 
-  /** Faults that come with the connection to a controller or with a transaction. */
+  /** Faults of single controllers' connections and of transactions. */
   public StoreFaults faults() {
     return faults;
   }
 
-  /** No request is served for a while; afterwards all leases are renewed once. */
+  /**
+   * Rejects all requests for {@code seconds}; afterwards every lease restarts with its full time to
+   * live.
+   */
   public void outage(double seconds) {
     faults.outage(seconds);
     timeline.after(seconds, leases::renewAll);
   }
 
-  /** Applies other limits from now on. What is stored stays readable. */
+  /** Replaces the limits. Stored values that exceed the new limits stay readable. */
   public void limits(PlatformSettings.StoreLimits next) {
     limits = next;
     requestBudget.ratePerSecond(next.requestsPerSecond());
     writeBudget.ratePerSecond(next.writesPerSecond());
   }
 
-  /** Drops the history of changes, so that open watches must read again. */
+  /** Compacts the change history, so that open watches have to read all keys again. */
   public void compact() {
     keys.compact();
   }
 
-  /** Sets and deletes so many keys that no controller knows, each with so many bytes. */
+  /**
+   * Sets and deletes {@code count} keys that no controller knows, each with a value padded by
+   * {@code bytes} characters.
+   */
   public void flood(String prefix, int count, int bytes) {
     for (int i = 0; i < count; i++) {
       ObjectNode set = json.createObjectNode();
@@ -93,21 +102,21 @@
       keys.nextRevision();
       keys.remove(prefix + i);
     }
-    watches.answerReady();
+    watches.respondToReady();
   }
 
   /**
-   * Changes a field of a key's value as another build might.
+   * Changes a field of a key's value, as a different version of the controller might.
    *
-   * @param field with {@code /} between names
-   * @param value {@code BACK} restores the value from before the first change
+   * @param field path of the field, with {@code /} between names
+   * @param value new text; {@code BACK} restores the key's value from before the previous call
    */
   public void rewrite(String key, String field, String value) {
     StoredKeys.Entry old = keys.find(key);
     JsonNode before = rewritten.remove(key);
-    JsonNode changed = value.equals(RESTORE) ? before : old.value().deepCopy();
+    JsonNode changed = value.equals(RESTORE_ORIGINAL) ? before : old.value().deepCopy();
     rewritten.putIfAbsent(key, old.value());
-    if (!value.equals(RESTORE)) {
+    if (!value.equals(RESTORE_ORIGINAL)) {
       int slash = field.lastIndexOf('/');
       JsonNode parent = slash < 0 ? changed : changed.at("/" + field.substring(0, slash));
       ((ObjectNode) parent).put(field.substring(slash + 1), value);
@@ -120,15 +129,17 @@
     }
     keys.nextRevision();
     keys.apply(set);
-    watches.answerReady();
+    watches.respondToReady();
   }
 
-  /** Whether a key that names the job was rewritten. */
+  /**
+   * Whether {@link #rewrite} was called for a key that contains the job's id, even if undone since.
+   */
   public boolean isRewritten(String job) {
     return rewritten.keySet().stream().anyMatch(key -> List.of(key.split("/")).contains(job));
   }
 
-  /** Whether the job's end is stored. */
+  /** Whether the store has a record of the job's end. */
   public boolean isEnded(String job) {
     return keys.contains("t/" + job);
   }
@@ -138,7 +149,7 @@
     return keys.values();
   }
 
-  /** The owner of each shard, by the key of its grant. */
+  /** The label of each shard's owner, by the key of the shard's grant. */
   public Map<String, String> owners() {
     Map<String, String> owners = new LinkedHashMap<>();
     values()
@@ -151,28 +162,31 @@
     return owners;
   }
 
-  /** Characters of the longest page of keys. */
-  public int longestAnswer() {
-    return longestAnswer;
+  /** Length of the longest response to a range read, in characters. */
+  public int longestPageChars() {
+    return longestPageChars;
   }
 
-  /** Requests and transactions above the rates. */
-  public int rateLimited() {
-    return rateLimited;
+  /** How many requests and transactions were rejected because of the rate limits. */
+  public int rateLimitedCount() {
+    return rateLimitedCount;
   }
 
-  /** Transactions rejected for good because they exceed the limits of size. */
-  public int rejected() {
-    return rejected;
+  /**
+   * How many transactions were rejected because they exceed the size limits; a retry cannot
+   * succeed.
+   */
+  public int rejectedTransactionCount() {
+    return rejectedTransactionCount;
   }
 
-  private boolean withinRate(RateBucket budget, double amount) {
+  private boolean withinRate(TokenBucket budget, double amount) {
     boolean within = budget.tryTake(amount);
-    rateLimited += within ? 0 : 1;
+    rateLimitedCount += within ? 0 : 1;
     return within;
   }
 
-  /** A request of a controller arrives. */
+  /** Handles a request of a controller. */
   public void handle(String controller, HttpRequest request, Consumer<HttpResponse> answer) {
     Consumer<HttpResponse> reply = faults.slowed(answer);
     if (faults.unavailableTo(controller)) {
@@ -200,13 +214,13 @@
 
   private void serveTransaction(
       String controller, JsonNode transaction, Consumer<HttpResponse> reply) {
-    if (faults.delays(transaction)) {
+    if (faults.delaysTransaction(transaction)) {
       timeline.after(faults.drawDelaySeconds(), () -> commit(transaction));
       return;
     }
-    boolean lost = faults.losesAnswer(transaction);
+    boolean lost = faults.losesResponse(transaction);
     HttpResponse response = commit(transaction);
-    if (!lost && !faults.mutes(controller)) {
+    if (!lost && !faults.losesTransactionResponses(controller)) {
       reply.accept(response);
     }
   }
@@ -243,7 +257,7 @@
 
   private HttpResponse range(Map<String, String> query) {
     String text = keys.range(query).toString();
-    longestAnswer = Math.max(longestAnswer, text.length());
+    longestPageChars = Math.max(longestPageChars, text.length());
     return new HttpResponse(HttpStatus.OK, text);
   }
 
@@ -260,7 +274,7 @@
     return new HttpResponse(HttpStatus.OK, "{}");
   }
 
-  /** Carries out a transaction if it is within the limits and all of its guards hold. */
+  /** Commits a transaction if it is within the limits and all of its guards hold. */
   private HttpResponse commit(JsonNode transaction) {
     JsonNode writes = transaction.path("writes");
     String error = errorIn(transaction);
@@ -277,7 +291,7 @@
     if (writes.size() > 0) {
       keys.nextRevision();
       writes.forEach(keys::apply);
-      watches.answerReady();
+      watches.respondToReady();
     }
     return new HttpResponse(HttpStatus.OK, "{\"epoch\":" + keys.revision() + "}");
   }
@@ -287,12 +301,12 @@
     int maxOperations = limits.maxTransactionOperations();
     if (writes.size() > maxOperations
         || transaction.path("guards").size() > GUARDS_PER_OPERATION * maxOperations) {
-      rejected++;
+      rejectedTransactionCount++;
       return "too many operations";
     }
     for (JsonNode write : writes) {
       if (write.path("value").toString().length() > limits.maxValueBytes()) {
-        rejected++;
+        rejectedTransactionCount++;
         return "value too long";
       }
       if (write.has("hold") && !leases.exists(write.get("hold").asLong())) {
@@ -317,7 +331,7 @@
     timeline.after(EXPIRY_INTERVAL_SECONDS, this::expire);
     if (!faults.inOutage()) {
       leases.endExpired();
-      watches.answerReady();
+      watches.respondToReady();
     }
   }
 }
--- a/src/test/java/org/mulleinshift/simulation/StoredKeys.java
+++ b/src/test/java/org/mulleinshift/simulation/StoredKeys.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Keys with values and revisions, and the latest changes of them. */
+/** The keys of the simulated store with values and revisions, and their latest changes. */
 final class StoredKeys {
   /** A value, the revision that wrote it, and the lease that it is bound to, or null. */
   record Entry(JsonNode value, long revision, Long lease) {}
@@ -33,7 +33,7 @@
     return revision;
   }
 
-  /** Changes up to this revision can't be read any more. */
+  /** The revision up to which changes can no longer be read. */
   long compactedRevision() {
     return compactedRevision;
   }
@@ -76,7 +76,7 @@
     return node;
   }
 
-  /** A page of the keys with a prefix, as the store answers it. */
+  /** Reads a page of the keys with a prefix, in the format of the store's response. */
   ObjectNode range(Map<String, String> query) {
     String prefix = query.getOrDefault("starts", "");
     String from = query.getOrDefault("from", "");
@@ -101,9 +101,9 @@
     return node;
   }
 
-  /** Carries out one write of a transaction. */
+  /** Applies one write of a transaction. */
   void apply(JsonNode write) {
-    history.written();
+    history.countWrite();
     if (write.has("set")) {
       set(write);
     } else {
@@ -118,7 +118,7 @@
     String key = write.get("set").asText();
     Long lease = write.has("hold") ? write.get("hold").asLong() : null;
     entries.put(key, new Entry(write.get("value"), revision, lease));
-    history.valueSet(key);
+    history.recordSet(key);
     ObjectNode change = json.createObjectNode();
     change.put("set", key);
     change.set("value", write.get("value"));
@@ -135,18 +135,18 @@
     }
   }
 
-  /** Drops all changes, so that watches must read again. */
+  /** Drops all changes, so that watches have to read all keys again. */
   void compact() {
     compactedRevision = revision;
     changes.clear();
   }
 
   /** The changes of keys with a prefix after a revision, the oldest first. */
-  List<ObjectNode> changesAfter(long from, String prefix) {
+  List<ObjectNode> changesAfter(long fromRevision, String prefix) {
     List<ObjectNode> found = new ArrayList<>();
     for (int i = changes.size() - 1; i >= 0; i--) {
       ObjectNode change = changes.get(i);
-      if (change.get("stamp").asLong() <= from) {
+      if (change.get("stamp").asLong() <= fromRevision) {
         break;
       }
       String key = (change.has("set") ? change.get("set") : change.get("delete")).asText();
--- a/src/test/java/org/mulleinshift/simulation/RateBucket.java
+++ b/src/test/java/org/mulleinshift/simulation/TokenBucket.java
@@ -2,14 +2,14 @@
 
 import org.mulleinshift.simulation.time.Timeline;
 
-/** A token bucket that holds one second's worth of its rate. */
-final class RateBucket {
+/** A token bucket whose capacity is one second's worth of tokens. */
+final class TokenBucket {
   private final Timeline timeline;
   private double ratePerSecond;
   private double tokens;
   private double filledAt;
 
-  RateBucket(Timeline timeline, double ratePerSecond) {
+  TokenBucket(Timeline timeline, double ratePerSecond) {
     this.timeline = timeline;
     this.ratePerSecond = ratePerSecond;
     this.tokens = ratePerSecond;
@@ -19,7 +19,7 @@
     ratePerSecond = next;
   }
 
-  /** Takes that many tokens, or none if there are not enough. */
+  /** Takes {@code amount} tokens, or none and returns false if there are not enough. */
   boolean tryTake(double amount) {
     double elapsed = timeline.seconds() - filledAt;
     tokens = Math.min(ratePerSecond, tokens + ratePerSecond * elapsed);
