--- a/src/test/java/org/mulleinshift/digest/BehaviourDigest.java
+++ b/src/test/java/org/mulleinshift/digest/BehaviourDigest.java
@@ -31,12 +31,12 @@
 @Command(name = "behaviour-digest", mixinStandardHelpOptions = true, sortOptions = false)
 public final class BehaviourDigest implements Callable<Integer> {
   private static final int FILE_SEEDS = 3;
-  private static final int DRAWN_SEEDS = 24;
+  private static final int FAMILY_SEEDS = 24;
   private static final int CUTS = 40;
   private static final int CUT_STRIDE = 1009;
 
   /** One run of a scenario. */
-  record Play(String name, long seed, List<String> lines) {}
+  record ScenarioRun(String name, long seed, List<String> lines) {}
 
   @Option(names = "--out", description = "File of the digest, or of the messages with --dump.")
   private Path out = Path.of("target/digest.txt");
@@ -72,9 +72,9 @@
     ExecutorService pool = Executors.newFixedThreadPool(threads);
     try {
       List<Future<String>> lines = new ArrayList<>();
-      for (Play play : plays()) {
-        if (play.name().startsWith(only)) {
-          lines.add(pool.submit(() -> play.name() + " " + play.seed() + " " + hash(play)));
+      for (ScenarioRun run : scenarioRuns()) {
+        if (run.name().startsWith(only)) {
+          lines.add(pool.submit(() -> run.name() + " " + run.seed() + " " + hash(run)));
         }
       }
       try (Writer writer = Files.newBufferedWriter(out)) {
@@ -88,13 +88,13 @@
   }
 
   private void writeMessages() throws IOException, SettingsException {
-    Play play =
-        plays().stream()
+    ScenarioRun run =
+        scenarioRuns().stream()
             .filter(any -> any.name().equals(dumped) && any.seed() == seed)
             .findFirst()
             .orElseThrow(() -> new IllegalArgumentException("no scenario " + dumped + " " + seed));
     try (Writer writer = Files.newBufferedWriter(out)) {
-      Scenario.play(play.lines(), play.seed(), new MessageLineWriter(line -> write(writer, line)));
+      Scenario.execute(run.lines(), run.seed(), new MessageLineWriter(line -> write(writer, line)));
     }
   }
 
@@ -107,34 +107,34 @@
   }
 
   /** The SHA-256 of all messages of a play, in the order in which they were sent. */
-  static String hash(Play play) throws SettingsException, NoSuchAlgorithmException {
+  static String hash(ScenarioRun run) throws SettingsException, NoSuchAlgorithmException {
     MessageDigest digest = MessageDigest.getInstance("SHA-256");
-    Scenario.play(
-        play.lines(),
-        play.seed(),
+    Scenario.execute(
+        run.lines(),
+        run.seed(),
         new MessageLineWriter(line -> digest.update(line.getBytes(StandardCharsets.UTF_8))));
     return HexFormat.of().formatHex(digest.digest());
   }
 
-  /** The plays of the scenario tests: all files, the drawn scenarios and the sample of cuts. */
-  static List<Play> plays() throws IOException {
-    List<Play> plays = new ArrayList<>();
+  /** The runs of the scenario tests: all files, the drawn scenarios and the sample of cuts. */
+  static List<ScenarioRun> scenarioRuns() throws IOException {
+    List<ScenarioRun> runs = new ArrayList<>();
     for (ScenarioCatalog.Entry scenario : ScenarioCatalog.files()) {
-      addPlays(plays, scenario, FILE_SEEDS);
+      addRuns(runs, scenario, FILE_SEEDS);
     }
-    for (ScenarioCatalog.Entry scenario : ScenarioCatalog.drawn()) {
-      addPlays(plays, scenario, DRAWN_SEEDS);
+    for (ScenarioCatalog.Entry scenario : ScenarioCatalog.randomFamilies()) {
+      addRuns(runs, scenario, FAMILY_SEEDS);
     }
     for (long i = 0; i < CUTS; i++) {
       int number = (int) (i * CUT_STRIDE % CutScenario.COUNT);
-      plays.add(new Play("cut-" + number, number + 1, CutScenario.lines(number)));
+      runs.add(new ScenarioRun("cut-" + number, number + 1, CutScenario.lines(number)));
     }
-    return plays;
+    return runs;
   }
 
-  private static void addPlays(List<Play> plays, ScenarioCatalog.Entry scenario, int seeds) {
+  private static void addRuns(List<ScenarioRun> runs, ScenarioCatalog.Entry scenario, int seeds) {
     for (long each = 1; each <= seeds; each++) {
-      plays.add(new Play(scenario.name(), each, scenario.lines().apply(each)));
+      runs.add(new ScenarioRun(scenario.name(), each, scenario.lines().apply(each)));
     }
   }
 }
--- a/src/test/java/org/mulleinshift/digest/BehaviourDigestTest.java
+++ b/src/test/java/org/mulleinshift/digest/BehaviourDigestTest.java
@@ -13,8 +13,9 @@
 
   @Test
   void repeatsItselfForOneSeedOnly() throws Exception {
-    String first = BehaviourDigest.hash(new BehaviourDigest.Play("small", 1, LINES));
-    assertEquals(first, BehaviourDigest.hash(new BehaviourDigest.Play("small", 1, LINES)));
-    assertNotEquals(first, BehaviourDigest.hash(new BehaviourDigest.Play("small", 2, LINES)));
+    String first = BehaviourDigest.hash(new BehaviourDigest.ScenarioRun("small", 1, LINES));
+    assertEquals(first, BehaviourDigest.hash(new BehaviourDigest.ScenarioRun("small", 1, LINES)));
+    assertNotEquals(
+        first, BehaviourDigest.hash(new BehaviourDigest.ScenarioRun("small", 2, LINES)));
   }
 }
--- a/src/test/java/org/mulleinshift/invariants/InvariantChecker.java
+++ b/src/test/java/org/mulleinshift/invariants/InvariantChecker.java
@@ -11,7 +11,7 @@
   private final ObservedJobs jobs = new ObservedJobs();
   private final Violations violations;
   private final RunningTasks tasks;
-  private final ReportedPhases answers;
+  private final ReportedPhases reportedPhases;
 
   /**
    * Checks a single cluster.
@@ -39,7 +39,7 @@
             violations,
             new RunningTasks.TeamQuota(teamLimits, usage),
             cancelSeconds);
-    answers = new ReportedPhases(timeline, jobs, violations, cancelSeconds);
+    reportedPhases = new ReportedPhases(timeline, jobs, violations, cancelSeconds);
   }
 
   /** The jobs that users submit. */
@@ -53,8 +53,8 @@
   }
 
   /** What users are told. */
-  public ReportedPhases answers() {
-    return answers;
+  public ReportedPhases reportedPhases() {
+    return reportedPhases;
   }
 
   /** The rules that were broken. */
@@ -65,10 +65,10 @@
   /**
    * Checks what must hold at the end of a simulation.
    *
-   * @param calmSince when the last fault was over, seconds
+   * @param faultsOverAt when the last fault was over, seconds
    */
-  public void checkAtEnd(double calmSince) {
-    answers.checkAtEnd(calmSince);
+  public void checkAtEnd(double faultsOverAt) {
+    reportedPhases.checkAtEnd(faultsOverAt);
     tasks.checkAtEnd();
   }
 }
--- a/src/test/java/org/mulleinshift/invariants/InvariantCheckerTest.java
+++ b/src/test/java/org/mulleinshift/invariants/InvariantCheckerTest.java
@@ -26,7 +26,7 @@
   }
 
   private void reported(String job, String phase) {
-    checker.answers().answered(job, timeline.seconds(), OK, phase);
+    checker.reportedPhases().responseReceived(job, timeline.seconds(), OK, phase);
   }
 
   private void assertBroken(Rule... rules) {
@@ -84,7 +84,7 @@
   @Test
   void aStartAfterTheStoredEndIsFound() {
     submitted("run-1", Map.of());
-    checker.tasks().endStored("run-1"::equals);
+    checker.tasks().jobEndStoredWhen("run-1"::equals);
     checker.tasks().started("run-1/0", FIRST);
     assertBroken(Rule.OVER);
   }
@@ -142,7 +142,7 @@
     timeline.runUntil(1);
     job.requestCancellation();
     reported("run-1", "cancelled");
-    checker.answers().answered("run-1", 0, OK, "running");
+    checker.reportedPhases().responseReceived("run-1", 0, OK, "running");
     assertBroken();
   }
 
@@ -175,8 +175,8 @@
   void anAcceptedJobThatIsNotFoundOrRejectedIsForgotten() {
     submitted("run-1", Map.of());
     reported("run-1", "waiting");
-    checker.answers().answered("run-1", timeline.seconds(), 404, "");
-    checker.answers().rejected("run-1", 422);
+    checker.reportedPhases().responseReceived("run-1", timeline.seconds(), 404, "");
+    checker.reportedPhases().rejected("run-1", 422);
     assertBroken(Rule.FORGOTTEN, Rule.FORGOTTEN);
   }
 
--- a/src/test/java/org/mulleinshift/invariants/ObservedJob.java
+++ b/src/test/java/org/mulleinshift/invariants/ObservedJob.java
@@ -23,7 +23,7 @@
   private boolean cancelRequested;
   private int starts;
   private OptionalDouble firstStartAt = OptionalDouble.empty();
-  private double lastAnsweredAt;
+  private double lastResponseAt;
   private String reportedPhase = "";
   private OptionalDouble acceptedAt = OptionalDouble.empty();
   private OptionalDouble doneAt = OptionalDouble.empty();
@@ -73,18 +73,18 @@
   }
 
   /** The field's text, or the standard where it is not given. */
-  public String text(String key, String standard) {
-    return fields.getOrDefault(key, standard);
+  public String text(String key, String defaultValue) {
+    return fields.getOrDefault(key, defaultValue);
   }
 
   /** The field's number, or the standard where it is not given. */
-  public double number(String key, double standard) {
-    return fields.containsKey(key) ? Double.parseDouble(fields.get(key)) : standard;
+  public double number(String key, double defaultValue) {
+    return fields.containsKey(key) ? Double.parseDouble(fields.get(key)) : defaultValue;
   }
 
   /** Whether the field is {@code yes}, or the standard where it is not given. */
-  public boolean flag(String key, boolean standard) {
-    return fields.containsKey(key) ? fields.get(key).equals("yes") : standard;
+  public boolean flag(String key, boolean defaultValue) {
+    return fields.containsKey(key) ? fields.get(key).equals("yes") : defaultValue;
   }
 
   /** The team that the job is charged to. */
@@ -156,16 +156,16 @@
     return completedTasks.size() >= taskCount;
   }
 
-  void answered(double now) {
-    lastAnsweredAt = now;
+  void responseReceived(double now) {
+    lastResponseAt = now;
     if (acceptedAt.isEmpty()) {
       acceptedAt = OptionalDouble.of(now);
     }
   }
 
   /** When the last answer that knew the job arrived; 0 if none did. */
-  double lastAnsweredAt() {
-    return lastAnsweredAt;
+  double lastResponseAt() {
+    return lastResponseAt;
   }
 
   /** Whether the user was told that the job is accepted. */
--- a/src/test/java/org/mulleinshift/invariants/ObservedJobs.java
+++ b/src/test/java/org/mulleinshift/invariants/ObservedJobs.java
@@ -74,7 +74,7 @@
    * a dependency is not open; a job that is reported cancelled though no dependency was breaks
    * {@link Rule#WENT_BACK}.
    */
-  public int open(String prefix) {
+  public int openCount(String prefix) {
     return (int)
         withPrefix(prefix).stream()
             .filter(job -> job.accepted() && !job.cancelRequested())
--- a/src/test/java/org/mulleinshift/invariants/ReportedPhases.java
+++ b/src/test/java/org/mulleinshift/invariants/ReportedPhases.java
@@ -15,7 +15,7 @@
   private final ObservedJobs jobs;
   private final Violations violations;
   private final double cancelSeconds;
-  private Consumer<ObservedJob> onNews = job -> {};
+  private Consumer<ObservedJob> acceptedOrEndedListener = job -> {};
 
   ReportedPhases(
       Timeline timeline, ObservedJobs jobs, Violations violations, double cancelSeconds) {
@@ -26,20 +26,20 @@
   }
 
   /** Calls the listener when a user is first told that a job is accepted, and that it has ended. */
-  public void onNews(Consumer<ObservedJob> listener) {
-    onNews = listener;
+  public void onAcceptedOrEnded(Consumer<ObservedJob> listener) {
+    acceptedOrEndedListener = listener;
   }
 
   /**
    * A user reads an answer about a job. Several requests may be on their way: an answer may be no
    * older than what was reported before its request was sent.
    *
-   * @param askedAt when the request was sent, seconds
+   * @param requestedAt when the request was sent, seconds
    */
-  public void answered(String id, double askedAt, int status, String phase) {
+  public void responseReceived(String id, double requestedAt, int status, String phase) {
     ObservedJob job = jobs.find(id);
     if (status == NOT_FOUND) {
-      checkMayBeUnknown(id, job, askedAt);
+      checkMayBeUnknown(id, job, requestedAt);
       return;
     }
     if (status != OK && status != CREATED) {
@@ -49,41 +49,41 @@
       violations.add(Rule.INVENTED, id);
       return;
     }
-    boolean news = !job.accepted();
-    job.answered(timeline.seconds());
+    boolean acceptedOrEnded = !job.accepted();
+    job.responseReceived(timeline.seconds());
     if (job.terminalAt().isPresent() && !phase.equals(job.reportedPhase())) {
-      checkMayBeOlder(job, askedAt, phase);
+      checkMayBeOlder(job, requestedAt, phase);
       return;
     }
     checkPhase(job, phase);
-    news |= !isOpen(phase) && job.terminalAt().isEmpty();
+    acceptedOrEnded |= !isOpen(phase) && job.terminalAt().isEmpty();
     job.reported(phase, timeline.seconds());
-    if (news) {
-      onNews.accept(job);
+    if (acceptedOrEnded) {
+      acceptedOrEndedListener.accept(job);
     }
   }
 
-  private void checkMayBeUnknown(String id, ObservedJob job, double askedAt) {
-    if (job != null && job.accepted() && job.acceptedAt().getAsDouble() <= askedAt) {
+  private void checkMayBeUnknown(String id, ObservedJob job, double requestedAt) {
+    if (job != null && job.accepted() && job.acceptedAt().getAsDouble() <= requestedAt) {
       violations.add(Rule.FORGOTTEN, id + " got 404");
     }
   }
 
   /** Only an answer to a request that was sent before the end was reported may call a job open. */
-  private void checkMayBeOlder(ObservedJob job, double askedAt, String phase) {
-    if (!isOpen(phase) || job.terminalAt().getAsDouble() <= askedAt) {
+  private void checkMayBeOlder(ObservedJob job, double requestedAt, String phase) {
+    if (!isOpen(phase) || job.terminalAt().getAsDouble() <= requestedAt) {
       violations.add(Rule.WENT_BACK, job.id() + " from " + job.reportedPhase() + " to " + phase);
     }
   }
 
   private void checkPhase(ObservedJob job, String phase) {
-    OptionalDouble fallen = jobs.dependencyCancelledAt(job);
+    OptionalDouble dependencyCancelledAt = jobs.dependencyCancelledAt(job);
     if (isOpen(phase)
-        && fallen.isPresent()
-        && timeline.seconds() > fallen.getAsDouble() + cancelSeconds) {
+        && dependencyCancelledAt.isPresent()
+        && timeline.seconds() > dependencyCancelledAt.getAsDouble() + cancelSeconds) {
       violations.add(Rule.ORPHANED, job.id() + " is called " + phase);
     }
-    if (phase.equals("cancelled") && !job.cancelRequested() && fallen.isEmpty()) {
+    if (phase.equals("cancelled") && !job.cancelRequested() && dependencyCancelledAt.isEmpty()) {
       violations.add(Rule.WENT_BACK, job.id() + " cancelled by nobody");
     }
     if (phase.equals("done") && !job.allTasksCompleted()) {
@@ -105,12 +105,12 @@
   }
 
   /** Once faults are over, users get answers about every accepted job. */
-  void checkAtEnd(double calmSince) {
+  void checkAtEnd(double faultsOverAt) {
     for (ObservedJob job : jobs.all()) {
-      double silence = timeline.seconds() - Math.max(job.lastAnsweredAt(), calmSince);
-      if (job.accepted() && silence > MAX_SILENCE_SECONDS) {
+      double silenceSeconds = timeline.seconds() - Math.max(job.lastResponseAt(), faultsOverAt);
+      if (job.accepted() && silenceSeconds > MAX_SILENCE_SECONDS) {
         violations.add(
-            Rule.FORGOTTEN, job.id() + " had no answer for " + Math.round(silence) + " s");
+            Rule.FORGOTTEN, job.id() + " had no answer for " + Math.round(silenceSeconds) + " s");
       }
     }
   }
--- a/src/test/java/org/mulleinshift/invariants/RunningTasks.java
+++ b/src/test/java/org/mulleinshift/invariants/RunningTasks.java
@@ -35,7 +35,7 @@
   private final TeamQuota quota;
   private final double cancelSeconds;
   private final Map<String, Placement> running = new HashMap<>();
-  private Predicate<String> endStored = job -> false;
+  private Predicate<String> jobEndStored = job -> false;
   private Consumer<ObservedJob> onNearlyDone = job -> {};
   private Consumer<ObservedJob> onStart = job -> {};
   private int starts;
@@ -73,8 +73,8 @@
   }
 
   /** Sets how to find out of which jobs an end is stored: none of their tasks may start then. */
-  public void endStored(Predicate<String> ends) {
-    endStored = ends;
+  public void jobEndStoredWhen(Predicate<String> predicate) {
+    jobEndStored = predicate;
   }
 
   /** Calls the listener when the last task of a job is about to end. */
@@ -127,7 +127,7 @@
   }
 
   private void checkNotEnded(String task, ObservedJob job, MachineTraits machine) {
-    if (endStored.test(job.id())) {
+    if (jobEndStored.test(job.id())) {
       violations.add(
           Rule.OVER, task + " started on " + machine.name() + " though its job's end is stored");
     }
--- a/src/test/java/org/mulleinshift/scalerun/ScaleCell.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleCell.java
@@ -101,7 +101,7 @@
         new InvariantChecker(
             timeline, settings.teamLimits(), options.cancelSeconds, shared.teamUsage());
     this.checker.tasks().onStart(this::onStart);
-    this.checker.answers().onNews(job -> shared.measures().news(job));
+    this.checker.reportedPhases().onAcceptedOrEnded(job -> shared.measures().news(job));
     this.cloud = new SimulatedCloud(timeline, CellSettings.LISTING_LAG_SECONDS, this::startWorker);
     this.loadBalancer = new LoadBalancer(timeline, shared.userClient(), controllers);
   }
--- a/src/test/java/org/mulleinshift/scenario/CommandTable.java
+++ b/src/test/java/org/mulleinshift/scenario/CommandTable.java
@@ -47,7 +47,7 @@
   /** Throws an {@link IllegalArgumentException} if there is no command for the line. */
   void check(ScenarioLine line) {
     if (!commands.containsKey(line.word(0))) {
-      throw line.unknown();
+      throw line.unknownLine();
     }
   }
 }
--- a/src/test/java/org/mulleinshift/scenario/ControllerCommands.java
+++ b/src/test/java/org/mulleinshift/scenario/ControllerCommands.java
@@ -33,7 +33,7 @@
     table.addFault("crash", this::crash);
     table.addFault("stall", line -> cluster.controller(line.word(1)).stall(line.number(2)));
     table.addFault("heap", this::fillHeap);
-    table.addFault("say", this::sendForeignFrame);
+    table.addFault("say", this::sendInvalidPeerFrame);
     table.add("operators", line -> changeTunable(line.word(1), line.number(2)));
   }
 
@@ -59,7 +59,7 @@
   }
 
   /** {@code say node-0 BYTES}: a peer frame that no controller would send. */
-  private void sendForeignFrame(ScenarioLine line) {
+  private void sendInvalidPeerFrame(ScenarioLine line) {
     cluster.controller(line.word(1)).onFrame(line.word(2).getBytes(StandardCharsets.UTF_8));
   }
 
--- a/src/test/java/org/mulleinshift/scenario/CutScenarioTest.java
+++ b/src/test/java/org/mulleinshift/scenario/CutScenarioTest.java
@@ -31,6 +31,6 @@
   void keepsRulesAndEndsJobs(int number) throws SettingsException {
     List<String> lines = CutScenario.lines(number);
     assertEquals(
-        List.of(), Scenario.play(lines, number + 1), number + "\n" + String.join("\n", lines));
+        List.of(), Scenario.execute(lines, number + 1), number + "\n" + String.join("\n", lines));
   }
 }
--- a/src/test/java/org/mulleinshift/scenario/Expectations.java
+++ b/src/test/java/org/mulleinshift/scenario/Expectations.java
@@ -32,13 +32,13 @@
    * All kinds of expectations.
    *
    * @param endSeconds when the scenario ends
-   * @param ordersAfterCancellation what the controllers sent too late
+   * @param startCommandsAfterCancellation what the controllers sent too late
    */
   Expectations(
       ScenarioContext context,
       CommandTable table,
       double endSeconds,
-      OrdersAfterCancellation ordersAfterCancellation) {
+      StartCommandsAfterCancellation startCommandsAfterCancellation) {
     this.context = context;
     this.endSeconds = endSeconds;
     JobExpectations.addTo(kinds, context.checker(), context.timeline());
@@ -47,17 +47,17 @@
     ClusterExpectations.addTo(kinds, context.cluster());
     kinds.put(
         "orders-after-cancel",
-        (line, limit) -> atMost(ordersAfterCancellation.count(), line.number(1)));
+        (line, limit) -> atMost(startCommandsAfterCancellation.count(), line.number(1)));
     table.add("remember", line -> store.rememberOwners());
     table.add("expect", this::check);
   }
 
   /** Checks a line; what is not as expected is added to the failures. */
   void check(ScenarioLine expectLine) {
-    ScenarioLine line = expectLine.from(1);
+    ScenarioLine line = expectLine.skip(1);
     Expectation kind = kinds.get(line.word(0));
     if (kind == null) {
-      throw expectLine.unknown();
+      throw expectLine.unknownLine();
     }
     boolean hasLimit = line.size() >= WORDS_WITH_LIMIT && !line.word(0).equals(STORED);
     double limit = hasLimit ? line.number(line.size() - 1) : endSeconds;
--- a/src/test/java/org/mulleinshift/scenario/JobExpectations.java
+++ b/src/test/java/org/mulleinshift/scenario/JobExpectations.java
@@ -68,7 +68,7 @@
     kinds.put(
         "accepted",
         (line, limit) -> atLeast(jobs.acceptedWithin(line.word(1), limit), ACCEPTED_SHARE));
-    kinds.put("open", (line, limit) -> atMost(jobs.open(line.word(1)), limit));
+    kinds.put("open", (line, limit) -> atMost(jobs.openCount(line.word(1)), limit));
     kinds.put(
         "dependents-cancelled",
         (line, limit) -> atMost(jobs.maxDependentCancellationSeconds(timeline.seconds()), limit));
--- a/src/test/java/org/mulleinshift/scenario/KnownFailure.java
+++ b/src/test/java/org/mulleinshift/scenario/KnownFailure.java
@@ -53,15 +53,15 @@
     return Arrays.stream(Rule.values()).filter(rule -> rule.toString().equals(text)).findFirst();
   }
 
-  boolean isOf(String playedTest, String playedScenario) {
-    return test.equals(playedTest) && scenario.equals(playedScenario);
+  boolean isOf(String testName, String scenarioName) {
+    return test.equals(testName) && scenario.equals(scenarioName);
   }
 
   /** Whether the failure of a play is the expected one. */
-  boolean matches(String playFailure) {
+  boolean matches(String reportedFailure) {
     if (failure.startsWith(EXPECTATION_PREFIX)) {
-      return playFailure.startsWith(failure + ": ");
+      return reportedFailure.startsWith(failure + ": ");
     }
-    return playFailure.matches("\\d+\\.\\d{3} " + Pattern.quote(failure) + ": .*");
+    return reportedFailure.matches("\\d+\\.\\d{3} " + Pattern.quote(failure) + ": .*");
   }
 }
--- a/src/test/java/org/mulleinshift/scenario/KnownFailuresTest.java
+++ b/src/test/java/org/mulleinshift/scenario/KnownFailuresTest.java
@@ -98,7 +98,8 @@
     Set<String> played =
         Stream.concat(
                 ScenarioCatalog.files().stream().map(each -> TEST + " " + each.name()),
-                ScenarioCatalog.drawn().stream().map(each -> "RandomScenarioTest " + each.name()))
+                ScenarioCatalog.randomFamilies().stream()
+                    .map(each -> "RandomScenarioTest " + each.name()))
             .collect(Collectors.toSet());
     List<KnownFailure> unplayed =
         KnownFailures.read().entries().stream()
--- a/src/test/java/org/mulleinshift/scenario/MachineCommands.java
+++ b/src/test/java/org/mulleinshift/scenario/MachineCommands.java
@@ -21,7 +21,7 @@
     cloudCommands.add("stuck", line -> cloud.stuckBoots(line.number(1)));
     cloudCommands.add("boots", line -> cloud.bootFactor(line.number(1), line.number(2)));
     cloudCommands.add("capacity", this::changeCapacity);
-    table.addFault("cloud", line -> cloudCommands.run(line.from(1)));
+    table.addFault("cloud", line -> cloudCommands.run(line.skip(1)));
     table.addFault("machine", this::runOnMachines);
     table.addFault("unexpected", this::bootUnexpected);
   }
@@ -49,7 +49,7 @@
           case "half" -> up.subList(0, up.size() / 2);
           default -> List.of(up.get(line.integer(1) % up.size()));
         };
-    ScenarioLine action = line.from(2);
+    ScenarioLine action = line.skip(2);
     chosen.forEach(machine -> run(action, machine));
   }
 
@@ -70,16 +70,16 @@
     switch (action.word(0)) {
       case "sick" -> worker.failAllTasks();
       case "reboot" -> worker.reboot();
-      case "deaf" -> deafen(action, worker);
+      case "deaf" -> stopReception(action, worker);
       case "hang" -> worker.hang(action.number(1));
       case "mute" -> worker.mute(action.number(1));
       case "slow" -> worker.slow(action.number(1));
-      default -> throw action.unknown();
+      default -> throw action.unknownLine();
     }
   }
 
   /** {@code deaf SECONDS [stays]}. */
-  private static void deafen(ScenarioLine action, SimulatedWorker worker) {
+  private static void stopReception(ScenarioLine action, SimulatedWorker worker) {
     if (action.size() > 2) {
       worker.dropReplies(action.number(1));
     } else {
--- a/src/test/java/org/mulleinshift/scenario/DrawnFault.java
+++ b/src/test/java/org/mulleinshift/scenario/RandomFault.java
@@ -6,12 +6,12 @@
  * @param <T> what the kinds of a set take besides the time and the length
  */
 @FunctionalInterface
-interface DrawnFault<T> {
+interface RandomFault<T> {
   /**
    * Adds the lines.
    *
    * @param at when the fault begins, seconds
    * @param length how long it lasts where its kind has a length, seconds
    */
-  void addTo(double at, double length, T detail);
+  void add(double at, double length, T detail);
 }
--- a/src/test/java/org/mulleinshift/scenario/DrawnMeetings.java
+++ b/src/test/java/org/mulleinshift/scenario/RandomOverlappingFaults.java
@@ -1,64 +1,66 @@
 package org.mulleinshift.scenario;
 
 import java.util.List;
-import org.mulleinshift.scenario.ScenarioDraw.Count;
-import org.mulleinshift.scenario.ScenarioDraw.Span;
+import org.mulleinshift.scenario.RandomScenarioBuilder.DoubleRange;
+import org.mulleinshift.scenario.RandomScenarioBuilder.IntRange;
 
 /**
  * Draws faults for scenarios in which two meet, at a given time. A kind that stands twice is drawn
  * twice as often.
  */
-final class DrawnMeetings {
-  private static final Span LENGTH = new Span(4, 30);
-  private static final Span FURTHER_LENGTH = new Span(4, 26);
+final class RandomOverlappingFaults {
+  private static final DoubleRange LENGTH = new DoubleRange(4, 30);
+  private static final DoubleRange FURTHER_LENGTH = new DoubleRange(4, 26);
   private static final int EARLIER_KIND_ONCE_IN = 3;
-  private static final Count MACHINE = new Count(0, 6);
-  private static final Span SHARE_OF_LATE_WRITES = new Span(0.1, 0.8);
-  private static final Span SHARE_OF_LATE_REQUESTS = new Span(0.2, 1);
-  private static final Span SHARE_OF_WRITES = new Span(0.2, 0.6);
-  private static final double LEAST_REFUSAL_SECONDS = 6;
-  private static final double LEAST_OUTAGE_SECONDS = 34;
-  private static final Span OUTAGE_AFTER = new Span(0, 5);
+  private static final IntRange MACHINE = new IntRange(0, 6);
+  private static final DoubleRange SHARE_OF_LATE_WRITES = new DoubleRange(0.1, 0.8);
+  private static final DoubleRange SHARE_OF_LATE_REQUESTS = new DoubleRange(0.2, 1);
+  private static final DoubleRange SHARE_OF_WRITES = new DoubleRange(0.2, 0.6);
+  private static final double MIN_REFUSAL_SECONDS = 6;
+  private static final double MIN_OUTAGE_SECONDS = 34;
+  private static final DoubleRange OUTAGE_AFTER = new DoubleRange(0, 5);
   private static final int OUTAGE_DIVISOR = 4;
   private static final int STALL_DIVISOR = 3;
   private static final double COPIES_SECONDS = 20;
   private static final double SLOW_LINK_SECONDS = 1.2;
 
-  private final ScenarioDraw draw;
+  private final RandomScenarioBuilder builder;
 
   /** Their detail is a controller. */
-  private final List<DrawnFault<String>> kinds =
+  private final List<RandomFault<String>> kinds =
       List.of(
-          (at, length, node) ->
+          (at, length, controller) ->
               add(
                   "at %.1f state late-writes %.2f %.1f",
-                  at, draw().number(SHARE_OF_LATE_WRITES), length),
-          (at, length, node) -> add("at %.1f copies 2 40 %.1f", at, length),
-          (at, length, node) ->
+                  at, builder().valueIn(SHARE_OF_LATE_WRITES), length),
+          (at, length, controller) -> add("at %.1f copies 2 40 %.1f", at, length),
+          (at, length, controller) ->
               add("at %.1f machine %s deaf %.1f", at, one("0", "3", "half"), length),
           this::isolate,
           this::refuseBeforeOutage,
-          (at, length, node) ->
+          (at, length, controller) ->
               add(
                   "at %.1f crash %s %s",
-                  at, one("leader", node, "all"), one("0.05", "0.2", "1", "3")),
-          (at, length, node) ->
+                  at, one("leader", controller, "all"), one("0.05", "0.2", "1", "3")),
+          (at, length, controller) ->
               add("at %.1f cut leader worker* %.1f %s", at, length, one("hold", "drop")),
-          (at, length, node) ->
-              add("at %.1f cut-one-way %s worker-orders %.1f hold", at, node, length / 2),
-          (at, length, node) ->
-              add("at %.1f cut-one-way worker-orders %s %.1f hold", at, node, length / 2),
-          (at, length, node) ->
+          (at, length, controller) ->
+              add("at %.1f cut-one-way %s worker-orders %.1f hold", at, controller, length / 2),
+          (at, length, controller) ->
+              add("at %.1f cut-one-way worker-orders %s %.1f hold", at, controller, length / 2),
+          (at, length, controller) ->
               add(
                   "at %.1f state late %.2f %.1f",
-                  at, draw().number(SHARE_OF_LATE_REQUESTS), length),
-          (at, length, node) ->
-              add("at %.1f machine %d hang %.1f", at, draw().number(MACHINE), length / 2),
-          (at, length, node) ->
-              add("at %.1f stall %s %.1f", at, one("leader", node), 2 + length / STALL_DIVISOR));
+                  at, builder().valueIn(SHARE_OF_LATE_REQUESTS), length),
+          (at, length, controller) ->
+              add("at %.1f machine %d hang %.1f", at, builder().valueIn(MACHINE), length / 2),
+          (at, length, controller) ->
+              add(
+                  "at %.1f stall %s %.1f",
+                  at, one("leader", controller), 2 + length / STALL_DIVISOR));
 
   /** Their detail is the kind of transactions that a fault of the store is about. */
-  private final List<DrawnFault<String>> furtherKinds =
+  private final List<RandomFault<String>> furtherKinds =
       List.of(
           this::loseAnswers,
           this::loseAnswers,
@@ -73,20 +75,20 @@
               add("at %.1f slow-link node-* worker* %.1f %.1f", at, SLOW_LINK_SECONDS, length),
           this::crashAfterCancellation);
 
-  DrawnMeetings(ScenarioDraw draw) {
-    this.draw = draw;
+  RandomOverlappingFaults(RandomScenarioBuilder builder) {
+    this.builder = builder;
   }
 
   /** Adds a fault of the kinds that came first. */
   void add(double at) {
-    double length = draw.number(LENGTH);
-    String node = draw.node();
-    draw.one(kinds).addTo(at, length, node);
+    double length = builder.valueIn(LENGTH);
+    String controller = builder.controller();
+    builder.choose(kinds).add(at, length, controller);
   }
 
   /** Adds a fault, of the further kinds more often than of those that came first. */
-  void addEither(double at) {
-    if (draw.onceIn(EARLIER_KIND_ONCE_IN)) {
+  void addOfAnyKind(double at) {
+    if (builder.oneIn(EARLIER_KIND_ONCE_IN)) {
       add(at);
     } else {
       addFurther(at);
@@ -94,30 +96,30 @@
   }
 
   private void addFurther(double at) {
-    double length = draw.number(FURTHER_LENGTH);
+    double length = builder.valueIn(FURTHER_LENGTH);
     String transactions =
         one("", "acceptance", "cancellation", "delegation", "end", "grant", "leader");
-    draw.one(furtherKinds).addTo(at, length, transactions);
+    builder.choose(furtherKinds).add(at, length, transactions);
   }
 
-  private void isolate(double at, double length, String node) {
-    add("at %.1f cut %s state %.1f hold", at, node, length);
-    add("at %.1f cut %s node-* %.1f hold", at, node, length);
+  private void isolate(double at, double length, String controller) {
+    add("at %.1f cut %s state %.1f hold", at, controller, length);
+    add("at %.1f cut %s node-* %.1f hold", at, controller, length);
   }
 
-  private void refuseBeforeOutage(double at, double length, String node) {
-    add("at %.1f state refuse leader %.1f", at, LEAST_REFUSAL_SECONDS + length / 2);
-    double outageAt = draw.after(at, OUTAGE_AFTER);
-    add("at %.1f state outage %.1f", outageAt, LEAST_OUTAGE_SECONDS + length / 2);
+  private void refuseBeforeOutage(double at, double length, String controller) {
+    add("at %.1f state refuse leader %.1f", at, MIN_REFUSAL_SECONDS + length / 2);
+    double outageAt = builder.after(at, OUTAGE_AFTER);
+    add("at %.1f state outage %.1f", outageAt, MIN_OUTAGE_SECONDS + length / 2);
   }
 
   private void loseAnswers(double at, double length, String transactions) {
-    double share = draw.number(SHARE_OF_WRITES);
+    double share = builder.valueIn(SHARE_OF_WRITES);
     add("at %.1f state lost-answers %.2f %.1f %s", at, share, length, transactions);
   }
 
   private void delayWrites(double at, double length, String transactions) {
-    double share = draw.number(SHARE_OF_WRITES);
+    double share = builder.valueIn(SHARE_OF_WRITES);
     add("at %.1f state late-writes %.2f %.1f %s", at, share, length, transactions);
   }
 
@@ -129,7 +131,7 @@
   private void cancelBeforeOutage(double at, double length, String transactions) {
     add("at %.1f cancel-now 4", at);
     add("at %.1f state refuse leader 1", at);
-    add("at %.1f state outage %.1f", at + 1, LEAST_OUTAGE_SECONDS + length / OUTAGE_DIVISOR);
+    add("at %.1f state outage %.1f", at + 1, MIN_OUTAGE_SECONDS + length / OUTAGE_DIVISOR);
   }
 
   private void crashAfterCancellation(double at, double length, String transactions) {
@@ -139,14 +141,14 @@
   }
 
   private void add(String format, Object... values) {
-    draw.add(format, values);
+    builder.add(format, values);
   }
 
   private String one(String... choices) {
-    return draw.one(choices);
+    return builder.choose(choices);
   }
 
-  private ScenarioDraw draw() {
-    return draw;
+  private RandomScenarioBuilder builder() {
+    return builder;
   }
 }
--- a/src/test/java/org/mulleinshift/scenario/DrawnLogFaults.java
+++ b/src/test/java/org/mulleinshift/scenario/RandomProgressLogFaults.java
@@ -1,19 +1,19 @@
 package org.mulleinshift.scenario;
 
 import java.util.List;
-import org.mulleinshift.scenario.ScenarioDraw.Span;
+import org.mulleinshift.scenario.RandomScenarioBuilder.DoubleRange;
 
 /** Draws faults that the progress log must survive. */
-final class DrawnLogFaults {
-  private static final Span LENGTH = new Span(3, 15);
-  private static final Span SHARE = new Span(0.2, 0.7);
+final class RandomProgressLogFaults {
+  private static final DoubleRange LENGTH = new DoubleRange(3, 15);
+  private static final DoubleRange SHARE = new DoubleRange(0.2, 0.7);
   private static final double MORE_LATE_REQUESTS = 0.1;
   private static final int STALL_DIVISOR = 3;
 
-  private final ScenarioDraw draw;
+  private final RandomScenarioBuilder builder;
 
   /** Their detail is the share of requests that a fault is about. */
-  private final List<DrawnFault<Double>> kinds =
+  private final List<RandomFault<Double>> kinds =
       List.of(
           this::delayProgress,
           this::delayProgress,
@@ -29,15 +29,15 @@
           (at, length, share) ->
               add("at %.1f state late %.2f %.1f", at, MORE_LATE_REQUESTS + share, length));
 
-  DrawnLogFaults(ScenarioDraw draw) {
-    this.draw = draw;
+  RandomProgressLogFaults(RandomScenarioBuilder builder) {
+    this.builder = builder;
   }
 
   /** Adds a fault that begins at the time. */
   void add(double at) {
-    double length = draw.number(LENGTH);
-    double share = draw.number(SHARE);
-    draw.one(kinds).addTo(at, length, share);
+    double length = builder.valueIn(LENGTH);
+    double share = builder.valueIn(SHARE);
+    builder.choose(kinds).add(at, length, share);
   }
 
   private void delayProgress(double at, double length, double share) {
@@ -50,10 +50,10 @@
   }
 
   private void add(String format, Object... values) {
-    draw.add(format, values);
+    builder.add(format, values);
   }
 
   private String one(String... choices) {
-    return draw.one(choices);
+    return builder.choose(choices);
   }
 }
--- a/src/test/java/org/mulleinshift/scenario/RandomScenarioTest.java
+++ b/src/test/java/org/mulleinshift/scenario/RandomScenarioTest.java
@@ -23,7 +23,7 @@
 
   static Stream<Arguments> plays() {
     SeedRange seeds = SeedRange.parse(System.getProperty("seeds", FIXED));
-    return ScenarioCatalog.drawn().stream()
+    return ScenarioCatalog.randomFamilies().stream()
         .flatMap(
             family ->
                 KNOWN
@@ -34,7 +34,7 @@
   @ParameterizedTest(name = "{0}, seed {1}")
   @MethodSource("plays")
   void keepsRulesAndEndsJobs(ScenarioCatalog.Entry family, long seed) throws SettingsException {
-    play(family, seed);
+    run(family, seed);
   }
 
   /**
@@ -43,19 +43,19 @@
    */
   @Test
   void anEndThatIsNotStoredYetIsNoStartForTheNextOwner() throws SettingsException {
-    play(new ScenarioCatalog.Entry("drawn-progress-log", RandomScenario::loggedLines), 50);
+    run(new ScenarioCatalog.Entry("drawn-progress-log", RandomScenario::progressLogLines), 50);
   }
 
   /** The seed on which a task ran twice after a late copy of a report, see InheritedTasksTest. */
   @Test
   void aTaskThatALateCopyListsIsNotLost() throws SettingsException {
-    play(new ScenarioCatalog.Entry("drawn-meetings", RandomScenario::pairedLines), 2187);
+    run(new ScenarioCatalog.Entry("drawn-meetings", RandomScenario::overlappingFaultLines), 2187);
   }
 
-  private static void play(ScenarioCatalog.Entry family, long seed) throws SettingsException {
+  private static void run(ScenarioCatalog.Entry family, long seed) throws SettingsException {
     List<String> lines = family.lines().apply(seed);
     KnownFailures.Verdict verdict =
-        KNOWN.judge(TEST, family.name(), seed, Scenario.play(lines, seed));
+        KNOWN.judge(TEST, family.name(), seed, Scenario.execute(lines, seed));
     assertEquals(List.of(), verdict.problems(), "seed " + seed + "\n" + String.join("\n", lines));
     assumeTrue(verdict.excused().isEmpty(), () -> "known red: " + verdict.excused());
   }
--- a/src/test/java/org/mulleinshift/scenario/RequestCommands.java
+++ b/src/test/java/org/mulleinshift/scenario/RequestCommands.java
@@ -24,7 +24,7 @@
     this.users = cluster.users();
     ReadsAfterChange reads =
         new ReadsAfterChange(context.timeline(), users, cluster.controllers(), cluster::sendTo);
-    context.checker().answers().onNews(reads::changed);
+    context.checker().reportedPhases().onAcceptedOrEnded(reads::changed);
     InvalidRequests invalid =
         new InvalidRequests(context.timeline(), context.checker(), users, cluster::sendToAny);
     table.add("poll", line -> pollUnknown(line.word(1)));
@@ -52,7 +52,7 @@
 
   /** {@code ask POST /v2/runs 400 {"ref":1}}: some controller must answer with this status. */
   private void ask(ScenarioLine line) {
-    String body = line.from(FOURTH).toString();
+    String body = line.skip(FOURTH).toString();
     int expectedStatus = line.integer(THIRD);
     cluster.sendToAny(
         line.word(1),
--- a/src/test/java/org/mulleinshift/scenario/Scenario.java
+++ b/src/test/java/org/mulleinshift/scenario/Scenario.java
@@ -21,7 +21,7 @@
  */
 public final class Scenario {
   private final ScenarioSettings settings;
-  private final OrdersAfterCancellation sentMessages;
+  private final StartCommandsAfterCancellation startCommandsAfterCancellation;
   private final List<String> failures = new ArrayList<>();
   private final VirtualTimeline timeline;
   private final InvariantChecker checker;
@@ -31,7 +31,7 @@
 
   private Scenario(List<String> lines, long seed, SentMessageListener sentMessages) {
     this.settings = new ScenarioSettings(lines);
-    this.sentMessages = new OrdersAfterCancellation(sentMessages);
+    this.startCommandsAfterCancellation = new StartCommandsAfterCancellation(sentMessages);
     this.timeline = new VirtualTimeline(seed);
     this.checker = new InvariantChecker(timeline, settings.teamLimits(), settings.cancelSeconds());
     this.cluster =
@@ -45,12 +45,13 @@
     new StoreCommands(context, commands, settings.storeLimits());
     new MachineCommands(context, commands);
     this.expectations =
-        new Expectations(context, commands, settings.endSeconds(), this.sentMessages);
+        new Expectations(
+            context, commands, settings.endSeconds(), this.startCommandsAfterCancellation);
   }
 
   /** Plays the file and returns everything that went wrong. */
-  public static List<String> play(Path file, long seed) throws IOException, SettingsException {
-    return play(linesOf(file), seed);
+  public static List<String> execute(Path file, long seed) throws IOException, SettingsException {
+    return execute(linesOf(file), seed);
   }
 
   /** The lines of a file without comments. */
@@ -62,23 +63,24 @@
   }
 
   /** Plays these lines and returns everything that went wrong. */
-  public static List<String> play(List<String> lines, long seed) throws SettingsException {
-    return play(lines, seed, SentMessageListener.IGNORED);
+  public static List<String> execute(List<String> lines, long seed) throws SettingsException {
+    return execute(lines, seed, SentMessageListener.IGNORED);
   }
 
   /** Plays these lines while what the controllers send is observed. */
-  public static List<String> play(List<String> lines, long seed, SentMessageListener sentMessages)
-      throws SettingsException {
+  public static List<String> execute(
+      List<String> lines, long seed, SentMessageListener sentMessages) throws SettingsException {
     Scenario scenario = new Scenario(lines, seed, sentMessages);
     scenario.run();
     return scenario.failures;
   }
 
   /** After a fault: seconds until a term began, and until that one stored its first progress. */
-  public record Failover(double termSeconds, double taskSeconds, List<String> failures) {}
+  public record Failover(
+      double secondsToNewTerm, double secondsToProgress, List<String> failures) {}
 
   /** Plays these lines and measures how soon the leader was replaced after that time. */
-  public static Failover failover(List<String> lines, long seed, double at)
+  public static Failover measureFailover(List<String> lines, long seed, double at)
       throws SettingsException {
     Scenario scenario = new Scenario(lines, seed, SentMessageListener.IGNORED);
     scenario.run();
@@ -91,16 +93,16 @@
   private void run() throws SettingsException {
     Tunables tunables = Tunables.parse("scenario", settings.tunables());
     for (int i = 0; i < settings.controllerCount(); i++) {
-      cluster.addController(settings.platformSettings(i), tunables, sentMessages);
+      cluster.addController(settings.platformSettings(i), tunables, startCommandsAfterCancellation);
     }
     cluster.controllers().forEach(SimulatedController::start);
     settings.commands().forEach(this::schedule);
-    double calmSince = calmSince();
+    double faultsOverAt = faultsOverAt();
     StarvationCheck starvation =
         new StarvationCheck(timeline, checker, cluster.cloud(), cluster.store()::isRewritten);
-    timeline.at(calmSince, starvation::start);
+    timeline.at(faultsOverAt, starvation::start);
     timeline.runUntil(settings.endSeconds());
-    checker.checkAtEnd(calmSince);
+    checker.checkAtEnd(faultsOverAt);
     failures.addAll(checker.violations().lines());
     settings.expectations().forEach(expectations::check);
   }
@@ -111,7 +113,7 @@
   }
 
   /** When the last fault was over, by the times that its line names. */
-  private double calmSince() {
+  private double faultsOverAt() {
     return settings.commands().stream()
         .filter(timed -> commands.isFault(timed.command()))
         .mapToDouble(timed -> timed.seconds() + timed.command().sumOfNumbers(1))
--- a/src/test/java/org/mulleinshift/scenario/ScenarioCatalog.java
+++ b/src/test/java/org/mulleinshift/scenario/ScenarioCatalog.java
@@ -27,7 +27,7 @@
       return lines.apply(0).stream()
           .map(ScenarioLine::parse)
           .filter(line -> line.word(0).equals(ScenarioSettings.SEEDS))
-          .flatMap(line -> line.from(1).words().stream())
+          .flatMap(line -> line.skip(1).words().stream())
           .mapToLong(Long::parseLong);
     }
 
@@ -65,20 +65,20 @@
   }
 
   /** The drawn families. */
-  public static List<Entry> drawn() {
+  public static List<Entry> randomFamilies() {
     return List.of(
         new Entry("drawn", RandomScenario::lines),
-        new Entry("drawn-chains", RandomScenario::chainedLines),
-        new Entry("drawn-meetings", RandomScenario::pairedLines),
-        new Entry("drawn-further-meetings", RandomScenario::furtherLines),
-        new Entry("drawn-progress-log", RandomScenario::loggedLines),
+        new Entry("drawn-chains", RandomScenario::pipelineLines),
+        new Entry("drawn-meetings", RandomScenario::overlappingFaultLines),
+        new Entry("drawn-further-meetings", RandomScenario::extendedOverlappingFaultLines),
+        new Entry("drawn-progress-log", RandomScenario::progressLogLines),
         new Entry("drawn-cancelled-pairs", RandomScenario::cancelledPairLines));
   }
 
   /** All files and all drawn families. */
   public static List<Entry> all() throws IOException {
     List<Entry> all = new ArrayList<>(files());
-    all.addAll(drawn());
+    all.addAll(randomFamilies());
     return all;
   }
 }
--- a/src/test/java/org/mulleinshift/scenario/ScenarioLine.java
+++ b/src/test/java/org/mulleinshift/scenario/ScenarioLine.java
@@ -18,7 +18,7 @@
   }
 
   /** The line without its first words. */
-  ScenarioLine from(int index) {
+  ScenarioLine skip(int index) {
     return new ScenarioLine(words.subList(index, words.size()));
   }
 
@@ -30,16 +30,16 @@
     return words.get(index);
   }
 
-  String wordOr(int index, String standard) {
-    return index < words.size() ? words.get(index) : standard;
+  String wordOr(int index, String defaultValue) {
+    return index < words.size() ? words.get(index) : defaultValue;
   }
 
   double number(int index) {
     return Double.parseDouble(words.get(index));
   }
 
-  double numberOr(int index, double standard) {
-    return index < words.size() ? number(index) : standard;
+  double numberOr(int index, double defaultValue) {
+    return index < words.size() ? number(index) : defaultValue;
   }
 
   int integer(int index) {
@@ -64,7 +64,7 @@
         .reduce(0, Double::sum);
   }
 
-  IllegalArgumentException unknown() {
+  IllegalArgumentException unknownLine() {
     return new IllegalArgumentException(toString());
   }
 
--- a/src/test/java/org/mulleinshift/scenario/ScenarioSeeds.java
+++ b/src/test/java/org/mulleinshift/scenario/ScenarioSeeds.java
@@ -36,10 +36,10 @@
   private boolean log;
 
   /** One seed of a scenario, while it is played. */
-  private record Play(long seed, Future<List<String>> failures) {}
+  private record SeedRun(long seed, Future<List<String>> failures) {}
 
-  /** A scenario and its plays. */
-  private record Plays(String name, List<Play> plays) {}
+  /** A scenario and its runs. */
+  private record ScenarioRuns(String name, List<SeedRun> runs) {}
 
   /** Plays; see {@code --help}. */
   public static void main(String[] args) {
@@ -49,16 +49,16 @@
   @Override
   public Integer call() throws Exception {
     if (log) {
-      PlayLog.install();
+      VirtualTimeLogAppender.install();
     }
     ExecutorService pool = Executors.newFixedThreadPool(threads);
     try {
-      List<Plays> all = new ArrayList<>();
+      List<ScenarioRuns> all = new ArrayList<>();
       for (ScenarioCatalog.Entry scenario : chosen()) {
         all.add(submit(scenario, pool));
       }
       boolean anyFailed = false;
-      for (Plays scenario : all) {
+      for (ScenarioRuns scenario : all) {
         anyFailed |= report(scenario);
       }
       return anyFailed ? FAILED : 0;
@@ -81,29 +81,28 @@
     return chosen;
   }
 
-  private Plays submit(ScenarioCatalog.Entry scenario, ExecutorService pool) {
-    List<Play> plays = new ArrayList<>();
+  private ScenarioRuns submit(ScenarioCatalog.Entry scenario, ExecutorService pool) {
+    List<SeedRun> runs = new ArrayList<>();
     SeedRange.parse(seeds).stream()
-        .forEach(seed -> plays.add(new Play(seed, pool.submit(() -> play(scenario, seed)))));
-    return new Plays(scenario.name(), plays);
+        .forEach(seed -> runs.add(new SeedRun(seed, pool.submit(() -> run(scenario, seed)))));
+    return new ScenarioRuns(scenario.name(), runs);
   }
 
-  private static List<String> play(ScenarioCatalog.Entry scenario, long seed)
+  private static List<String> run(ScenarioCatalog.Entry scenario, long seed)
       throws SettingsException {
-    return Scenario.play(scenario.lines().apply(seed), seed);
+    return Scenario.execute(scenario.lines().apply(seed), seed);
   }
 
   /** Prints the outcome of one scenario and returns whether any of its seeds failed. */
-  private static boolean report(Plays scenario) throws Exception {
+  private static boolean report(ScenarioRuns scenario) throws Exception {
     List<String> lines = new ArrayList<>();
     int failed = 0;
-    for (Play play : scenario.plays()) {
-      List<String> failures = play.failures().get();
+    for (SeedRun run : scenario.runs()) {
+      List<String> failures = run.failures().get();
       failed += failures.isEmpty() ? 0 : 1;
-      failures.forEach(failure -> lines.add("  seed " + play.seed() + ": " + failure));
+      failures.forEach(failure -> lines.add("  seed " + run.seed() + ": " + failure));
     }
-    System.out.println(
-        scenario.name() + " played=" + scenario.plays().size() + " failed=" + failed);
+    System.out.println(scenario.name() + " played=" + scenario.runs().size() + " failed=" + failed);
     lines.forEach(System.out::println);
     return failed > 0;
   }
--- a/src/test/java/org/mulleinshift/scenario/ScenarioSettings.java
+++ b/src/test/java/org/mulleinshift/scenario/ScenarioSettings.java
@@ -65,7 +65,7 @@
       case "nodes" -> controllerCount = line.integer(1);
       case "zones" -> {
         zones.clear();
-        zones.addAll(line.from(1).words());
+        zones.addAll(line.skip(1).words());
       }
       case "team" -> readTeam(line);
       case "workers" -> readWorkerTiming(line.fields(1));
@@ -76,8 +76,8 @@
       case "run" -> endSeconds = line.number(1);
       case "expect" -> expectations.add(line);
       case "type" -> machineTypes.add(line);
-      case "at" -> commands.add(new TimedCommand(line.number(1), line.from(2)));
-      default -> throw line.unknown();
+      case "at" -> commands.add(new TimedCommand(line.number(1), line.skip(2)));
+      default -> throw line.unknownLine();
     }
   }
 
@@ -103,8 +103,8 @@
             number(fields, "times", "0")));
   }
 
-  private static double number(Map<String, String> fields, String name, String standard) {
-    return Double.parseDouble(fields.getOrDefault(name, standard));
+  private static double number(Map<String, String> fields, String name, String defaultValue) {
+    return Double.parseDouble(fields.getOrDefault(name, defaultValue));
   }
 
   /** Limits without others to come, from {@code rps=200 writes=40 kb=8 ops=12}. */
--- a/src/test/java/org/mulleinshift/scenario/ScenarioTest.java
+++ b/src/test/java/org/mulleinshift/scenario/ScenarioTest.java
@@ -32,7 +32,7 @@
   void keepsRulesAndExpectations(ScenarioCatalog.Entry scenario) throws SettingsException {
     List<String> excused = new ArrayList<>();
     for (long seed : seeds(scenario)) {
-      List<String> failures = Scenario.play(scenario.lines().apply(seed), seed);
+      List<String> failures = Scenario.execute(scenario.lines().apply(seed), seed);
       KnownFailures.Verdict verdict = KNOWN.judge(TEST, scenario.name(), seed, failures);
       assertEquals(List.of(), verdict.problems(), scenario.name() + " with seed " + seed);
       excused.addAll(verdict.excused());
--- a/src/test/java/org/mulleinshift/scenario/OrdersAfterCancellation.java
+++ b/src/test/java/org/mulleinshift/scenario/StartCommandsAfterCancellation.java
@@ -17,8 +17,8 @@
  * Counts the commands to start a task that controllers send after one of them has answered that the
  * task's job is cancelled. Commands that were on their way by then do not count.
  */
-final class OrdersAfterCancellation implements SentMessageListener {
-  private static final Logger LOG = LoggerFactory.getLogger(OrdersAfterCancellation.class);
+final class StartCommandsAfterCancellation implements SentMessageListener {
+  private static final Logger LOG = LoggerFactory.getLogger(StartCommandsAfterCancellation.class);
   private static final int OK = 200;
   private static final double NANOS_PER_SECOND = 1e9;
   private static final String JOBS_PATH = "/v2/runs/";
@@ -27,11 +27,11 @@
 
   private final SentMessageListener next;
   private final ObjectMapper json = new ObjectMapper();
-  private final Map<String, Long> cancelledAt = new HashMap<>();
+  private final Map<String, Long> cancelledAtNanos = new HashMap<>();
   private int count;
 
   /** Counts, and passes all on to the next listener. */
-  OrdersAfterCancellation(SentMessageListener next) {
+  StartCommandsAfterCancellation(SentMessageListener next) {
     this.next = next;
   }
 
@@ -63,23 +63,24 @@
     if (status == OK && request.endsWith(CANCEL_SUFFIX) && body.contains("cancelled")) {
       int start = request.indexOf(JOBS_PATH) + JOBS_PATH.length();
       String job = request.substring(start, request.length() - CANCEL_SUFFIX.length());
-      cancelledAt.putIfAbsent(job, nanos);
+      cancelledAtNanos.putIfAbsent(job, nanos);
     }
     countStarts(nanos, sender, body);
     next.responseSent(nanos, sender, request, status, body, retryAfter);
   }
 
   private void countStarts(long nanos, String sender, String body) {
-    if (cancelledAt.isEmpty() || !body.contains(START)) {
+    if (cancelledAtNanos.isEmpty() || !body.contains(START)) {
       return;
     }
     for (JsonNode command : read(body).path("orders")) {
       String task = command.path("piece").asText();
-      Long cancelled = cancelledAt.get(ObservedJob.idOfTask(task));
-      if (command.path("verb").asText().equals("run") && cancelled != null) {
+      Long cancelledNanos = cancelledAtNanos.get(ObservedJob.idOfTask(task));
+      if (command.path("verb").asText().equals("run") && cancelledNanos != null) {
         count++;
-        double late = (nanos - cancelled) / NANOS_PER_SECOND;
-        LOG.info("start ordered after cancellation, task={} by={} late_s={}", task, sender, late);
+        double secondsLate = (nanos - cancelledNanos) / NANOS_PER_SECOND;
+        LOG.info(
+            "start ordered after cancellation, task={} by={} late_s={}", task, sender, secondsLate);
       }
     }
   }
--- a/src/test/java/org/mulleinshift/scenario/StoreCommands.java
+++ b/src/test/java/org/mulleinshift/scenario/StoreCommands.java
@@ -30,7 +30,7 @@
     commands.add("limits", line -> store.limits(ScenarioSettings.storeLimits(line.fields(1))));
     commands.add("rewrite", this::rewrite);
     commands.add("flood", line -> store.flood(line.word(1), line.integer(2), line.integer(THIRD)));
-    table.addFault("state", line -> commands.run(line.from(1)));
+    table.addFault("state", line -> commands.run(line.skip(1)));
   }
 
   private void addConnectionFaults(StoreFaults faults) {
--- a/src/test/java/org/mulleinshift/scenario/PlayLog.java
+++ b/src/test/java/org/mulleinshift/scenario/VirtualTimeLogAppender.java
@@ -8,11 +8,11 @@
 import org.slf4j.LoggerFactory;
 
 /** Prints log lines with the virtual time and the host that logged them. */
-final class PlayLog extends AppenderBase<ILoggingEvent> {
+final class VirtualTimeLogAppender extends AppenderBase<ILoggingEvent> {
   /** Replaces all other log output of this process. */
   static void install() {
     LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
-    PlayLog appender = new PlayLog();
+    VirtualTimeLogAppender appender = new VirtualTimeLogAppender();
     appender.setContext(context);
     appender.start();
     Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
--- a/src/test/java/org/mulleinshift/simulation/SimulatedCluster.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedCluster.java
@@ -60,7 +60,7 @@
     this.cloud = new SimulatedCloud(timeline, LISTING_LAG_SECONDS, this::startWorker);
     this.duplicates = new DelayedDuplicates(timeline, controllers);
     store.history().onTerm(duplicates::release);
-    checker.tasks().endStored(store::isEnded);
+    checker.tasks().jobEndStoredWhen(store::isEnded);
   }
 
   private SimulatedWorker startWorker(SimulatedMachine machine) {
--- a/src/test/java/org/mulleinshift/simulation/SimulatedUser.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedUser.java
@@ -72,7 +72,7 @@
   /** A reply to a repeated submission of the job, which was accepted. */
   void receiveResubmission(HttpResponse reply, double askedAt) {
     if (isRejection(reply)) {
-      checker.answers().rejected(job.id(), reply.status());
+      checker.reportedPhases().rejected(job.id(), reply.status());
     } else {
       receive(reply, askedAt);
     }
@@ -195,7 +195,7 @@
           reply.status(),
           phaseIn(reply));
     }
-    checker.answers().answered(job.id(), askedAt, reply.status(), phaseIn(reply));
+    checker.reportedPhases().responseReceived(job.id(), askedAt, reply.status(), phaseIn(reply));
   }
 
   private String phaseIn(HttpResponse reply) {
