--- a/src/test/java/org/mulleinshift/digest/BehaviourDigest.java
+++ b/src/test/java/org/mulleinshift/digest/BehaviourDigest.java
@@ -25,8 +25,8 @@
 import picocli.CommandLine.Option;
 
 /**
- * Writes a digest of everything that the controllers send in each scenario, so that two builds can
- * be compared: a change that keeps the behaviour keeps every line {@code name seed hash}.
+ * Writes a hash of all messages that the controllers send in each run of a scenario, to compare two
+ * builds: a change that keeps the behaviour keeps every line {@code name seed hash}.
  */
 @Command(name = "behaviour-digest", mixinStandardHelpOptions = true, sortOptions = false)
 public final class BehaviourDigest implements Callable<Integer> {
@@ -35,25 +35,29 @@
   private static final int CUTS = 40;
   private static final int CUT_STRIDE = 1009;
 
-  /** One run of a scenario. */
+  /** A scenario with the seed to run it with. */
   record ScenarioRun(String name, long seed, List<String> lines) {}
 
-  @Option(names = "--out", description = "File of the digest, or of the messages with --dump.")
+  @Option(
+      names = "--out",
+      description = "File to write the digest to, or the messages with --dump.")
   private Path out = Path.of("target/digest.txt");
 
-  @Option(names = "--only", description = "Only scenarios whose names start so.")
+  @Option(names = "--only", description = "Only scenarios whose names start with this.")
   private String only = "";
 
-  @Option(names = "--threads", description = "Scenarios played at a time.")
+  @Option(names = "--threads", description = "Scenarios run in parallel.")
   private int threads = 4;
 
-  @Option(names = "--dump", description = "Name of the one scenario whose messages to write.")
+  @Option(
+      names = "--dump",
+      description = "Write the messages of the scenario with this name instead.")
   private String dumped = "";
 
-  @Option(names = "--seed", description = "Seed of the scenario that is dumped.")
+  @Option(names = "--seed", description = "Seed of the scenario whose messages are written.")
   private long seed = 1;
 
-  /** Writes the digest; see {@code --help}. */
+  /** Writes the digest, or the messages of one run; see {@code --help}. */
   public static void main(String[] args) {
     System.exit(new CommandLine(new BehaviourDigest()).execute(args));
   }
@@ -92,7 +96,10 @@
         scenarioRuns().stream()
             .filter(any -> any.name().equals(dumped) && any.seed() == seed)
             .findFirst()
-            .orElseThrow(() -> new IllegalArgumentException("no scenario " + dumped + " " + seed));
+            .orElseThrow(
+                () ->
+                    new IllegalArgumentException(
+                        "no run of scenario " + dumped + " with seed " + seed));
     try (Writer writer = Files.newBufferedWriter(out)) {
       Scenario.execute(run.lines(), run.seed(), new MessageLineWriter(line -> write(writer, line)));
     }
@@ -106,7 +113,7 @@
     }
   }
 
-  /** The SHA-256 of all messages of a play, in the order in which they were sent. */
+  /** The SHA-256 of all messages of a run, in the order in which they were sent. */
   static String hash(ScenarioRun run) throws SettingsException, NoSuchAlgorithmException {
     MessageDigest digest = MessageDigest.getInstance("SHA-256");
     Scenario.execute(
@@ -116,7 +123,7 @@
     return HexFormat.of().formatHex(digest.digest());
   }
 
-  /** The runs of the scenario tests: all files, the drawn scenarios and the sample of cuts. */
+  /** The runs of the digest: all scenario files, the random families and a sample of link cuts. */
   static List<ScenarioRun> scenarioRuns() throws IOException {
     List<ScenarioRun> runs = new ArrayList<>();
     for (ScenarioCatalog.Entry scenario : ScenarioCatalog.files()) {
--- a/src/test/java/org/mulleinshift/digest/package-info.java
+++ b/src/test/java/org/mulleinshift/digest/package-info.java
@@ -1,2 +1,2 @@
-/** The digest of behaviour: a hash of everything that the controllers send in each scenario. */
+/** The behaviour digest: a hash of all messages that the controllers send in each scenario. */
 package org.mulleinshift.digest;
--- a/src/test/java/org/mulleinshift/invariants/InvariantChecker.java
+++ b/src/test/java/org/mulleinshift/invariants/InvariantChecker.java
@@ -4,8 +4,8 @@
 import org.mulleinshift.simulation.time.Timeline;
 
 /**
- * Checks the rules of the protocol from outside the controllers: it sees what truly runs and what
- * users truly read.
+ * Checks the protocol's invariants from outside the controllers: against the tasks that really run
+ * on machines and the responses that users really receive.
  */
 public final class InvariantChecker {
   private final ObservedJobs jobs = new ObservedJobs();
@@ -24,10 +24,11 @@
   }
 
   /**
-   * Checks one of several cells.
+   * Checks one of several cells: clusters that share the limits of the teams.
    *
-   * @param teamLimits processors that each team may use over all cells
-   * @param usage what the teams use over all cells
+   * @param teamLimits processors that each team may use over all cells; 0 for any number
+   * @param cancelSeconds time from the report of a cancellation in which all tasks must end
+   * @param usage processors that the teams use over all cells
    */
   public InvariantChecker(
       Timeline timeline, Map<String, Double> teamLimits, double cancelSeconds, TeamUsage usage) {
@@ -52,12 +53,12 @@
     return tasks;
   }
 
-  /** What users are told. */
+  /** The phases that users read of their jobs. */
   public ReportedPhases reportedPhases() {
     return reportedPhases;
   }
 
-  /** The rules that were broken. */
+  /** The violations found so far. */
   public Violations violations() {
     return violations;
   }
--- a/src/test/java/org/mulleinshift/invariants/InvariantCheckerTest.java
+++ b/src/test/java/org/mulleinshift/invariants/InvariantCheckerTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.mulleinshift.simulation.time.VirtualTimeline;
 
-/** Each rule is found broken where it is, and only there. */
+/** Each violation of a rule is reported, and nothing else is. */
 final class InvariantCheckerTest {
   private static final double CANCEL_SECONDS = 32;
   private static final int OK = 200;
--- a/src/test/java/org/mulleinshift/invariants/ObservedJob.java
+++ b/src/test/java/org/mulleinshift/invariants/ObservedJob.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * A job as it was submitted, what of it truly ran, and what its user was told of it. Times are
- * seconds of the simulation.
+ * A job as it was submitted, which of its tasks really ran, and what its user was told of it. Times
+ * are seconds of virtual time.
  */
 public final class ObservedJob {
   private static final String DEFAULT_TEAM = "t";
@@ -43,7 +43,7 @@
     this.taskCount = Integer.parseInt(fields.getOrDefault("tasks", "1"));
   }
 
-  /** The identifier of the job that a task belongs to. */
+  /** The identifier of the job in a task name {@code JOB/INDEX}. */
   public static String idOfTask(String task) {
     return task.substring(0, task.lastIndexOf('/'));
   }
@@ -72,17 +72,17 @@
     return fields.containsKey(key);
   }
 
-  /** The field's text, or the standard where it is not given. */
+  /** The field's text, or the default if it is not given. */
   public String text(String key, String defaultValue) {
     return fields.getOrDefault(key, defaultValue);
   }
 
-  /** The field's number, or the standard where it is not given. */
+  /** The field's number, or the default if it is not given. */
   public double number(String key, double defaultValue) {
     return fields.containsKey(key) ? Double.parseDouble(fields.get(key)) : defaultValue;
   }
 
-  /** Whether the field is {@code yes}, or the standard where it is not given. */
+  /** Whether the field is {@code yes}, or the default if it is not given. */
   public boolean flag(String key, boolean defaultValue) {
     return fields.containsKey(key) ? fields.get(key).equals("yes") : defaultValue;
   }
@@ -92,33 +92,33 @@
     return text("team", DEFAULT_TEAM);
   }
 
-  /** Processors that each task takes. */
+  /** Processors that each task needs. */
   public double cpus() {
     return number("cpus", 1);
   }
 
-  /** The user sends the job for the first time. */
+  /** Records that the user submits the job for the first time. */
   public void submit(double now) {
     submitted = true;
     submittedAt = now;
   }
 
-  /** Whether the user has sent the job. */
+  /** Whether the user has submitted the job. */
   public boolean submitted() {
     return submitted;
   }
 
-  /** When the user sent the job first. */
+  /** When the user first submitted the job; 0 before that. */
   public double submittedAt() {
     return submittedAt;
   }
 
-  /** The user asks for the job's cancellation. */
+  /** Records that the user requests the job's cancellation. */
   public void requestCancellation() {
     cancelRequested = true;
   }
 
-  /** Whether the user has asked for the job's cancellation. */
+  /** Whether the user has requested the job's cancellation. */
   public boolean cancelRequested() {
     return cancelRequested;
   }
@@ -130,12 +130,12 @@
     }
   }
 
-  /** How often a task of the job started. */
+  /** How many times tasks of the job started, repeated starts included. */
   public int starts() {
     return starts;
   }
 
-  /** When a task of the job started first. */
+  /** When the first task of the job started. */
   public OptionalDouble firstStartAt() {
     return firstStartAt;
   }
@@ -163,7 +163,7 @@
     }
   }
 
-  /** When the last answer that knew the job arrived; 0 if none did. */
+  /** When the last response that knew the job arrived; 0 if none did. */
   double lastResponseAt() {
     return lastResponseAt;
   }
@@ -194,7 +194,9 @@
     return earlier.isPresent() ? earlier : OptionalDouble.of(now);
   }
 
-  /** The phase that the user was told last; empty before the first answer. */
+  /**
+   * The phase that the user read last, not counting outdated ones after the end; empty at first.
+   */
   public String reportedPhase() {
     return reportedPhase;
   }
--- a/src/test/java/org/mulleinshift/invariants/ObservedJobs.java
+++ b/src/test/java/org/mulleinshift/invariants/ObservedJobs.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** All jobs of a simulation, and how well they were served. */
+/** All jobs of a simulation, with statistics on acceptance, completion and deadlines. */
 public final class ObservedJobs {
   /** Users poll every 5 s, and what they are told may lag by 3 s. */
   private static final double POLL_DELAY_SECONDS = 8;
@@ -22,7 +22,7 @@
     jobs.put(job.id(), job);
   }
 
-  /** The job with the identifier, or null. */
+  /** The job with the identifier; null if there is none. */
   public ObservedJob find(String id) {
     return jobs.get(id);
   }
@@ -40,7 +40,7 @@
     return jobs.values().stream().filter(job -> job.id().startsWith(prefix)).toList();
   }
 
-  /** The share of jobs of the prefix that were accepted within the time. */
+  /** The share of the jobs with the prefix that were accepted within the time. */
   public double acceptedWithin(String prefix, double seconds) {
     List<ObservedJob> asked = withPrefix(prefix);
     long inTime =
@@ -51,13 +51,16 @@
     return inTime / (double) asked.size();
   }
 
-  /** The share of jobs of the prefix whose users were told that they are done. */
+  /** The share of the jobs with the prefix that were reported done. */
   public double doneShare(String prefix) {
     List<ObservedJob> asked = withPrefix(prefix);
     return asked.stream().filter(job -> job.doneAt().isPresent()).count() / (double) asked.size();
   }
 
-  /** The share of jobs reported done by their deadlines, and the time a poll may take to tell. */
+  /**
+   * The share of the jobs with the prefix that were reported done by their deadlines plus the delay
+   * of a poll.
+   */
   public double inTimeShare(String prefix) {
     List<ObservedJob> asked = withPrefix(prefix);
     return asked.stream().filter(ObservedJobs::inTime).count() / (double) asked.size();
@@ -70,9 +73,9 @@
   }
 
   /**
-   * Accepted jobs that nobody cancelled and that were never reported done. What was cancelled with
-   * a dependency is not open; a job that is reported cancelled though no dependency was breaks
-   * {@link Rule#WENT_BACK}.
+   * How many jobs with the prefix are open: accepted, not cancelled by their users and never
+   * reported done. A job that was cancelled with its dependency is not open; one that is reported
+   * cancelled although no dependency was violates {@link Rule#WENT_BACK}.
    */
   public int openCount(String prefix) {
     return (int)
@@ -82,7 +85,10 @@
             .count();
   }
 
-  /** When a user was first told that a direct or indirect dependency of the job is cancelled. */
+  /**
+   * When a direct or indirect dependency of the job was first reported cancelled, but not before
+   * the job was submitted; empty if none was.
+   */
   OptionalDouble dependencyCancelledAt(ObservedJob job) {
     OptionalDouble first = OptionalDouble.empty();
     Set<String> seen = new HashSet<>(job.dependencies());
@@ -99,8 +105,8 @@
   }
 
   /**
-   * The longest time from when a user was first told that a dependency is cancelled until the user
-   * of the dependent job was told so; counted to {@code now} if that has not happened.
+   * The longest time, in seconds, from the first report that a dependency is cancelled to the first
+   * report that the dependent job is; counted to {@code now} if that was not reported yet.
    */
   public double maxDependentCancellationSeconds(double now) {
     return jobs.values().stream()
--- a/src/test/java/org/mulleinshift/invariants/ReportedPhases.java
+++ b/src/test/java/org/mulleinshift/invariants/ReportedPhases.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 import org.mulleinshift.simulation.time.Timeline;
 
-/** Checks what users read of their jobs against what truly happened and what they read before. */
+/** Checks the phases that users read against what really happened and what they read before. */
 public final class ReportedPhases {
   private static final int OK = 200;
   private static final int CREATED = 201;
@@ -25,14 +25,14 @@
     this.cancelSeconds = cancelSeconds;
   }
 
-  /** Calls the listener when a user is first told that a job is accepted, and that it has ended. */
+  /** Calls the listener when a user first reads that a job is accepted, and that it has ended. */
   public void onAcceptedOrEnded(Consumer<ObservedJob> listener) {
     acceptedOrEndedListener = listener;
   }
 
   /**
-   * A user reads an answer about a job. Several requests may be on their way: an answer may be no
-   * older than what was reported before its request was sent.
+   * A user receives a response about a job. Since several requests may be in flight, a response may
+   * be older than one read before it, but not older than what was read before its request was sent.
    *
    * @param requestedAt when the request was sent, seconds
    */
@@ -69,7 +69,7 @@
     }
   }
 
-  /** Only an answer to a request that was sent before the end was reported may call a job open. */
+  /** Only a response to a request sent before the end was reported may call an ended job open. */
   private void checkMayBeOlder(ObservedJob job, double requestedAt, String phase) {
     if (!isOpen(phase) || job.terminalAt().getAsDouble() <= requestedAt) {
       violations.add(Rule.WENT_BACK, job.id() + " from " + job.reportedPhase() + " to " + phase);
@@ -96,7 +96,7 @@
     return !phase.equals("done") && !phase.equals("cancelled");
   }
 
-  /** A repeated submission of an accepted job was rejected for good. */
+  /** Records that a repeated submission of an accepted job was rejected as invalid. */
   public void rejected(String id, int status) {
     ObservedJob job = jobs.find(id);
     if (job != null && job.accepted()) {
@@ -104,7 +104,7 @@
     }
   }
 
-  /** Once faults are over, users get answers about every accepted job. */
+  /** After the last fault, users must receive responses about every accepted job. */
   void checkAtEnd(double faultsOverAt) {
     for (ObservedJob job : jobs.all()) {
       double silenceSeconds = timeline.seconds() - Math.max(job.lastResponseAt(), faultsOverAt);
--- a/src/test/java/org/mulleinshift/invariants/Rule.java
+++ b/src/test/java/org/mulleinshift/invariants/Rule.java
@@ -2,13 +2,13 @@
 
 import java.util.Locale;
 
-/** The rules that are checked while controllers run. */
+/** The invariants of the protocol that are checked in each run. */
 public enum Rule {
   /** A task ran on two machines at a time. */
   RAN_TWICE,
   /** A task ran where its job's constraints exclude it. */
   WRONG_PLACE,
-  /** A task started though its job's end was stored. */
+  /** A task started although its job's end was stored. */
   OVER,
   /** A task ran too long after the cancellation of its job was reported. */
   RAN_CANCELLED,
@@ -18,20 +18,20 @@
   QUOTA,
   /** An accepted job was lost. */
   FORGOTTEN,
-  /** An answer named a job that nobody submitted. */
+  /** A response described a job that nobody submitted. */
   INVENTED,
-  /** A terminal phase changed, or was reported without a cause. */
+  /** A terminal phase changed, or a job was reported cancelled without a cause. */
   WENT_BACK,
-  /** A job stayed open though one of its dependencies was cancelled. */
+  /** A job stayed open although one of its dependencies was cancelled. */
   ORPHANED,
   /** A job was reported as done before all of its tasks were. */
   NOT_DONE,
-  /** A job waited though a machine had capacity for it. */
+  /** A job waited although a machine had capacity for it. */
   LEFT_WAITING,
-  /** An invalid request was not rejected as such. */
+  /** An invalid request was not rejected as invalid. */
   UNFIT;
 
-  /** The name in reports and documents. */
+  /** The name in violations and in the list of known failures: lower case. */
   @Override
   public String toString() {
     return name().toLowerCase(Locale.ROOT);
--- a/src/test/java/org/mulleinshift/invariants/RunningTasks.java
+++ b/src/test/java/org/mulleinshift/invariants/RunningTasks.java
@@ -10,17 +10,17 @@
 import org.mulleinshift.simulation.time.Timeline;
 
 /**
- * The tasks that truly run, as the machines see them. Each start and each end is checked against
- * the rules of execution: once at a time, in a permitted place, within the quota, not after the
- * job's end.
+ * The tasks that really run, as the machines see them. Each start and end is checked against the
+ * rules of execution: no task runs on two machines at a time, against its job's constraints, before
+ * the dependencies are done, above its team's limit or after its job's end.
  */
 public final class RunningTasks {
-  /** How long before its end a task is announced as nearly done. */
+  /** How long before its end a task is reported as nearly done. */
   public static final double NEARLY_DONE_SECONDS = 0.006;
 
   /**
-   * By then a stored cancellation is known and its commands are delivered, where only links are
-   * slow.
+   * Time after which a stored cancellation is known and its commands are delivered, unless there
+   * are faults other than slow links.
    */
   private static final double CANCELLATION_KNOWN_SECONDS = 2;
 
@@ -42,7 +42,7 @@
   private int lateStarts;
   private double maxCancellationSeconds;
 
-  /** Limits of teams and what the teams use, maybe with other cells. */
+  /** The limits of the teams, and what the teams use in all cells. */
   record TeamQuota(Map<String, Double> limits, TeamUsage usage) {
     private double limit(String team) {
       return limits.getOrDefault(team, 0.0);
@@ -55,7 +55,7 @@
   }
 
   /**
-   * No task runs yet.
+   * Starts without running tasks.
    *
    * @param cancelSeconds time from the report of a cancellation in which all tasks must end
    */
@@ -72,7 +72,7 @@
     this.cancelSeconds = cancelSeconds;
   }
 
-  /** Sets how to find out of which jobs an end is stored: none of their tasks may start then. */
+  /** Sets how to find out whether a job's end is stored; after that none of its tasks may start. */
   public void jobEndStoredWhen(Predicate<String> predicate) {
     jobEndStored = predicate;
   }
@@ -87,7 +87,7 @@
     onStart = listener;
   }
 
-  /** A task ends in {@link #NEARLY_DONE_SECONDS}. */
+  /** Records that a task ends in {@link #NEARLY_DONE_SECONDS}. */
   public void nearlyDone(String task) {
     ObservedJob job = jobs.ofTask(task);
     if (job.completedCount() == job.taskCount() - 1) {
@@ -95,7 +95,7 @@
     }
   }
 
-  /** The machine has fetched the task's image and runs the task from now on. */
+  /** Records that the machine has fetched the task's image and now runs the task. */
   public void started(String task, MachineTraits machine) {
     ObservedJob job = jobs.ofTask(task);
     starts++;
@@ -137,7 +137,7 @@
     }
   }
 
-  /** Whether the job's cancellation was reported longer ago than that. */
+  /** Whether the job's cancellation was reported more than {@code seconds} ago. */
   private boolean isPast(ObservedJob job, double seconds) {
     return job.cancelledAt().isPresent()
         && timeline.seconds() > job.cancelledAt().getAsDouble() + seconds;
@@ -171,22 +171,22 @@
     return !spread || inZone <= (job.taskCount() + 1) / 2;
   }
 
-  /** Whether the job's team may use so much more as one of its tasks takes. */
+  /** Whether one more task of the job keeps its team within the limit. */
   boolean underLimit(ObservedJob job) {
     return quota.admits(job.team(), job.cpus());
   }
 
-  /** A task has done its work. */
+  /** Records that a task has completed its work. */
   public void completed(String task) {
     jobs.ofTask(task).taskCompleted(ObservedJob.indexOfTask(task));
   }
 
-  /** Whether the task has done its work, on any machine. */
+  /** Whether the task has completed its work on any machine. */
   public boolean isCompleted(String task) {
     return jobs.ofTask(task).isCompleted(ObservedJob.indexOfTask(task));
   }
 
-  /** A task is no longer on the machine. */
+  /** Records that a task no longer runs on the machine. */
   public void ended(String task, String machine) {
     Placement placement = running.get(task);
     if (placement != null && placement.machine().equals(machine)) {
@@ -224,23 +224,25 @@
     return machines;
   }
 
-  /** How many tasks of the job run. */
+  /** How many tasks of the job run now. */
   public int count(String job) {
     return (int)
         running.keySet().stream().filter(task -> ObservedJob.idOfTask(task).equals(job)).count();
   }
 
-  /** How many tasks have started. */
+  /** How many times tasks started, repeated starts included. */
   public int starts() {
     return starts;
   }
 
-  /** Starts more than two seconds after a user was told that the job is cancelled. */
+  /** How many tasks started more than two seconds after their job was reported cancelled. */
   public int lateStarts() {
     return lateStarts;
   }
 
-  /** The longest time from the report of a cancellation to the end of a task of that job. */
+  /**
+   * The longest time from the report of a cancellation to the end of a task of the job; 0 if none.
+   */
   public double maxCancellationSeconds() {
     return maxCancellationSeconds;
   }
--- a/src/test/java/org/mulleinshift/invariants/StarvationCheck.java
+++ b/src/test/java/org/mulleinshift/invariants/StarvationCheck.java
@@ -8,8 +8,8 @@
 import org.mulleinshift.simulation.time.Timeline;
 
 /**
- * Checks for accepted jobs of which nothing runs although a machine that fits has capacity and
- * their team is under its limit, all the time for 90 s, once faults are over.
+ * Once faults are over, finds accepted jobs that starve: for 90 s none of their tasks runs,
+ * although a suitable machine has capacity and their team is below its limit all that time.
  */
 public final class StarvationCheck {
   /** Finds machines with free capacity. */
@@ -30,9 +30,9 @@
   private final Set<String> reported = new HashSet<>();
 
   /**
-   * A check that does not run yet.
+   * Creates a check, which runs once it is started.
    *
-   * @param unreadable jobs whose records the build can't read, and so must leave alone
+   * @param unreadable jobs whose stored records the controllers can't read and must not touch
    */
   public StarvationCheck(
       Timeline timeline,
--- a/src/test/java/org/mulleinshift/invariants/TeamUsage.java
+++ b/src/test/java/org/mulleinshift/invariants/TeamUsage.java
@@ -8,9 +8,9 @@
   private final Map<String, Double> cpus = new HashMap<>();
 
   /**
-   * A task of the team started, or left its machine.
+   * Adds the processors of a task that started or ended.
    *
-   * @param amount processors, negative for a task that left
+   * @param amount processors, negative for a task that ended
    */
   synchronized void add(String team, double amount) {
     cpus.merge(team, amount, Double::sum);
--- a/src/test/java/org/mulleinshift/invariants/Violations.java
+++ b/src/test/java/org/mulleinshift/invariants/Violations.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.mulleinshift.simulation.time.Timeline;
 
-/** The violations of rules that were found so far, in the order in which they were found. */
+/** The violations of rules found so far, in the order in which they were found. */
 public final class Violations {
   private final Timeline timeline;
   private final List<String> lines = new ArrayList<>();
@@ -13,12 +13,12 @@
     this.timeline = timeline;
   }
 
-  /** Records a violation with the present time. */
+  /** Records a violation at the present virtual time. */
   public void add(Rule rule, String detail) {
     lines.add(String.format("%.3f %s: %s", timeline.seconds(), rule, detail));
   }
 
-  /** One line per violation: time, rule and detail. */
+  /** One line per violation: time in seconds, rule and detail. */
   public List<String> lines() {
     return lines;
   }
--- a/src/test/java/org/mulleinshift/invariants/package-info.java
+++ b/src/test/java/org/mulleinshift/invariants/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Checks of the rules of the protocol against what truly runs and what users truly read. Nothing
- * here knows a controller's state.
+ * Checks of the protocol's invariants against the tasks that really run and the responses that
+ * users receive. Nothing here reads a controller's internal state.
  */
 package org.mulleinshift.invariants;
--- a/src/test/java/org/mulleinshift/scenario/CommandTable.java
+++ b/src/test/java/org/mulleinshift/scenario/CommandTable.java
@@ -5,26 +5,29 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Commands by their words. Faults are told apart, as some checks begin only after the last. */
+/**
+ * Commands by their first words. Faults are marked, because some checks begin only after the last
+ * fault.
+ */
 final class CommandTable {
-  /** Carries out a line. */
+  /** Executes a line. */
   @FunctionalInterface
   interface Command {
-    /** Carries out a line, whose first word is the command's. */
+    /** Executes a line whose first word names the command. */
     void run(ScenarioLine line);
   }
 
   private final Map<String, Command> commands = new HashMap<>();
   private final Set<String> faults = new HashSet<>();
 
-  /** Adds a command that is no fault, as users and operators may send it at any time. */
+  /** Adds a command that is not a fault: users and operators may do this at any time. */
   void add(String word, Command command) {
     if (commands.put(word, command) != null) {
-      throw new IllegalStateException("two commands " + word);
+      throw new IllegalStateException("duplicate command: " + word);
     }
   }
 
-  /** Adds a command that is a fault for as long as the sum of its numbers, in seconds. */
+  /** Adds a command that causes a fault, which lasts for the sum of its numbers in seconds. */
   void addFault(String word, Command command) {
     add(word, command);
     faults.add(word);
@@ -35,7 +38,7 @@
   }
 
   /**
-   * Carries out a line by its first word.
+   * Executes the command that the first word of the line names.
    *
    * @throws IllegalArgumentException if there is no such command
    */
--- a/src/test/java/org/mulleinshift/scenario/ControllerCommands.java
+++ b/src/test/java/org/mulleinshift/scenario/ControllerCommands.java
@@ -24,7 +24,7 @@
   /**
    * Adds the commands to the table.
    *
-   * @param tunables the operators' settings at the beginning
+   * @param tunables the initial tunables
    */
   ControllerCommands(ScenarioContext context, CommandTable table, Map<String, Object> tunables) {
     this.timeline = context.timeline();
@@ -41,7 +41,9 @@
     return name.equals("all") ? cluster.controllers() : List.of(cluster.controller(name));
   }
 
-  /** {@code crash CONTROLLER|all [PAUSE]}: the processes start again after the pause. */
+  /**
+   * {@code crash CONTROLLER|all [PAUSE]}: kills the processes and restarts them after the pause.
+   */
   private void crash(ScenarioLine line) {
     double pause = line.numberOr(2, RESTART_SECONDS);
     for (SimulatedController controller : controllers(line.word(1))) {
@@ -50,7 +52,7 @@
     }
   }
 
-  /** {@code heap CONTROLLER|all PERCENT SECONDS}: so much of the heap is in use. */
+  /** {@code heap CONTROLLER|all PERCENT SECONDS}: keeps this share of the heap in use. */
   private void fillHeap(ScenarioLine line) {
     List<SimulatedController> chosen = controllers(line.word(1));
     double share = line.number(2) / PERCENT;
@@ -58,12 +60,14 @@
     timeline.after(line.number(THIRD), () -> chosen.forEach(controller -> controller.heap(0)));
   }
 
-  /** {@code say node-0 BYTES}: a peer frame that no controller would send. */
+  /** {@code say node-0 BYTES}: delivers a peer frame that no controller would send. */
   private void sendInvalidPeerFrame(ScenarioLine line) {
     cluster.controller(line.word(1)).onFrame(line.word(2).getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Processes that start from now on read this setting. */
+  /**
+   * {@code operators KEY VALUE}: changes a tunable, which controllers read when they start next.
+   */
   private void changeTunable(String key, double value) {
     tunables.put(key, value);
     try {
--- a/src/test/java/org/mulleinshift/scenario/CutScenario.java
+++ b/src/test/java/org/mulleinshift/scenario/CutScenario.java
@@ -5,8 +5,9 @@
 import java.util.Locale;
 
 /**
- * Scenarios made from a table of cut links: who loses which link, in which direction and how, for
- * how long, and what goes wrong besides. Each number names one combination.
+ * Scenarios in which network links are cut. A table lists the controllers, the other end of the
+ * link, the direction, the mode and duration of the cut, a second fault and the number of
+ * controllers; each number stands for one combination.
  */
 public final class CutScenario {
   private static final String TWO_CONTROLLERS = "two";
@@ -37,7 +38,7 @@
           "cut holder-of-b worker* 30 hold");
   private static final List<Integer> CONTROLLER_COUNTS = List.of(3, 5);
 
-  /** How many combinations there are. */
+  /** The number of combinations. */
   public static final int COUNT =
       ROLES.size()
           * LINKS.size()
@@ -47,7 +48,7 @@
           * SECOND_FAULTS.size()
           * CONTROLLER_COUNTS.size();
 
-  /** A cut of a link between controllers in a role and other hosts. */
+  /** A cut of the links between the controllers of a role and other hosts. */
   private record Cut(String role, String link, String direction, String mode, int seconds) {
     List<String> commands() {
       List<String> controllers =
@@ -55,7 +56,7 @@
       return controllers.stream().map(this::command).toList();
     }
 
-    /** Only the store refuses; elsewhere a refusal is a lost packet. */
+    /** Only the store can refuse requests; on other links the messages are dropped instead. */
     private String command(String controller) {
       if (mode.equals(REFUSE) && link.equals(STORE)) {
         return "state refuse " + controller + " " + seconds;
@@ -75,7 +76,7 @@
       return !link.startsWith("worker");
     }
 
-    /** Whether the leader can't use the store for so long that it must be replaced. */
+    /** Whether the leader is cut off from the store for so long that it must be replaced. */
     boolean endsTerm() {
       boolean complete = direction.equals(BOTH_DIRECTIONS) || mode.equals(REFUSE);
       return complete && seconds == LONG_CUT_SECONDS && link.equals(STORE) && role.equals(LEADER);
@@ -89,7 +90,7 @@
     remainder = number;
   }
 
-  /** The lines of the combination with the number. */
+  /** The lines of a combination; numbers run from 0 to {@link #COUNT} - 1. */
   public static List<String> lines(int number) {
     return new CutScenario(number).compose();
   }
@@ -119,7 +120,7 @@
     add("expect done run-1 by 300");
     add("expect done run-2 by 300");
     if (alone && cut.leavesWorkersReachable()) {
-      // Nothing is lost and nothing runs again.
+      // Workers stay reachable, so no task may be lost and started again.
       add("expect starts run-1 max 48");
       add("expect starts run-2 max 16");
     }
--- a/src/test/java/org/mulleinshift/scenario/CutScenarioTest.java
+++ b/src/test/java/org/mulleinshift/scenario/CutScenarioTest.java
@@ -9,8 +9,8 @@
 import org.mulleinshift.settings.SettingsException;
 
 /**
- * Plays scenarios of the table of cuts: a fixed sample, or with {@code -Dcuts=0-4049} those
- * numbers.
+ * Runs scenarios of the table of link cuts: a fixed sample, or the numbers that {@code
+ * -Dcuts=0-4049} gives.
  */
 final class CutScenarioTest {
   private static final int SAMPLE = 40;
@@ -18,7 +18,7 @@
   static IntStream numbers() {
     String asked = System.getProperty("cuts", "");
     if (asked.isEmpty()) {
-      // A stride that shares no factor with the table goes through all its columns.
+      // A stride coprime to the number of combinations samples the values of every column.
       return IntStream.range(0, SAMPLE).map(i -> (int) (i * 1009L % CutScenario.COUNT));
     }
     String[] ends = asked.split("-", 0);
--- a/src/test/java/org/mulleinshift/scenario/Expectations.java
+++ b/src/test/java/org/mulleinshift/scenario/Expectations.java
@@ -10,7 +10,7 @@
   @FunctionalInterface
   interface Expectation {
     /**
-     * What was found instead; empty if all is as expected.
+     * Describes what was found instead; empty if the expectation is met.
      *
      * @param line without {@code expect}; its first word is the kind
      * @param limit the last number of the line, or the end of the scenario in seconds
@@ -18,10 +18,10 @@
     Optional<String> mismatch(ScenarioLine line, double limit);
   }
 
-  /** Lines with fewer words than this have no limit besides their own number. */
+  /** From this number of words on, the last word of a line is its limit. */
   private static final int WORDS_WITH_LIMIT = 3;
 
-  /** Its last word is a text. */
+  /** The kind whose last word is a text and no limit. */
   private static final String STORED = "stored";
 
   private final ScenarioContext context;
@@ -29,10 +29,10 @@
   private final Map<String, Expectation> kinds = new HashMap<>();
 
   /**
-   * All kinds of expectations.
+   * Adds all kinds of expectations, and the commands {@code expect} and {@code remember}.
    *
    * @param endSeconds when the scenario ends
-   * @param startCommandsAfterCancellation what the controllers sent too late
+   * @param startCommandsAfterCancellation counts the start commands that controllers sent too late
    */
   Expectations(
       ScenarioContext context,
@@ -52,7 +52,7 @@
     table.add("expect", this::check);
   }
 
-  /** Checks a line; what is not as expected is added to the failures. */
+  /** Checks an {@code expect} line and adds a failure if it is not met. */
   void check(ScenarioLine expectLine) {
     ScenarioLine line = expectLine.skip(1);
     Expectation kind = kinds.get(line.word(0));
--- a/src/test/java/org/mulleinshift/scenario/FailoverTest.java
+++ b/src/test/java/org/mulleinshift/scenario/FailoverTest.java
@@ -12,8 +12,8 @@
 import org.mulleinshift.settings.SettingsException;
 
 /**
- * How long a fleet is without a leader, over many seeded takeovers: {@code -Dtakeovers=200} plays
- * so many of each kind and prints the distributions.
+ * Bounds the time that a cluster is without a leader after a fault. Prints the distribution over
+ * the runs of each kind of fault; {@code -Dtakeovers=200} sets the number of runs per kind.
  */
 final class FailoverTest {
   private static final int RUNS = Integer.getInteger("takeovers", 3);
--- a/src/test/java/org/mulleinshift/scenario/JobCommands.java
+++ b/src/test/java/org/mulleinshift/scenario/JobCommands.java
@@ -20,10 +20,10 @@
   private static final int MAX_HANGING_MACHINES = 8;
   private static final double CANCEL_NOW_SECONDS = 0.2;
 
-  /** Cancellations at a job's end come up to so much after its last task is nearly done. */
+  /** Maximum delay from the time a job's last task is nearly done to its cancellation. */
   private static final double CANCEL_AT_END_SECONDS = 0.012;
 
-  /** A dependent is submitted once its dependency is accepted. */
+  /** Delay after which a dependent is submitted, so that its dependency is accepted first. */
   private static final double DEPENDENT_DELAY_SECONDS = 0.2;
 
   private final ScenarioContext context;
@@ -70,7 +70,9 @@
     return prefix + String.format("%04d", number);
   }
 
-  /** {@code swarm run-5 200 0.16 tasks=1}: jobs run-50000 to run-50199, one each 0.16 s. */
+  /**
+   * {@code swarm run-5 200 0.16 tasks=1}: submits jobs run-50000 to run-50199, one every 0.16 s.
+   */
   private void submitSwarm(ScenarioLine line) {
     Map<String, String> fields = line.fields(FOURTH);
     double interval = line.number(THIRD);
@@ -80,7 +82,7 @@
     }
   }
 
-  /** {@code chain run-5 200 0.1 tasks=1}: as a swarm, each job depends on the one before. */
+  /** {@code chain run-5 200 0.1 tasks=1}: a swarm in which each job depends on the one before. */
   private void submitChain(ScenarioLine line) {
     Map<String, String> common = line.fields(FOURTH);
     double interval = line.number(THIRD);
@@ -94,7 +96,7 @@
     }
   }
 
-  /** {@code star run-5 run-1 200 0.1 tasks=1}: as a swarm, all jobs depend on run-1. */
+  /** {@code star run-5 run-1 200 0.1 tasks=1}: a swarm in which all jobs depend on run-1. */
   private void submitStar(ScenarioLine line) {
     Map<String, String> fields = new HashMap<>(line.fields(FIFTH));
     fields.put("awaits", line.word(2));
@@ -105,7 +107,7 @@
     }
   }
 
-  /** {@code fan run-9 run-5 200 tasks=1}: one job that depends on all of a swarm. */
+  /** {@code fan run-9 run-5 200 tasks=1}: a job that depends on all 200 jobs of the swarm run-5. */
   private void submitFan(ScenarioLine line) {
     Map<String, String> fields = new HashMap<>(line.fields(FOURTH));
     String dependencies =
@@ -117,8 +119,8 @@
   }
 
   /**
-   * {@code pairs run-5 run-1 200 0.2 tasks=1}: as a swarm, but with each job one that depends on it
-   * and is submitted a little later: run-50000 depends on run-10000.
+   * {@code pairs run-5 run-1 200 0.2 tasks=1}: a swarm of 200 jobs, each followed shortly after by
+   * a job that depends on it: run-50000 depends on run-10000.
    */
   private void submitPairs(ScenarioLine line) {
     Map<String, String> fields = line.fields(FIFTH);
@@ -134,13 +136,16 @@
     }
   }
 
-  /** Submits a job again, changed. */
+  /** {@code resubmit run-1 tasks=2}: submits a job again with other fields. */
   private void resubmit(ScenarioLine line) {
     ObservedJob changed = new ObservedJob(line.word(1), line.fields(2));
     users.get(line.word(1)).resubmit(userOf(changed).body());
   }
 
-  /** {@code cancel-now N [HANG]}: so many running jobs; up to eight of their machines hang. */
+  /**
+   * {@code cancel-now N [SECONDS]}: cancels up to N running jobs; if a time is given, up to eight
+   * of the machines on which they run hang for so long.
+   */
   private void cancelNow(ScenarioLine line) {
     List<ObservedJob> jobs =
         checker.jobs().all().stream()
@@ -159,12 +164,16 @@
         job -> timeline.after(CANCEL_NOW_SECONDS * timeline.random(), users.get(job.id())::cancel));
   }
 
+  /**
+   * {@code cancel-at-end SHARE SECONDS}: cancels this share of the jobs that end within so many
+   * seconds.
+   */
   private void cancelAtEnd(ScenarioLine line) {
     cancelAtEndShare = line.number(1);
     cancelAtEndUntil = timeline.seconds() + line.number(2);
   }
 
-  /** Cancels some jobs a few ms before, with or after the end of their last task. */
+  /** Cancels the job a few ms before, at or after the end of its last task, if it is selected. */
   private void nearlyDone(ObservedJob job) {
     boolean chosen = timeline.seconds() < cancelAtEndUntil && timeline.random() < cancelAtEndShare;
     if (chosen && !job.cancelRequested()) {
--- a/src/test/java/org/mulleinshift/scenario/KnownFailure.java
+++ b/src/test/java/org/mulleinshift/scenario/KnownFailure.java
@@ -7,13 +7,13 @@
 import org.mulleinshift.invariants.Rule;
 
 /**
- * One entry of the list of known failures: one failure of one play that is expected to come.
+ * An entry of the list of known failures: one failure that is expected in one run.
  *
  * @param test the test class
- * @param scenario the name of the scenario, or of the drawn family
- * @param seed the seed of the play
+ * @param scenario the name of the scenario file or of the random family
+ * @param seed the seed of the run
  * @param failure the line of the expectation that fails, or the name of the rule that is broken
- * @param issue the open issue
+ * @param issue the number of the open issue
  */
 record KnownFailure(String test, String scenario, long seed, String failure, int issue) {
   /** {@code TEST SCENARIO seed N: FAILURE | COMMAND | WHAT WAS SEEN | issue N}. */
@@ -28,7 +28,11 @@
   private static final int ISSUE = 5;
   private static final String EXPECTATION_PREFIX = "expect ";
 
-  /** Reads a line of the list; the exception's message shows the line and the form. */
+  /**
+   * Parses a line of the list.
+   *
+   * @throws IllegalArgumentException if the line is malformed; the message shows it and the format
+   */
   static KnownFailure parse(String line) {
     Matcher matcher = LINE.matcher(line);
     if (!matcher.matches() || !isFailure(matcher.group(FAILURE))) {
@@ -57,7 +61,7 @@
     return test.equals(testName) && scenario.equals(scenarioName);
   }
 
-  /** Whether the failure of a play is the expected one. */
+  /** Whether a reported failure is the expected one. */
   boolean matches(String reportedFailure) {
     if (failure.startsWith(EXPECTATION_PREFIX)) {
       return reportedFailure.startsWith(failure + ": ");
--- a/src/test/java/org/mulleinshift/scenario/KnownFailures.java
+++ b/src/test/java/org/mulleinshift/scenario/KnownFailures.java
@@ -9,22 +9,22 @@
 import java.util.stream.LongStream;
 
 /**
- * The list of known failures. It excuses exactly what it names: another failure of the same play,
- * or the same failure on another seed, fails the test; so does an entry whose failure no longer
- * comes.
+ * The list of known failures. It excuses exactly what it names: another failure of the same run, or
+ * the same failure on another seed, fails the test, and so does an entry whose failure no longer
+ * occurs.
  */
 final class KnownFailures {
   private static final Path FILE = Path.of("KNOWN-RED.txt");
 
   /**
-   * What the list says of one play.
+   * The failures of one run, compared with the list.
    *
    * @param unexpected failures that no entry names
    * @param excused failures that an entry names
-   * @param outdated entries whose failure did not come
+   * @param outdated entries whose failure did not occur
    */
   record Verdict(List<String> unexpected, List<String> excused, List<KnownFailure> outdated) {
-    /** What fails the test; empty if the play went as expected. */
+    /** What fails the test; empty if exactly the listed failures occurred. */
     List<String> problems() {
       List<String> problems = new ArrayList<>(unexpected);
       outdated.forEach(entry -> problems.add("known failure no longer comes: " + entry));
@@ -38,7 +38,7 @@
     this.entries = entries;
   }
 
-  /** The list at the root of the repository; without the file there is none. */
+  /** Reads the list at the root of the repository; it is empty if the file does not exist. */
   static KnownFailures read() {
     try {
       return parse(Files.exists(FILE) ? Files.readAllLines(FILE) : List.of());
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Reads lines; blank ones are left out. */
+  /** Parses the lines; blank lines are ignored. */
   static KnownFailures parse(List<String> lines) {
     return new KnownFailures(
         lines.stream().filter(line -> !line.isBlank()).map(KnownFailure::parse).toList());
@@ -66,12 +66,12 @@
         .sorted();
   }
 
-  /** The seeds of a range and those that the list names besides. */
+  /** The seeds of the range, followed by further seeds that the list names for the scenario. */
   LongStream withKnownSeeds(LongStream range, String test, String scenario) {
     return LongStream.concat(range, seeds(test, scenario)).distinct();
   }
 
-  /** Holds the failures of a play against the list. */
+  /** Compares the failures of a run with the list. */
   Verdict judge(String test, String scenario, long seed, List<String> failures) {
     List<KnownFailure> known =
         entries.stream()
--- a/src/test/java/org/mulleinshift/scenario/KnownFailuresTest.java
+++ b/src/test/java/org/mulleinshift/scenario/KnownFailuresTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The list of known failures excuses exactly what it names, and names only what is played. */
+/** The list of known failures excuses exactly what it names, and names only tests that run. */
 final class KnownFailuresTest {
   private static final String TEST = "ScenarioTest";
   private static final String NAME = "07-example";
--- a/src/test/java/org/mulleinshift/scenario/MachineCommands.java
+++ b/src/test/java/org/mulleinshift/scenario/MachineCommands.java
@@ -8,7 +8,7 @@
 import org.mulleinshift.simulation.SimulatedWorker;
 import org.mulleinshift.simulation.time.Timeline;
 
-/** Commands {@code cloud ...} and {@code machine ...}. */
+/** Commands that act on the cloud and on machines. */
 final class MachineCommands {
   private final Timeline timeline;
   private final SimulatedCloud cloud;
@@ -26,18 +26,18 @@
     table.addFault("unexpected", this::bootUnexpected);
   }
 
-  /** {@code capacity TYPE ZONE COUNT}: so many on-demand machines, and no spot machines. */
+  /** {@code capacity TYPE ZONE COUNT}: sets the on-demand capacity, and the spot capacity to 0. */
   private void changeCapacity(ScenarioLine line) {
     cloud.onDemandCapacity(line.word(1), line.word(2), line.integer(THIRD));
     cloud.spotCapacity(line.word(1), line.word(2), 0);
   }
 
-  /** {@code unexpected TYPE ZONE BOOT}: a machine that no controller asked for. */
+  /** {@code unexpected TYPE ZONE BOOT}: boots a machine that no controller provisioned. */
   private void bootUnexpected(ScenarioLine line) {
     cloud.boot(cloud.type(line.word(1)), line.word(2), line.number(THIRD));
   }
 
-  /** {@code machine NUMBER|half|all ACTION ...}: on machines that are up. */
+  /** {@code machine NUMBER|half|all ACTION ...}: acts on machines that are up. */
   private void runOnMachines(ScenarioLine line) {
     List<SimulatedMachine> up = cloud.up();
     if (up.isEmpty()) {
@@ -78,7 +78,10 @@
     }
   }
 
-  /** {@code deaf SECONDS [stays]}. */
+  /**
+   * {@code deaf SECONDS [stays]}: no message reaches the worker, and it tries other controllers;
+   * with {@code stays} it drops the replies as invalid and keeps its controller.
+   */
   private static void stopReception(ScenarioLine action, SimulatedWorker worker) {
     if (action.size() > 2) {
       worker.dropReplies(action.number(1));
--- a/src/test/java/org/mulleinshift/scenario/NetworkCommands.java
+++ b/src/test/java/org/mulleinshift/scenario/NetworkCommands.java
@@ -27,7 +27,7 @@
     table.addFault("copies-kept", line -> duplicates.keepDuring(line.number(1)));
   }
 
-  /** The hosts of a line; roles are resolved when the line is played. */
+  /** The hosts in a line; roles such as the leader are resolved when the line is executed. */
   private SimulatedNetwork.Link link(ScenarioLine line) {
     return new SimulatedNetwork.Link(cluster.hostOf(line.word(1)), cluster.hostOf(line.word(2)));
   }
--- a/src/test/java/org/mulleinshift/scenario/RandomCancelledPairs.java
+++ b/src/test/java/org/mulleinshift/scenario/RandomCancelledPairs.java
@@ -5,8 +5,8 @@
 import org.mulleinshift.scenario.RandomScenarioBuilder.IntRange;
 
 /**
- * Draws pairs of jobs, of which one depends on the other and is cancelled as it ends, and faults
- * between the stored end of one and that of the other.
+ * Generates pairs of jobs in which one depends on the other, cancels some jobs as they end, and
+ * generates faults that come between the stored end of a job and that of its dependent.
  */
 final class RandomCancelledPairs {
   private static final DoubleRange CANCELLED_SHARE = new DoubleRange(0.2, 0.8);
@@ -22,7 +22,7 @@
 
   private final RandomScenarioBuilder builder;
 
-  /** Their detail is the share of requests that a fault is about. */
+  /** The detail is the share of requests that a fault affects. */
   private final List<RandomFault<Double>> kinds =
       List.of(
           (at, length, share) ->
@@ -62,7 +62,10 @@
     builder.choose(kinds).add(at, length, share);
   }
 
-  /** The leader misses what happens meanwhile, and must read the active jobs anew. */
+  /**
+   * Holds back changes from the leader and compacts the store meanwhile, so that the leader misses
+   * changes and must read the active jobs again.
+   */
   private void dropStoreChanges(double at, double length, double share) {
     add("at %.1f state hold-news leader %.1f", at, length);
     add("at %.1f state compact", at + length - 1);
--- a/src/test/java/org/mulleinshift/scenario/RandomFault.java
+++ b/src/test/java/org/mulleinshift/scenario/RandomFault.java
@@ -1,9 +1,10 @@
 package org.mulleinshift.scenario;
 
 /**
- * Adds the lines of one kind of fault. What a set of kinds has in common is drawn before the kind.
+ * Adds the lines of one kind of fault. The parameters are chosen before the kind, since all kinds
+ * of a set share them.
  *
- * @param <T> what the kinds of a set take besides the time and the length
+ * @param <T> the parameter of a set of kinds besides the time and the length
  */
 @FunctionalInterface
 interface RandomFault<T> {
@@ -11,7 +12,7 @@
    * Adds the lines.
    *
    * @param at when the fault begins, seconds
-   * @param length how long it lasts where its kind has a length, seconds
+   * @param length how long it lasts, seconds; ignored by kinds that have no duration
    */
   void add(double at, double length, T detail);
 }
--- a/src/test/java/org/mulleinshift/scenario/RandomFaults.java
+++ b/src/test/java/org/mulleinshift/scenario/RandomFaults.java
@@ -4,15 +4,15 @@
 import org.mulleinshift.scenario.RandomScenarioBuilder.DoubleRange;
 import org.mulleinshift.scenario.RandomScenarioBuilder.IntRange;
 
-/** Draws faults at any time of the scenario. A kind that stands twice is drawn twice as often. */
+/** Generates faults at random times. A kind that is listed twice is chosen twice as often. */
 final class RandomFaults {
-  /** When faults begin. */
+  /** When faults begin, seconds. */
   static final DoubleRange TIMES = new DoubleRange(10, 140);
 
   private static final DoubleRange LENGTH = new DoubleRange(3, 40);
   private static final IntRange MACHINE = new IntRange(0, 6);
 
-  /** Before this time there may be no machine with the number. */
+  /** Before this time a machine number may not exist yet. */
   private static final double MACHINES_UP_AT_SECONDS = 60;
 
   private static final double FIRST_MACHINES_UP_AT_SECONDS = 30;
@@ -20,7 +20,7 @@
 
   private final RandomScenarioBuilder builder;
 
-  /** Their detail is what becomes of messages on a link that is cut. */
+  /** The detail is what a cut does to the messages on its link: drop or hold them. */
   private final List<RandomFault<String>> kinds =
       List.of(
           (at, length, mode) -> add("at %.1f crash %s", at, controller()),
@@ -45,7 +45,7 @@
           (at, length, mode) -> add("at %.1f machine %d hang %.1f", whenUp(at), machine(), length),
           this::endOrSlowMachine);
 
-  /** Their detail is a controller. */
+  /** The detail is a controller. */
   private final List<RandomFault<String>> newerKinds =
       List.of(
           (at, length, controller) ->
@@ -62,7 +62,7 @@
     this.builder = builder;
   }
 
-  /** Adds a fault of the kinds that every sort of scenario has. */
+  /** Adds a fault of one of the original kinds. */
   void add() {
     double at = builder.valueIn(TIMES);
     double length = builder.valueIn(LENGTH);
@@ -70,7 +70,7 @@
     builder.choose(kinds).add(at, length, mode);
   }
 
-  /** Adds a fault of the kinds that came later. */
+  /** Adds a fault of one of the kinds that were added later. */
   void addNewerKind() {
     double at = builder.valueIn(TIMES);
     double length = builder.valueIn(LENGTH);
--- a/src/test/java/org/mulleinshift/scenario/RandomJobs.java
+++ b/src/test/java/org/mulleinshift/scenario/RandomJobs.java
@@ -3,7 +3,7 @@
 import org.mulleinshift.scenario.RandomScenarioBuilder.DoubleRange;
 import org.mulleinshift.scenario.RandomScenarioBuilder.IntRange;
 
-/** Draws jobs, and which of them are cancelled. */
+/** Generates jobs and cancels some of them. */
 final class RandomJobs {
   private static final String[] CPUS = {"1", "2", "4"};
   private static final String[] TEAMS = {"t", "u"};
@@ -44,7 +44,7 @@
     this.builder = builder;
   }
 
-  /** An ordinary job; if it is not cancelled, it must be done at the end. */
+  /** Adds an ordinary job; unless it is cancelled, it must be done at the end. */
   void addOrdinary(int number, double endSeconds) {
     String id = "run-" + number;
     boolean failing = builder.oneIn(FAILING_ONCE_IN);
@@ -70,7 +70,7 @@
     }
   }
 
-  /** A long job; half of them are cancelled while they run. */
+  /** Adds a long job; half of them are cancelled while they run. */
   void addLong(String id, double at) {
     String form = "at %.1f job %s tasks=%d cpus=%s run=%d team=%s due=none fetch=%d %s";
     String zones = builder.choose("spread=yes", "one_zone=yes", "spread=no", "spread=no");
@@ -84,7 +84,10 @@
     }
   }
 
-  /** Four stages; some name an earlier ordinary job, some are submitted late or cancelled. */
+  /**
+   * Adds a pipeline of four jobs: two depend on the first, the last on all three. In some pipelines
+   * the first depends on run-1, the last is submitted late or one of the four is cancelled.
+   */
   void addPipeline(int number) {
     String id = "run-p" + number + "-";
     double at = builder.valueIn(PIPELINE_AT);
--- a/src/test/java/org/mulleinshift/scenario/RandomOverlappingFaults.java
+++ b/src/test/java/org/mulleinshift/scenario/RandomOverlappingFaults.java
@@ -5,8 +5,8 @@
 import org.mulleinshift.scenario.RandomScenarioBuilder.IntRange;
 
 /**
- * Draws faults for scenarios in which two meet, at a given time. A kind that stands twice is drawn
- * twice as often.
+ * Generates faults at given times, for scenarios in which two faults overlap. A kind that is listed
+ * twice is chosen twice as often.
  */
 final class RandomOverlappingFaults {
   private static final DoubleRange LENGTH = new DoubleRange(4, 30);
@@ -26,7 +26,7 @@
 
   private final RandomScenarioBuilder builder;
 
-  /** Their detail is a controller. */
+  /** The detail is a controller. */
   private final List<RandomFault<String>> kinds =
       List.of(
           (at, length, controller) ->
@@ -59,7 +59,7 @@
                   "at %.1f stall %s %.1f",
                   at, one("leader", controller), 2 + length / STALL_DIVISOR));
 
-  /** Their detail is the kind of transactions that a fault of the store is about. */
+  /** The detail is the kind of transactions that a fault of the store affects. */
   private final List<RandomFault<String>> furtherKinds =
       List.of(
           this::loseAnswers,
@@ -79,14 +79,14 @@
     this.builder = builder;
   }
 
-  /** Adds a fault of the kinds that came first. */
+  /** Adds a fault of one of the original kinds. */
   void add(double at) {
     double length = builder.valueIn(LENGTH);
     String controller = builder.controller();
     builder.choose(kinds).add(at, length, controller);
   }
 
-  /** Adds a fault, of the further kinds more often than of those that came first. */
+  /** Adds a fault of any kind; two in three are of the kinds that were added later. */
   void addOfAnyKind(double at) {
     if (builder.oneIn(EARLIER_KIND_ONCE_IN)) {
       add(at);
--- a/src/test/java/org/mulleinshift/scenario/RandomProgressLogFaults.java
+++ b/src/test/java/org/mulleinshift/scenario/RandomProgressLogFaults.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.mulleinshift.scenario.RandomScenarioBuilder.DoubleRange;
 
-/** Draws faults that the progress log must survive. */
+/** Generates faults that the progress log must survive. */
 final class RandomProgressLogFaults {
   private static final DoubleRange LENGTH = new DoubleRange(3, 15);
   private static final DoubleRange SHARE = new DoubleRange(0.2, 0.7);
@@ -12,7 +12,7 @@
 
   private final RandomScenarioBuilder builder;
 
-  /** Their detail is the share of requests that a fault is about. */
+  /** The detail is the share of requests that a fault affects. */
   private final List<RandomFault<Double>> kinds =
       List.of(
           this::delayProgress,
--- a/src/test/java/org/mulleinshift/scenario/RandomScenario.java
+++ b/src/test/java/org/mulleinshift/scenario/RandomScenario.java
@@ -5,7 +5,9 @@
 import org.mulleinshift.scenario.RandomScenarioBuilder.DoubleRange;
 import org.mulleinshift.scenario.RandomScenarioBuilder.IntRange;
 
-/** Draws a scenario of several faults at once from a seed: kinds, targets and times. */
+/**
+ * Generates scenarios with several faults from a seed: jobs, kinds of faults, targets and times.
+ */
 public final class RandomScenario {
   private static final double END_SECONDS = 420;
   private static final double LONG_END_SECONDS = END_SECONDS + 100;
@@ -48,7 +50,10 @@
     faults = new RandomFaults(builder);
   }
 
-  /** The lines of the seed's scenario; every ordinary job must be done at the end. */
+  /**
+   * Lines with ordinary jobs and a few faults; every ordinary job that is not cancelled must be
+   * done at the end.
+   */
   public static List<String> lines(long seed) {
     RandomScenario scenario = new RandomScenario(seed);
     scenario.buildOrdinary();
@@ -56,8 +61,8 @@
   }
 
   /**
-   * The lines of a scenario of pipelines, with the limits of the state service falling, one or more
-   * jobs cancelled, and the faults that came last among all others.
+   * Lines with pipelines of jobs, of which some are cancelled, while the limits of the key-value
+   * store are lowered; most faults are of the kinds that were added later.
    */
   public static List<String> pipelineLines(long seed) {
     RandomScenario scenario = new RandomScenario(seed);
@@ -66,8 +71,7 @@
   }
 
   /**
-   * The lines of a scenario in which two faults meet, again and again, while long jobs are
-   * cancelled.
+   * Lines with long jobs, of which some are cancelled, and repeated pairs of faults that overlap.
    */
   public static List<String> overlappingFaultLines(long seed) {
     RandomScenario scenario = new RandomScenario(seed);
@@ -76,8 +80,8 @@
   }
 
   /**
-   * The lines of a scenario in which the further faults meet each other and the earlier ones, while
-   * users look closely, ask oddly and cancel as jobs end.
+   * Lines as {@link #overlappingFaultLines}, with further kinds of faults, while users read jobs
+   * right after changes, send invalid requests and cancel jobs as they end.
    */
   public static List<String> extendedOverlappingFaultLines(long seed) {
     RandomScenario scenario = new RandomScenario(seed);
@@ -86,8 +90,9 @@
   }
 
   /**
-   * The lines of a scenario in which writes of progress get lost and come late, the limits fall,
-   * leaders end and the operators switch the log off and on, while tasks of many jobs come and go.
+   * Lines with many jobs whose tasks start and end while writes of progress are late or their
+   * responses lost, the store's limits are lowered, leaders crash and operators turn the progress
+   * log off and on.
    */
   public static List<String> progressLogLines(long seed) {
     RandomScenario scenario = new RandomScenario(seed);
@@ -96,8 +101,8 @@
   }
 
   /**
-   * The lines of a scenario in which jobs are cancelled as they end, and faults come between their
-   * ends and those of the jobs that depend on them.
+   * Lines with jobs that are cancelled as they end, with faults between their end and that of the
+   * jobs that depend on them.
    */
   public static List<String> cancelledPairLines(long seed) {
     RandomScenario scenario = new RandomScenario(seed);
--- a/src/test/java/org/mulleinshift/scenario/RandomScenarioBuilder.java
+++ b/src/test/java/org/mulleinshift/scenario/RandomScenarioBuilder.java
@@ -7,17 +7,18 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * The random choices of a seed, and the lines that were drawn with them. The order of the calls
- * decides what a seed draws: a call more or less changes the whole rest of its scenario.
+ * Collects the lines of a scenario that is generated from a seed, and makes the random choices for
+ * them. A seed's scenario depends on the order of the calls: one call more or less changes
+ * everything that is generated after it.
  */
 final class RandomScenarioBuilder {
   private static final int FEW_CONTROLLERS = 3;
   private static final int MANY_CONTROLLERS = 5;
 
-  /** Numbers from a least one on. */
+  /** Numbers from {@code min} (inclusive) to {@code min + width} (exclusive). */
   record DoubleRange(double min, double width) {}
 
-  /** So many whole numbers from a least one on. */
+  /** Integers from {@code min} to {@code min + size - 1}. */
   record IntRange(int min, int size) {}
 
   private final RandomGenerator random;
@@ -44,7 +45,7 @@
     return random.nextBoolean();
   }
 
-  /** True once in so many times. */
+  /** True with a probability of one in {@code times}. */
   boolean oneIn(int times) {
     return random.nextInt(times) == 0;
   }
@@ -57,7 +58,7 @@
     return after(0, range);
   }
 
-  /** A time that is later than the start by a number of the span. */
+  /** {@code start} plus a random number in the range. */
   double after(double start, DoubleRange range) {
     return start + range.min() + range.width() * random.nextDouble();
   }
@@ -70,7 +71,7 @@
     return choices.get(random.nextInt(choices.size()));
   }
 
-  /** A controller, by its label or by what it does at the time. */
+  /** A controller, by its label or by its role at the time of the fault. */
   String controller() {
     return choose("leader", "holder-of-a", "holder-of-b", "node-0", "node-1", "node-2");
   }
--- a/src/test/java/org/mulleinshift/scenario/RandomScenarioTest.java
+++ b/src/test/java/org/mulleinshift/scenario/RandomScenarioTest.java
@@ -12,8 +12,8 @@
 import org.mulleinshift.settings.SettingsException;
 
 /**
- * Plays drawn scenarios. {@code -Dseeds=100-199} plays others; a failure names its seed and shows
- * its lines.
+ * Runs the random families with fixed seeds, or with those that {@code -Dseeds=100-199} gives; a
+ * failure names the seed and shows the lines.
  */
 final class RandomScenarioTest {
   private static final String FIXED = "1-24";
@@ -38,15 +38,15 @@
   }
 
   /**
-   * The seed on which a block's next holder started what the one before had reported as ended,
-   * while the write that told so was late: it ran twice.
+   * On this seed a task ran twice: its shard's owner had reported its end, but the write of that
+   * end was late, and the next owner of the shard started it again.
    */
   @Test
   void anEndThatIsNotStoredYetIsNoStartForTheNextOwner() throws SettingsException {
     run(new ScenarioCatalog.Entry("drawn-progress-log", RandomScenario::progressLogLines), 50);
   }
 
-  /** The seed on which a task ran twice after a late copy of a report, see InheritedTasksTest. */
+  /** On this seed a task ran twice after a delayed copy of a heartbeat; see InheritedTasksTest. */
   @Test
   void aTaskThatALateCopyListsIsNotLost() throws SettingsException {
     run(new ScenarioCatalog.Entry("drawn-meetings", RandomScenario::overlappingFaultLines), 2187);
--- a/src/test/java/org/mulleinshift/scenario/RequestCommands.java
+++ b/src/test/java/org/mulleinshift/scenario/RequestCommands.java
@@ -9,7 +9,7 @@
 import org.mulleinshift.simulation.SimulatedCluster;
 import org.mulleinshift.simulation.SimulatedUser;
 
-/** Commands that make users send further requests: reads, repeats and invalid ones. */
+/** Commands that make users send further requests: reads, repeated and invalid requests. */
 final class RequestCommands {
   private static final int NOT_FOUND = 404;
   private static final int LONG_REFERENCE = 40_000;
@@ -34,7 +34,7 @@
     table.add("odd-requests", line -> invalid.during(line.number(1)));
   }
 
-  /** A job that nobody submitted must not be found. */
+  /** {@code poll ID}: a job that was never submitted must not be found. */
   private void pollUnknown(String id) {
     if (users.containsKey(id)) {
       return;
@@ -50,7 +50,10 @@
         });
   }
 
-  /** {@code ask POST /v2/runs 400 {"ref":1}}: some controller must answer with this status. */
+  /**
+   * {@code ask POST /v2/runs 400 {"ref":1}}: sends the request to some controller, which must
+   * respond with this status.
+   */
   private void ask(ScenarioLine line) {
     String body = line.skip(FOURTH).toString();
     int expectedStatus = line.integer(THIRD);
@@ -65,7 +68,7 @@
         });
   }
 
-  /** All present users poll so many times as often for a while. */
+  /** {@code polls FACTOR SECONDS}: the users of all jobs so far poll this many times as often. */
   private void pollMore(double factor, double seconds) {
     users.values().forEach(user -> user.pollFactor(factor));
     context.timeline().after(seconds, () -> users.values().forEach(user -> user.pollFactor(1)));
--- a/src/test/java/org/mulleinshift/scenario/Scenario.java
+++ b/src/test/java/org/mulleinshift/scenario/Scenario.java
@@ -16,8 +16,9 @@
 import org.mulleinshift.simulation.time.VirtualTimeline;
 
 /**
- * Plays a scenario against real controllers in a simulated cluster. {@code docs/scenarios.md} lists
- * the lines that a scenario may hold. The rules of the protocol are checked in every scenario.
+ * Runs a scenario against real controllers in a simulated cluster and virtual time. {@code
+ * docs/scenarios.md} describes the scenario language. Every run also checks the protocol's
+ * invariants, whatever the scenario expects.
  */
 public final class Scenario {
   private final ScenarioSettings settings;
@@ -49,12 +50,12 @@
             context, commands, settings.endSeconds(), this.startCommandsAfterCancellation);
   }
 
-  /** Plays the file and returns everything that went wrong. */
+  /** Runs the scenario file and returns the failures: broken invariants and unmet expectations. */
   public static List<String> execute(Path file, long seed) throws IOException, SettingsException {
     return execute(linesOf(file), seed);
   }
 
-  /** The lines of a file without comments. */
+  /** The lines of a scenario file, without comments and blank lines. */
   public static List<String> linesOf(Path file) throws IOException {
     return Files.readAllLines(file).stream()
         .map(line -> line.replaceAll("#.*", "").strip())
@@ -62,12 +63,15 @@
         .toList();
   }
 
-  /** Plays these lines and returns everything that went wrong. */
+  /** Runs the lines and returns the failures: broken invariants and unmet expectations. */
   public static List<String> execute(List<String> lines, long seed) throws SettingsException {
     return execute(lines, seed, SentMessageListener.IGNORED);
   }
 
-  /** Plays these lines while what the controllers send is observed. */
+  /**
+   * Runs the lines, passes every message that a controller sends to the listener, and returns the
+   * failures.
+   */
   public static List<String> execute(
       List<String> lines, long seed, SentMessageListener sentMessages) throws SettingsException {
     Scenario scenario = new Scenario(lines, seed, sentMessages);
@@ -75,19 +79,25 @@
     return scenario.failures;
   }
 
-  /** After a fault: seconds until a term began, and until that one stored its first progress. */
+  /**
+   * How long a failover took.
+   *
+   * @param secondsToNewTerm from the fault to the start of a leader term
+   * @param secondsToProgress from the fault to the first progress stored after that start
+   * @param failures of the run
+   */
   public record Failover(
       double secondsToNewTerm, double secondsToProgress, List<String> failures) {}
 
-  /** Plays these lines and measures how soon the leader was replaced after that time. */
+  /** Runs the lines and measures how soon the leader was replaced after a fault at {@code at} s. */
   public static Failover measureFailover(List<String> lines, long seed, double at)
       throws SettingsException {
     Scenario scenario = new Scenario(lines, seed, SentMessageListener.IGNORED);
     scenario.run();
     StoreHistory history = scenario.cluster.store().history();
-    double term = history.firstTermAfter(at);
-    double task = history.firstProgressAfter(term);
-    return new Failover(term - at, task - at, scenario.failures);
+    double termAt = history.firstTermAfter(at);
+    double progressAt = history.firstProgressAfter(termAt);
+    return new Failover(termAt - at, progressAt - at, scenario.failures);
   }
 
   private void run() throws SettingsException {
@@ -112,7 +122,7 @@
     timeline.at(timed.seconds(), () -> commands.run(timed.command()));
   }
 
-  /** When the last fault was over, by the times that its line names. */
+  /** When the last fault is over, in seconds, from its start and the durations in its line. */
   private double faultsOverAt() {
     return settings.commands().stream()
         .filter(timed -> commands.isFault(timed.command()))
--- a/src/test/java/org/mulleinshift/scenario/ScenarioCatalog.java
+++ b/src/test/java/org/mulleinshift/scenario/ScenarioCatalog.java
@@ -10,19 +10,19 @@
 import java.util.stream.LongStream;
 import java.util.stream.Stream;
 
-/** All scenarios by name: those in files, and the families that are drawn from a seed. */
+/** All scenarios by name: scenario files, and families whose lines are generated from a seed. */
 public final class ScenarioCatalog {
   private static final Path FOLDER = Path.of("src/test/resources/scenarios");
   private static final String SUFFIX = ".scenario";
 
   /**
-   * A scenario that can be played with any seed.
+   * A scenario that can be run with any seed.
    *
-   * @param name of the file without its suffix, or of the family
-   * @param lines of the seed
+   * @param name the file name without its suffix, or the name of the family
+   * @param lines the scenario's lines for a seed; the same for all seeds if it is a file
    */
   public record Entry(String name, LongFunction<List<String>> lines) {
-    /** The seeds that the lines name besides the fixed ones; those of a drawn family name none. */
+    /** The additional seeds that a scenario file names; none for a random family. */
     LongStream namedSeeds() {
       return lines.apply(0).stream()
           .map(ScenarioLine::parse)
@@ -39,18 +39,22 @@
 
   private ScenarioCatalog() {}
 
-  /** The scenarios of the test resources, sorted by name. */
+  /** The scenario files of the test resources, sorted by name. */
   public static List<Entry> files() throws IOException {
     try (Stream<Path> files = Files.list(FOLDER)) {
       return files.sorted().map(ScenarioCatalog::file).toList();
     }
   }
 
-  /** The scenario of one file, wherever it is. */
+  /**
+   * The scenario in a file, which need not be among the test resources.
+   *
+   * @throws IllegalArgumentException if the file name does not end with {@code .scenario}
+   */
   public static Entry file(Path path) {
     String fileName = path.getFileName().toString();
     if (!fileName.endsWith(SUFFIX)) {
-      throw new IllegalArgumentException("not a scenario: " + path);
+      throw new IllegalArgumentException("not a scenario file: " + path);
     }
     String name = fileName.substring(0, fileName.length() - SUFFIX.length());
     return new Entry(name, seed -> read(path));
@@ -64,7 +68,7 @@
     }
   }
 
-  /** The drawn families. */
+  /** The families of scenarios that are generated from a seed. */
   public static List<Entry> randomFamilies() {
     return List.of(
         new Entry("drawn", RandomScenario::lines),
@@ -75,7 +79,7 @@
         new Entry("drawn-cancelled-pairs", RandomScenario::cancelledPairLines));
   }
 
-  /** All files and all drawn families. */
+  /** All scenario files, followed by all random families. */
   public static List<Entry> all() throws IOException {
     List<Entry> all = new ArrayList<>(files());
     all.addAll(randomFamilies());
--- a/src/test/java/org/mulleinshift/scenario/ScenarioContext.java
+++ b/src/test/java/org/mulleinshift/scenario/ScenarioContext.java
@@ -8,7 +8,7 @@
 /**
  * What the commands and expectations of a scenario act on.
  *
- * @param failures takes what was not as expected
+ * @param failures collects the failures that commands and expectations find
  */
 record ScenarioContext(
     Timeline timeline, InvariantChecker checker, SimulatedCluster cluster, List<String> failures) {}
--- a/src/test/java/org/mulleinshift/scenario/ScenarioLine.java
+++ b/src/test/java/org/mulleinshift/scenario/ScenarioLine.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** The words of a line of a scenario. */
+/** A line of a scenario, split into words. */
 record ScenarioLine(List<String> words) {
-  /** Positions of arguments; the command is at 0. */
+  /** Indexes of words; the command is at 0. */
   static final int THIRD = 3;
 
   static final int FOURTH = 4;
@@ -17,7 +17,7 @@
     return new ScenarioLine(Arrays.asList(text.split("\\s+")));
   }
 
-  /** The line without its first words. */
+  /** The line from the word at the index on. */
   ScenarioLine skip(int index) {
     return new ScenarioLine(words.subList(index, words.size()));
   }
@@ -46,7 +46,7 @@
     return Integer.parseInt(words.get(index));
   }
 
-  /** The words {@code name=value} from the index on. */
+  /** The fields that the words {@code name=value} from the index on give. */
   Map<String, String> fields(int index) {
     Map<String, String> fields = new HashMap<>();
     for (String word : words.subList(index, words.size())) {
@@ -56,7 +56,7 @@
     return fields;
   }
 
-  /** The sum of the plain numbers from the index on. */
+  /** The sum of those words from the index on that are numbers; 0 if there are none. */
   double sumOfNumbers(int index) {
     return words.subList(index, words.size()).stream()
         .filter(word -> word.matches("[0-9.]+"))
@@ -64,8 +64,9 @@
         .reduce(0, Double::sum);
   }
 
+  /** The exception for a line whose command, setting or expectation does not exist. */
   IllegalArgumentException unknownLine() {
-    return new IllegalArgumentException(toString());
+    return new IllegalArgumentException("unknown scenario line: " + this);
   }
 
   @Override
--- a/src/test/java/org/mulleinshift/scenario/ScenarioSeeds.java
+++ b/src/test/java/org/mulleinshift/scenario/ScenarioSeeds.java
@@ -13,35 +13,40 @@
 import picocli.CommandLine.Option;
 
 /**
- * Plays chosen scenarios over a range of seeds and prints for each how many failed, and what failed
- * on which seed. Exits with 1 if anything failed.
+ * Runs selected scenarios with a range of seeds. Prints for each scenario how many runs failed,
+ * then the failures with their seeds. Exits with 1 if a run failed.
  */
 @Command(name = "scenario-seeds", mixinStandardHelpOptions = true, sortOptions = false)
 public final class ScenarioSeeds implements Callable<Integer> {
   private static final int FAILED = 1;
 
-  @Option(names = "--only", split = ",", description = "Scenarios whose names start so.")
+  @Option(
+      names = "--only",
+      split = ",",
+      description = "Run scenarios whose names start with one of these.")
   private List<String> prefixes = new ArrayList<>();
 
-  @Option(names = "--file", split = ",", description = "Scenario files outside the resources.")
+  @Option(names = "--file", split = ",", description = "Also run these files, from any directory.")
   private List<Path> files = new ArrayList<>();
 
-  @Option(names = "--seeds", description = "A range: 1-200, or one seed.")
+  @Option(names = "--seeds", description = "A range such as 1-200, or one seed.")
   private String seeds = "1-40";
 
-  @Option(names = "--threads", description = "Scenarios played at a time.")
+  @Option(names = "--threads", description = "Scenarios run in parallel.")
   private int threads = 4;
 
-  @Option(names = "--log", description = "Print the log, by virtual time; LOG_LEVEL sets what.")
+  @Option(
+      names = "--log",
+      description = "Print the log with virtual times; LOG_LEVEL sets the level.")
   private boolean log;
 
-  /** One seed of a scenario, while it is played. */
+  /** A run of a scenario with one seed, and its failures once it has ended. */
   private record SeedRun(long seed, Future<List<String>> failures) {}
 
-  /** A scenario and its runs. */
+  /** All runs of a scenario. */
   private record ScenarioRuns(String name, List<SeedRun> runs) {}
 
-  /** Plays; see {@code --help}. */
+  /** Runs the scenarios that the arguments select; see {@code --help}. */
   public static void main(String[] args) {
     System.exit(new CommandLine(new ScenarioSeeds()).execute(args));
   }
@@ -76,7 +81,7 @@
     }
     files.forEach(path -> chosen.add(ScenarioCatalog.file(path)));
     if (chosen.isEmpty()) {
-      throw new IllegalArgumentException("no scenario chosen, prefixes=" + prefixes);
+      throw new IllegalArgumentException("no scenario selected, prefixes=" + prefixes);
     }
     return chosen;
   }
@@ -93,7 +98,7 @@
     return Scenario.execute(scenario.lines().apply(seed), seed);
   }
 
-  /** Prints the outcome of one scenario and returns whether any of its seeds failed. */
+  /** Waits for the runs of a scenario, prints their results and returns whether any failed. */
   private static boolean report(ScenarioRuns scenario) throws Exception {
     List<String> lines = new ArrayList<>();
     int failed = 0;
--- a/src/test/java/org/mulleinshift/scenario/ScenarioSettings.java
+++ b/src/test/java/org/mulleinshift/scenario/ScenarioSettings.java
@@ -15,7 +15,7 @@
 import org.mulleinshift.simulation.SimulatedCluster;
 import org.mulleinshift.simulation.SimulatedWorker;
 
-/** The cluster that a scenario describes, and the lines that are played on it. */
+/** The cluster that a scenario describes, with its timed commands and its expectations. */
 final class ScenarioSettings {
   private static final int BYTES_PER_KB = 1024;
   private static final int PUBLIC_PORT = 8080;
@@ -26,10 +26,10 @@
   private static final PlatformSettings.ProcessLimits PROCESS_LIMITS =
       new PlatformSettings.ProcessLimits(1, 200, 500);
 
-  /** A line that names seeds with which a scenario is played besides the fixed ones. */
+  /** First word of a line that names additional seeds for the scenario. */
   static final String SEEDS = "seeds";
 
-  /** A command and the time at which it is carried out, in seconds. */
+  /** A command and the time at which it is executed, in seconds. */
   record TimedCommand(double seconds, ScenarioLine command) {}
 
   private final List<String> zones = new ArrayList<>(List.of("a", "b"));
@@ -51,7 +51,7 @@
   /**
    * Reads the lines of a scenario.
    *
-   * @throws IllegalArgumentException if the first word of a line is not known
+   * @throws IllegalArgumentException if the first word of a line is unknown
    */
   ScenarioSettings(List<String> lines) {
     lines.stream().map(ScenarioLine::parse).forEach(this::read);
@@ -60,7 +60,7 @@
   private void read(ScenarioLine line) {
     switch (line.word(0)) {
       case SEEDS -> {
-        // Read by the runner.
+        // Read by ScenarioCatalog.
       }
       case "nodes" -> controllerCount = line.integer(1);
       case "zones" -> {
@@ -107,7 +107,7 @@
     return Double.parseDouble(fields.getOrDefault(name, defaultValue));
   }
 
-  /** Limits without others to come, from {@code rps=200 writes=40 kb=8 ops=12}. */
+  /** The store limits in {@code rps=200 writes=40 kb=8 ops=12}, with no later limits announced. */
   static PlatformSettings.StoreLimits storeLimits(Map<String, String> fields) {
     return storeLimits(fields, Optional.empty());
   }
@@ -122,7 +122,7 @@
         next);
   }
 
-  /** The store's limits, and those that the settings announce for later. */
+  /** The store's limits at the start, with those that the settings announce for later. */
   PlatformSettings.StoreLimits storeLimits() {
     Optional<PlatformSettings.StoreLimits> next =
         nextStoreFields.isEmpty() ? Optional.empty() : Optional.of(storeLimits(nextStoreFields));
@@ -149,7 +149,7 @@
     return teamLimits;
   }
 
-  /** The operators' settings by their keys. */
+  /** The initial tunables by their keys. */
   Map<String, Object> tunables() {
     return tunables;
   }
@@ -162,13 +162,14 @@
     return expectations;
   }
 
-  /** Offers the machine types, with their capacity in the zones. */
+  /** Adds the machine types and their capacity in each zone to the cloud. */
   void addMachineTypes(SimulatedCloud cloud) {
     machineTypes.forEach(line -> addMachineType(cloud, line));
   }
 
   /**
-   * {@code type small cpus=8 ram=32 price=1 spot=0.4 boot=10 a=4/2 b=2}: on-demand/spot by zone.
+   * {@code type small cpus=8 ram=32 price=1 spot=0.4 boot=10 a=4/2 b=2}: zone a has capacity for 4
+   * on-demand and 2 spot machines, zone b for 2 on-demand machines.
    */
   private void addMachineType(SimulatedCloud cloud, ScenarioLine line) {
     String name = line.word(1);
@@ -192,7 +193,7 @@
     }
   }
 
-  /** The platform's settings as the controller with the index reads them. */
+  /** The platform settings of the controller with the index. */
   PlatformSettings platformSettings(int index) {
     List<PlatformSettings.Member> members = new ArrayList<>();
     for (int i = 0; i < controllerCount; i++) {
--- a/src/test/java/org/mulleinshift/scenario/ScenarioTest.java
+++ b/src/test/java/org/mulleinshift/scenario/ScenarioTest.java
@@ -12,8 +12,9 @@
 import org.mulleinshift.settings.SettingsException;
 
 /**
- * Plays every scenario file, each with a few fixed seeds, those that the file names besides, and
- * those for which the list of known failures names it.
+ * Runs every scenario file with a few fixed seeds, the seeds that the file names, and the seeds for
+ * which the list of known failures has an entry. {@code -Dscenario=07} runs only the files whose
+ * names start so.
  */
 final class ScenarioTest {
   private static final String TEST = ScenarioTest.class.getSimpleName();
--- a/src/test/java/org/mulleinshift/scenario/StartCommandsAfterCancellation.java
+++ b/src/test/java/org/mulleinshift/scenario/StartCommandsAfterCancellation.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Counts the commands to start a task that controllers send after one of them has answered that the
- * task's job is cancelled. Commands that were on their way by then do not count.
+ * Counts the commands to start a task that controllers send after one of them has confirmed the
+ * cancellation of the task's job. Commands that were in flight at that time do not count.
  */
 final class StartCommandsAfterCancellation implements SentMessageListener {
   private static final Logger LOG = LoggerFactory.getLogger(StartCommandsAfterCancellation.class);
@@ -30,7 +30,7 @@
   private final Map<String, Long> cancelledAtNanos = new HashMap<>();
   private int count;
 
-  /** Counts, and passes all on to the next listener. */
+  /** Counts start commands and passes all messages on to the next listener. */
   StartCommandsAfterCancellation(SentMessageListener next) {
     this.next = next;
   }
@@ -80,7 +80,10 @@
         count++;
         double secondsLate = (nanos - cancelledNanos) / NANOS_PER_SECOND;
         LOG.info(
-            "start ordered after cancellation, task={} by={} late_s={}", task, sender, secondsLate);
+            "start command sent after cancellation, task={} sender={} late_s={}",
+            task,
+            sender,
+            secondsLate);
       }
     }
   }
--- a/src/test/java/org/mulleinshift/scenario/StoreCommands.java
+++ b/src/test/java/org/mulleinshift/scenario/StoreCommands.java
@@ -8,7 +8,7 @@
 import org.mulleinshift.simulation.SimulatedStore;
 import org.mulleinshift.simulation.StoreFaults;
 
-/** Commands {@code state ...}: faults and changes of the key-value store. */
+/** The commands {@code state ...}: faults and changes of the key-value store. */
 final class StoreCommands {
   private final SimulatedCluster cluster;
   private final SimulatedStore store;
@@ -17,7 +17,7 @@
   /**
    * Adds the commands to the table.
    *
-   * @param limits those at the beginning and those that the settings announce for later
+   * @param limits the limits at the start, with those that the settings announce for later
    */
   StoreCommands(ScenarioContext context, CommandTable table, PlatformSettings.StoreLimits limits) {
     this.cluster = context.cluster();
@@ -54,7 +54,10 @@
     return cluster.hostOf(line.word(1));
   }
 
-  /** {@code rewrite KEY FIELD VALUE}; a key that ends with a star stands for all that begin so. */
+  /**
+   * {@code rewrite KEY FIELD VALUE}: changes a field of a stored value; a key that ends with a star
+   * stands for all keys with that prefix.
+   */
   private void rewrite(ScenarioLine line) {
     String key = line.word(1);
     List<String> keys = List.of(key);
--- a/src/test/java/org/mulleinshift/scenario/StoreExpectations.java
+++ b/src/test/java/org/mulleinshift/scenario/StoreExpectations.java
@@ -13,7 +13,7 @@
 import org.mulleinshift.simulation.SimulatedStore;
 import org.mulleinshift.simulation.StoreHistory;
 
-/** Expectations about what is and was stored. */
+/** Expectations about the contents of the key-value store, its history and its load. */
 final class StoreExpectations {
   private final SimulatedStore store;
   private final double endSeconds;
@@ -24,7 +24,7 @@
     this.endSeconds = endSeconds;
   }
 
-  /** Remembers who owns the shards now. */
+  /** Remembers the present owner of each shard, for {@code expect moved}. */
   void rememberOwners() {
     rememberedOwners.putAll(store.owners());
   }
@@ -57,7 +57,7 @@
     return store.owners().values().stream().filter(owner::equals).count();
   }
 
-  /** Shards whose owner is not the remembered one; too many if none was remembered. */
+  /** Shards whose owner is not the remembered one; above any limit if none was remembered. */
   private double movedShards() {
     if (rememberedOwners.isEmpty()) {
       return Double.MAX_VALUE;
--- a/src/test/java/org/mulleinshift/scenario/VirtualTimeLogAppender.java
+++ b/src/test/java/org/mulleinshift/scenario/VirtualTimeLogAppender.java
@@ -7,9 +7,9 @@
 import org.mulleinshift.simulation.LogOrigin;
 import org.slf4j.LoggerFactory;
 
-/** Prints log lines with the virtual time and the host that logged them. */
+/** Prints log lines with the virtual time and the simulated host that logged them. */
 final class VirtualTimeLogAppender extends AppenderBase<ILoggingEvent> {
-  /** Replaces all other log output of this process. */
+  /** Replaces all other log appenders of this process. */
   static void install() {
     LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
     VirtualTimeLogAppender appender = new VirtualTimeLogAppender();
--- a/src/test/java/org/mulleinshift/scenario/package-info.java
+++ b/src/test/java/org/mulleinshift/scenario/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The scenario language: lines that describe a cluster, commands at points in time, and
- * expectations; also scenarios that are drawn from a seed or a table. Commands and expectations are
- * grouped in families, one class each.
+ * The scenario language and its runner: a scenario's lines describe a cluster, commands at given
+ * times, and expectations. Scenarios come from files, are generated from a seed, or are
+ * combinations in a table of link cuts. Each class of commands or expectations covers one subject.
  */
 package org.mulleinshift.scenario;
