--- a/src/test/java/org/mulleinshift/scenario/KnownFailuresTest.java
+++ b/src/test/java/org/mulleinshift/scenario/KnownFailuresTest.java
@@ -95,16 +95,16 @@
 
   @Test
   void theListNamesOnlyScenariosThatArePlayed() throws IOException {
-    Set<String> played =
+    Set<String> scenarioNames =
         Stream.concat(
                 ScenarioCatalog.files().stream().map(each -> TEST + " " + each.name()),
                 ScenarioCatalog.randomFamilies().stream()
                     .map(each -> "RandomScenarioTest " + each.name()))
             .collect(Collectors.toSet());
-    List<KnownFailure> unplayed =
+    List<KnownFailure> unknown =
         KnownFailures.read().entries().stream()
-            .filter(entry -> !played.contains(entry.test() + " " + entry.scenario()))
+            .filter(entry -> !scenarioNames.contains(entry.test() + " " + entry.scenario()))
             .toList();
-    assertEquals(List.of(), unplayed, "known failures that name no test");
+    assertEquals(List.of(), unknown, "known failures that name no test");
   }
 }
