--- a/src/test/java/org/mulleinshift/digest/BehaviourDigest.java
+++ b/src/test/java/org/mulleinshift/digest/BehaviourDigest.java
@@ -25,35 +25,39 @@
 import picocli.CommandLine.Option;
 
 /**
- * Writes a digest of everything that the controllers send in each scenario, so that two builds can
- * be compared: a change that keeps the behaviour keeps every line {@code name seed hash}.
+ * Writes a hash of all messages that the controllers send in each run of a scenario, to compare two
+ * builds: a change that keeps the behaviour keeps every line {@code name seed hash}.
  */
 @Command(name = "behaviour-digest", mixinStandardHelpOptions = true, sortOptions = false)
 public final class BehaviourDigest implements Callable<Integer> {
   private static final int FILE_SEEDS = 3;
-  private static final int DRAWN_SEEDS = 24;
+  private static final int FAMILY_SEEDS = 24;
   private static final int CUTS = 40;
   private static final int CUT_STRIDE = 1009;
 
-  /** One run of a scenario. */
-  record Play(String name, long seed, List<String> lines) {}
+  /** A scenario with the seed to run it with. */
+  record ScenarioRun(String name, long seed, List<String> lines) {}
 
-  @Option(names = "--out", description = "File of the digest, or of the messages with --dump.")
+  @Option(
+      names = "--out",
+      description = "File to write the digest to, or the messages with --dump.")
   private Path out = Path.of("target/digest.txt");
 
-  @Option(names = "--only", description = "Only scenarios whose names start so.")
+  @Option(names = "--only", description = "Only scenarios whose names start with this.")
   private String only = "";
 
-  @Option(names = "--threads", description = "Scenarios played at a time.")
+  @Option(names = "--threads", description = "Scenarios run in parallel.")
   private int threads = 4;
 
-  @Option(names = "--dump", description = "Name of the one scenario whose messages to write.")
+  @Option(
+      names = "--dump",
+      description = "Write the messages of the scenario with this name instead.")
   private String dumped = "";
 
-  @Option(names = "--seed", description = "Seed of the scenario that is dumped.")
+  @Option(names = "--seed", description = "Seed of the scenario whose messages are written.")
   private long seed = 1;
 
-  /** Writes the digest; see {@code --help}. */
+  /** Writes the digest, or the messages of one run; see {@code --help}. */
   public static void main(String[] args) {
     System.exit(new CommandLine(new BehaviourDigest()).execute(args));
   }
@@ -72,9 +76,9 @@
     ExecutorService pool = Executors.newFixedThreadPool(threads);
     try {
       List<Future<String>> lines = new ArrayList<>();
-      for (Play play : plays()) {
-        if (play.name().startsWith(only)) {
-          lines.add(pool.submit(() -> play.name() + " " + play.seed() + " " + hash(play)));
+      for (ScenarioRun run : scenarioRuns()) {
+        if (run.name().startsWith(only)) {
+          lines.add(pool.submit(() -> run.name() + " " + run.seed() + " " + hash(run)));
         }
       }
       try (Writer writer = Files.newBufferedWriter(out)) {
@@ -88,13 +92,16 @@
   }
 
   private void writeMessages() throws IOException, SettingsException {
-    Play play =
-        plays().stream()
+    ScenarioRun run =
+        scenarioRuns().stream()
             .filter(any -> any.name().equals(dumped) && any.seed() == seed)
             .findFirst()
-            .orElseThrow(() -> new IllegalArgumentException("no scenario " + dumped + " " + seed));
+            .orElseThrow(
+                () ->
+                    new IllegalArgumentException(
+                        "no run of scenario " + dumped + " with seed " + seed));
     try (Writer writer = Files.newBufferedWriter(out)) {
-      Scenario.play(play.lines(), play.seed(), new MessageLineWriter(line -> write(writer, line)));
+      Scenario.execute(run.lines(), run.seed(), new MessageLineWriter(line -> write(writer, line)));
     }
   }
 
@@ -106,35 +113,35 @@
     }
   }
 
-  /** The SHA-256 of all messages of a play, in the order in which they were sent. */
-  static String hash(Play play) throws SettingsException, NoSuchAlgorithmException {
+  /** The SHA-256 of all messages of a run, in the order in which they were sent. */
+  static String hash(ScenarioRun run) throws SettingsException, NoSuchAlgorithmException {
     MessageDigest digest = MessageDigest.getInstance("SHA-256");
-    Scenario.play(
-        play.lines(),
-        play.seed(),
+    Scenario.execute(
+        run.lines(),
+        run.seed(),
         new MessageLineWriter(line -> digest.update(line.getBytes(StandardCharsets.UTF_8))));
     return HexFormat.of().formatHex(digest.digest());
   }
 
-  /** The plays of the scenario tests: all files, the drawn scenarios and the sample of cuts. */
-  static List<Play> plays() throws IOException {
-    List<Play> plays = new ArrayList<>();
+  /** The runs of the digest: all scenario files, the random families and a sample of link cuts. */
+  static List<ScenarioRun> scenarioRuns() throws IOException {
+    List<ScenarioRun> runs = new ArrayList<>();
     for (ScenarioCatalog.Entry scenario : ScenarioCatalog.files()) {
-      addPlays(plays, scenario, FILE_SEEDS);
+      addRuns(runs, scenario, FILE_SEEDS);
     }
-    for (ScenarioCatalog.Entry scenario : ScenarioCatalog.drawn()) {
-      addPlays(plays, scenario, DRAWN_SEEDS);
+    for (ScenarioCatalog.Entry scenario : ScenarioCatalog.randomFamilies()) {
+      addRuns(runs, scenario, FAMILY_SEEDS);
     }
     for (long i = 0; i < CUTS; i++) {
       int number = (int) (i * CUT_STRIDE % CutScenario.COUNT);
-      plays.add(new Play("cut-" + number, number + 1, CutScenario.lines(number)));
+      runs.add(new ScenarioRun("cut-" + number, number + 1, CutScenario.lines(number)));
     }
-    return plays;
+    return runs;
   }
 
-  private static void addPlays(List<Play> plays, ScenarioCatalog.Entry scenario, int seeds) {
+  private static void addRuns(List<ScenarioRun> runs, ScenarioCatalog.Entry scenario, int seeds) {
     for (long each = 1; each <= seeds; each++) {
-      plays.add(new Play(scenario.name(), each, scenario.lines().apply(each)));
+      runs.add(new ScenarioRun(scenario.name(), each, scenario.lines().apply(each)));
     }
   }
 }
--- a/src/test/java/org/mulleinshift/scenario/KnownFailuresTest.java
+++ b/src/test/java/org/mulleinshift/scenario/KnownFailuresTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The list of known failures excuses exactly what it names, and names only what is played. */
+/** The list of known failures excuses exactly what it names, and names only tests that run. */
 final class KnownFailuresTest {
   private static final String TEST = "ScenarioTest";
   private static final String NAME = "07-example";
@@ -95,15 +95,16 @@
 
   @Test
   void theListNamesOnlyScenariosThatArePlayed() throws IOException {
-    Set<String> played =
+    Set<String> scenarioNames =
         Stream.concat(
                 ScenarioCatalog.files().stream().map(each -> TEST + " " + each.name()),
-                ScenarioCatalog.drawn().stream().map(each -> "RandomScenarioTest " + each.name()))
+                ScenarioCatalog.randomFamilies().stream()
+                    .map(each -> "RandomScenarioTest " + each.name()))
             .collect(Collectors.toSet());
-    List<KnownFailure> unplayed =
+    List<KnownFailure> unknown =
         KnownFailures.read().entries().stream()
-            .filter(entry -> !played.contains(entry.test() + " " + entry.scenario()))
+            .filter(entry -> !scenarioNames.contains(entry.test() + " " + entry.scenario()))
             .toList();
-    assertEquals(List.of(), unplayed, "known failures that name no test");
+    assertEquals(List.of(), unknown, "known failures that name no test");
   }
 }
--- a/src/test/java/org/mulleinshift/scenario/MachineCommands.java
+++ b/src/test/java/org/mulleinshift/scenario/MachineCommands.java
@@ -8,7 +8,7 @@
 import org.mulleinshift.simulation.SimulatedWorker;
 import org.mulleinshift.simulation.time.Timeline;
 
-/** Commands {@code cloud ...} and {@code machine ...}. */
+/** Commands that act on the cloud and on machines. */
 final class MachineCommands {
   private final Timeline timeline;
   private final SimulatedCloud cloud;
@@ -21,23 +21,23 @@
     cloudCommands.add("stuck", line -> cloud.preventBoots(line.number(1)));
     cloudCommands.add("boots", line -> cloud.slowBoots(line.number(1), line.number(2)));
     cloudCommands.add("capacity", this::changeCapacity);
-    table.addFault("cloud", line -> cloudCommands.run(line.from(1)));
+    table.addFault("cloud", line -> cloudCommands.run(line.skip(1)));
     table.addFault("machine", this::runOnMachines);
     table.addFault("unexpected", this::bootUnexpected);
   }
 
-  /** {@code capacity TYPE ZONE COUNT}: so many on-demand machines, and no spot machines. */
+  /** {@code capacity TYPE ZONE COUNT}: sets the on-demand capacity, and the spot capacity to 0. */
   private void changeCapacity(ScenarioLine line) {
     cloud.onDemandCapacity(line.word(1), line.word(2), line.integer(THIRD));
     cloud.spotCapacity(line.word(1), line.word(2), 0);
   }
 
-  /** {@code unexpected TYPE ZONE BOOT}: a machine that no controller asked for. */
+  /** {@code unexpected TYPE ZONE BOOT}: boots a machine that no controller provisioned. */
   private void bootUnexpected(ScenarioLine line) {
     cloud.createMachine(cloud.machineType(line.word(1)), line.word(2), line.number(THIRD));
   }
 
-  /** {@code machine NUMBER|half|all ACTION ...}: on machines that are up. */
+  /** {@code machine NUMBER|half|all ACTION ...}: acts on machines that are up. */
   private void runOnMachines(ScenarioLine line) {
     List<SimulatedMachine> up = cloud.runningMachines();
     if (up.isEmpty()) {
@@ -49,7 +49,7 @@
           case "half" -> up.subList(0, up.size() / 2);
           default -> List.of(up.get(line.integer(1) % up.size()));
         };
-    ScenarioLine action = line.from(2);
+    ScenarioLine action = line.skip(2);
     chosen.forEach(machine -> run(action, machine));
   }
 
@@ -70,16 +70,19 @@
     switch (action.word(0)) {
       case "sick" -> worker.failAllTasks();
       case "reboot" -> worker.reboot();
-      case "deaf" -> deafen(action, worker);
+      case "deaf" -> stopReception(action, worker);
       case "hang" -> worker.hang(action.number(1));
       case "mute" -> worker.loseHeartbeats(action.number(1));
       case "slow" -> worker.slow(action.number(1));
-      default -> throw action.unknown();
+      default -> throw action.unknownLine();
     }
   }
 
-  /** {@code deaf SECONDS [stays]}. */
-  private static void deafen(ScenarioLine action, SimulatedWorker worker) {
+  /**
+   * {@code deaf SECONDS [stays]}: no message reaches the worker, and it tries other controllers;
+   * with {@code stays} it drops the replies as invalid and keeps its controller.
+   */
+  private static void stopReception(ScenarioLine action, SimulatedWorker worker) {
     if (action.size() > 2) {
       worker.dropReplies(action.number(1));
     } else {
--- a/src/test/java/org/mulleinshift/scenario/RandomScenarioTest.java
+++ b/src/test/java/org/mulleinshift/scenario/RandomScenarioTest.java
@@ -12,8 +12,8 @@
 import org.mulleinshift.settings.SettingsException;
 
 /**
- * Plays drawn scenarios. {@code -Dseeds=100-199} plays others; a failure names its seed and shows
- * its lines.
+ * Runs the random families with fixed seeds, or with those that {@code -Dseeds=100-199} gives; a
+ * failure names the seed and shows the lines.
  */
 final class RandomScenarioTest {
   private static final String FIXED = "1-24";
@@ -23,7 +23,7 @@
 
   static Stream<Arguments> plays() {
     SeedRange seeds = SeedRange.parse(System.getProperty("seeds", FIXED));
-    return ScenarioCatalog.drawn().stream()
+    return ScenarioCatalog.randomFamilies().stream()
         .flatMap(
             family ->
                 KNOWN
@@ -34,28 +34,28 @@
   @ParameterizedTest(name = "{0}, seed {1}")
   @MethodSource("plays")
   void keepsRulesAndEndsJobs(ScenarioCatalog.Entry family, long seed) throws SettingsException {
-    play(family, seed);
+    run(family, seed);
   }
 
   /**
-   * The seed on which a block's next holder started what the one before had reported as ended,
-   * while the write that told so was late: it ran twice.
+   * On this seed a task ran twice: its shard's owner had reported its end, but the write of that
+   * end was late, and the next owner of the shard started it again.
    */
   @Test
   void anEndThatIsNotStoredYetIsNoStartForTheNextOwner() throws SettingsException {
-    play(new ScenarioCatalog.Entry("drawn-progress-log", RandomScenario::loggedLines), 50);
+    run(new ScenarioCatalog.Entry("drawn-progress-log", RandomScenario::progressLogLines), 50);
   }
 
-  /** The seed on which a task ran twice after a late copy of a report, see InheritedTasksTest. */
+  /** On this seed a task ran twice after a delayed copy of a heartbeat; see InheritedTasksTest. */
   @Test
   void aTaskThatALateCopyListsIsNotLost() throws SettingsException {
-    play(new ScenarioCatalog.Entry("drawn-meetings", RandomScenario::pairedLines), 2187);
+    run(new ScenarioCatalog.Entry("drawn-meetings", RandomScenario::overlappingFaultLines), 2187);
   }
 
-  private static void play(ScenarioCatalog.Entry family, long seed) throws SettingsException {
+  private static void run(ScenarioCatalog.Entry family, long seed) throws SettingsException {
     List<String> lines = family.lines().apply(seed);
     KnownFailures.Verdict verdict =
-        KNOWN.judge(TEST, family.name(), seed, Scenario.play(lines, seed));
+        KNOWN.judge(TEST, family.name(), seed, Scenario.execute(lines, seed));
     assertEquals(List.of(), verdict.problems(), "seed " + seed + "\n" + String.join("\n", lines));
     assumeTrue(verdict.excused().isEmpty(), () -> "known red: " + verdict.excused());
   }
--- a/src/test/java/org/mulleinshift/simulation/SimulatedUser.java
+++ b/src/test/java/org/mulleinshift/simulation/SimulatedUser.java
@@ -72,7 +72,7 @@
   /** Handles the reply to a repeated submission of a job that was accepted before. */
   void receiveResubmission(HttpResponse reply, double askedAt) {
     if (isRejection(reply)) {
-      checker.answers().rejected(job.id(), reply.status());
+      checker.reportedPhases().rejected(job.id(), reply.status());
     } else {
       receiveReply(reply, askedAt);
     }
@@ -198,7 +198,7 @@
           reply.status(),
           phaseIn(reply));
     }
-    checker.answers().answered(job.id(), askedAt, reply.status(), phaseIn(reply));
+    checker.reportedPhases().responseReceived(job.id(), askedAt, reply.status(), phaseIn(reply));
   }
 
   private String phaseIn(HttpResponse reply) {
