--- a/src/main/java/org/mulleinshift/controller/ComponentEvents.java
+++ b/src/main/java/org/mulleinshift/controller/ComponentEvents.java
@@ -89,14 +89,14 @@
 
   /** The view has been updated from the control keys. */
   void onControlKeysChanged() {
-    components.ownedShards().onControlChange();
+    components.ownedShards().onControlKeysChanged();
     components.currentTerm().ifLeading(Leader::onControlKeysChanged);
     components.leadership().observeElection();
   }
 
   /** The session has changed, or the machine types have become known. */
   void onPreconditionChange() {
-    components.ownedShards().onControlChange();
+    components.ownedShards().onControlKeysChanged();
     components.leadership().observeElection();
   }
 
--- a/src/main/java/org/mulleinshift/leader/Leader.java
+++ b/src/main/java/org/mulleinshift/leader/Leader.java
@@ -190,7 +190,7 @@
     ShardView shard = new ShardView(id, record.zone(), loop.now());
     shard.machines().putAll(record.machines());
     shard.setUnknownFields(record.unknownFields());
-    shard.lastOwner(record.lastOwner());
+    shard.setLastOwner(record.lastOwner());
     cluster.shards().add(shard);
     batcher.recordRevision(StoreKeys.shard(id), record.revision());
   }
--- a/src/main/java/org/mulleinshift/leader/TaskStatusHandler.java
+++ b/src/main/java/org/mulleinshift/leader/TaskStatusHandler.java
@@ -61,8 +61,8 @@
       }
       case DONE -> onDone(status, job, assignment, machine);
       case FAILED -> onFailed(job, assignment, machine);
-      case REJECTED -> returnTask(job, assignment, Optional.of(now.plus(REJECTED_RETRY_DELAY)));
-      case STOPPED, LOST -> returnTask(job, assignment, Optional.empty());
+      case REJECTED -> requeueTask(job, assignment, Optional.of(now.plus(REJECTED_RETRY_DELAY)));
+      case STOPPED, LOST -> requeueTask(job, assignment, Optional.empty());
     }
   }
 
@@ -86,11 +86,11 @@
     double failuresPerTask = job.failures() / (double) job.spec().taskCount();
     double delaySeconds =
         retryBackoffSeconds * Math.min(MAX_BACKOFF_FACTOR, Math.max(1, failuresPerTask));
-    returnTask(
+    requeueTask(
         job, assignment, Optional.of(now.plusMillis((long) (delaySeconds * MILLIS_PER_SECOND))));
   }
 
-  private void returnTask(Job job, TaskAssignment assignment, Optional<MonotonicTime> notBefore) {
+  private void requeueTask(Job job, TaskAssignment assignment, Optional<MonotonicTime> notBefore) {
     job.requeueTask(assignment, notBefore);
     jobs.onTaskEnded(job, assignment.task().index());
   }
--- a/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
+++ b/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
@@ -83,7 +83,7 @@
    * The components that lease renewal uses.
    *
    * @param storeHealth health of this controller's connection to the store
-   * @param peers knows which peers the store serves
+   * @param failureDetector knows which peers the store serves
    * @param session the session to renew
    * @param view the state read from the control keys, updated through {@code controlKeys}
    * @param controlKeys cache of the control keys
@@ -92,7 +92,7 @@
   public record Context(
       KeyValueStore store,
       StoreHealth storeHealth,
-      PeerFailureDetector peers,
+      PeerFailureDetector failureDetector,
       ControllerSession session,
       ClusterView view,
       PrefixWatcher controlKeys,
@@ -109,7 +109,7 @@
     this.self = self;
     this.store = context.store();
     this.storeHealth = context.storeHealth();
-    this.failureDetector = context.peers();
+    this.failureDetector = context.failureDetector();
     this.session = context.session();
     this.view = context.view();
     this.controlKeys = context.controlKeys();
--- a/src/main/java/org/mulleinshift/membership/StandbyFailover.java
+++ b/src/main/java/org/mulleinshift/membership/StandbyFailover.java
@@ -59,14 +59,14 @@
   /**
    * The state and the actions that failover uses.
    *
-   * @param peers knows when each peer was last heard, and its last heartbeat
+   * @param failureDetector knows when each peer was last heard, and its last heartbeat
    * @param view knows the leader as last read from the store
    * @param healthy whether this controller reaches the store and its workers
    * @param requestHeartbeats asks the peers to send a heartbeat immediately
    * @param depose revokes the lease of a term and campaigns
    */
   public record Context(
-      PeerFailureDetector peers,
+      PeerFailureDetector failureDetector,
       ClusterView view,
       BooleanSupplier healthy,
       Runnable requestHeartbeats,
@@ -144,9 +144,9 @@
 
   /** Whether the peer reports in a fresh heartbeat that it reaches the store and its workers. */
   private boolean isHealthy(NodeId peer) {
-    return context.peers.isServedByStore(peer)
+    return context.failureDetector.isServedByStore(peer)
         && context
-            .peers
+            .failureDetector
             .freshHeartbeat(peer)
             .map(PeerFailureDetector::workerReachability)
             .filter(reachability -> reachability == WorkerReachability.State.REACHABLE)
@@ -167,7 +167,7 @@
         standbyNamedBy(lastLeader())
             .filter(name -> !name.isEmpty())
             .map(NodeId::new)
-            .filter(node -> !node.equals(self) && context.peers.isServedByStore(node))
+            .filter(node -> !node.equals(self) && context.failureDetector.isServedByStore(node))
             .isPresent();
     return anotherIsStandby ? STANDBY_HEAD_START : Duration.ZERO;
   }
@@ -178,7 +178,7 @@
   }
 
   private Optional<String> standbyNamedBy(Optional<NodeId> leader) {
-    return leader.flatMap(context.peers::lastHeartbeat).map(Heartbeat::getStandby);
+    return leader.flatMap(context.failureDetector::lastHeartbeat).map(Heartbeat::getStandby);
   }
 
   private void check() {
@@ -222,7 +222,8 @@
     if (state == State.NONE) {
       transitionTo(State.STANDBY, "named by " + leader.get().node());
     }
-    boolean heard = context.peers.timeSinceLastHeard(leader.get().node()).compareTo(gap) <= 0;
+    boolean heard =
+        context.failureDetector.timeSinceLastHeard(leader.get().node()).compareTo(gap) <= 0;
     leaderUnheardFor = heard || late ? Duration.ZERO : leaderUnheardFor.plus(gap);
     watchLeader(leader.get());
   }
@@ -258,11 +259,11 @@
   private boolean peersAgree(NodeId leader, Duration timeout) {
     Duration agreement = timeout.multipliedBy(AGREEMENT_NUMERATOR).dividedBy(AGREEMENT_DENOMINATOR);
     boolean agree = false;
-    for (NodeId peer : context.peers.peersServedByStore()) {
+    for (NodeId peer : context.failureDetector.peersServedByStore()) {
       if (peer.equals(leader)) {
         continue;
       }
-      Optional<Duration> sinceHeard = context.peers.timeSinceHeardBy(peer, leader);
+      Optional<Duration> sinceHeard = context.failureDetector.timeSinceHeardBy(peer, leader);
       if (sinceHeard.filter(since -> since.compareTo(timeout.dividedBy(2)) < 0).isPresent()) {
         return false;
       }
@@ -280,7 +281,11 @@
             + " ms, another controller agrees");
     deposedLeader = Optional.of(leader.node());
     deposedSessionLease =
-        context.peers.lastHeartbeat(leader.node()).map(Heartbeat::getSessionLease).orElse(0L);
+        context
+            .failureDetector
+            .lastHeartbeat(leader.node())
+            .map(Heartbeat::getSessionLease)
+            .orElse(0L);
     falseAlarms = loop.now().since(deposedAt).compareTo(FALSE_ALARM_WINDOW) > 0 ? 0 : falseAlarms;
     deposedAt = loop.now();
     context.depose.accept(new LeaderElection.TermLease(leader.term(), leader.lease()));
@@ -295,9 +300,12 @@
         deposedLeader
             .filter(
                 node ->
-                    context.peers.timeSinceLastHeard(node).compareTo(loop.now().since(deposedAt))
+                    context
+                            .failureDetector
+                            .timeSinceLastHeard(node)
+                            .compareTo(loop.now().since(deposedAt))
                         < 0)
-            .flatMap(context.peers::lastHeartbeat)
+            .flatMap(context.failureDetector::lastHeartbeat)
             .filter(heartbeat -> heartbeat.getSessionLease() == deposedSessionLease)
             .isPresent();
     if (alive) {
--- a/src/main/java/org/mulleinshift/membership/WorkerReachability.java
+++ b/src/main/java/org/mulleinshift/membership/WorkerReachability.java
@@ -29,7 +29,7 @@
   public static final Duration CHECK_INTERVAL = Duration.ofMillis(250);
 
   private static final Duration PING_INTERVAL = Duration.ofSeconds(2);
-  private static final Duration PING_DEADLINE = Duration.ofMillis(1500);
+  private static final Duration PING_TIMEOUT = Duration.ofMillis(1500);
 
   /** The state recovers after this time even without evidence: the known machines may be gone. */
   private static final Duration SUSPICION_TIMEOUT = Duration.ofSeconds(90);
@@ -262,7 +262,7 @@
         .workers()
         .call(
             address,
-            HttpRequest.get(WorkerCodec.STATUS_PATH, PING_DEADLINE),
+            HttpRequest.get(WorkerCodec.STATUS_PATH, PING_TIMEOUT),
             response -> reachedSinceSuspected |= response.status() == HttpStatus.OK);
   }
 
--- a/src/main/java/org/mulleinshift/placement/MachineCapacity.java
+++ b/src/main/java/org/mulleinshift/placement/MachineCapacity.java
@@ -45,7 +45,7 @@
   private final Resources size;
   private final Collection<String> cachedImages;
   private Set<String> plannedImages = Set.of();
-  private final double relativePrice;
+  private final double markupOverSpot;
   private Resources available;
 
   /**
@@ -69,7 +69,7 @@
     this.zone = zone;
     this.type = type;
     this.spot = spot;
-    this.relativePrice = type.markupOverSpot(spot);
+    this.markupOverSpot = type.markupOverSpot(spot);
     this.size = type.size();
     this.available = available;
     this.cachedImages = cachedImages;
@@ -116,7 +116,7 @@
    */
   double score(ResourceRequest request) {
     double score =
-        PRICE_WEIGHT * relativePrice + SIZE_WEIGHT * (1 - request.perTask().dominantShareOf(size));
+        PRICE_WEIGHT * markupOverSpot + SIZE_WEIGHT * (1 - request.perTask().dominantShareOf(size));
     score += size.cpus() > 0 ? (available.cpus() - request.perTask().cpus()) : 0;
     score += size.gpus() > 0 ? GPU_WEIGHT * (available.gpus() - request.perTask().gpus()) : 0;
     score +=
@@ -139,7 +139,7 @@
 
   /** Grows with the cost of keeping the machine; the machine with the highest is drained first. */
   public double drainPriority() {
-    return (1 + relativePrice) * size.cpus();
+    return (1 + markupOverSpot) * size.cpus();
   }
 
   /** The id of the machine. */
--- a/src/main/java/org/mulleinshift/sharding/DirectCommandSender.java
+++ b/src/main/java/org/mulleinshift/sharding/DirectCommandSender.java
@@ -20,7 +20,7 @@
 /** Sends commands directly to workers, without waiting for their next heartbeat. */
 final class DirectCommandSender {
   private static final Logger LOG = LoggerFactory.getLogger(DirectCommandSender.class);
-  private static final Duration COMMAND_DEADLINE = Duration.ofMillis(1200);
+  private static final Duration COMMAND_TIMEOUT = Duration.ofMillis(1200);
 
   private final EventLoop loop;
   private final AsyncHttpClient httpClient;
@@ -41,7 +41,7 @@
       LivenessMonitor liveness,
       BiConsumer<OwnedMachine, WorkerHeartbeat> onReport) {
     this.loop = context.loop();
-    this.httpClient = context.workers();
+    this.httpClient = context.workerClient();
     this.state = state;
     this.planner = planner;
     this.liveness = liveness;
@@ -74,7 +74,7 @@
             machine.token(), machine.lastHeartbeatVersion().epoch(), commands);
     httpClient.call(
         address,
-        HttpRequest.post(WorkerCodec.COMMANDS_PATH, body, COMMAND_DEADLINE),
+        HttpRequest.post(WorkerCodec.COMMANDS_PATH, body, COMMAND_TIMEOUT),
         reply -> onReply(machine, reply));
   }
 
--- a/src/main/java/org/mulleinshift/sharding/HeartbeatReconciler.java
+++ b/src/main/java/org/mulleinshift/sharding/HeartbeatReconciler.java
@@ -108,7 +108,7 @@
   }
 
   private void setUnassigned(OwnedMachine machine, List<WorkerHeartbeat.ReportedTask> entries) {
-    machine.unassignedTasks(entries);
+    machine.setUnassignedTasks(entries);
     state.updateUnreadableTasks(machine, assignments.unreadableJobs());
   }
 
--- a/src/main/java/org/mulleinshift/sharding/HeartbeatRouter.java
+++ b/src/main/java/org/mulleinshift/sharding/HeartbeatRouter.java
@@ -66,7 +66,7 @@
     this.peers = peers;
     this.ownedShards = ownedShards;
     this.toLeader = toLeader;
-    this.prober = new WorkerProber(context.workers());
+    this.prober = new WorkerProber(context.workerClient());
     this.suspicions = new SuspicionReporter(loop, view, toLeader);
     this.responsiveness =
         new OwnerResponsiveness(view, peers.health(), context.workerTiming().heartbeatInterval());
@@ -88,7 +88,7 @@
   }
 
   /** Routes held heartbeats again, since shards or grants have changed. */
-  void onControlChange() {
+  void onControlKeysChanged() {
     heldHeartbeats.retryAll();
   }
 
--- a/src/main/java/org/mulleinshift/sharding/LivenessMonitor.java
+++ b/src/main/java/org/mulleinshift/sharding/LivenessMonitor.java
@@ -74,7 +74,7 @@
   private void expire(OwnedMachine machine) {
     LOG.info("worker lease expired, machine={}", machine.id());
     state.transition(machine, MachinePhase.EXPIRED);
-    machine.unassignedTasks(List.of());
+    machine.setUnassignedTasks(List.of());
     state.updateUnreadableTasks(machine, assignments.unreadableJobs());
     state.markAllAbsent(machine);
   }
--- a/src/main/java/org/mulleinshift/sharding/OwnedMachine.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedMachine.java
@@ -254,7 +254,7 @@
   }
 
   /** Replaces the list of attempts on it that are not assigned to the shard. */
-  void unassignedTasks(List<WorkerHeartbeat.ReportedTask> reported) {
+  void setUnassignedTasks(List<WorkerHeartbeat.ReportedTask> reported) {
     unassignedTasks = reported;
   }
 
--- a/src/main/java/org/mulleinshift/sharding/OwnedShards.java
+++ b/src/main/java/org/mulleinshift/sharding/OwnedShards.java
@@ -82,7 +82,7 @@
             loop,
             context.workerTiming().heartbeatInterval(),
             new WorkerReachability.Context(
-                context.workers(),
+                context.workerClient(),
                 this::countMachines,
                 this::workerAddresses,
                 peers.onReachabilityChange()));
@@ -134,7 +134,7 @@
   }
 
   /** Adopts and releases shards after grants or shards have changed in the store. */
-  public void onControlChange() {
+  public void onControlKeysChanged() {
     Map<ShardId, Revision> verified = session.verifiedGrants();
     releaseLostShards(verified);
     for (Map.Entry<ShardId, GrantRecord> entry : view.grants().entrySet()) {
@@ -150,7 +150,7 @@
     }
     owners.forEach(
         (shard, owner) -> Optional.ofNullable(view.shards().get(shard)).ifPresent(owner::onRecord));
-    router.onControlChange();
+    router.onControlKeysChanged();
   }
 
   private void releaseLostShards(Map<ShardId, Revision> verified) {
--- a/src/main/java/org/mulleinshift/sharding/ShardGrants.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardGrants.java
@@ -118,7 +118,7 @@
 
   private void grant(ShardView shard, NodeId owner) {
     LOG.info("granting shard, shard={} owner={}", shard.id(), owner);
-    shard.pendingOwner(Optional.of(owner));
+    shard.setPendingOwner(Optional.of(owner));
     shards.storeGrant(shard.id(), new GrantMutation(shard, owner));
   }
 
@@ -146,7 +146,7 @@
     public List<Write> writes() {
       ClusterView.NodeRecord node = view.nodes().get(owner);
       if (node == null) {
-        shard.pendingOwner(Optional.empty());
+        shard.setPendingOwner(Optional.empty());
         return List.of();
       }
       return List.of(
@@ -155,9 +155,9 @@
 
     @Override
     public void onCommitted(Revision revision) {
-      shard.pendingOwner(Optional.empty());
+      shard.setPendingOwner(Optional.empty());
       shard.grant(Optional.of(new ShardView.Grant(owner, revision)), loop.now());
-      if (shard.lastOwner(Optional.of(owner)) && shards.isStored(shard.id())) {
+      if (shard.setLastOwner(Optional.of(owner)) && shards.isStored(shard.id())) {
         // Not urgent: it is read only after a later failure of several controllers.
         shards.storeWhenIdle(shard);
       }
--- a/src/main/java/org/mulleinshift/sharding/ShardOwner.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardOwner.java
@@ -29,7 +29,7 @@
    * What an owner needs of its node.
    *
    * @param loop the event loop that all state of the shard is confined to
-   * @param workers client for direct commands
+   * @param workerClient client for direct commands
    * @param catalog the machine types
    * @param workerTiming the times that workers keep
    * @param shardLease time for which an earlier owner may still act after a grant
@@ -38,7 +38,7 @@
    */
   public record Context(
       EventLoop loop,
-      AsyncHttpClient workers,
+      AsyncHttpClient workerClient,
       MachineTypeCatalog catalog,
       PlatformSettings.WorkerTiming workerTiming,
       Duration shardLease,
--- a/src/main/java/org/mulleinshift/sharding/ShardView.java
+++ b/src/main/java/org/mulleinshift/sharding/ShardView.java
@@ -129,7 +129,7 @@
   }
 
   /** Sets the owner whose grant is being stored; empty once it is stored or no longer wanted. */
-  void pendingOwner(Optional<NodeId> next) {
+  void setPendingOwner(Optional<NodeId> next) {
     pendingOwner = next;
   }
 
@@ -144,7 +144,7 @@
    *
    * @return whether the last owner has changed
    */
-  public boolean lastOwner(Optional<NodeId> owner) {
+  public boolean setLastOwner(Optional<NodeId> owner) {
     boolean changed = owner.isPresent() && !owner.equals(lastOwner);
     lastOwner = changed ? owner : lastOwner;
     return changed;
--- a/src/main/java/org/mulleinshift/sharding/WorkerProber.java
+++ b/src/main/java/org/mulleinshift/sharding/WorkerProber.java
@@ -19,7 +19,7 @@
  * longer exists; only a response to a probe shows that it does.
  */
 final class WorkerProber {
-  private static final Duration PROBE_DEADLINE = Duration.ofMillis(1200);
+  private static final Duration PROBE_TIMEOUT = Duration.ofMillis(1200);
   private static final int MAX_PROBES = 64;
 
   /**
@@ -49,7 +49,7 @@
     }
     workers.call(
         address.get(),
-        HttpRequest.get(WorkerCodec.STATUS_PATH, PROBE_DEADLINE),
+        HttpRequest.get(WorkerCodec.STATUS_PATH, PROBE_TIMEOUT),
         reply -> {
           inFlight.remove(heartbeat.machine());
           if (reply.isOk() && isRecent(heartbeat, reply.body())) {
--- a/src/test/java/org/mulleinshift/MemoryLimitsTest.java
+++ b/src/test/java/org/mulleinshift/MemoryLimitsTest.java
@@ -33,16 +33,17 @@
   @ParameterizedTest
   @CsvSource({"176, 700", "205, 1500", "414, 2391", "414, 3762", "96, 20000"})
   void whatIsHeldFitsIntoTheNode(double memoryMb, int sockets) {
-    MemoryBudget plan = MemoryBudget.of(memoryMb, sockets, 320 * MIB);
-    assertTrue(plan.heapLimitBytes() + 40 * MIB <= memoryMb * MIB, "heap " + plan.heapLimitBytes());
+    MemoryBudget budget = MemoryBudget.of(memoryMb, sockets, 320 * MIB);
+    assertTrue(
+        budget.heapLimitBytes() + 40 * MIB <= memoryMb * MIB, "heap " + budget.heapLimitBytes());
     long held =
-        24L * 1024 * plan.maxIdleConnections()
-            + plan.userBodyBytes()
-            + plan.heartbeatBodyBytes()
-            + 4L * plan.peerQueueBytes()
-            + plan.peerIncomingBytes();
+        24L * 1024 * budget.maxIdleConnections()
+            + budget.userBodyBytes()
+            + budget.heartbeatBodyBytes()
+            + 4L * budget.peerQueueBytes()
+            + budget.peerIncomingBytes();
     assertTrue(
-        held <= 0.7 * plan.heapLimitBytes(), "held " + held + " of " + plan.heapLimitBytes());
+        held <= 0.7 * budget.heapLimitBytes(), "held " + held + " of " + budget.heapLimitBytes());
   }
 
   /** Frames of up to 4 MiB waited for a peer that hung, up to 64 of them. */
--- a/src/test/java/org/mulleinshift/sharding/HeartbeatRouterTest.java
+++ b/src/test/java/org/mulleinshift/sharding/HeartbeatRouterTest.java
@@ -211,7 +211,7 @@
     loop.runFor(0.5);
     assertEquals(List.of(), responses);
     grant(OTHER, NEXT_GRANT);
-    router.onControlChange();
+    router.onControlKeysChanged();
     assertEquals(List.of(TO_OTHER), responses);
   }
 
--- a/src/test/java/org/mulleinshift/sharding/PeerPhaseGoldenTest.java
+++ b/src/test/java/org/mulleinshift/sharding/PeerPhaseGoldenTest.java
@@ -58,7 +58,7 @@
             new Attempt(1),
             WorkerHeartbeat.TaskState.RUNNING,
             WorkerHeartbeat.ExitCause.NONE);
-    machine.unassignedTasks(List.of(unassignedTask));
+    machine.setUnassignedTasks(List.of(unassignedTask));
     machine.updateUnreadableTasks(Set.of(job));
     return machine;
   }
