--- a/src/main/java/org/mulleinshift/controller/ControllerReadiness.java
+++ b/src/main/java/org/mulleinshift/controller/ControllerReadiness.java
@@ -13,7 +13,7 @@
  *
  * @param session this controller's session in the store
  * @param storeHealth the state of its connection to the store
- * @param controlKeys the cache of the control keys
+ * @param controlKeys the watcher of the control keys
  * @param jobsLoaded whether all active jobs have been read once
  * @param catalog the machine types, which must be known
  * @param reachability the state of its connection to its workers
--- a/src/main/java/org/mulleinshift/controller/HeartbeatExchange.java
+++ b/src/main/java/org/mulleinshift/controller/HeartbeatExchange.java
@@ -34,7 +34,8 @@
    * The components whose state heartbeats report, and those that use received heartbeats.
    *
    * @param loop the event loop
-   * @param store is called before an immediate reply to a peer, which shows whether it answers
+   * @param store is called before an immediate reply to a peer, so that the reply reports whether
+   *     the store answers now
    * @param members the controllers of the cluster
    * @param session this controller's session in the store
    * @param storeHealth the state of its connection to the store
--- a/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
+++ b/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
@@ -86,8 +86,8 @@
    * @param failureDetector knows which peers the store serves
    * @param session the session to renew
    * @param view the state read from the control keys, updated through {@code controlKeys}
-   * @param controlKeys cache of the control keys
-   * @param activeJobs cache of the active jobs' records
+   * @param controlKeys watcher of the control keys
+   * @param activeJobs watcher of the active jobs' records
    */
   public record Context(
       KeyValueStore store,
@@ -242,7 +242,7 @@
       return;
     }
     if (request.lease.equals(NO_LEASE)) {
-      // The cache notifies the session once it has applied the changes.
+      // The watcher's listener notifies the session once the changes are applied.
       activeJobs.tryApply(changes, request.sentAt);
     } else if (controlKeys.tryApply(changes, request.sentAt)) {
       session.onRenewedByPeer(request.lease, request.sentAt, ownGrants());
--- a/src/main/java/org/mulleinshift/protocol/MachineType.java
+++ b/src/main/java/org/mulleinshift/protocol/MachineType.java
@@ -6,12 +6,12 @@
 /**
  * A machine type of the cloud's catalog.
  *
- * @param id its name
+ * @param id the name of the type
  * @param size the resources of a machine
- * @param imageCacheGb size of a machine's image cache
- * @param fetchGbPerSecond rate at which a machine fetches images
- * @param onDemandPricePerHour price of an on-demand machine
- * @param spotPricePerHour price of a spot machine
+ * @param imageCacheGb size of a machine's image cache in GB
+ * @param fetchGbPerSecond rate at which a machine fetches images, in GB per second
+ * @param onDemandPricePerHour price of an on-demand machine per hour
+ * @param spotPricePerHour price of a spot machine per hour
  * @param bootTime typical time from the provisioning request until a machine is up
  * @param zones where the type is offered
  */
--- a/src/main/java/org/mulleinshift/scheduling/PreemptionPolicies.java
+++ b/src/main/java/org/mulleinshift/scheduling/PreemptionPolicies.java
@@ -7,7 +7,10 @@
 import org.mulleinshift.protocol.Resources;
 import org.mulleinshift.protocol.TeamId;
 
-/** The cases in which the protocol allows preemption, and further restrictions of them. */
+/**
+ * The cases in which the protocol allows preemption (of jobs of lower priority, and of other teams'
+ * tasks to reclaim a guarantee), and further restrictions of them.
+ */
 final class PreemptionPolicies {
   private PreemptionPolicies() {}
 
--- a/src/main/java/org/mulleinshift/sharding/TaskPhase.java
+++ b/src/main/java/org/mulleinshift/sharding/TaskPhase.java
@@ -18,7 +18,7 @@
   DONE("DONE"),
   STOPPED("STOPPED"),
   FAILED("FAILED"),
-  /** It was not started, or its gang was broken; it must be assigned again. */
+  /** It was not started, or its gang failed; it must be assigned again. */
   REJECTED("REJECTED"),
   /** It was on a machine and is provably no longer there. */
   LOST("LOST");
