--- a/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
+++ b/src/main/java/org/mulleinshift/membership/IndirectLeaseRenewal.java
@@ -83,16 +83,16 @@
    * The components that lease renewal uses.
    *
    * @param storeHealth health of this controller's connection to the store
-   * @param peers knows which peers the store serves
+   * @param failureDetector knows which peers the store serves
    * @param session the session to renew
    * @param view the state read from the control keys, updated through {@code controlKeys}
-   * @param controlKeys cache of the control keys
-   * @param activeJobs cache of the active jobs' records
+   * @param controlKeys watcher of the control keys
+   * @param activeJobs watcher of the active jobs' records
    */
   public record Context(
       KeyValueStore store,
       StoreHealth storeHealth,
-      PeerFailureDetector peers,
+      PeerFailureDetector failureDetector,
       ControllerSession session,
       ClusterView view,
       PrefixWatcher controlKeys,
@@ -109,7 +109,7 @@
     this.self = self;
     this.store = context.store();
     this.storeHealth = context.storeHealth();
-    this.failureDetector = context.peers();
+    this.failureDetector = context.failureDetector();
     this.session = context.session();
     this.view = context.view();
     this.controlKeys = context.controlKeys();
@@ -242,7 +242,7 @@
       return;
     }
     if (request.lease.equals(NO_LEASE)) {
-      // The cache notifies the session once it has applied the changes.
+      // The watcher's listener notifies the session once the changes are applied.
       activeJobs.tryApply(changes, request.sentAt);
     } else if (controlKeys.tryApply(changes, request.sentAt)) {
       session.onRenewedByPeer(request.lease, request.sentAt, ownGrants());
