--- a/src/test/java/org/mulleinshift/GoldenFile.java
+++ b/src/test/java/org/mulleinshift/GoldenFile.java
@@ -20,7 +20,7 @@
  */
 public final class GoldenFile {
   private static final Path ROOT = Path.of("src/test/resources/golden");
-  private static final boolean WRITING = Boolean.getBoolean("golden.write");
+  private static final boolean WRITE_MODE = Boolean.getBoolean("golden.write");
   private static final String LINE_END = "\n";
   private static final int HEX_PER_LINE = 64;
 
@@ -46,7 +46,7 @@
 
   /** Fails unless the file holds exactly this text. */
   public static void assertHolds(String name, String text) {
-    if (WRITING) {
+    if (WRITE_MODE) {
       write(name, text);
       fail(name + " was written, not compared");
     }
--- a/src/test/java/org/mulleinshift/classarchive/ClassArchiveTraining.java
+++ b/src/test/java/org/mulleinshift/classarchive/ClassArchiveTraining.java
@@ -22,15 +22,15 @@
  */
 public final class ClassArchiveTraining {
   private static final Path SETTINGS = Path.of("src/test/resources/settings/controller.toml");
-  private static final Duration LENGTH = Duration.ofSeconds(9);
+  private static final Duration RUN_TIME = Duration.ofSeconds(9);
   private static final Duration EXIT_TIMEOUT = Duration.ofSeconds(60);
   private static final Duration PEER_ACK_TIMEOUT = Duration.ofSeconds(1);
-  private static final int PEER_BYTES = 1 << 20;
+  private static final int PEER_BUFFER_BYTES = 1 << 20;
   private static final int CLIENT_THREADS = 1;
   private static final int CLIENT_QUEUE = 8;
 
   /** A port that was free may be taken by another process before the program listens on it. */
-  private static final int MAX_RUNS = 3;
+  private static final int MAX_ATTEMPTS = 3;
 
   private final Path jar;
   private final Path archive;
@@ -48,11 +48,11 @@
   public static void main(String[] args) throws IOException, InterruptedException {
     ClassArchiveTraining training = new ClassArchiveTraining(Path.of(args[0]), Path.of(args[1]));
     Files.deleteIfExists(training.archive);
-    for (int run = 0; run < MAX_RUNS && !Files.exists(training.archive); run++) {
+    for (int attempt = 0; attempt < MAX_ATTEMPTS && !Files.exists(training.archive); attempt++) {
       training.run();
     }
     if (!Files.exists(training.archive)) {
-      throw new IOException(training.archive + " was not written in " + MAX_RUNS + " runs");
+      throw new IOException(training.archive + " was not written in " + MAX_ATTEMPTS + " runs");
     }
     System.exit(0);
   }
@@ -69,8 +69,8 @@
             Map.of("controller", controllerPeer),
             frame -> {},
             PEER_ACK_TIMEOUT,
-            PEER_BYTES,
-            PEER_BYTES);
+            PEER_BUFFER_BYTES,
+            PEER_BUFFER_BYTES);
     peers.start(ownPeer);
     Path settings = writeSettings(publicAddress, controllerPeer, ownPeer);
     JdkAsyncHttpClient client =
@@ -114,11 +114,11 @@
             .redirectOutput(archive.resolveSibling("class-archive.log").toFile())
             .start();
     try {
-      if (program.waitFor(LENGTH.dividedBy(2).toMillis(), TimeUnit.MILLISECONDS)) {
+      if (program.waitFor(RUN_TIME.dividedBy(2).toMillis(), TimeUnit.MILLISECONDS)) {
         return;
       }
       sendFrames.run();
-      if (program.waitFor(LENGTH.dividedBy(2).toMillis(), TimeUnit.MILLISECONDS)) {
+      if (program.waitFor(RUN_TIME.dividedBy(2).toMillis(), TimeUnit.MILLISECONDS)) {
         return;
       }
       program.destroy();
--- a/src/test/java/org/mulleinshift/classarchive/TrainingStore.java
+++ b/src/test/java/org/mulleinshift/classarchive/TrainingStore.java
@@ -94,11 +94,11 @@
 
   private String changes(String prefix, long from) {
     ObjectNode node = json.createObjectNode().put(STORE_REVISION, revision);
-    ArrayNode news = node.putArray("news");
+    ArrayNode matching = node.putArray("news");
     for (ObjectNode change : changes) {
       String key = change.path(change.has("set") ? "set" : "delete").asText();
       if (change.path(REVISION).asLong() > from && key.startsWith(prefix)) {
-        news.add(change);
+        matching.add(change);
       }
     }
     return node.toString();
--- a/src/test/java/org/mulleinshift/classarchive/TrainingUser.java
+++ b/src/test/java/org/mulleinshift/classarchive/TrainingUser.java
@@ -16,7 +16,7 @@
   private static final Duration DEADLINE = Duration.ofSeconds(1);
   private static final int TASKS = 24;
   private static final int JOBS = 3;
-  private static final int CANCELLATION = 20;
+  private static final int ROUND_OF_CANCELLATION = 20;
   private static final double JOB_DEADLINE_SECONDS = 60;
 
   private final ObjectMapper json = new ObjectMapper();
@@ -42,7 +42,7 @@
     String job = "run-" + round % JOBS;
     call(HttpRequest.post(JobCodec.JOBS_PATH, submission(job), DEADLINE));
     call(HttpRequest.get(JobCodec.JOBS_PATH + "/" + job, DEADLINE));
-    if (round == CANCELLATION) {
+    if (round == ROUND_OF_CANCELLATION) {
       call(HttpRequest.post(JobCodec.JOBS_PATH + "/" + job + "/withdraw", "", DEADLINE));
     }
   }
--- a/src/test/java/org/mulleinshift/scalerun/CellAddresses.java
+++ b/src/test/java/org/mulleinshift/scalerun/CellAddresses.java
@@ -52,8 +52,8 @@
 
   /** Each cell has its own port for workers, so the same hosts serve all cells. */
   String workerHost(int index) {
-    int net = FIRST_WORKER_NETWORK + index / WORKERS_PER_NETWORK % WORKER_NETWORKS;
-    return "127." + network + "." + net + "." + (index % WORKERS_PER_NETWORK + 1);
+    int workerNetwork = FIRST_WORKER_NETWORK + index / WORKERS_PER_NETWORK % WORKER_NETWORKS;
+    return "127." + network + "." + workerNetwork + "." + (index % WORKERS_PER_NETWORK + 1);
   }
 
   /** The address as settings files give it. */
--- a/src/test/java/org/mulleinshift/scalerun/CellSettings.java
+++ b/src/test/java/org/mulleinshift/scalerun/CellSettings.java
@@ -24,7 +24,7 @@
   private static final double FAIR_SHARE_TO_GUARANTEE = 2;
 
   /** A team's limit takes so many of the larger jobs at a time. */
-  private static final int JOBS_WITHIN_LIMIT = 4;
+  private static final int MIN_BATCH_JOBS_WITHIN_LIMIT = 4;
 
   private final ScaleOptions options;
   private final int cell;
@@ -41,11 +41,11 @@
   }
 
   double storeRequestsPerSecond() {
-    return options.stateRequests / options.cells;
+    return options.storeRequestsPerSecond / options.cells;
   }
 
   double storeWritesPerSecond() {
-    return options.stateWrites / options.cells;
+    return options.storeWritesPerSecond / options.cells;
   }
 
   /** Limits of the teams over the cells of this process. */
@@ -63,7 +63,7 @@
       return options.teamLimit;
     }
     double fairShare = workersPerCell() * options.workerCpus / options.teams;
-    double smallest = JOBS_WITHIN_LIMIT * options.batchTasks;
+    double smallest = MIN_BATCH_JOBS_WITHIN_LIMIT * options.batchTasks;
     return Math.max(smallest, Math.ceil(LIMIT_TO_FAIR_SHARE * fairShare));
   }
 
@@ -114,7 +114,7 @@
       toml.append("[[cluster.teams]]\n");
       text(toml, "name", ScaleWorkload.team(i));
       value(toml, "cpus", limit / LIMIT_TO_FAIR_SHARE / FAIR_SHARE_TO_GUARANTEE);
-      value(toml, "cpus_max", limit * options.wrongLimits);
+      value(toml, "cpus_max", limit * options.limitFactor);
     }
   }
 
--- a/src/test/java/org/mulleinshift/scalerun/ControllerProcess.java
+++ b/src/test/java/org/mulleinshift/scalerun/ControllerProcess.java
@@ -14,18 +14,18 @@
 /** A controller as a real process, started as the deploy file says. */
 final class ControllerProcess {
   private static final Path DEPLOY = Path.of("deploy/service.toml");
-  private static final Pattern RUN = Pattern.compile("(?m)^run = \"(.*)\"$");
-  private static final String SHIPPED_JAR = "target/mulleinshift.jar";
+  private static final Pattern RUN_COMMAND = Pattern.compile("(?m)^run = \"(.*)\"$");
+  private static final String DEPLOYED_JAR = "target/mulleinshift.jar";
 
   private final String label;
   private final InetSocketAddress address;
   private final List<String> command;
   private final Path log;
-  private final List<ProcessFigures> ended = new ArrayList<>();
+  private final List<ProcessUsage> killedUsage = new ArrayList<>();
   private volatile Process process;
   private volatile boolean ready;
   private volatile boolean killed;
-  private int endedByItself;
+  private int unexpectedExits;
 
   ControllerProcess(
       String label, InetSocketAddress address, ScaleOptions options, Path settings, Path folder) {
@@ -41,7 +41,7 @@
       if (word.equals("-jar")) {
         command.addAll(options.jvm);
       }
-      command.add(word.equals(SHIPPED_JAR) ? options.jar.toString() : word);
+      command.add(word.equals(DEPLOYED_JAR) ? options.jar.toString() : word);
     }
     command.add(settings.toString());
     if (options.tunables != null) {
@@ -53,7 +53,7 @@
 
   private static String deployedCommand() {
     try {
-      Matcher run = RUN.matcher(Files.readString(DEPLOY));
+      Matcher run = RUN_COMMAND.matcher(Files.readString(DEPLOY));
       if (run.find()) {
         return run.group(1);
       }
@@ -92,7 +92,7 @@
   void kill() {
     ready = false;
     killed = true;
-    ended.add(ProcessFigures.of(process.pid()));
+    killedUsage.add(ProcessUsage.of(process.pid()));
     process.destroyForcibly();
     try {
       process.waitFor(10, TimeUnit.SECONDS);
@@ -102,10 +102,10 @@
   }
 
   /** Starts the process anew if it ended by itself, which a well one never does. */
-  void watch() {
+  void restartIfExited() {
     if (process != null && !killed && !process.isAlive()) {
       ready = false;
-      endedByItself++;
+      unexpectedExits++;
       start();
     }
   }
@@ -114,22 +114,22 @@
     return process != null && process.isAlive();
   }
 
-  int endedByItself() {
-    return endedByItself;
+  int unexpectedExits() {
+    return unexpectedExits;
   }
 
   boolean ready() {
     return ready;
   }
 
-  void ready(boolean next) {
+  void setReady(boolean next) {
     ready = next && alive();
   }
 
   /** Of the process that runs now and of those that were killed before it. */
-  ProcessFigures figures() {
-    ProcessFigures sum = alive() ? ProcessFigures.of(process.pid()) : ProcessFigures.NONE;
-    for (ProcessFigures earlier : ended) {
+  ProcessUsage usage() {
+    ProcessUsage sum = alive() ? ProcessUsage.of(process.pid()) : ProcessUsage.NONE;
+    for (ProcessUsage earlier : killedUsage) {
       sum = sum.plus(earlier);
     }
     return sum;
--- a/src/test/java/org/mulleinshift/scalerun/HttpConnection.java
+++ b/src/test/java/org/mulleinshift/scalerun/HttpConnection.java
@@ -36,7 +36,7 @@
   private final ByteCounter counter;
   private Channel channel;
   private InetSocketAddress target;
-  private Consumer<HttpResponse> waiting;
+  private Consumer<HttpResponse> pendingReply;
 
   HttpConnection(EventLoopGroup threads, ByteCounter counter) {
     this.threads = threads;
@@ -50,12 +50,12 @@
       String path,
       String body,
       Consumer<HttpResponse> reply) {
-    boolean busy = waiting != null;
+    boolean busy = pendingReply != null;
     boolean usable = !busy && channel != null && channel.isActive() && address.equals(target);
     if (!usable) {
       closeChannel();
     }
-    waiting = reply;
+    pendingReply = reply;
     FullHttpRequest request = request(method, path, body);
     if (usable) {
       ChannelFuture unused = channel.writeAndFlush(request);
@@ -78,7 +78,7 @@
                   protected void initChannel(Channel child) {
                     child.pipeline().addLast(counter, new HttpClientCodec());
                     child.pipeline().addLast(new HttpObjectAggregator(MAX_BODY));
-                    child.pipeline().addLast(new Answers());
+                    child.pipeline().addLast(new ResponseHandler());
                   }
                 })
             .connect(address);
@@ -90,7 +90,7 @@
             ChannelFuture unused = opened.writeAndFlush(request);
           } else {
             request.release();
-            answer(opened, HttpResponse.NO_RESPONSE);
+            complete(opened, HttpResponse.NO_RESPONSE);
           }
         });
   }
@@ -114,41 +114,41 @@
   }
 
   private void closeChannel() {
-    waiting = null;
+    pendingReply = null;
     if (channel != null) {
       ChannelFuture unused = channel.close();
       channel = null;
     }
   }
 
-  private void answer(Channel from, HttpResponse reply) {
-    Consumer<HttpResponse> asked;
+  private void complete(Channel from, HttpResponse reply) {
+    Consumer<HttpResponse> consumer;
     synchronized (this) {
       if (from != channel) {
         return;
       }
-      asked = waiting;
-      waiting = null;
+      consumer = pendingReply;
+      pendingReply = null;
     }
-    if (asked != null) {
-      asked.accept(reply);
+    if (consumer != null) {
+      consumer.accept(reply);
     }
   }
 
-  private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+  private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
       String body = response.content().toString(StandardCharsets.UTF_8);
-      boolean stays = HttpUtil.isKeepAlive(response);
-      answer(context.channel(), new HttpResponse(response.status().code(), body));
-      if (!stays) {
+      boolean keepAlive = HttpUtil.isKeepAlive(response);
+      complete(context.channel(), new HttpResponse(response.status().code(), body));
+      if (!keepAlive) {
         ChannelFuture unused = context.close();
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      answer(context.channel(), HttpResponse.NO_RESPONSE);
+      complete(context.channel(), HttpResponse.NO_RESPONSE);
     }
 
     @Override
--- a/src/test/java/org/mulleinshift/scalerun/HttpListener.java
+++ b/src/test/java/org/mulleinshift/scalerun/HttpListener.java
@@ -34,7 +34,7 @@
   }
 
   private static final int MAX_BODY = 4 << 20;
-  private static final int WAITING_CONNECTIONS = 4096;
+  private static final int BACKLOG = 4096;
   private static final Duration NO_DEADLINE = Duration.ofDays(1);
 
   private final Channel channel;
@@ -45,7 +45,7 @@
         new ServerBootstrap()
             .group(threads)
             .channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, WAITING_CONNECTIONS)
+            .option(ChannelOption.SO_BACKLOG, BACKLOG)
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childHandler(
                 new ChannelInitializer<Channel>() {
@@ -53,7 +53,7 @@
                   protected void initChannel(Channel child) {
                     child.pipeline().addLast(counter, new HttpServerCodec());
                     child.pipeline().addLast(new HttpObjectAggregator(MAX_BODY));
-                    child.pipeline().addLast(new Exchange(handler));
+                    child.pipeline().addLast(new RequestHandler(handler));
                   }
                 })
             .bind(address)
@@ -70,10 +70,10 @@
   }
 
   /** Requests of one connection, one at a time as the protocol asks. */
-  private static final class Exchange extends SimpleChannelInboundHandler<FullHttpRequest> {
+  private static final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private final Handler handler;
 
-    Exchange(Handler handler) {
+    RequestHandler(Handler handler) {
       this.handler = handler;
     }
 
--- a/src/test/java/org/mulleinshift/scalerun/LoadBalancer.java
+++ b/src/test/java/org/mulleinshift/scalerun/LoadBalancer.java
@@ -36,7 +36,12 @@
   void probe() {
     timeline.after(PROBE_SECONDS, this::probe);
     for (ControllerProcess controller : controllers) {
-      send(controller, "GET", "/ready", "", response -> controller.ready(response.status() == OK));
+      send(
+          controller,
+          "GET",
+          "/ready",
+          "",
+          response -> controller.setReady(response.status() == OK));
     }
   }
 
--- a/src/test/java/org/mulleinshift/scalerun/ProcessFigures.java
+++ b/src/test/java/org/mulleinshift/scalerun/ProcessUsage.java
@@ -18,28 +18,28 @@
  * @param sockets open file descriptors
  * @param threadSeconds processor time by the kind of thread
  */
-record ProcessFigures(
+record ProcessUsage(
     double cpuSeconds,
     double loopSeconds,
     double peakMb,
     long ioBytes,
     int sockets,
     Map<String, Double> threadSeconds) {
-  static final ProcessFigures NONE = new ProcessFigures(0, 0, 0, 0, 0, Map.of());
+  static final ProcessUsage NONE = new ProcessUsage(0, 0, 0, 0, 0, Map.of());
 
   /** Ticks of processor time in a second, as the kernel tells them to programs. */
-  private static final double TICKS = 100;
+  private static final double TICKS_PER_SECOND = 100;
 
   /** Fields of a thread's account behind its name: user and system time. */
-  private static final int USER = 11;
+  private static final int USER_TIME_FIELD = 11;
 
-  private static final int SYSTEM = 12;
+  private static final int SYSTEM_TIME_FIELD = 12;
   private static final double KB_PER_MB = 1024;
 
   /** Of a process that may have ended meanwhile. */
-  static ProcessFigures of(long pid) {
-    Path account = Path.of("/proc", Long.toString(pid));
-    try (Stream<Path> tasks = Files.list(account.resolve("task"))) {
+  static ProcessUsage of(long pid) {
+    Path procFolder = Path.of("/proc", Long.toString(pid));
+    try (Stream<Path> tasks = Files.list(procFolder.resolve("task"))) {
       Map<String, Double> byThread = new TreeMap<>();
       double loop = 0;
       double all = 0;
@@ -56,14 +56,14 @@
         // The program's main method runs on the launcher's second thread.
         loop += name.equals("java") ? seconds : 0;
       }
-      String io = read(account.resolve("io"));
-      String status = read(account.resolve("status"));
-      return new ProcessFigures(
+      String io = read(procFolder.resolve("io"));
+      String status = read(procFolder.resolve("status"));
+      return new ProcessUsage(
           all,
           loop,
           field(status, "VmHWM:") / KB_PER_MB,
           (long) (field(io, "rchar:") + field(io, "wchar:")),
-          count(account.resolve("fd")),
+          count(procFolder.resolve("fd")),
           byThread);
     } catch (IOException e) {
       return NONE;
@@ -72,7 +72,8 @@
 
   private static double seconds(String fields) {
     String[] words = fields.split(" ", 0);
-    return (Long.parseLong(words[USER]) + Long.parseLong(words[SYSTEM])) / TICKS;
+    return (Long.parseLong(words[USER_TIME_FIELD]) + Long.parseLong(words[SYSTEM_TIME_FIELD]))
+        / TICKS_PER_SECOND;
   }
 
   private static String read(Path file) {
@@ -98,8 +99,8 @@
     }
   }
 
-  ProcessFigures plus(ProcessFigures other) {
-    return new ProcessFigures(
+  ProcessUsage plus(ProcessUsage other) {
+    return new ProcessUsage(
         cpuSeconds + other.cpuSeconds,
         loopSeconds + other.loopSeconds,
         Math.max(peakMb, other.peakMb),
@@ -109,8 +110,8 @@
   }
 
   /** What was used since an earlier account; peaks are those of now. */
-  ProcessFigures since(ProcessFigures earlier) {
-    return new ProcessFigures(
+  ProcessUsage since(ProcessUsage earlier) {
+    return new ProcessUsage(
         cpuSeconds - earlier.cpuSeconds,
         loopSeconds - earlier.loopSeconds,
         peakMb,
@@ -127,10 +128,10 @@
   }
 
   /** The threads that used most, most first. */
-  List<String> busiest(int most) {
+  List<String> busiest(int count) {
     return threadSeconds.entrySet().stream()
         .sorted(Map.Entry.<String, Double>comparingByValue().reversed())
-        .limit(most)
+        .limit(count)
         .map(entry -> String.format("%s %.1f", entry.getKey(), entry.getValue()))
         .toList();
   }
--- a/src/test/java/org/mulleinshift/scalerun/ScaleCell.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleCell.java
@@ -43,8 +43,8 @@
   private static final double SPOT_PRICE = 0.4;
   private static final double BOOT_SECONDS = 15;
   private static final double RESTART_SECONDS = 3;
-  private static final double UP_WITHIN_SECONDS = 3;
-  private static final double SURPLUS_CAPACITY = 1.1;
+  private static final double INITIAL_BOOT_SPREAD_SECONDS = 3;
+  private static final double CAPACITY_FACTOR = 1.1;
   private static final int BYTES_PER_KB = 1024;
   private static final int SEEDS_PER_RUN = 1000;
   private static final int WORKER_SEED_OFFSET = 500;
@@ -85,7 +85,7 @@
   private final Map<SimulatedWorker, HttpConnection> connections = new ConcurrentHashMap<>();
   private int storeRequests;
   private double lastStartAt;
-  private double longestGap;
+  private double longestGapSeconds;
 
   ScaleCell(Shared shared, int number) {
     this.shared = shared;
@@ -101,7 +101,7 @@
         new InvariantChecker(
             timeline, settings.teamLimits(), options.cancelSeconds, shared.teamUsage());
     this.checker.tasks().onStart(this::onStart);
-    this.checker.answers().onNews(job -> shared.measures().news(job));
+    this.checker.answers().onNews(job -> shared.measures().recordAcceptance(job));
     this.cloud = new SimulatedCloud(timeline, CellSettings.LISTING_LAG_SECONDS, this::startWorker);
     this.loadBalancer = new LoadBalancer(timeline, shared.userClient(), controllers);
   }
@@ -117,25 +117,25 @@
 
   private void onStart(ObservedJob job) {
     double now = timeline.seconds();
-    shared.measures().started(job, now);
-    longestGap = Math.max(longestGap, now - lastStartAt);
+    shared.measures().recordStart(job, now);
+    longestGapSeconds = Math.max(longestGapSeconds, now - lastStartAt);
     lastStartAt = now;
   }
 
   /** Reports the longest time without any start in the seconds that come. */
-  void watchGap(double seconds, DoubleConsumer listener) {
+  void measureLongestGap(double seconds, DoubleConsumer listener) {
     timeline.post(
         () -> {
-          longestGap = 0;
+          longestGapSeconds = 0;
           timeline.after(
               seconds,
-              () -> listener.accept(Math.max(longestGap, timeline.seconds() - lastStartAt)));
+              () -> listener.accept(Math.max(longestGapSeconds, timeline.seconds() - lastStartAt)));
         });
   }
 
   /** Runs a step on the cell's timeline and waits for its end. */
   void runAndWait(Runnable step) {
-    ask(
+    callOn(
         timeline,
         () -> {
           step.run();
@@ -144,17 +144,17 @@
   }
 
   /** Reads what only the thread of a timeline may read. */
-  private static <T> T ask(RealTimeline owner, Supplier<T> question) {
-    CompletableFuture<T> answer = new CompletableFuture<>();
+  private static <T> T callOn(RealTimeline owner, Supplier<T> call) {
+    CompletableFuture<T> result = new CompletableFuture<>();
     owner.post(
         () -> {
           try {
-            answer.complete(question.get());
+            result.complete(call.get());
           } catch (RuntimeException e) {
-            answer.completeExceptionally(e);
+            result.completeExceptionally(e);
           }
         });
-    return answer.join();
+    return result.join();
   }
 
   /** Starts the simulated services, the controllers and the workers. */
@@ -183,10 +183,10 @@
   private void bootWorkers() {
     List<String> zones = CellSettings.ZONES;
     int workers = settings.workersPerCell();
-    int capacity = (int) Math.ceil(SURPLUS_CAPACITY * workers / zones.size());
+    int capacity = (int) Math.ceil(CAPACITY_FACTOR * workers / zones.size());
     zones.forEach(zone -> cloud.onDemandCapacity(MACHINE_TYPE, zone, capacity));
     for (int i = 0; i < workers; i++) {
-      double seconds = UP_WITHIN_SECONDS * timeline.random();
+      double seconds = INITIAL_BOOT_SPREAD_SECONDS * timeline.random();
       cloud.boot(cloud.type(MACHINE_TYPE), zones.get(i % zones.size()), seconds);
     }
   }
@@ -210,7 +210,8 @@
         () -> {
           storeRequests++;
           storeTimeline.after(
-              options.stateMillis / MILLIS_PER_SECOND, () -> store.handle("", request, reply));
+              options.storeLatencyMillis / MILLIS_PER_SECOND,
+              () -> store.handle("", request, reply));
         });
   }
 
@@ -275,22 +276,24 @@
    *
    * @param amount the fault's number, or 0 if none is given
    */
-  void cause(String fault, double amount) {
+  void injectFault(String fault, double amount) {
     switch (fault) {
       case "kill-leader" -> kill(leader());
       case "kill-controller" -> kill(controllers.get((int) amount));
-      case "kill-workers" -> timeline.post(() -> some((int) amount).forEach(cloud::delete));
+      case "kill-workers" ->
+          timeline.post(() -> randomMachines((int) amount).forEach(cloud::delete));
       case "restart-workers" ->
-          timeline.post(() -> workersOf(some((int) amount)).forEach(SimulatedWorker::reboot));
+          timeline.post(
+              () -> workersOf(randomMachines((int) amount)).forEach(SimulatedWorker::reboot));
       case "zone-dark" -> timeline.post(() -> hangZone(CellSettings.ZONES.get(0), amount));
-      case "controller-unreachable" -> loseWorkers(amount);
+      case "controller-unreachable" -> dropHeartbeatsToFollower(amount);
       case "state-out" -> storeTimeline.post(() -> store.outage(amount));
       default -> throw new IllegalArgumentException("no such trouble: " + fault);
     }
   }
 
   /** The workers' heartbeats to a controller that does not lead are lost for a while. */
-  private void loseWorkers(double seconds) {
+  private void dropHeartbeatsToFollower(double seconds) {
     ControllerProcess leader = leader();
     ControllerProcess follower =
         controllers.stream()
@@ -301,7 +304,7 @@
     timeline.post(() -> timeline.after(seconds, () -> unreachable = null));
   }
 
-  private List<SimulatedMachine> some(int count) {
+  private List<SimulatedMachine> randomMachines(int count) {
     List<SimulatedMachine> up = new ArrayList<>(cloud.up());
     Collections.shuffle(up, new Random(options.seed));
     return up.subList(0, Math.min(count, up.size()));
@@ -323,7 +326,7 @@
   }
 
   private ControllerProcess leader() {
-    JsonNode value = ask(storeTimeline, () -> store.values().get("c/leader"));
+    JsonNode value = callOn(storeTimeline, () -> store.values().get("c/leader"));
     String label = value == null ? "" : value.path("node").asText();
     return controllers.stream()
         .filter(controller -> controller.label().equals(label))
@@ -349,8 +352,8 @@
   }
 
   /** Figures of the simulated services now. */
-  ScaleMeasures.StandIns standIns() {
-    return new ScaleMeasures.StandIns(
+  ScaleMeasures.SimulatorCounters simulatorCounters() {
+    return new ScaleMeasures.SimulatorCounters(
         storeRequests,
         store.history().writes(),
         store.rateLimited(),
@@ -360,7 +363,7 @@
         cloudBytes.bytes(),
         timeline.processorNanos() / NANOS_PER_SECOND,
         storeTimeline.processorNanos() / NANOS_PER_SECOND,
-        ask(timeline, () -> cloud.up().size()));
+        callOn(timeline, () -> cloud.up().size()));
   }
 
   void killControllers() {
--- a/src/test/java/org/mulleinshift/scalerun/ScaleGroup.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleGroup.java
@@ -68,7 +68,7 @@
 
   private long heapMb(int cells) {
     double workers = (double) options.workers * cells / options.cells;
-    return HEAP_MB + (long) (workers * ScaleRun.STAND_IN_MB_PER_WORKER);
+    return HEAP_MB + (long) (workers * ScaleRun.SIMULATOR_MB_PER_WORKER);
   }
 
   private static String sum(List<Path> reports) throws IOException {
@@ -76,26 +76,26 @@
     double starts = 0;
     double cores = 0;
     double requests = 0;
-    double changes = 0;
-    double memory = 0;
-    double machine = 0;
-    long worst = 0;
+    double writes = 0;
+    double peakMemoryMb = 0;
+    double machineShare = 0;
+    long worstUrgentP99 = 0;
     long workers = 0;
     for (Path report : reports) {
       JsonNode run = json.readTree(report.toFile()).get(0);
       starts += run.path("starts_per_s").asDouble();
       cores += run.path("controllers_cores").asDouble();
       requests += run.path("state_requests_per_s").asDouble();
-      changes += run.path("state_changes_per_s").asDouble();
-      machine += run.path("machine_share").asDouble();
+      writes += run.path("state_changes_per_s").asDouble();
+      machineShare += run.path("machine_share").asDouble();
       workers += run.path("workers_up").asLong();
-      memory = Math.max(memory, run.path("most_memory_mb").asDouble());
-      worst = Math.max(worst, run.path("start_urgent_ms").path("p99").asLong());
+      peakMemoryMb = Math.max(peakMemoryMb, run.path("most_memory_mb").asDouble());
+      worstUrgentP99 = Math.max(worstUrgentP99, run.path("start_urgent_ms").path("p99").asLong());
     }
     return String.format(
         "all processes: %d workers, %.0f starts/s, controllers %.2f cores, most memory %.0f MB,"
             + " state services %.0f requests/s and %.0f changes/s, urgent start p99 %d ms in the"
             + " worst process, share of the machine %.2f",
-        workers, starts, cores, memory, requests, changes, worst, machine);
+        workers, starts, cores, peakMemoryMb, requests, writes, worstUrgentP99, machineShare);
   }
 }
--- a/src/test/java/org/mulleinshift/scalerun/ScaleMeasures.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleMeasures.java
@@ -9,31 +9,31 @@
 /** What users see, over all cells of a process; times in milliseconds. */
 final class ScaleMeasures {
   private static final long MAX_MILLIS = 3_600_000;
-  private static final int DIGITS = 3;
+  private static final int SIGNIFICANT_DIGITS = 3;
 
   private final Map<String, Histogram> starts = new ConcurrentHashMap<>();
   private final Map<String, Histogram> firstStarts = new ConcurrentHashMap<>();
-  private final Histogram accepted = new ConcurrentHistogram(MAX_MILLIS, DIGITS);
+  private final Histogram accepted = new ConcurrentHistogram(MAX_MILLIS, SIGNIFICANT_DIGITS);
   private volatile double measuredFrom = Double.MAX_VALUE;
 
   /**
    * Counters of a cell's stand-ins.
    *
    * @param workerBytes bytes of reports, orders and their answers
-   * @param workersSeconds processor time of the thread of workers, cloud and users
-   * @param stateSeconds processor time of the thread of the state service
+   * @param workersThreadSeconds processor time of the thread of workers, cloud and users
+   * @param storeThreadSeconds processor time of the thread of the state service
    * @param machines workers that are up
    */
-  record StandIns(
-      long stateRequests,
-      long stateChanges,
-      long stateRefused,
-      long stateBytes,
+  record SimulatorCounters(
+      long storeRequests,
+      long storeWrites,
+      long storeRateLimited,
+      long storeBytes,
       long workerBytes,
       long workerConnections,
       long cloudBytes,
-      double workersSeconds,
-      double stateSeconds,
+      double workersThreadSeconds,
+      double storeThreadSeconds,
       int machines) {}
 
   /** Jobs submitted later than this count. */
@@ -42,7 +42,7 @@
   }
 
   private static Histogram histogram() {
-    return new ConcurrentHistogram(MAX_MILLIS, DIGITS);
+    return new ConcurrentHistogram(MAX_MILLIS, SIGNIFICANT_DIGITS);
   }
 
   private static void record(Histogram histogram, double seconds) {
@@ -50,7 +50,7 @@
   }
 
   /** A task of the job starts. */
-  void started(ObservedJob job, double now) {
+  void recordStart(ObservedJob job, double now) {
     if (job.submittedAt() < measuredFrom) {
       return;
     }
@@ -62,7 +62,7 @@
   }
 
   /** The job's user is told that it is accepted, or that it is over. */
-  void news(ObservedJob job) {
+  void recordAcceptance(ObservedJob job) {
     if (job.submittedAt() >= measuredFrom && job.terminalAt().isEmpty()) {
       record(accepted, job.acceptedAt().getAsDouble() - job.submittedAt());
     }
--- a/src/test/java/org/mulleinshift/scalerun/ScaleOptions.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleOptions.java
@@ -32,7 +32,7 @@
   double workerCpus = 6;
 
   @Option(names = "--starts", description = "Task starts a second, on average.")
-  double starts = 30;
+  double startsPerSecond = 30;
 
   @Option(names = "--run-s", description = "Run time of a task of the larger class, seconds.")
   double runSeconds = 20;
@@ -47,7 +47,7 @@
   int batchTasks = 100;
 
   @Option(names = "--cancelled", description = "Share of the jobs that their users cancel.")
-  double cancelled = 0.02;
+  double cancelledShare = 0.02;
 
   @Option(names = "--teams", description = "Teams with quotas.")
   int teams = 10;
@@ -79,13 +79,13 @@
   double cancelSeconds = 42;
 
   @Option(names = "--state-rps", description = "Requests a second that a state service takes.")
-  double stateRequests = 1800;
+  double storeRequestsPerSecond = 1800;
 
   @Option(names = "--state-write-rps", description = "Changes a second that it takes.")
-  double stateWrites = 360;
+  double storeWritesPerSecond = 360;
 
   @Option(names = "--state-ms", description = "Time that it takes to answer, milliseconds.")
-  double stateMillis = 4;
+  double storeLatencyMillis = 4;
 
   @Option(names = "--value-kb", description = "Longest value of a state service, KiB.")
   double valueKb = 16;
@@ -102,12 +102,12 @@
           "AT:KIND[:NUMBER], AT in seconds: kill-leader, kill-controller:INDEX, kill-workers:N,"
               + " restart-workers:N, zone-dark:SECONDS, state-out:SECONDS,"
               + " controller-unreachable:SECONDS (by workers).")
-  List<String> troubles = new ArrayList<>();
+  List<String> faults = new ArrayList<>();
 
   @Option(
       names = "--wrong-limits",
       description = "Tells the controllers this many times the teams' limits: the run must fail.")
-  double wrongLimits = 1;
+  double limitFactor = 1;
 
   @Option(names = "--report", description = "File for the machine-readable report (JSON).")
   Path report;
--- a/src/test/java/org/mulleinshift/scalerun/ScaleReport.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleReport.java
@@ -14,9 +14,9 @@
 
 /** What a scale run measured, as text and for machines. */
 final class ScaleReport {
-  private static final double BUSY_THREAD = 0.85;
-  private static final double BUSY_MACHINE = 0.9;
-  private static final int MAX_NAMED = 20;
+  private static final double BUSY_THREAD_SHARE = 0.85;
+  private static final double BUSY_MACHINE_SHARE = 0.9;
+  private static final int MAX_VIOLATIONS_LISTED = 20;
   private static final long URGENT_MILLIS = 1200;
   private static final double NANOS_PER_SECOND = 1e9;
   private static final double BYTES_PER_KB = 1024;
@@ -25,32 +25,32 @@
   private static final double MEDIAN = 50;
   private static final double P95 = 95;
   private static final double P99 = 99;
-  private static final int NAMED_THREADS = 5;
+  private static final int THREADS_LISTED = 5;
   private static final double MIN_STARTS_PER_SECOND = 1e-9;
 
   /** All counters at a moment. */
   record Sample(
       double seconds,
       int starts,
-      Map<String, ProcessFigures> controllers,
-      Map<Integer, ScaleMeasures.StandIns> cells,
+      Map<String, ProcessUsage> controllers,
+      Map<Integer, ScaleMeasures.SimulatorCounters> cells,
       double machineSeconds) {
     static Sample of(List<ScaleCell> cells) {
-      Map<String, ProcessFigures> controllers = new TreeMap<>();
-      Map<Integer, ScaleMeasures.StandIns> standIns = new TreeMap<>();
+      Map<String, ProcessUsage> controllers = new TreeMap<>();
+      Map<Integer, ScaleMeasures.SimulatorCounters> counters = new TreeMap<>();
       int starts = 0;
       for (int i = 0; i < cells.size(); i++) {
         ScaleCell cell = cells.get(i);
-        cell.controllers().forEach(node -> controllers.put(node.label(), node.figures()));
-        standIns.put(i, cell.standIns());
+        cell.controllers().forEach(process -> controllers.put(process.label(), process.usage()));
+        counters.put(i, cell.simulatorCounters());
         starts += cell.checker().tasks().starts();
       }
       double process = processSeconds();
       double all = process;
-      for (ProcessFigures figures : controllers.values()) {
-        all += figures.cpuSeconds();
+      for (ProcessUsage usage : controllers.values()) {
+        all += usage.cpuSeconds();
       }
-      return new Sample(System.nanoTime() / NANOS_PER_SECOND, starts, controllers, standIns, all);
+      return new Sample(System.nanoTime() / NANOS_PER_SECOND, starts, controllers, counters, all);
     }
 
     private static double processSeconds() {
@@ -62,12 +62,12 @@
   }
 
   private final ObjectNode figures;
-  private final List<String> broken;
+  private final List<String> violations;
   private final List<String> notes = new ArrayList<>();
 
-  private ScaleReport(ObjectNode figures, List<String> broken) {
+  private ScaleReport(ObjectNode figures, List<String> violations) {
     this.figures = figures;
-    this.broken = broken;
+    this.violations = violations;
   }
 
   /**
@@ -75,7 +75,7 @@
    *
    * @param before counters when the measured part of the load began
    * @param after counters at the end of the load
-   * @param calmSince when the last fault was over, seconds
+   * @param lastFaultEnd when the last fault was over, seconds
    * @param folder of the controllers' logs
    */
   record Results(
@@ -83,8 +83,8 @@
       ScaleMeasures measures,
       Sample before,
       Sample after,
-      ScaleTroubles troubles,
-      double calmSince,
+      ScaleFaults faults,
+      double lastFaultEnd,
       Path folder) {
     double seconds() {
       return after.seconds() - before.seconds();
@@ -106,29 +106,30 @@
   static ScaleReport of(ScaleOptions options, Results results) {
     ObjectNode node = new ObjectMapper().createObjectNode();
     ScaleReport report = new ScaleReport(node, new ArrayList<>());
-    report.size(options, results.cells());
+    report.addSize(options, results.cells());
     report.put("starts_per_s", results.startsPerSecond());
-    report.latencies(results.measures());
-    report.controllers(results);
-    report.standIns(results);
-    report.ends(results.cells(), results.calmSince());
-    report.troubles(results.troubles());
+    report.addLatencies(results.measures());
+    report.addControllers(results);
+    report.addSimulatorCounters(results);
+    report.checkAtEnd(results.cells(), results.lastFaultEnd());
+    report.addFaults(results.faults());
     report.put("machine_share", results.machineShare());
-    if (results.machineShare() > BUSY_MACHINE) {
+    if (results.machineShare() > BUSY_MACHINE_SHARE) {
       report.notes.add("the machine was the limit: all its processors were busy");
     }
     node.put("logs", results.folder().toString());
     report.notes.forEach(node.putArray("limits")::add);
-    report.broken.stream().limit(MAX_NAMED).forEach(node.putArray("broken")::add);
+    report.violations.stream().limit(MAX_VIOLATIONS_LISTED).forEach(node.putArray("broken")::add);
     node.put("passed", report.passed());
     return report;
   }
 
-  private void size(ScaleOptions options, List<ScaleCell> cells) {
+  private void addSize(ScaleOptions options, List<ScaleCell> cells) {
     figures.put("cells", options.cells);
     figures.put("workers", options.workers);
-    figures.put("workers_up", cells.stream().mapToInt(cell -> cell.standIns().machines()).sum());
-    figures.put("starts_asked_per_s", options.starts);
+    figures.put(
+        "workers_up", cells.stream().mapToInt(cell -> cell.simulatorCounters().machines()).sum());
+    figures.put("starts_asked_per_s", options.startsPerSecond);
     figures.put("teams", options.teams);
     figures.put("seconds", options.seconds);
     figures.put("seed", options.seed);
@@ -138,13 +139,13 @@
     figures.put(name, Math.round(value * DECIMALS) / DECIMALS);
   }
 
-  private void latencies(ScaleMeasures measures) {
-    measures.firstStarts().forEach((name, times) -> percentiles("first_start_" + name, times));
-    measures.starts().forEach((name, times) -> percentiles("start_" + name, times));
-    percentiles("accepted", measures.accepted());
+  private void addLatencies(ScaleMeasures measures) {
+    measures.firstStarts().forEach((name, times) -> addPercentiles("first_start_" + name, times));
+    measures.starts().forEach((name, times) -> addPercentiles("start_" + name, times));
+    addPercentiles("accepted", measures.accepted());
   }
 
-  private void percentiles(String name, Histogram times) {
+  private void addPercentiles(String name, Histogram times) {
     ObjectNode node = figures.putObject(name + "_ms");
     node.put("count", times.getTotalCount());
     node.put("within_1200_ms", times.getPercentileAtOrBelowValue(URGENT_MILLIS) / PERCENT);
@@ -154,7 +155,7 @@
     node.put("max", times.getMaxValue());
   }
 
-  private void controllers(Results results) {
+  private void addControllers(Results results) {
     ArrayNode list = figures.putArray("controllers");
     double leaders = 0;
     double busiestLoop = 0;
@@ -163,10 +164,10 @@
     for (ScaleCell cell : results.cells()) {
       String leader = cell.leaderLabel();
       for (ControllerProcess process : cell.controllers()) {
-        ProcessFigures used = usedBy(process, results);
+        ProcessUsage used = usedBy(process, results);
         double cores = used.cpuSeconds() / results.seconds();
         boolean leads = process.label().equals(leader);
-        describe(process, leads, used, results.seconds(), list.addObject());
+        addController(process, leads, used, results.seconds(), list.addObject());
         leaders += leads ? cores : 0;
         busiestLoop = Math.max(busiestLoop, used.loopSeconds() / results.seconds());
         all += cores;
@@ -177,20 +178,20 @@
     put("busiest_loop_cores", busiestLoop);
     put("controllers_cores", all);
     put("most_memory_mb", peak);
-    if (busiestLoop > BUSY_THREAD) {
+    if (busiestLoop > BUSY_THREAD_SHARE) {
       notes.add("a controller's event loop was the limit");
     }
   }
 
-  private static ProcessFigures usedBy(ControllerProcess process, Results results) {
-    ProcessFigures before = results.before().controllers().get(process.label());
+  private static ProcessUsage usedBy(ControllerProcess process, Results results) {
+    ProcessUsage before = results.before().controllers().get(process.label());
     return results.after().controllers().get(process.label()).since(before);
   }
 
-  private void describe(
+  private void addController(
       ControllerProcess process,
       boolean leads,
-      ProcessFigures used,
+      ProcessUsage used,
       double seconds,
       ObjectNode node) {
     node.put("label", process.label());
@@ -200,58 +201,59 @@
     node.put("memory_mb", used.peakMb());
     node.put("kb_per_s", used.ioBytes() / BYTES_PER_KB / seconds);
     node.put("sockets", used.sockets());
-    node.put("ended_by_itself", process.endedByItself());
-    used.busiest(NAMED_THREADS).forEach(node.putArray("threads_s")::add);
-    if (process.endedByItself() > 0) {
-      broken.add(process.label() + " ended by itself; see " + process.log());
+    node.put("ended_by_itself", process.unexpectedExits());
+    used.busiest(THREADS_LISTED).forEach(node.putArray("threads_s")::add);
+    if (process.unexpectedExits() > 0) {
+      violations.add(process.label() + " ended by itself; see " + process.log());
     }
   }
 
-  private void standIns(Results results) {
+  private void addSimulatorCounters(Results results) {
     double seconds = results.seconds();
     double requests = 0;
-    double changes = 0;
-    double stateBytes = 0;
+    double writes = 0;
+    double storeBytes = 0;
     double workerBytes = 0;
     double machines = 0;
     double busiest = 0;
-    long refused = 0;
+    long rateLimited = 0;
     long connections = 0;
     for (Integer cell : results.after().cells().keySet()) {
-      ScaleMeasures.StandIns then = results.before().cells().get(cell);
-      ScaleMeasures.StandIns now = results.after().cells().get(cell);
-      requests += (now.stateRequests() - then.stateRequests()) / seconds;
-      changes += (now.stateChanges() - then.stateChanges()) / seconds;
-      stateBytes += (now.stateBytes() - then.stateBytes()) / seconds;
+      ScaleMeasures.SimulatorCounters then = results.before().cells().get(cell);
+      ScaleMeasures.SimulatorCounters now = results.after().cells().get(cell);
+      requests += (now.storeRequests() - then.storeRequests()) / seconds;
+      writes += (now.storeWrites() - then.storeWrites()) / seconds;
+      storeBytes += (now.storeBytes() - then.storeBytes()) / seconds;
       workerBytes += (now.workerBytes() - then.workerBytes()) / seconds;
-      refused += now.stateRefused() - then.stateRefused();
+      rateLimited += now.storeRateLimited() - then.storeRateLimited();
       connections += now.workerConnections();
       machines += now.machines();
-      busiest = Math.max(busiest, (now.workersSeconds() - then.workersSeconds()) / seconds);
-      busiest = Math.max(busiest, (now.stateSeconds() - then.stateSeconds()) / seconds);
+      busiest =
+          Math.max(busiest, (now.workersThreadSeconds() - then.workersThreadSeconds()) / seconds);
+      busiest = Math.max(busiest, (now.storeThreadSeconds() - then.storeThreadSeconds()) / seconds);
     }
     double starts = Math.max(MIN_STARTS_PER_SECOND, results.startsPerSecond());
     put("state_requests_per_s", requests);
-    put("state_changes_per_s", changes);
-    put("state_changes_per_start", changes / starts);
-    put("state_kb_per_s", stateBytes / BYTES_PER_KB);
-    figures.put("state_refused", refused);
+    put("state_changes_per_s", writes);
+    put("state_changes_per_start", writes / starts);
+    put("state_kb_per_s", storeBytes / BYTES_PER_KB);
+    figures.put("state_refused", rateLimited);
     put("worker_kb_per_s", workerBytes / BYTES_PER_KB / Math.max(1, machines));
     figures.put("worker_connections", connections);
     put("busiest_stand_in_cores", busiest);
-    if (busiest > BUSY_THREAD) {
+    if (busiest > BUSY_THREAD_SHARE) {
       notes.add("the stand-ins were the limit: a thread of theirs was busy all the time");
     }
   }
 
-  private void ends(List<ScaleCell> cells, double calmSince) {
+  private void checkAtEnd(List<ScaleCell> cells, double lastFaultEnd) {
     int accepted = 0;
     int done = 0;
     int starts = 0;
     for (ScaleCell cell : cells) {
       InvariantChecker checker = cell.checker();
-      cell.runAndWait(() -> checker.checkAtEnd(calmSince));
-      broken.addAll(checker.violations().lines());
+      cell.runAndWait(() -> checker.checkAtEnd(lastFaultEnd));
+      violations.addAll(checker.violations().lines());
       starts += checker.tasks().starts();
       for (ObservedJob job : checker.jobs().all()) {
         accepted += job.accepted() ? 1 : 0;
@@ -262,25 +264,25 @@
     figures.put("jobs_accepted", accepted);
     figures.put("jobs_done", done);
     if (starts == 0) {
-      broken.add("nothing_ran");
+      violations.add("nothing_ran");
     }
   }
 
-  private void troubles(ScaleTroubles troubles) {
+  private void addFaults(ScaleFaults faults) {
     ArrayNode list = figures.putArray("troubles");
-    for (ScaleTroubles.Healed healed : troubles.healed()) {
+    for (ScaleFaults.FaultImpact impact : faults.impacts()) {
       ObjectNode node = list.addObject();
-      node.put("trouble", healed.trouble());
-      node.put("longest_without_start_s", healed.longestGap());
+      node.put("trouble", impact.fault());
+      node.put("longest_without_start_s", impact.longestGap());
     }
   }
 
   boolean passed() {
-    return broken.isEmpty();
+    return violations.isEmpty();
   }
 
-  List<String> broken() {
-    return broken;
+  List<String> violations() {
+    return violations;
   }
 
   ObjectNode figures() {
--- a/src/test/java/org/mulleinshift/scalerun/ScaleRun.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleRun.java
@@ -28,25 +28,25 @@
  */
 @Command(name = "scale-run", mixinStandardHelpOptions = true, sortOptions = false)
 public final class ScaleRun implements Callable<Integer> {
-  private static final int RULE_BROKEN = 1;
+  private static final int EXIT_VIOLATION = 1;
   private static final double READY_WITHIN_SECONDS = 60;
   private static final double READY_POLL_SECONDS = 0.1;
   private static final double NANOS_PER_SECOND = 1e9;
   private static final double BYTES_PER_MB = 1e6;
   private static final double DRAIN_SECONDS = 12;
   private static final int IO_THREADS = 2;
-  private static final int PROBE_PORT = 2379;
+  private static final int STORE_PORT = 2379;
 
   /** Networks above the last that is taken by itself are those of a group's processes. */
   static final int LAST_NETWORK = 250;
 
-  private static final int LAST_FREE = 200;
+  private static final int LAST_PROBED_NETWORK = 200;
 
   /** Share of the machine's memory that a run may take. */
   private static final double MEMORY_SHARE = 0.5;
 
   private static final double CONTROLLER_MB = 250;
-  static final double STAND_IN_MB_PER_WORKER = 0.15;
+  static final double SIMULATOR_MB_PER_WORKER = 0.15;
   private static final int CONNECTIONS_PER_WORKER = 3;
 
   @Mixin private ScaleOptions options = new ScaleOptions();
@@ -69,24 +69,24 @@
    *
    * @return what broke a rule
    */
-  public static List<String> brokenBy(String[] arguments, String... more)
+  public static List<String> violationsOf(String[] arguments, String... more)
       throws IOException, InterruptedException {
     ScaleRun run = new ScaleRun();
     CommandLine line = new CommandLine(run).setOverwrittenOptionsAllowed(true);
     line.parseArgs(Stream.concat(Stream.of(arguments), Stream.of(more)).toArray(String[]::new));
-    return run.play().broken();
+    return run.play().violations();
   }
 
   @Override
   public Integer call() throws IOException, InterruptedException {
     if (options.processes > 1) {
-      return new ScaleGroup(options, arguments).play() ? 0 : RULE_BROKEN;
+      return new ScaleGroup(options, arguments).play() ? 0 : EXIT_VIOLATION;
     }
     List<Integer> sizes = options.sizes.isEmpty() ? List.of(options.workers) : options.sizes;
-    double startsPerWorker = options.starts / options.workers;
+    double startsPerWorker = options.startsPerSecond / options.workers;
     for (int size : sizes) {
       options.workers = size;
-      options.starts = startsPerWorker * size;
+      options.startsPerSecond = startsPerWorker * size;
       ScaleReport report = play();
       reports.add(report);
       System.out.println(report.text());
@@ -97,7 +97,7 @@
     if (options.report != null) {
       Files.writeString(options.report, ScaleReport.json(reports));
     }
-    return reports.stream().allMatch(ScaleReport::passed) ? 0 : RULE_BROKEN;
+    return reports.stream().allMatch(ScaleReport::passed) ? 0 : EXIT_VIOLATION;
   }
 
   /** Plays one size. */
@@ -105,7 +105,7 @@
     checkBounds();
     Path folder = Files.createTempDirectory("scale-run");
     EventLoopGroup threads = new NioEventLoopGroup(IO_THREADS);
-    ExecutorService answers = Executors.newFixedThreadPool(IO_THREADS);
+    ExecutorService responses = Executors.newFixedThreadPool(IO_THREADS);
     ScaleMeasures measures = new ScaleMeasures();
     ScaleCell.Shared shared =
         new ScaleCell.Shared(
@@ -113,22 +113,22 @@
             options.network > 0 ? options.network : freeNetwork(),
             folder,
             threads,
-            HttpClient.newBuilder().executor(answers).build(),
+            HttpClient.newBuilder().executor(responses).build(),
             new TeamUsage(),
             measures);
     List<ScaleCell> cells = new ArrayList<>();
     for (int i = 0; i < options.cellsHere(); i++) {
       cells.add(new ScaleCell(shared, options.firstCell + i));
     }
-    Thread ender = new Thread(() -> cells.forEach(ScaleCell::killControllers));
-    Runtime.getRuntime().addShutdownHook(ender);
+    Thread killOnExit = new Thread(() -> cells.forEach(ScaleCell::killControllers));
+    Runtime.getRuntime().addShutdownHook(killOnExit);
     try {
       return play(cells, measures, folder);
     } finally {
       cells.forEach(ScaleCell::stop);
-      Runtime.getRuntime().removeShutdownHook(ender);
+      Runtime.getRuntime().removeShutdownHook(killOnExit);
       Future<?> unused = threads.shutdownGracefully();
-      answers.shutdownNow();
+      responses.shutdownNow();
     }
   }
 
@@ -143,23 +143,23 @@
     for (ScaleCell cell : cells) {
       cell.submitUntil(cell.timeline().seconds() + options.seconds);
     }
-    ScaleTroubles troubles = new ScaleTroubles(options.troubles, cells);
+    ScaleFaults faults = new ScaleFaults(options.faults, cells);
     measures.measureFrom(loadStart + options.warmupSeconds);
     ScaleReport.Sample before = null;
     for (double at = 1; at <= options.seconds; at++) {
       sleep(loadStart + at - cells.get(0).timeline().seconds());
-      troubles.play(at);
-      cells.forEach(cell -> cell.controllers().forEach(ControllerProcess::watch));
+      faults.injectDue(at);
+      cells.forEach(cell -> cell.controllers().forEach(ControllerProcess::restartIfExited));
       if (before == null && at >= options.warmupSeconds) {
         before = ScaleReport.Sample.of(cells);
       }
     }
     ScaleReport.Sample after = ScaleReport.Sample.of(cells);
     sleep(DRAIN_SECONDS);
-    double calmSince = loadStart + Math.max(troubles.lastAt(), 0);
+    double lastFaultEnd = loadStart + Math.max(faults.lastFaultEnd(), 0);
     return ScaleReport.of(
         options,
-        new ScaleReport.Results(cells, measures, before, after, troubles, calmSince, folder));
+        new ScaleReport.Results(cells, measures, before, after, faults, lastFaultEnd, folder));
   }
 
   private static void awaitReady(List<ScaleCell> cells) throws InterruptedException {
@@ -180,7 +180,7 @@
   private void checkBounds() {
     double wanted =
         options.cells * options.controllers * CONTROLLER_MB
-            + options.workers * STAND_IN_MB_PER_WORKER;
+            + options.workers * SIMULATOR_MB_PER_WORKER;
     double allowed = MEMORY_SHARE * machineMemoryMb();
     if (wanted > allowed) {
       throw new IllegalArgumentException(
@@ -211,9 +211,9 @@
 
   /** A part of the loopback range that no other run uses. */
   private static int freeNetwork() throws IOException {
-    for (int network = 1; network <= LAST_FREE; network++) {
+    for (int network = 1; network <= LAST_PROBED_NETWORK; network++) {
       InetSocketAddress address =
-          new InetSocketAddress(InetAddress.getByName("127." + network + ".0.101"), PROBE_PORT);
+          new InetSocketAddress(InetAddress.getByName("127." + network + ".0.101"), STORE_PORT);
       try (ServerSocket probe = new ServerSocket()) {
         probe.bind(address);
         return network;
--- a/src/test/java/org/mulleinshift/scalerun/ScaleRunIT.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleRunIT.java
@@ -15,13 +15,13 @@
 
   @Test
   void noRuleIsBrokenThoughTheLeaderIsKilled() throws IOException, InterruptedException {
-    assertEquals(List.of(), ScaleRun.brokenBy(SMALL, "--trouble=6:kill-leader"));
+    assertEquals(List.of(), ScaleRun.violationsOf(SMALL, "--trouble=6:kill-leader"));
   }
 
   @Test
   void controllersThatAllowTooMuchAreCaught() throws IOException, InterruptedException {
     List<String> broken =
-        ScaleRun.brokenBy(
+        ScaleRun.violationsOf(
             SMALL, "--wrong-limits=100", "--teams=1", "--team-limit=50", "--starts=60");
     assertTrue(broken.stream().anyMatch(line -> line.contains("quota")), "not caught: " + broken);
   }
--- a/src/test/java/org/mulleinshift/scalerun/ScaleWorkload.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleWorkload.java
@@ -42,18 +42,18 @@
     this.client = client;
     this.options = options;
     this.cell = cell;
-    double starts = options.starts / options.cells;
+    double starts = options.startsPerSecond / options.cells;
     this.urgentPerSecond = starts * options.urgentShare / options.urgentTasks;
     this.batchPerSecond = starts * (1 - options.urgentShare) / options.batchTasks;
   }
 
   /** Until then jobs are submitted. */
   void start(double until) {
-    arrivals(urgentPerSecond, until, this::urgent);
-    arrivals(batchPerSecond, until, this::batch);
+    scheduleArrivals(urgentPerSecond, until, this::submitUrgent);
+    scheduleArrivals(batchPerSecond, until, this::submitBatch);
   }
 
-  private void arrivals(double perSecond, double until, Runnable submit) {
+  private void scheduleArrivals(double perSecond, double until, Runnable submit) {
     if (perSecond <= 0) {
       return;
     }
@@ -63,16 +63,16 @@
           wait,
           () -> {
             submit.run();
-            arrivals(perSecond, until, submit);
+            scheduleArrivals(perSecond, until, submit);
           });
     }
   }
 
-  private void urgent() {
+  private void submitUrgent() {
     submit(URGENT, options.urgentTasks, options.runSeconds / 2, URGENT_DUE_SECONDS);
   }
 
-  private void batch() {
+  private void submitBatch() {
     submit(BATCH, options.batchTasks, options.runSeconds, BATCH_DUE_SECONDS);
   }
 
@@ -94,7 +94,7 @@
     SimulatedUser user = new SimulatedUser(timeline, checker, client, job);
     user.pollsAfterEnd(POLLS_AFTER_END);
     user.submit();
-    if (timeline.random() < options.cancelled) {
+    if (timeline.random() < options.cancelledShare) {
       timeline.after(CANCEL_WITHIN_SECONDS * timeline.random(), user::cancel);
     }
   }
