--- a/src/test/java/org/mulleinshift/GoldenFile.java
+++ b/src/test/java/org/mulleinshift/GoldenFile.java
@@ -14,9 +14,9 @@
 import java.util.stream.Stream;
 
 /**
- * Messages and stored records as an earlier build encoded them. Each file holds one encoding and a
- * line end. With {@code -Dgolden.write=true} a test writes its file and then fails, so that a run
- * that writes never passes for one that compares.
+ * Golden files: messages and stored records as encoded by an earlier build. Each file holds one
+ * encoding and a line end. With {@code -Dgolden.write=true} a test writes its file and then fails,
+ * so that a run that writes files is never taken for one that compares them.
  */
 public final class GoldenFile {
   private static final Path ROOT = Path.of("src/test/resources/golden");
@@ -26,7 +26,7 @@
 
   private GoldenFile() {}
 
-  /** The text that the file holds. */
+  /** Content of the file without its final line end; fails if that is missing. */
   public static String text(String name) {
     try {
       String stored = Files.readString(ROOT.resolve(name));
@@ -39,7 +39,7 @@
     }
   }
 
-  /** The bytes that the file holds in hexadecimal digits. */
+  /** The bytes that the file holds as hexadecimal digits. */
   public static byte[] bytes(String name) {
     return HexFormat.of().parseHex(text(name).replace(LINE_END, ""));
   }
@@ -58,7 +58,7 @@
     assertHolds(name, hexLines(bytes));
   }
 
-  /** The names of the files in a directory, without those of directories within. */
+  /** Names of the regular files in a directory, excluding subdirectories. */
   public static Set<String> names(String directory) throws IOException {
     try (Stream<Path> files = Files.list(ROOT.resolve(directory))) {
       return files
--- a/src/test/java/org/mulleinshift/LayersTest.java
+++ b/src/test/java/org/mulleinshift/LayersTest.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.concurrent.Executor;
 
-/** Each package uses only those listed for it, without cycles; only transport starts threads. */
+/** Packages depend only on those listed, without cycles; only transport may start threads. */
 @AnalyzeClasses(packages = "org.mulleinshift", importOptions = ImportOption.DoNotIncludeTests.class)
 final class LayersTest {
   private static final Map<String, List<String>> MAY_USE = new LinkedHashMap<>();
@@ -103,7 +103,7 @@
 
   @ArchTest static final ArchRule LAYERS = layers();
 
-  /** Narrower than the layer, whose persister and loader know which shards a job's tasks are in. */
+  /** Stricter than the layer rule; the persister and loader in this package may use shards. */
   @ArchTest
   static final ArchRule PROGRESS_LOG =
       ArchRuleDefinition.noClasses()
--- a/src/test/java/org/mulleinshift/classarchive/ClassArchiveTraining.java
+++ b/src/test/java/org/mulleinshift/classarchive/ClassArchiveTraining.java
@@ -17,8 +17,9 @@
 import org.mulleinshift.transport.ThreadEventLoop;
 
 /**
- * Runs the packaged program until it has loaded the classes that a start, a job and a peer need,
- * then ends it, whereupon the Java virtual machine writes the archive.
+ * Creates the class-data archive: runs the packaged program until it has loaded the classes used to
+ * start up, run jobs and talk to a peer, then terminates it, and the JVM writes the archive at
+ * exit.
  */
 public final class ClassArchiveTraining {
   private static final Path SETTINGS = Path.of("src/test/resources/settings/controller.toml");
@@ -29,7 +30,7 @@
   private static final int CLIENT_THREADS = 1;
   private static final int CLIENT_QUEUE = 8;
 
-  /** A port that was free may be taken by another process before the program listens on it. */
+  /** Retries are needed because another process may take a free port before the program does. */
   private static final int MAX_ATTEMPTS = 3;
 
   private final Path jar;
@@ -41,9 +42,9 @@
   }
 
   /**
-   * Trains an archive.
+   * Creates an archive; fails if no attempt writes it.
    *
-   * @param args the jar of the program, and the file to write
+   * @param args path of the program's jar, and path of the archive to write
    */
   public static void main(String[] args) throws IOException, InterruptedException {
     ClassArchiveTraining training = new ClassArchiveTraining(Path.of(args[0]), Path.of(args[1]));
@@ -52,7 +53,7 @@
       training.run();
     }
     if (!Files.exists(training.archive)) {
-      throw new IOException(training.archive + " was not written in " + MAX_ATTEMPTS + " runs");
+      throw new IOException(training.archive + " was not written in " + MAX_ATTEMPTS + " attempts");
     }
     System.exit(0);
   }
--- a/src/test/java/org/mulleinshift/classarchive/TrainingCloud.java
+++ b/src/test/java/org/mulleinshift/classarchive/TrainingCloud.java
@@ -3,7 +3,7 @@
 import com.sun.net.httpserver.HttpExchange;
 import java.util.Optional;
 
-/** A cloud with one machine type, and one machine that runs from the start. */
+/** Simulated cloud with one machine type and one machine, which is always running. */
 final class TrainingCloud implements TrainingServer.Service {
   private static final String CATALOG =
       "{\"builds\":[{\"label\":\"r\",\"cpus\":8,\"cards\":0,\"ram_gb\":32,\"local_gb\":20,"
--- a/src/test/java/org/mulleinshift/classarchive/TrainingFrames.java
+++ b/src/test/java/org/mulleinshift/classarchive/TrainingFrames.java
@@ -15,7 +15,7 @@
 import org.mulleinshift.protocol.peer.TaskStatus;
 import org.mulleinshift.protocol.peer.UnknownWorkerReport;
 
-/** Messages of a peer that name no shard of the controller: it decodes them and ignores them. */
+/** Peer messages about no shard that the controller has; it decodes and then ignores them. */
 final class TrainingFrames {
   private static final String SHARD = "b";
 
--- a/src/test/java/org/mulleinshift/classarchive/TrainingServer.java
+++ b/src/test/java/org/mulleinshift/classarchive/TrainingServer.java
@@ -15,9 +15,9 @@
   private static final int HTTP_OK = 200;
   private static final int HTTP_NOT_FOUND = 404;
 
-  /** Answers requests. */
+  /** Handler of the requests to a simulated service. */
   interface Service {
-    /** The body of the response; empty if there is no such thing. */
+    /** The body of the response; empty for status 404. */
     Optional<String> answer(HttpExchange exchange, String body) throws IOException;
   }
 
--- a/src/test/java/org/mulleinshift/classarchive/TrainingStore.java
+++ b/src/test/java/org/mulleinshift/classarchive/TrainingStore.java
@@ -13,8 +13,9 @@
 import java.util.TreeMap;
 
 /**
- * As much of the key-value store as one controller needs to lead and run jobs. It checks no
- * condition and lets no lease expire: no test and no measurement uses it.
+ * The part of the key-value store that one controller needs to become leader and run jobs. It
+ * ignores the conditions of transactions and expires no lease, so it is unfit for tests and
+ * measurements.
  */
 final class TrainingStore implements TrainingServer.Service {
   private static final String KEY_PREFIX = "/keys/";
--- a/src/test/java/org/mulleinshift/classarchive/TrainingUser.java
+++ b/src/test/java/org/mulleinshift/classarchive/TrainingUser.java
@@ -10,7 +10,7 @@
 import org.mulleinshift.transport.HttpRequest;
 import org.mulleinshift.transport.HttpResponse;
 
-/** Submits a few jobs again and again, queries them, and cancels one. */
+/** Repeatedly submits and queries a few jobs, and cancels one of them. */
 final class TrainingUser {
   private static final Duration INTERVAL = Duration.ofMillis(250);
   private static final Duration DEADLINE = Duration.ofSeconds(1);
--- a/src/test/java/org/mulleinshift/classarchive/TrainingWorker.java
+++ b/src/test/java/org/mulleinshift/classarchive/TrainingWorker.java
@@ -15,7 +15,7 @@
 import org.mulleinshift.transport.HttpRequest;
 import org.mulleinshift.transport.HttpResponse;
 
-/** The worker of the only machine: each of its tasks is done by the heartbeat after the first. */
+/** Worker of the only machine; a task exits after the first heartbeat that reports it running. */
 final class TrainingWorker {
   private static final Duration INTERVAL = Duration.ofMillis(250);
   private static final Duration DEADLINE = Duration.ofSeconds(1);
@@ -59,7 +59,7 @@
       fencingToken = Math.max(fencingToken, answer.path(FENCING_TOKEN).asLong());
       answer.path("orders").forEach(this::execute);
     } catch (IOException e) {
-      // No answer, or none that can be read: the next heartbeat asks again.
+      // No response, or an unreadable one; the next heartbeat retries.
     }
   }
 
--- a/src/test/java/org/mulleinshift/classarchive/package-info.java
+++ b/src/test/java/org/mulleinshift/classarchive/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Trains the class-data archive of the program: at build time the packaged program runs once as a
- * process of its own, beside small simulated services, and leaves the archive when it ends.
+ * Creates the program's class-data archive at build time: the packaged program runs in a separate
+ * process against small simulated services, and the JVM writes the archive when the process exits.
  */
 package org.mulleinshift.classarchive;
--- a/src/test/java/org/mulleinshift/scalerun/ByteCounter.java
+++ b/src/test/java/org/mulleinshift/scalerun/ByteCounter.java
@@ -7,13 +7,13 @@
 import io.netty.channel.ChannelPromise;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts the bytes and the open connections of all channels that it is part of. */
+/** Counts the bytes and the open connections of all channels whose pipeline contains it. */
 @Sharable
 final class ByteCounter extends ChannelDuplexHandler {
   private final LongAdder bytes = new LongAdder();
   private final LongAdder open = new LongAdder();
 
-  /** Bytes of both directions, without those of TCP and IP. */
+  /** Payload bytes in both directions, without TCP and IP headers. */
   long bytes() {
     return bytes.sum();
   }
--- a/src/test/java/org/mulleinshift/scalerun/CellAddresses.java
+++ b/src/test/java/org/mulleinshift/scalerun/CellAddresses.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 
-/** Addresses of one cell's controllers, services and workers in a part of the loopback range. */
+/** Loopback addresses of one cell's controllers, simulated services and workers. */
 final class CellAddresses {
   private static final int STORE_PORT = 2379;
   private static final int CLOUD_PORT = 8443;
@@ -11,7 +11,7 @@
   private static final int STORE_HOST = 101;
   private static final int CLOUD_HOST = 102;
 
-  /** Workers' addresses have this and higher numbers in their third place. */
+  /** Lowest third octet of workers' addresses; lower ones are cell numbers. */
   private static final int FIRST_WORKER_NETWORK = 16;
 
   private static final int WORKERS_PER_NETWORK = 250;
@@ -23,7 +23,7 @@
   /**
    * The addresses of a cell.
    *
-   * @param network second place of all addresses
+   * @param network second octet of all addresses
    */
   CellAddresses(int network, int cell) {
     this.network = network;
@@ -50,13 +50,13 @@
     return address(CLOUD_HOST, CLOUD_PORT);
   }
 
-  /** Each cell has its own port for workers, so the same hosts serve all cells. */
+  /** Host of a worker; all cells share these hosts because each cell has its own worker port. */
   String workerHost(int index) {
     int workerNetwork = FIRST_WORKER_NETWORK + index / WORKERS_PER_NETWORK % WORKER_NETWORKS;
     return "127." + network + "." + workerNetwork + "." + (index % WORKERS_PER_NETWORK + 1);
   }
 
-  /** The address as settings files give it. */
+  /** The address as {@code host:port}, the form used in settings files. */
   static String text(InetSocketAddress address) {
     return address.getHostString() + ":" + address.getPort();
   }
--- a/src/test/java/org/mulleinshift/scalerun/CellSettings.java
+++ b/src/test/java/org/mulleinshift/scalerun/CellSettings.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The platform's settings of one cell: the limits of its teams and the controllers' files. */
+/** Settings of one cell: the limits of its teams and the controllers' settings files. */
 final class CellSettings {
   static final List<String> ZONES = List.of("zone-a", "zone-b", "zone-c");
   static final double LISTING_LAG_SECONDS = 4;
@@ -20,10 +20,10 @@
   private static final int MAX_OPEN_FILES = 16_000;
   private static final double LIMIT_TO_FAIR_SHARE = 4;
 
-  /** A guarantee is so much below a team's fair share. */
+  /** Ratio of a team's fair share to its guaranteed processors. */
   private static final double FAIR_SHARE_TO_GUARANTEE = 2;
 
-  /** A team's limit takes so many of the larger jobs at a time. */
+  /** Each team's limit allows at least this many batch jobs to run at the same time. */
   private static final int MIN_BATCH_JOBS_WITHIN_LIMIT = 4;
 
   private final ScaleOptions options;
@@ -48,7 +48,7 @@
     return options.storeWritesPerSecond / options.cells;
   }
 
-  /** Limits of the teams over the cells of this process. */
+  /** Each team's limit, summed over the cells that this process runs; processors by team. */
   Map<String, Double> teamLimits() {
     Map<String, Double> limits = new HashMap<>();
     for (int i = 0; i < options.teams; i++) {
@@ -57,7 +57,7 @@
     return limits;
   }
 
-  /** A cell's share of each team's limit, which is fixed, so that no two cells need agree. */
+  /** A cell's share of each team's limit; fixed, so that cells need no coordination. */
   private double teamLimitInCell() {
     if (options.teamLimit > 0) {
       return options.teamLimit;
--- a/src/test/java/org/mulleinshift/scalerun/ControllerProcess.java
+++ b/src/test/java/org/mulleinshift/scalerun/ControllerProcess.java
@@ -11,7 +11,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A controller as a real process, started as the deploy file says. */
+/** A controller in a process of its own, started with the command of the deploy file. */
 final class ControllerProcess {
   private static final Path DEPLOY = Path.of("deploy/service.toml");
   private static final Pattern RUN_COMMAND = Pattern.compile("(?m)^run = \"(.*)\"$");
@@ -57,7 +57,7 @@
       if (run.find()) {
         return run.group(1);
       }
-      throw new IllegalStateException(DEPLOY + " names no command");
+      throw new IllegalStateException(DEPLOY + " has no run command");
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -88,7 +88,7 @@
     }
   }
 
-  /** Ends the process with no signal that it could hear. */
+  /** Kills the process with SIGKILL, so that it cannot shut down in order. */
   void kill() {
     ready = false;
     killed = true;
@@ -101,7 +101,7 @@
     }
   }
 
-  /** Starts the process anew if it ended by itself, which a well one never does. */
+  /** Restarts the process if it exited without being killed, and counts that as unexpected. */
   void restartIfExited() {
     if (process != null && !killed && !process.isAlive()) {
       ready = false;
@@ -126,7 +126,7 @@
     ready = next && alive();
   }
 
-  /** Of the process that runs now and of those that were killed before it. */
+  /** Resource usage of the running process and of those killed before it. */
   ProcessUsage usage() {
     ProcessUsage sum = alive() ? ProcessUsage.of(process.pid()) : ProcessUsage.NONE;
     for (ProcessUsage earlier : killedUsage) {
--- a/src/test/java/org/mulleinshift/scalerun/HttpConnection.java
+++ b/src/test/java/org/mulleinshift/scalerun/HttpConnection.java
@@ -25,8 +25,8 @@
 import org.mulleinshift.transport.HttpResponse;
 
 /**
- * One client's connection, kept open as long as it asks the same address. A question takes the
- * place of an earlier one that was not answered: the client has given that up.
+ * A client's HTTP connection, kept open while requests go to the same address. A new request
+ * replaces a pending one, whose reply is then never delivered.
  */
 final class HttpConnection {
   private static final int MAX_BODY = 4 << 20;
@@ -108,7 +108,7 @@
     return request;
   }
 
-  /** Closes the connection; a question that waits gets no answer any more. */
+  /** Closes the connection; the reply of a pending request is never called. */
   synchronized void close() {
     closeChannel();
   }
--- a/src/test/java/org/mulleinshift/scalerun/HttpListener.java
+++ b/src/test/java/org/mulleinshift/scalerun/HttpListener.java
@@ -26,7 +26,7 @@
 import org.mulleinshift.transport.HttpRequest;
 import org.mulleinshift.transport.HttpResponse;
 
-/** An HTTP server of the stand-ins; it may answer for many addresses of the loopback range. */
+/** HTTP server of the simulated services and workers; may serve many loopback addresses. */
 final class HttpListener {
   /** Answers a request; the reply may be given later and from any thread. */
   interface Handler {
@@ -69,7 +69,7 @@
     channel.close().syncUninterruptibly();
   }
 
-  /** Requests of one connection, one at a time as the protocol asks. */
+  /** Handles the requests of one connection; HTTP/1.1 clients send them one at a time. */
   private static final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private final Handler handler;
 
--- a/src/test/java/org/mulleinshift/scalerun/LoadBalancer.java
+++ b/src/test/java/org/mulleinshift/scalerun/LoadBalancer.java
@@ -11,7 +11,7 @@
 import org.mulleinshift.simulation.time.RealTimeline;
 import org.mulleinshift.transport.HttpResponse;
 
-/** Sends users' requests to random controllers among those that say that they are ready. */
+/** Sends each user request to a random controller among those that report ready. */
 final class LoadBalancer implements ControllerClient {
   private static final Duration TIMEOUT = Duration.ofSeconds(5);
   private static final double PROBE_SECONDS = 1;
@@ -22,9 +22,9 @@
   private final List<ControllerProcess> controllers;
 
   /**
-   * A load balancer that does not probe yet.
+   * A load balancer that probes no controller until {@link #probe} is called.
    *
-   * @param timeline on whose thread replies are handled
+   * @param timeline handles replies to users' requests on its thread
    */
   LoadBalancer(RealTimeline timeline, HttpClient client, List<ControllerProcess> controllers) {
     this.timeline = timeline;
@@ -32,7 +32,7 @@
     this.controllers = controllers;
   }
 
-  /** Asks each controller every second whether it is ready. */
+  /** Checks each controller's readiness endpoint now and every second. */
   void probe() {
     timeline.after(PROBE_SECONDS, this::probe);
     for (ControllerProcess controller : controllers) {
--- a/src/test/java/org/mulleinshift/scalerun/ProcessUsage.java
+++ b/src/test/java/org/mulleinshift/scalerun/ProcessUsage.java
@@ -9,14 +9,14 @@
 import java.util.stream.Stream;
 
 /**
- * What a process has used so far, by the kernel's accounts (proc(5)).
+ * Resource usage of a process since its start, read from /proc (see proc(5)).
  *
  * @param cpuSeconds processor time of all its threads
  * @param loopSeconds processor time of its main thread, which runs the event loop
- * @param peakMb most memory that was resident, MB
+ * @param peakMb peak resident memory, MB
  * @param ioBytes bytes read and written, sockets included
- * @param sockets open file descriptors
- * @param threadSeconds processor time by the kind of thread
+ * @param sockets number of open file descriptors, not only sockets
+ * @param threadSeconds processor time by thread name without its trailing number
  */
 record ProcessUsage(
     double cpuSeconds,
@@ -27,16 +27,16 @@
     Map<String, Double> threadSeconds) {
   static final ProcessUsage NONE = new ProcessUsage(0, 0, 0, 0, 0, Map.of());
 
-  /** Ticks of processor time in a second, as the kernel tells them to programs. */
+  /** Unit of processor times in /proc (USER_HZ). */
   private static final double TICKS_PER_SECOND = 100;
 
-  /** Fields of a thread's account behind its name: user and system time. */
+  /** Indexes of user and system time among the fields that follow the name in a stat file. */
   private static final int USER_TIME_FIELD = 11;
 
   private static final int SYSTEM_TIME_FIELD = 12;
   private static final double KB_PER_MB = 1024;
 
-  /** Of a process that may have ended meanwhile. */
+  /** Usage of a process; {@link #NONE} if it has exited. */
   static ProcessUsage of(long pid) {
     Path procFolder = Path.of("/proc", Long.toString(pid));
     try (Stream<Path> tasks = Files.list(procFolder.resolve("task"))) {
@@ -53,7 +53,7 @@
         String name = stat.substring(stat.indexOf('(') + 1, close).replaceAll("[-# 0-9]+$", "");
         all += seconds;
         byThread.merge(name, seconds, Double::sum);
-        // The program's main method runs on the launcher's second thread.
+        // The launcher runs the main method, and so the event loop, on its second thread.
         loop += name.equals("java") ? seconds : 0;
       }
       String io = read(procFolder.resolve("io"));
@@ -109,7 +109,7 @@
         merged(threadSeconds, other.threadSeconds, 1));
   }
 
-  /** What was used since an earlier account; peaks are those of now. */
+  /** Usage since an earlier reading; peak memory and descriptors are the current ones. */
   ProcessUsage since(ProcessUsage earlier) {
     return new ProcessUsage(
         cpuSeconds - earlier.cpuSeconds,
@@ -127,7 +127,7 @@
     return sum;
   }
 
-  /** The threads that used most, most first. */
+  /** Thread names with the most processor time, in seconds, in descending order. */
   List<String> busiest(int count) {
     return threadSeconds.entrySet().stream()
         .sorted(Map.Entry.<String, Double>comparingByValue().reversed())
--- a/src/test/java/org/mulleinshift/scalerun/ScaleCell.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleCell.java
@@ -33,8 +33,8 @@
 import org.mulleinshift.transport.HttpResponse;
 
 /**
- * One cell of a scale run: real controllers, and a simulated store, cloud, users and workers on
- * addresses of the loopback range.
+ * One cell of a scale run: controllers as real processes, and a simulated store, cloud, users and
+ * workers on loopback addresses.
  */
 final class ScaleCell {
   private static final String MACHINE_TYPE = "hollow";
@@ -51,7 +51,7 @@
   private static final double MILLIS_PER_SECOND = 1000;
   private static final double NANOS_PER_SECOND = 1e9;
 
-  /** What the cells of a process share. */
+  /** Objects shared by all cells of a process. */
   record Shared(
       ScaleOptions options,
       int network,
@@ -78,7 +78,7 @@
   private final List<HttpListener> listeners = new ArrayList<>();
   private final List<ControllerProcess> controllers = new ArrayList<>();
 
-  /** The controller that no heartbeat reaches; null if all are reached. */
+  /** The controller to which all heartbeats are dropped; null if none is. */
   private ControllerProcess unreachable;
 
   private final Map<String, SimulatedWorker> workersByAddress = new ConcurrentHashMap<>();
@@ -122,7 +122,11 @@
     lastStartAt = now;
   }
 
-  /** Reports the longest time without any start in the seconds that come. */
+  /**
+   * Measures the longest time without a task start from now on, and reports it in seconds.
+   *
+   * @param seconds length of the measurement
+   */
   void measureLongestGap(double seconds, DoubleConsumer listener) {
     timeline.post(
         () -> {
@@ -133,7 +137,7 @@
         });
   }
 
-  /** Runs a step on the cell's timeline and waits for its end. */
+  /** Runs a step on the thread of the cell's timeline and waits until it has finished. */
   void runAndWait(Runnable step) {
     callOn(
         timeline,
@@ -143,7 +147,7 @@
         });
   }
 
-  /** Reads what only the thread of a timeline may read. */
+  /** Returns the result of a call made on the timeline's thread, which owns the state it reads. */
   private static <T> T callOn(RealTimeline owner, Supplier<T> call) {
     CompletableFuture<T> result = new CompletableFuture<>();
     owner.post(
@@ -198,7 +202,7 @@
     return listener;
   }
 
-  /** Starts the users; they submit until that time of this cell's timeline. */
+  /** Starts the users, who submit jobs until the given time of this cell's timeline. */
   void submitUntil(double seconds) {
     timeline.post(
         () -> new ScaleWorkload(timeline, checker, loadBalancer, options, number).start(seconds));
@@ -266,15 +270,16 @@
     }
   }
 
-  /** Whether all controllers answer users. */
+  /** Whether all controllers reported ready at their last probe. */
   boolean ready() {
     return controllers.stream().allMatch(ControllerProcess::ready);
   }
 
   /**
-   * Causes a fault.
+   * Injects a fault.
    *
-   * @param amount the fault's number, or 0 if none is given
+   * @param fault kind of the fault, as in {@code --trouble}
+   * @param amount the fault's number (a count, an index or seconds); 0 if none is given
    */
   void injectFault(String fault, double amount) {
     switch (fault) {
@@ -288,11 +293,11 @@
       case "zone-dark" -> timeline.post(() -> hangZone(CellSettings.ZONES.get(0), amount));
       case "controller-unreachable" -> dropHeartbeatsToFollower(amount);
       case "state-out" -> storeTimeline.post(() -> store.outage(amount));
-      default -> throw new IllegalArgumentException("no such trouble: " + fault);
+      default -> throw new IllegalArgumentException("unknown fault kind: " + fault);
     }
   }
 
-  /** The workers' heartbeats to a controller that does not lead are lost for a while. */
+  /** Drops all heartbeats to one controller that is not the leader. */
   private void dropHeartbeatsToFollower(double seconds) {
     ControllerProcess leader = leader();
     ControllerProcess follower =
@@ -334,7 +339,7 @@
         .orElse(controllers.get(0));
   }
 
-  /** Which controller led last. */
+  /** Label of the last leader in the store; of the first controller if there has been none. */
   String leaderLabel() {
     return leader().label();
   }
@@ -351,7 +356,7 @@
     return timeline;
   }
 
-  /** Figures of the simulated services now. */
+  /** Current counters of the simulated services and workers. */
   ScaleMeasures.SimulatorCounters simulatorCounters() {
     return new ScaleMeasures.SimulatorCounters(
         storeRequests,
@@ -370,7 +375,7 @@
     controllers.stream().filter(ControllerProcess::alive).forEach(ControllerProcess::kill);
   }
 
-  /** Ends all that this cell started. */
+  /** Kills the controllers and closes all threads and connections of this cell. */
   void stop() {
     killControllers();
     timeline.stop();
--- a/src/test/java/org/mulleinshift/scalerun/ScaleFaults.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleFaults.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Troubles of a scale run at their times, and how long each cell started no task. */
+/** Injects the faults of a scale run, and measures how long each cell then started no task. */
 final class ScaleFaults {
   private static final Set<String> KINDS_WITH_DURATION =
       Set.of("zone-dark", "state-out", "controller-unreachable");
@@ -13,13 +13,13 @@
     static Fault parse(String text) {
       String[] parts = text.split(":", 0);
       if (parts.length < 2) {
-        throw new IllegalArgumentException("not a trouble: " + text);
+        throw new IllegalArgumentException("invalid fault, expected AT:KIND[:NUMBER]: " + text);
       }
       double amount = parts.length > 2 ? Double.parseDouble(parts[2]) : 0;
       return new Fault(Double.parseDouble(parts[0]), parts[1], amount);
     }
 
-    /** When it is over, as far as its line says. */
+    /** Seconds into the load at which the fault ends; its start if it has no duration. */
     double endsAt() {
       boolean lasts = KINDS_WITH_DURATION.contains(kind);
       return at + (lasts ? amount : 0);
@@ -27,10 +27,10 @@
   }
 
   /**
-   * What a trouble did.
+   * Effect of a fault on one cell.
    *
-   * @param longestGap longest time without any start in a cell, from the fault until some time
-   *     after its end
+   * @param longestGap longest time without a task start in the cell, seconds, from the fault until
+   *     {@code OBSERVATION_SECONDS} after its end
    */
   record FaultImpact(String fault, double longestGap) {}
 
@@ -47,12 +47,12 @@
     pending.forEach(fault -> lastFaultEnd = Math.max(lastFaultEnd, fault.endsAt()));
   }
 
-  /** Seconds from the begin of the load to the end of the last fault. */
+  /** Seconds from the start of the load to the end of the last fault. */
   double lastFaultEnd() {
     return lastFaultEnd;
   }
 
-  /** Plays in every cell what is due by then. */
+  /** Injects in every cell the faults due by this time, in seconds since the load started. */
   void injectDue(double now) {
     for (Fault fault : List.copyOf(pending)) {
       if (fault.at() <= now) {
--- a/src/test/java/org/mulleinshift/scalerun/ScaleGroup.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleGroup.java
@@ -9,28 +9,28 @@
 import java.util.List;
 
 /**
- * A scale run whose cells are spread over several processes, where one would have too many
- * connections. Each plays whole cells; as each cell has a fixed share of every team's limit, what
- * each process checks adds up.
+ * A scale run whose cells are spread over several processes, because one process would need too
+ * many connections. Each process runs whole cells. As each cell has a fixed share of every team's
+ * limit, a process can check the limits of its own cells alone.
  */
 final class ScaleGroup {
-  /** Heap of a process beside what its workers take, MB. */
+  /** Heap of a process without its workers, MB. */
   private static final long HEAP_MB = 200;
 
   private final ScaleOptions options;
   private final List<String> arguments;
 
   /**
-   * A group.
+   * A group of processes that is not started yet.
    *
-   * @param arguments of the command line, handed on to each process
+   * @param arguments command line, passed on to each process
    */
   ScaleGroup(ScaleOptions options, List<String> arguments) {
     this.options = options;
     this.arguments = arguments;
   }
 
-  /** Plays all cells; true if no process found a rule broken. */
+  /** Runs all cells; true if no process reported a violation. */
   boolean play() throws IOException, InterruptedException {
     Path folder = Files.createTempDirectory("scale-group");
     List<Process> processes = new ArrayList<>();
@@ -60,7 +60,7 @@
     command.add("--processes=1");
     command.add("--first-cell=" + first);
     command.add("--cells-here=" + count);
-    // Each process in a part of the loopback range of its own.
+    // Each process has its own loopback network, from LAST_NETWORK downwards.
     command.add("--network=" + (ScaleRun.LAST_NETWORK + 1 - (first + 1)));
     command.add("--report=" + report);
     return new ProcessBuilder(command).inheritIO().start();
--- a/src/test/java/org/mulleinshift/scalerun/ScaleMeasures.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleMeasures.java
@@ -6,7 +6,7 @@
 import org.HdrHistogram.Histogram;
 import org.mulleinshift.invariants.ObservedJob;
 
-/** What users see, over all cells of a process; times in milliseconds. */
+/** Latencies seen by users, over all cells of a process, in milliseconds. */
 final class ScaleMeasures {
   private static final long MAX_MILLIS = 3_600_000;
   private static final int SIGNIFICANT_DIGITS = 3;
@@ -17,12 +17,13 @@
   private volatile double measuredFrom = Double.MAX_VALUE;
 
   /**
-   * Counters of a cell's stand-ins.
+   * Counters of a cell's simulated services and workers.
    *
-   * @param workerBytes bytes of reports, orders and their answers
-   * @param workersThreadSeconds processor time of the thread of workers, cloud and users
-   * @param storeThreadSeconds processor time of the thread of the state service
-   * @param machines workers that are up
+   * @param workerBytes bytes of heartbeats, commands and their responses
+   * @param workersThreadSeconds processor time of the thread that simulates workers, cloud and
+   *     users
+   * @param storeThreadSeconds processor time of the thread that simulates the key-value store
+   * @param machines machines that are running
    */
   record SimulatorCounters(
       long storeRequests,
@@ -36,7 +37,7 @@
       double storeThreadSeconds,
       int machines) {}
 
-  /** Jobs submitted later than this count. */
+  /** Records only jobs submitted at or after this time. */
   void measureFrom(double seconds) {
     measuredFrom = seconds;
   }
@@ -49,7 +50,7 @@
     histogram.recordValue(Math.min(MAX_MILLIS, Math.max(0, Math.round(seconds * 1000))));
   }
 
-  /** A task of the job starts. */
+  /** Records the start of a task of the job. */
   void recordStart(ObservedJob job, double now) {
     if (job.submittedAt() < measuredFrom) {
       return;
@@ -61,24 +62,27 @@
     }
   }
 
-  /** The job's user is told that it is accepted, or that it is over. */
+  /**
+   * Records the latency of a job's acceptance. Does nothing if its user has already been told that
+   * it has ended.
+   */
   void recordAcceptance(ObservedJob job) {
     if (job.submittedAt() >= measuredFrom && job.terminalAt().isEmpty()) {
       record(accepted, job.acceptedAt().getAsDouble() - job.submittedAt());
     }
   }
 
-  /** From the submission to each start, by class. */
+  /** Time from submission to each task start, by job class. */
   Map<String, Histogram> starts() {
     return starts;
   }
 
-  /** From the submission to a job's first start, by class. */
+  /** Time from submission to a job's first task start, by job class. */
   Map<String, Histogram> firstStarts() {
     return firstStarts;
   }
 
-  /** From the submission to its answer. */
+  /** Time from submission to acceptance. */
   Histogram accepted() {
     return accepted;
   }
--- a/src/test/java/org/mulleinshift/scalerun/ScaleOptions.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleOptions.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import picocli.CommandLine.Option;
 
-/** What a scale run plays; sizes count for all cells together. */
+/** Command line of a scale run; sizes and rates are totals over all cells. */
 final class ScaleOptions {
   @Option(names = "--cells", description = "Cells, each with its own controllers and services.")
   int cells = 1;
@@ -19,34 +19,34 @@
   @Option(names = "--network", hidden = true)
   int network;
 
-  @Option(names = "--processes", description = "Processes that the hollow workers share.")
+  @Option(names = "--processes", description = "Processes over which the cells are spread.")
   int processes = 1;
 
-  @Option(names = "--controllers", description = "Controllers of a cell.")
+  @Option(names = "--controllers", description = "Controllers per cell.")
   int controllers = 3;
 
-  @Option(names = "--workers", description = "Hollow workers.")
+  @Option(names = "--workers", description = "Simulated workers.")
   int workers = 100;
 
   @Option(names = "--worker-cpus", description = "Processors of a worker; a task takes one.")
   double workerCpus = 6;
 
-  @Option(names = "--starts", description = "Task starts a second, on average.")
+  @Option(names = "--starts", description = "Average task starts per second.")
   double startsPerSecond = 30;
 
-  @Option(names = "--run-s", description = "Run time of a task of the larger class, seconds.")
+  @Option(names = "--run-s", description = "Run time of a batch task, seconds.")
   double runSeconds = 20;
 
-  @Option(names = "--urgent-share", description = "Share of the starts that is urgent.")
+  @Option(names = "--urgent-share", description = "Share of task starts that are urgent.")
   double urgentShare = 0.3;
 
-  @Option(names = "--urgent-tasks", description = "Tasks of an urgent job.")
+  @Option(names = "--urgent-tasks", description = "Tasks per urgent job.")
   int urgentTasks = 20;
 
-  @Option(names = "--batch-tasks", description = "Tasks of another job.")
+  @Option(names = "--batch-tasks", description = "Tasks per batch job.")
   int batchTasks = 100;
 
-  @Option(names = "--cancelled", description = "Share of the jobs that their users cancel.")
+  @Option(names = "--cancelled", description = "Share of jobs cancelled by their users.")
   double cancelledShare = 0.02;
 
   @Option(names = "--teams", description = "Teams with quotas.")
@@ -57,43 +57,47 @@
       description = "Processors that each team may use in a cell; 0: four times its fair share.")
   double teamLimit;
 
-  @Option(names = "--seconds", description = "Length of the run.")
+  @Option(names = "--seconds", description = "Length of the load, seconds.")
   double seconds = 60;
 
-  @Option(names = "--settle-s", description = "Time for workers to be taken up before any load.")
+  @Option(
+      names = "--settle-s",
+      description = "Time for workers to register before the load, seconds.")
   double settleSeconds = 5;
 
-  @Option(names = "--warmup-s", description = "What starts before this is not measured, seconds.")
+  @Option(names = "--warmup-s", description = "Start of the load that is not measured, seconds.")
   double warmupSeconds = 20;
 
-  @Option(names = "--seed", description = "Seed of all chances of the stand-ins.")
+  @Option(names = "--seed", description = "Random seed of the simulated services and workers.")
   long seed = 1;
 
-  @Option(names = "--report-s", description = "Time between reports of a worker, seconds.")
+  @Option(names = "--report-s", description = "Interval of a worker's heartbeats, seconds.")
   double reportSeconds = 4;
 
   @Option(names = "--lease-s", description = "Lease of a worker, seconds.")
   double leaseSeconds = 22;
 
-  @Option(names = "--cancel-s", description = "Time within which a cancelled job is gone, seconds.")
+  @Option(names = "--cancel-s", description = "Time limit for a cancelled job to end, seconds.")
   double cancelSeconds = 42;
 
-  @Option(names = "--state-rps", description = "Requests a second that a state service takes.")
+  @Option(names = "--state-rps", description = "Request limit of the key-value stores per second.")
   double storeRequestsPerSecond = 1800;
 
-  @Option(names = "--state-write-rps", description = "Changes a second that it takes.")
+  @Option(
+      names = "--state-write-rps",
+      description = "Write limit of the key-value stores per second.")
   double storeWritesPerSecond = 360;
 
-  @Option(names = "--state-ms", description = "Time that it takes to answer, milliseconds.")
+  @Option(names = "--state-ms", description = "Latency of the key-value store, milliseconds.")
   double storeLatencyMillis = 4;
 
-  @Option(names = "--value-kb", description = "Longest value of a state service, KiB.")
+  @Option(names = "--value-kb", description = "Largest value in the key-value store, KiB.")
   double valueKb = 16;
 
-  @Option(names = "--jvm", description = "Further options of the controllers' virtual machines.")
+  @Option(names = "--jvm", description = "Additional JVM options of the controllers.")
   List<String> jvm = new ArrayList<>();
 
-  @Option(names = "--tunables", description = "The operators' own settings of the controllers.")
+  @Option(names = "--tunables", description = "Tunables file passed to the controllers.")
   Path tunables;
 
   @Option(
@@ -101,12 +105,13 @@
       description =
           "AT:KIND[:NUMBER], AT in seconds: kill-leader, kill-controller:INDEX, kill-workers:N,"
               + " restart-workers:N, zone-dark:SECONDS, state-out:SECONDS,"
-              + " controller-unreachable:SECONDS (by workers).")
+              + " controller-unreachable:SECONDS (for workers).")
   List<String> faults = new ArrayList<>();
 
   @Option(
       names = "--wrong-limits",
-      description = "Tells the controllers this many times the teams' limits: the run must fail.")
+      description =
+          "Factor on the teams' limits in the controllers' settings; above 1 the run must fail.")
   double limitFactor = 1;
 
   @Option(names = "--report", description = "File for the machine-readable report (JSON).")
@@ -115,13 +120,13 @@
   @Option(
       names = "--sizes",
       split = ",",
-      description = "Several numbers of workers, played one after another; starts go with them.")
+      description = "Numbers of workers, run one after another; starts scale with them.")
   List<Integer> sizes = new ArrayList<>();
 
-  @Option(names = "--jar", description = "The packaged program.")
+  @Option(names = "--jar", description = "Jar of the packaged program.")
   Path jar = Path.of("target/mulleinshift.jar");
 
-  /** How many cells this process plays. */
+  /** Number of cells that this process runs. */
   int cellsHere() {
     return cellsHere == 0 ? cells : cellsHere;
   }
--- a/src/test/java/org/mulleinshift/scalerun/ScaleReport.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleReport.java
@@ -12,7 +12,7 @@
 import org.mulleinshift.invariants.InvariantChecker;
 import org.mulleinshift.invariants.ObservedJob;
 
-/** What a scale run measured, as text and for machines. */
+/** Measurements of a scale run, as text and as JSON. */
 final class ScaleReport {
   private static final double BUSY_THREAD_SHARE = 0.85;
   private static final double BUSY_MACHINE_SHARE = 0.9;
@@ -28,7 +28,7 @@
   private static final int THREADS_LISTED = 5;
   private static final double MIN_STARTS_PER_SECOND = 1e-9;
 
-  /** All counters at a moment. */
+  /** Snapshot of all counters. */
   record Sample(
       double seconds,
       int starts,
@@ -71,12 +71,12 @@
   }
 
   /**
-   * What a run leaves behind for its report.
+   * Input of the report.
    *
    * @param before counters when the measured part of the load began
    * @param after counters at the end of the load
-   * @param lastFaultEnd when the last fault was over, seconds
-   * @param folder of the controllers' logs
+   * @param lastFaultEnd time at which the last fault ended, seconds
+   * @param folder directory of the controllers' logs
    */
   record Results(
       List<ScaleCell> cells,
@@ -94,7 +94,7 @@
       return (after.starts() - before.starts()) / seconds();
     }
 
-    /** The share of the machine's processors that was busy with the run. */
+    /** Share of the machine's processor time that the run used. */
     double machineShare() {
       return (after.machineSeconds() - before.machineSeconds())
           / seconds()
@@ -102,7 +102,7 @@
     }
   }
 
-  /** The report of a run that has ended; checks what must hold at the end. */
+  /** Report of a finished run; also runs the checks that apply at the end. */
   static ScaleReport of(ScaleOptions options, Results results) {
     ObjectNode node = new ObjectMapper().createObjectNode();
     ScaleReport report = new ScaleReport(node, new ArrayList<>());
@@ -242,7 +242,7 @@
     figures.put("worker_connections", connections);
     put("busiest_stand_in_cores", busiest);
     if (busiest > BUSY_THREAD_SHARE) {
-      notes.add("the stand-ins were the limit: a thread of theirs was busy all the time");
+      notes.add("the simulation was the limit: one of its threads was busy all the time");
     }
   }
 
@@ -299,7 +299,7 @@
     return text.toString();
   }
 
-  /** One row a run: the slope against the size. */
+  /** Markdown table with a row for each run, to show how the figures grow with the size. */
   static String table(List<ScaleReport> reports) {
     List<String> columns =
         List.of(
--- a/src/test/java/org/mulleinshift/scalerun/ScaleRun.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleRun.java
@@ -23,8 +23,8 @@
 import picocli.CommandLine.Mixin;
 
 /**
- * The scale run: real controller processes on loopback beside hollow workers that speak the whole
- * protocol of workers and do no work. Ends by itself; fails if a rule was broken.
+ * The scale run: real controller processes on loopback addresses, with simulated workers that speak
+ * the full worker protocol and run no work. Fails if an invariant was violated.
  */
 @Command(name = "scale-run", mixinStandardHelpOptions = true, sortOptions = false)
 public final class ScaleRun implements Callable<Integer> {
@@ -37,12 +37,15 @@
   private static final int IO_THREADS = 2;
   private static final int STORE_PORT = 2379;
 
-  /** Networks above the last that is taken by itself are those of a group's processes. */
+  /**
+   * Highest loopback network, the second octet of addresses. Processes of a group count down from
+   * it; other runs choose networks up to {@link #LAST_PROBED_NETWORK}.
+   */
   static final int LAST_NETWORK = 250;
 
   private static final int LAST_PROBED_NETWORK = 200;
 
-  /** Share of the machine's memory that a run may take. */
+  /** Share of the machine's memory that a run may use. */
   private static final double MEMORY_SHARE = 0.5;
 
   private static final double CONTROLLER_MB = 250;
@@ -54,7 +57,7 @@
   private final List<ScaleReport> reports = new ArrayList<>();
   private List<String> arguments = List.of();
 
-  /** Plays a scale run; see {@code --help}. */
+  /** Performs a scale run; {@code --help} lists the options. */
   public static void main(String[] args) {
     ScaleRun run = new ScaleRun();
     run.arguments = List.of(args);
@@ -65,9 +68,10 @@
   ScaleRun() {}
 
   /**
-   * Plays one size, for tests.
+   * Performs a run of one size, for tests.
    *
-   * @return what broke a rule
+   * @param more further arguments, which override the first
+   * @return the violations found; empty if the run passed
    */
   public static List<String> violationsOf(String[] arguments, String... more)
       throws IOException, InterruptedException {
@@ -100,7 +104,7 @@
     return reports.stream().allMatch(ScaleReport::passed) ? 0 : EXIT_VIOLATION;
   }
 
-  /** Plays one size. */
+  /** Performs a run of one size. */
   ScaleReport play() throws IOException, InterruptedException {
     checkBounds();
     Path folder = Files.createTempDirectory("scale-run");
@@ -176,7 +180,7 @@
     Thread.sleep((long) (1000 * Math.max(0, seconds)));
   }
 
-  /** Refuses what would take more of the machine than a run may. */
+  /** Rejects a run that would need too much memory or too many connections. */
   private void checkBounds() {
     double wanted =
         options.cells * options.controllers * CONTROLLER_MB
@@ -184,14 +188,14 @@
     double allowed = MEMORY_SHARE * machineMemoryMb();
     if (wanted > allowed) {
       throw new IllegalArgumentException(
-          String.format("the run would take %.0f MB, and may take %.0f", wanted, allowed));
+          String.format("the run would need %.0f MB, and may use %.0f MB", wanted, allowed));
     }
     long files = openFilesLimit();
     long connections =
         (long) CONNECTIONS_PER_WORKER * options.workers * options.cellsHere() / options.cells;
     if (connections > files) {
       throw new IllegalArgumentException(
-          connections + " connections are more than the " + files + " of this process");
+          connections + " connections exceed the limit of " + files + " open files");
     }
   }
 
@@ -209,7 +213,7 @@
     return process.getMaxFileDescriptorCount();
   }
 
-  /** A part of the loopback range that no other run uses. */
+  /** A loopback network that no other run uses. */
   private static int freeNetwork() throws IOException {
     for (int network = 1; network <= LAST_PROBED_NETWORK; network++) {
       InetSocketAddress address =
@@ -218,9 +222,9 @@
         probe.bind(address);
         return network;
       } catch (BindException e) {
-        // Another run has it: the next one is tried.
+        // Used by another run; try the next one.
       }
     }
-    throw new IOException("no part of the loopback range is free");
+    throw new IOException("no loopback network is free");
   }
 }
--- a/src/test/java/org/mulleinshift/scalerun/ScaleRunIT.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleRunIT.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Small scale runs of the packaged program: what they check does not depend on the speed. */
+/** Small scale runs of the packaged program; the checks do not depend on the machine's speed. */
 class ScaleRunIT {
   private static final String[] SMALL = {
     "--workers=100", "--starts=30", "--teams=5", "--run-s=6", "--seconds=14", "--warmup-s=4"
--- a/src/test/java/org/mulleinshift/scalerun/ScaleWorkload.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleWorkload.java
@@ -8,7 +8,7 @@
 import org.mulleinshift.simulation.SimulatedUser;
 import org.mulleinshift.simulation.time.Timeline;
 
-/** Users of one cell: urgent jobs of a few tasks and larger ones, drawn at a given rate. */
+/** Users of one cell: urgent and batch jobs that arrive at random at a given average rate. */
 final class ScaleWorkload {
   static final String URGENT = "urgent";
   static final String BATCH = "batch";
@@ -47,7 +47,7 @@
     this.batchPerSecond = starts * (1 - options.urgentShare) / options.batchTasks;
   }
 
-  /** Until then jobs are submitted. */
+  /** Submits jobs until the given time of the timeline. */
   void start(double until) {
     scheduleArrivals(urgentPerSecond, until, this::submitUrgent);
     scheduleArrivals(batchPerSecond, until, this::submitBatch);
--- a/src/test/java/org/mulleinshift/scalerun/package-info.java
+++ b/src/test/java/org/mulleinshift/scalerun/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The scale run: packaged controllers as real processes beside simulated services and workers on
- * the loopback range, in real time.
+ * The scale run: packaged controllers as real processes, with simulated services and workers on
+ * loopback addresses, in real time.
  */
 package org.mulleinshift.scalerun;
