--- a/src/test/java/org/mulleinshift/scalerun/ScaleReport.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleReport.java
@@ -242,7 +242,7 @@
     figures.put("worker_connections", connections);
     put("busiest_stand_in_cores", busiest);
     if (busiest > BUSY_THREAD_SHARE) {
-      notes.add("the simulation was the limit: one of its threads was busy all the time");
+      notes.add("the stand-ins were the limit: a thread of theirs was busy all the time");
     }
   }
 
--- a/src/test/java/org/mulleinshift/scalerun/ScaleRun.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleRun.java
@@ -24,7 +24,7 @@
 
 /**
  * The scale run: real controller processes on loopback addresses, with simulated workers that speak
- * the full worker protocol and run no work. Fails if an invariant was violated.
+ * the full worker protocol and run no work. Exits by itself; fails if an invariant was violated.
  */
 @Command(name = "scale-run", mixinStandardHelpOptions = true, sortOptions = false)
 public final class ScaleRun implements Callable<Integer> {
