--- a/src/test/java/org/mulleinshift/GoldenFile.java
+++ b/src/test/java/org/mulleinshift/GoldenFile.java
@@ -14,19 +14,19 @@
 import java.util.stream.Stream;
 
 /**
- * Messages and stored records as an earlier build encoded them. Each file holds one encoding and a
- * line end. With {@code -Dgolden.write=true} a test writes its file and then fails, so that a run
- * that writes never passes for one that compares.
+ * Golden files: messages and stored records as encoded by an earlier build. Each file holds one
+ * encoding and a line end. With {@code -Dgolden.write=true} a test writes its file and then fails,
+ * so that a run that writes files is never taken for one that compares them.
  */
 public final class GoldenFile {
   private static final Path ROOT = Path.of("src/test/resources/golden");
-  private static final boolean WRITING = Boolean.getBoolean("golden.write");
+  private static final boolean WRITE_MODE = Boolean.getBoolean("golden.write");
   private static final String LINE_END = "\n";
   private static final int HEX_PER_LINE = 64;
 
   private GoldenFile() {}
 
-  /** The text that the file holds. */
+  /** Content of the file without its final line end; fails if that is missing. */
   public static String text(String name) {
     try {
       String stored = Files.readString(ROOT.resolve(name));
@@ -39,14 +39,14 @@
     }
   }
 
-  /** The bytes that the file holds in hexadecimal digits. */
+  /** The bytes that the file holds as hexadecimal digits. */
   public static byte[] bytes(String name) {
     return HexFormat.of().parseHex(text(name).replace(LINE_END, ""));
   }
 
   /** Fails unless the file holds exactly this text. */
   public static void assertHolds(String name, String text) {
-    if (WRITING) {
+    if (WRITE_MODE) {
       write(name, text);
       fail(name + " was written, not compared");
     }
@@ -58,7 +58,7 @@
     assertHolds(name, hexLines(bytes));
   }
 
-  /** The names of the files in a directory, without those of directories within. */
+  /** Names of the regular files in a directory, excluding subdirectories. */
   public static Set<String> names(String directory) throws IOException {
     try (Stream<Path> files = Files.list(ROOT.resolve(directory))) {
       return files
--- a/src/test/java/org/mulleinshift/classarchive/ClassArchiveTraining.java
+++ b/src/test/java/org/mulleinshift/classarchive/ClassArchiveTraining.java
@@ -17,20 +17,21 @@
 import org.mulleinshift.transport.ThreadEventLoop;
 
 /**
- * Runs the packaged program until it has loaded the classes that a start, a job and a peer need,
- * then ends it, whereupon the Java virtual machine writes the archive.
+ * Creates the class-data archive: runs the packaged program until it has loaded the classes used to
+ * start up, run jobs and talk to a peer, then terminates it, and the JVM writes the archive at
+ * exit.
  */
 public final class ClassArchiveTraining {
   private static final Path SETTINGS = Path.of("src/test/resources/settings/controller.toml");
-  private static final Duration LENGTH = Duration.ofSeconds(9);
+  private static final Duration RUN_TIME = Duration.ofSeconds(9);
   private static final Duration EXIT_TIMEOUT = Duration.ofSeconds(60);
   private static final Duration PEER_ACK_TIMEOUT = Duration.ofSeconds(1);
-  private static final int PEER_BYTES = 1 << 20;
+  private static final int PEER_BUFFER_BYTES = 1 << 20;
   private static final int CLIENT_THREADS = 1;
   private static final int CLIENT_QUEUE = 8;
 
-  /** A port that was free may be taken by another process before the program listens on it. */
-  private static final int MAX_RUNS = 3;
+  /** Retries are needed because another process may take a free port before the program does. */
+  private static final int MAX_ATTEMPTS = 3;
 
   private final Path jar;
   private final Path archive;
@@ -41,18 +42,18 @@
   }
 
   /**
-   * Trains an archive.
+   * Creates an archive; fails if no attempt writes it.
    *
-   * @param args the jar of the program, and the file to write
+   * @param args path of the program's jar, and path of the archive to write
    */
   public static void main(String[] args) throws IOException, InterruptedException {
     ClassArchiveTraining training = new ClassArchiveTraining(Path.of(args[0]), Path.of(args[1]));
     Files.deleteIfExists(training.archive);
-    for (int run = 0; run < MAX_RUNS && !Files.exists(training.archive); run++) {
+    for (int attempt = 0; attempt < MAX_ATTEMPTS && !Files.exists(training.archive); attempt++) {
       training.run();
     }
     if (!Files.exists(training.archive)) {
-      throw new IOException(training.archive + " was not written in " + MAX_RUNS + " runs");
+      throw new IOException(training.archive + " was not written in " + MAX_ATTEMPTS + " attempts");
     }
     System.exit(0);
   }
@@ -69,8 +70,8 @@
             Map.of("controller", controllerPeer),
             frame -> {},
             PEER_ACK_TIMEOUT,
-            PEER_BYTES,
-            PEER_BYTES);
+            PEER_BUFFER_BYTES,
+            PEER_BUFFER_BYTES);
     peers.start(ownPeer);
     Path settings = writeSettings(publicAddress, controllerPeer, ownPeer);
     JdkAsyncHttpClient client =
@@ -114,11 +115,11 @@
             .redirectOutput(archive.resolveSibling("class-archive.log").toFile())
             .start();
     try {
-      if (program.waitFor(LENGTH.dividedBy(2).toMillis(), TimeUnit.MILLISECONDS)) {
+      if (program.waitFor(RUN_TIME.dividedBy(2).toMillis(), TimeUnit.MILLISECONDS)) {
         return;
       }
       sendFrames.run();
-      if (program.waitFor(LENGTH.dividedBy(2).toMillis(), TimeUnit.MILLISECONDS)) {
+      if (program.waitFor(RUN_TIME.dividedBy(2).toMillis(), TimeUnit.MILLISECONDS)) {
         return;
       }
       program.destroy();
--- a/src/test/java/org/mulleinshift/classarchive/TrainingStore.java
+++ b/src/test/java/org/mulleinshift/classarchive/TrainingStore.java
@@ -13,8 +13,9 @@
 import java.util.TreeMap;
 
 /**
- * As much of the key-value store as one controller needs to lead and run jobs. It checks no
- * condition and lets no lease expire: no test and no measurement uses it.
+ * The part of the key-value store that one controller needs to become leader and run jobs. It
+ * ignores the conditions of transactions and expires no lease, so it is unfit for tests and
+ * measurements.
  */
 final class TrainingStore implements TrainingServer.Service {
   private static final String KEY_PREFIX = "/keys/";
@@ -94,11 +95,11 @@
 
   private String changes(String prefix, long from) {
     ObjectNode node = json.createObjectNode().put(STORE_REVISION, revision);
-    ArrayNode news = node.putArray("news");
+    ArrayNode matching = node.putArray("news");
     for (ObjectNode change : changes) {
       String key = change.path(change.has("set") ? "set" : "delete").asText();
       if (change.path(REVISION).asLong() > from && key.startsWith(prefix)) {
-        news.add(change);
+        matching.add(change);
       }
     }
     return node.toString();
--- a/src/test/java/org/mulleinshift/scalerun/CellSettings.java
+++ b/src/test/java/org/mulleinshift/scalerun/CellSettings.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The platform's settings of one cell: the limits of its teams and the controllers' files. */
+/** Settings of one cell: the limits of its teams and the controllers' settings files. */
 final class CellSettings {
   static final List<String> ZONES = List.of("zone-a", "zone-b", "zone-c");
   static final double LISTING_LAG_SECONDS = 4;
@@ -20,11 +20,11 @@
   private static final int MAX_OPEN_FILES = 16_000;
   private static final double LIMIT_TO_FAIR_SHARE = 4;
 
-  /** A guarantee is so much below a team's fair share. */
+  /** Ratio of a team's fair share to its guaranteed processors. */
   private static final double FAIR_SHARE_TO_GUARANTEE = 2;
 
-  /** A team's limit takes so many of the larger jobs at a time. */
-  private static final int JOBS_WITHIN_LIMIT = 4;
+  /** Each team's limit allows at least this many batch jobs to run at the same time. */
+  private static final int MIN_BATCH_JOBS_WITHIN_LIMIT = 4;
 
   private final ScaleOptions options;
   private final int cell;
@@ -41,14 +41,14 @@
   }
 
   double storeRequestsPerSecond() {
-    return options.stateRequests / options.cells;
+    return options.storeRequestsPerSecond / options.cells;
   }
 
   double storeWritesPerSecond() {
-    return options.stateWrites / options.cells;
+    return options.storeWritesPerSecond / options.cells;
   }
 
-  /** Limits of the teams over the cells of this process. */
+  /** Each team's limit, summed over the cells that this process runs; processors by team. */
   Map<String, Double> teamLimits() {
     Map<String, Double> limits = new HashMap<>();
     for (int i = 0; i < options.teams; i++) {
@@ -57,13 +57,13 @@
     return limits;
   }
 
-  /** A cell's share of each team's limit, which is fixed, so that no two cells need agree. */
+  /** A cell's share of each team's limit; fixed, so that cells need no coordination. */
   private double teamLimitInCell() {
     if (options.teamLimit > 0) {
       return options.teamLimit;
     }
     double fairShare = workersPerCell() * options.workerCpus / options.teams;
-    double smallest = JOBS_WITHIN_LIMIT * options.batchTasks;
+    double smallest = MIN_BATCH_JOBS_WITHIN_LIMIT * options.batchTasks;
     return Math.max(smallest, Math.ceil(LIMIT_TO_FAIR_SHARE * fairShare));
   }
 
@@ -114,7 +114,7 @@
       toml.append("[[cluster.teams]]\n");
       text(toml, "name", ScaleWorkload.team(i));
       value(toml, "cpus", limit / LIMIT_TO_FAIR_SHARE / FAIR_SHARE_TO_GUARANTEE);
-      value(toml, "cpus_max", limit * options.wrongLimits);
+      value(toml, "cpus_max", limit * options.limitFactor);
     }
   }
 
--- a/src/test/java/org/mulleinshift/scalerun/ScaleCell.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleCell.java
@@ -33,8 +33,8 @@
 import org.mulleinshift.transport.HttpResponse;
 
 /**
- * One cell of a scale run: real controllers, and a simulated store, cloud, users and workers on
- * addresses of the loopback range.
+ * One cell of a scale run: controllers as real processes, and a simulated store, cloud, users and
+ * workers on loopback addresses.
  */
 final class ScaleCell {
   private static final String MACHINE_TYPE = "hollow";
@@ -43,15 +43,15 @@
   private static final double SPOT_PRICE = 0.4;
   private static final double BOOT_SECONDS = 15;
   private static final double RESTART_SECONDS = 3;
-  private static final double UP_WITHIN_SECONDS = 3;
-  private static final double SURPLUS_CAPACITY = 1.1;
+  private static final double INITIAL_BOOT_SPREAD_SECONDS = 3;
+  private static final double CAPACITY_FACTOR = 1.1;
   private static final int BYTES_PER_KB = 1024;
   private static final int SEEDS_PER_RUN = 1000;
   private static final int WORKER_SEED_OFFSET = 500;
   private static final double MILLIS_PER_SECOND = 1000;
   private static final double NANOS_PER_SECOND = 1e9;
 
-  /** What the cells of a process share. */
+  /** Objects shared by all cells of a process. */
   record Shared(
       ScaleOptions options,
       int network,
@@ -78,14 +78,14 @@
   private final List<HttpListener> listeners = new ArrayList<>();
   private final List<ControllerProcess> controllers = new ArrayList<>();
 
-  /** The controller that no heartbeat reaches; null if all are reached. */
+  /** The controller to which all heartbeats are dropped; null if none is. */
   private ControllerProcess unreachable;
 
   private final Map<String, SimulatedWorker> workersByAddress = new ConcurrentHashMap<>();
   private final Map<SimulatedWorker, HttpConnection> connections = new ConcurrentHashMap<>();
   private int storeRequests;
   private double lastStartAt;
-  private double longestGap;
+  private double longestGapSeconds;
 
   ScaleCell(Shared shared, int number) {
     this.shared = shared;
@@ -101,7 +101,7 @@
         new InvariantChecker(
             timeline, settings.teamLimits(), options.cancelSeconds, shared.teamUsage());
     this.checker.tasks().onStart(this::onStart);
-    this.checker.reportedPhases().onAcceptedOrEnded(job -> shared.measures().news(job));
+    this.checker.reportedPhases().onAcceptedOrEnded(job -> shared.measures().recordAcceptance(job));
     this.cloud = new SimulatedCloud(timeline, CellSettings.LISTING_LAG_SECONDS, this::startWorker);
     this.loadBalancer = new LoadBalancer(timeline, shared.userClient(), controllers);
   }
@@ -117,25 +117,29 @@
 
   private void onStart(ObservedJob job) {
     double now = timeline.seconds();
-    shared.measures().started(job, now);
-    longestGap = Math.max(longestGap, now - lastStartAt);
+    shared.measures().recordStart(job, now);
+    longestGapSeconds = Math.max(longestGapSeconds, now - lastStartAt);
     lastStartAt = now;
   }
 
-  /** Reports the longest time without any start in the seconds that come. */
-  void watchGap(double seconds, DoubleConsumer listener) {
+  /**
+   * Measures the longest time without a task start from now on, and reports it in seconds.
+   *
+   * @param seconds length of the measurement
+   */
+  void measureLongestGap(double seconds, DoubleConsumer listener) {
     timeline.post(
         () -> {
-          longestGap = 0;
+          longestGapSeconds = 0;
           timeline.after(
               seconds,
-              () -> listener.accept(Math.max(longestGap, timeline.seconds() - lastStartAt)));
+              () -> listener.accept(Math.max(longestGapSeconds, timeline.seconds() - lastStartAt)));
         });
   }
 
-  /** Runs a step on the cell's timeline and waits for its end. */
+  /** Runs a step on the thread of the cell's timeline and waits until it has finished. */
   void runAndWait(Runnable step) {
-    ask(
+    callOn(
         timeline,
         () -> {
           step.run();
@@ -143,18 +147,18 @@
         });
   }
 
-  /** Reads what only the thread of a timeline may read. */
-  private static <T> T ask(RealTimeline owner, Supplier<T> question) {
-    CompletableFuture<T> answer = new CompletableFuture<>();
+  /** Returns the result of a call made on the timeline's thread, which owns the state it reads. */
+  private static <T> T callOn(RealTimeline owner, Supplier<T> call) {
+    CompletableFuture<T> result = new CompletableFuture<>();
     owner.post(
         () -> {
           try {
-            answer.complete(question.get());
+            result.complete(call.get());
           } catch (RuntimeException e) {
-            answer.completeExceptionally(e);
+            result.completeExceptionally(e);
           }
         });
-    return answer.join();
+    return result.join();
   }
 
   /** Starts the simulated services, the controllers and the workers. */
@@ -183,10 +187,10 @@
   private void bootWorkers() {
     List<String> zones = CellSettings.ZONES;
     int workers = settings.workersPerCell();
-    int capacity = (int) Math.ceil(SURPLUS_CAPACITY * workers / zones.size());
+    int capacity = (int) Math.ceil(CAPACITY_FACTOR * workers / zones.size());
     zones.forEach(zone -> cloud.onDemandCapacity(MACHINE_TYPE, zone, capacity));
     for (int i = 0; i < workers; i++) {
-      double seconds = UP_WITHIN_SECONDS * timeline.random();
+      double seconds = INITIAL_BOOT_SPREAD_SECONDS * timeline.random();
       cloud.createMachine(cloud.machineType(MACHINE_TYPE), zones.get(i % zones.size()), seconds);
     }
   }
@@ -198,7 +202,7 @@
     return listener;
   }
 
-  /** Starts the users; they submit until that time of this cell's timeline. */
+  /** Starts the users, who submit jobs until the given time of this cell's timeline. */
   void submitUntil(double seconds) {
     timeline.post(
         () -> new ScaleWorkload(timeline, checker, loadBalancer, options, number).start(seconds));
@@ -210,7 +214,8 @@
         () -> {
           storeRequests++;
           storeTimeline.after(
-              options.stateMillis / MILLIS_PER_SECOND, () -> store.handle("", request, reply));
+              options.storeLatencyMillis / MILLIS_PER_SECOND,
+              () -> store.handle("", request, reply));
         });
   }
 
@@ -265,32 +270,35 @@
     }
   }
 
-  /** Whether all controllers answer users. */
+  /** Whether all controllers reported ready at their last probe. */
   boolean ready() {
     return controllers.stream().allMatch(ControllerProcess::ready);
   }
 
   /**
-   * Causes a fault.
+   * Injects a fault.
    *
-   * @param amount the fault's number, or 0 if none is given
+   * @param fault kind of the fault, as in {@code --trouble}
+   * @param amount the fault's number (a count, an index or seconds); 0 if none is given
    */
-  void cause(String fault, double amount) {
+  void injectFault(String fault, double amount) {
     switch (fault) {
       case "kill-leader" -> kill(leader());
       case "kill-controller" -> kill(controllers.get((int) amount));
-      case "kill-workers" -> timeline.post(() -> some((int) amount).forEach(cloud::delete));
+      case "kill-workers" ->
+          timeline.post(() -> randomMachines((int) amount).forEach(cloud::delete));
       case "restart-workers" ->
-          timeline.post(() -> workersOf(some((int) amount)).forEach(SimulatedWorker::reboot));
+          timeline.post(
+              () -> workersOf(randomMachines((int) amount)).forEach(SimulatedWorker::reboot));
       case "zone-dark" -> timeline.post(() -> hangZone(CellSettings.ZONES.get(0), amount));
-      case "controller-unreachable" -> loseWorkers(amount);
+      case "controller-unreachable" -> dropHeartbeatsToFollower(amount);
       case "state-out" -> storeTimeline.post(() -> store.outage(amount));
-      default -> throw new IllegalArgumentException("no such trouble: " + fault);
+      default -> throw new IllegalArgumentException("unknown fault kind: " + fault);
     }
   }
 
-  /** The workers' heartbeats to a controller that does not lead are lost for a while. */
-  private void loseWorkers(double seconds) {
+  /** Drops all heartbeats to one controller that is not the leader. */
+  private void dropHeartbeatsToFollower(double seconds) {
     ControllerProcess leader = leader();
     ControllerProcess follower =
         controllers.stream()
@@ -301,7 +309,7 @@
     timeline.post(() -> timeline.after(seconds, () -> unreachable = null));
   }
 
-  private List<SimulatedMachine> some(int count) {
+  private List<SimulatedMachine> randomMachines(int count) {
     List<SimulatedMachine> up = new ArrayList<>(cloud.runningMachines());
     Collections.shuffle(up, new Random(options.seed));
     return up.subList(0, Math.min(count, up.size()));
@@ -323,7 +331,7 @@
   }
 
   private ControllerProcess leader() {
-    JsonNode value = ask(storeTimeline, () -> store.values().get("c/leader"));
+    JsonNode value = callOn(storeTimeline, () -> store.values().get("c/leader"));
     String label = value == null ? "" : value.path("node").asText();
     return controllers.stream()
         .filter(controller -> controller.label().equals(label))
@@ -331,7 +339,7 @@
         .orElse(controllers.get(0));
   }
 
-  /** Which controller led last. */
+  /** Label of the last leader in the store; of the first controller if there has been none. */
   String leaderLabel() {
     return leader().label();
   }
@@ -348,9 +356,9 @@
     return timeline;
   }
 
-  /** Figures of the simulated services now. */
-  ScaleMeasures.StandIns standIns() {
-    return new ScaleMeasures.StandIns(
+  /** Current counters of the simulated services and workers. */
+  ScaleMeasures.SimulatorCounters simulatorCounters() {
+    return new ScaleMeasures.SimulatorCounters(
         storeRequests,
         store.history().writeCount(),
         store.rateLimitedCount(),
@@ -360,14 +368,14 @@
         cloudBytes.bytes(),
         timeline.processorNanos() / NANOS_PER_SECOND,
         storeTimeline.processorNanos() / NANOS_PER_SECOND,
-        ask(timeline, () -> cloud.runningMachines().size()));
+        callOn(timeline, () -> cloud.runningMachines().size()));
   }
 
   void killControllers() {
     controllers.stream().filter(ControllerProcess::alive).forEach(ControllerProcess::kill);
   }
 
-  /** Ends all that this cell started. */
+  /** Kills the controllers and closes all threads and connections of this cell. */
   void stop() {
     killControllers();
     timeline.stop();
--- a/src/test/java/org/mulleinshift/scalerun/ScaleGroup.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleGroup.java
@@ -9,28 +9,28 @@
 import java.util.List;
 
 /**
- * A scale run whose cells are spread over several processes, where one would have too many
- * connections. Each plays whole cells; as each cell has a fixed share of every team's limit, what
- * each process checks adds up.
+ * A scale run whose cells are spread over several processes, because one process would need too
+ * many connections. Each process runs whole cells. As each cell has a fixed share of every team's
+ * limit, a process can check the limits of its own cells alone.
  */
 final class ScaleGroup {
-  /** Heap of a process beside what its workers take, MB. */
+  /** Heap of a process without its workers, MB. */
   private static final long HEAP_MB = 200;
 
   private final ScaleOptions options;
   private final List<String> arguments;
 
   /**
-   * A group.
+   * A group of processes that is not started yet.
    *
-   * @param arguments of the command line, handed on to each process
+   * @param arguments command line, passed on to each process
    */
   ScaleGroup(ScaleOptions options, List<String> arguments) {
     this.options = options;
     this.arguments = arguments;
   }
 
-  /** Plays all cells; true if no process found a rule broken. */
+  /** Runs all cells; true if no process reported a violation. */
   boolean play() throws IOException, InterruptedException {
     Path folder = Files.createTempDirectory("scale-group");
     List<Process> processes = new ArrayList<>();
@@ -60,7 +60,7 @@
     command.add("--processes=1");
     command.add("--first-cell=" + first);
     command.add("--cells-here=" + count);
-    // Each process in a part of the loopback range of its own.
+    // Each process has its own loopback network, from LAST_NETWORK downwards.
     command.add("--network=" + (ScaleRun.LAST_NETWORK + 1 - (first + 1)));
     command.add("--report=" + report);
     return new ProcessBuilder(command).inheritIO().start();
@@ -68,7 +68,7 @@
 
   private long heapMb(int cells) {
     double workers = (double) options.workers * cells / options.cells;
-    return HEAP_MB + (long) (workers * ScaleRun.STAND_IN_MB_PER_WORKER);
+    return HEAP_MB + (long) (workers * ScaleRun.SIMULATOR_MB_PER_WORKER);
   }
 
   private static String sum(List<Path> reports) throws IOException {
@@ -76,26 +76,26 @@
     double starts = 0;
     double cores = 0;
     double requests = 0;
-    double changes = 0;
-    double memory = 0;
-    double machine = 0;
-    long worst = 0;
+    double writes = 0;
+    double peakMemoryMb = 0;
+    double machineShare = 0;
+    long worstUrgentP99 = 0;
     long workers = 0;
     for (Path report : reports) {
       JsonNode run = json.readTree(report.toFile()).get(0);
       starts += run.path("starts_per_s").asDouble();
       cores += run.path("controllers_cores").asDouble();
       requests += run.path("state_requests_per_s").asDouble();
-      changes += run.path("state_changes_per_s").asDouble();
-      machine += run.path("machine_share").asDouble();
+      writes += run.path("state_changes_per_s").asDouble();
+      machineShare += run.path("machine_share").asDouble();
       workers += run.path("workers_up").asLong();
-      memory = Math.max(memory, run.path("most_memory_mb").asDouble());
-      worst = Math.max(worst, run.path("start_urgent_ms").path("p99").asLong());
+      peakMemoryMb = Math.max(peakMemoryMb, run.path("most_memory_mb").asDouble());
+      worstUrgentP99 = Math.max(worstUrgentP99, run.path("start_urgent_ms").path("p99").asLong());
     }
     return String.format(
         "all processes: %d workers, %.0f starts/s, controllers %.2f cores, most memory %.0f MB,"
             + " state services %.0f requests/s and %.0f changes/s, urgent start p99 %d ms in the"
             + " worst process, share of the machine %.2f",
-        workers, starts, cores, memory, requests, changes, worst, machine);
+        workers, starts, cores, peakMemoryMb, requests, writes, worstUrgentP99, machineShare);
   }
 }
--- a/src/test/java/org/mulleinshift/scalerun/ScaleRunIT.java
+++ b/src/test/java/org/mulleinshift/scalerun/ScaleRunIT.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Small scale runs of the packaged program: what they check does not depend on the speed. */
+/** Small scale runs of the packaged program; the checks do not depend on the machine's speed. */
 class ScaleRunIT {
   private static final String[] SMALL = {
     "--workers=100", "--starts=30", "--teams=5", "--run-s=6", "--seconds=14", "--warmup-s=4"
@@ -15,13 +15,13 @@
 
   @Test
   void noRuleIsBrokenThoughTheLeaderIsKilled() throws IOException, InterruptedException {
-    assertEquals(List.of(), ScaleRun.brokenBy(SMALL, "--trouble=6:kill-leader"));
+    assertEquals(List.of(), ScaleRun.violationsOf(SMALL, "--trouble=6:kill-leader"));
   }
 
   @Test
   void controllersThatAllowTooMuchAreCaught() throws IOException, InterruptedException {
     List<String> broken =
-        ScaleRun.brokenBy(
+        ScaleRun.violationsOf(
             SMALL, "--wrong-limits=100", "--teams=1", "--team-limit=50", "--starts=60");
     assertTrue(broken.stream().anyMatch(line -> line.contains("quota")), "not caught: " + broken);
   }
